--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -9,6 +9,8 @@
 
 #[path = "golden/controllers.rs"]
 mod controllers;
+#[path = "golden/leaders.rs"]
+mod leaders;
 #[path = "golden/operator_files.rs"]
 mod operator_files;
 #[path = "golden/pinned.rs"]
--- /dev/null
+++ b/tests/golden/leaders.rs
@@ -0,0 +1,83 @@
+//! A node that starts, comes to lead, and answers a worker: its calls to the state service, with the key
+//! that says who leads, and its answer with a token.
+
+use super::pinned::PinnedFile;
+use super::users::{STATE_SERVICE, node, tell_types};
+use super::workers::received_report;
+use cedarladder::coordination::controller::{Controller, Now};
+use cedarladder::coordination::outbox::Action;
+use cedarladder::protocol::cbor;
+use cedarladder::protocol::state::{StoreCall, StoreReply};
+use cedarladder::transport::http;
+use std::collections::BTreeSet;
+
+/// Time between two ticks of the node, and the number of them in which it has come to lead.
+const TICK_S: f64 = 0.5;
+const TICKS: u32 = 40;
+/// Time of day at the start.
+const STARTED_AT: f64 = 1_700_000_000.0;
+/// What the state service says: the lease that it grants, and its revision.
+const LEASE: u64 = 7;
+const REVISION: u64 = 412;
+/// The request of the worker.
+const REPORT: u64 = 1;
+
+/// An empty state service that takes everything.
+fn state_service(call: &StoreCall) -> StoreReply {
+    match call {
+        StoreCall::Get(_) => StoreReply::Missing,
+        StoreCall::List { .. } => StoreReply::Page(Vec::new(), false, REVISION),
+        StoreCall::Txn(_) => StoreReply::Committed(REVISION),
+        StoreCall::Grant(_) => StoreReply::Granted(LEASE),
+        StoreCall::Renew(_) | StoreCall::Drop(_) => StoreReply::Ok,
+        StoreCall::Follow { .. } => StoreReply::Events(Vec::new(), REVISION),
+    }
+}
+
+/// Lets a node run for a tick, and collects the calls that it makes of the state service.
+fn run_for_a_tick(node: &mut Controller, requests: &mut BTreeSet<Vec<u8>>, now: Now) {
+    node.tick(now);
+    for action in tell_types(node) {
+        if let Action::Store { tag, call, .. } = action {
+            let (method, path, body) = call.request();
+            requests.insert(http::write_request(method, STATE_SERVICE, &path, &body));
+            node.store_reply(tag, state_service(&call), now);
+        }
+    }
+}
+
+#[test]
+fn a_node_that_comes_to_lead_keeps_its_requests_and_its_answer_to_a_worker() {
+    let mut file = PinnedFile::open("leader_requests");
+    let mut node = node();
+    let mut requests = BTreeSet::new();
+    let mut now = Now {
+        steady: 0.0,
+        wall: STARTED_AT,
+    };
+    for tick in 0..TICKS {
+        now.steady = f64::from(tick) * TICK_S;
+        now.wall = STARTED_AT + now.steady;
+        run_for_a_tick(&mut node, &mut requests, now);
+    }
+    assert!(node.leads());
+    for (i, request) in requests.iter().enumerate() {
+        file.pin(&format!("request {i}"), request);
+    }
+    let report = cbor::encode(&received_report());
+    node.request(REPORT, "POST", "/v1/report", &report, now);
+    let answer = node
+        .take_actions()
+        .into_iter()
+        .find_map(|action| match action {
+            Action::Answer {
+                to: REPORT,
+                status,
+                body,
+                retry_after_s,
+            } => Some(http::write_response(status, &body, retry_after_s, true)),
+            _ => None,
+        });
+    file.pin("answer to a report", &answer.expect("an answer"));
+    file.finish();
+}
--- a/tests/golden/pinned.rs
+++ b/tests/golden/pinned.rs
@@ -16,7 +16,7 @@
 const HEXADECIMAL: u32 = 16;
 
 /// All data files, each of which some test opens.
-const DATA_FILES: [&str; 38] = [
+const DATA_FILES: [&str; 39] = [
     "answers_to_users",
     "built_segments",
     "cloud_answers",
@@ -28,6 +28,7 @@
     "heartbeats",
     "http",
     "keys",
+    "leader_requests",
     "policy",
     "policy_problems",
     "policy_variables",
@@ -250,6 +251,7 @@
         .collect()
 }
 
+/// Fails once while the first lines of a new file are being written.
 #[test]
 fn every_data_file_is_listed() {
     let mut found: Vec<String> = std::fs::read_dir(directory())
--- a/tests/golden/users.rs
+++ b/tests/golden/users.rs
@@ -252,7 +252,7 @@
 /// The request whose answer is pinned.
 const REQUEST: u64 = 1;
 /// Address of the state service.
-const STATE_SERVICE: &str = "10.2.0.1:2379";
+pub const STATE_SERVICE: &str = "10.2.0.1:2379";
 /// Rounds in which a node has made all its calls.
 const ROUNDS: usize = 10;
 /// Polls after which a node takes no more.
@@ -262,7 +262,7 @@
     wall: SUBMITTED_AT,
 };
 
-fn node() -> Controller {
+pub fn node() -> Controller {
     let text = include_str!("../world/settings.toml");
     let settings = Rc::new(Settings::parse(text).expect("good settings"));
     let policy = Rc::new(Policy::built_in(&settings));
@@ -313,7 +313,7 @@
 }
 
 /// Answers a node's question for the machine types, and returns what else it wants done.
-fn tell_types(node: &mut Controller) -> Vec<Action> {
+pub fn tell_types(node: &mut Controller) -> Vec<Action> {
     let types = cbor!({"Flavors" => [{"Label" => "f", "Cores" => 8, "RamGb" => 32,
         "Hourly" => 1, "ReadyS" => 25, "Groves" => ["a", "b"]}]});
     let body = cbor::encode(&types.expect("a value"));
