--- a/src/bookkeeping/hosts.rs
+++ b/src/bookkeeping/hosts.rs
@@ -3,8 +3,10 @@
 use crate::bookkeeping::failures::HostFailures;
 use crate::bookkeeping::pending_starts::{CallFate, PendingStarts};
 use crate::bookkeeping::permits::{self, Denial, Knowledge};
-use crate::protocol::cloud::Flavor;
-use crate::protocol::worker::{Order, Report, StepReport, StepStatus, TaskId, Verb};
+use crate::protocol::cloud::InstanceType;
+use crate::protocol::worker::{
+    Command, CommandKind, TaskId, TaskState, TaskStatus, WorkerHeartbeat,
+};
 use std::collections::BTreeMap;
 
 /// Resources of a machine or a task.
@@ -23,7 +25,7 @@
 
 impl Room {
     /// What a machine of a type has.
-    pub fn of_flavor(flavor: &Flavor) -> Room {
+    pub fn of_flavor(flavor: &InstanceType) -> Room {
         Room {
             cpus: flavor.cpus,
             gpus: flavor.gpus,
@@ -176,7 +178,7 @@
     /// The worker has this leader's Epoch.
     pub acked: bool,
     /// Tasks in the latest report.
-    pub steps: BTreeMap<TaskId, Vec<StepReport>>,
+    pub steps: BTreeMap<TaskId, Vec<TaskStatus>>,
     /// The worker's lease cannot run beyond this plus `lease_s`.
     pub lease_from: f64,
     /// When its worker was first heard.
@@ -270,12 +272,12 @@
     }
 
     /// Whether a report is newer than all seen.
-    pub fn is_newer(&self, report: &Report) -> bool {
+    pub fn is_newer(&self, report: &WorkerHeartbeat) -> bool {
         (report.tenure, report.tick) > (self.tenure, self.tick)
     }
 
     /// Whether a binding's attempt is in the latest report, and how.
-    pub fn step(&self, task: &TaskId, attempt: u64) -> Option<&StepReport> {
+    pub fn step(&self, task: &TaskId, attempt: u64) -> Option<&TaskStatus> {
         self.steps
             .get(task)?
             .iter()
@@ -285,7 +287,7 @@
     /// Whether the latest report shows an attempt as exited.
     pub fn has_exited(&self, task: &TaskId, attempt: u64) -> bool {
         self.step(task, attempt)
-            .is_some_and(|step| step.status == StepStatus::Exited)
+            .is_some_and(|step| step.status == TaskState::Exited)
     }
 
     /// Remembers that the host has an image.
@@ -381,7 +383,7 @@
     }
 
     /// Notes orders that go out.
-    pub fn note_sent(&mut self, orders: &[Order], way: Way, knowledge: &Knowledge) {
+    pub fn note_sent(&mut self, orders: &[Command], way: Way, knowledge: &Knowledge) {
         for order in orders {
             tracing::debug!(
                 host = self.name,
@@ -394,7 +396,7 @@
                 view_age_s = knowledge.view_age_s,
                 "order sent"
             );
-            if order.verb != Verb::Start {
+            if order.verb != CommandKind::Start {
                 continue;
             }
             let Some(task) = TaskId::parse(&order.step) else {
@@ -408,8 +410,11 @@
     }
 
     /// Notes what came of a direct call.
-    pub fn settle_call(&mut self, orders: &[Order], fate: CallFate) {
-        for order in orders.iter().filter(|order| order.verb == Verb::Start) {
+    pub fn settle_call(&mut self, orders: &[Command], fate: CallFate) {
+        for order in orders
+            .iter()
+            .filter(|order| order.verb == CommandKind::Start)
+        {
             if fate == CallFate::Unanswered {
                 tracing::debug!(
                     host = self.name,
@@ -427,22 +432,37 @@
 
     /// The orders that turn what the latest report shows into what is wanted. Starts only where
     /// `may_start`, which needs a confirmed leader.
-    pub fn orders(&self, may_start: bool, limit: usize) -> Vec<Order> {
+    pub fn orders(&self, may_start: bool, limit: usize) -> Vec<Command> {
         let mut orders = Vec::new();
         for (task, steps) in &self.steps {
             for step in steps {
                 if permits::clear(self, task, step).is_ok() {
-                    orders.push(order(Verb::Clear, step.step.clone(), step.attempt, None));
+                    orders.push(order(
+                        CommandKind::Clear,
+                        step.step.clone(),
+                        step.attempt,
+                        None,
+                    ));
                 } else if let Some(drain_s) = self.wanted_halt(task, step) {
                     let drain_s = Some(drain_s);
-                    orders.push(order(Verb::Halt, step.step.clone(), step.attempt, drain_s));
+                    orders.push(order(
+                        CommandKind::Halt,
+                        step.step.clone(),
+                        step.attempt,
+                        drain_s,
+                    ));
                 }
             }
         }
         if may_start {
             for (task, binding) in &self.bindings {
                 if permits::start(self, task, binding).is_ok() {
-                    orders.push(order(Verb::Start, task.to_string(), binding.attempt, None));
+                    orders.push(order(
+                        CommandKind::Start,
+                        task.to_string(),
+                        binding.attempt,
+                        None,
+                    ));
                 }
             }
         }
@@ -451,8 +471,8 @@
     }
 
     /// The time to save of a task that is to be stopped, or stopped once more.
-    fn wanted_halt(&self, task: &TaskId, step: &StepReport) -> Option<f64> {
-        if step.status == StepStatus::Exited {
+    fn wanted_halt(&self, task: &TaskId, step: &TaskStatus) -> Option<f64> {
+        if step.status == TaskState::Exited {
             return None;
         }
         let bound = self.bindings.get(task);
@@ -460,13 +480,13 @@
             return Some(0.0);
         };
         let (drain_s, _) = binding.halt?;
-        let saves = step.status == StepStatus::Flushing && drain_s > 0.0;
+        let saves = step.status == TaskState::Flushing && drain_s > 0.0;
         (!saves).then_some(drain_s)
     }
 }
 
-fn order(verb: Verb, step: String, attempt: u64, drain_s: Option<f64>) -> Order {
-    Order {
+fn order(verb: CommandKind, step: String, attempt: u64, drain_s: Option<f64>) -> Command {
+    Command {
         verb,
         step,
         attempt,
--- a/src/bookkeeping/jobs.rs
+++ b/src/bookkeeping/jobs.rs
@@ -1,7 +1,7 @@
 //! Open jobs and their tasks.
 
 use crate::bookkeeping::failures::JobFailures;
-use crate::protocol::job::{JobSpec, Shape};
+use crate::protocol::job::{JobKind, JobSpec};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A set of task numbers as a bitmap.
@@ -115,7 +115,7 @@
 
     /// Whether the tasks run until the job is cancelled.
     pub fn standing(&self) -> bool {
-        self.spec.shape == Shape::Standing
+        self.spec.shape == JobKind::Standing
     }
 
     /// The tasks that wait, in the order in which they are to be placed.
@@ -151,8 +151,8 @@
         let probing = self.bound.len() as u32 > self.bound_done;
         match self.spec.shape {
             _ if probing => 0,
-            Shape::Group => waiting,
-            Shape::Array | Shape::Standing => waiting.min(1),
+            JobKind::Group => waiting,
+            JobKind::Array | JobKind::Standing => waiting.min(1),
         }
     }
 
--- a/src/bookkeeping/ledger.rs
+++ b/src/bookkeeping/ledger.rs
@@ -15,7 +15,7 @@
 use super::records::{self, Ending, OverRecord};
 use super::ring::{Item, Ring, Slot};
 use super::segment::{Builder, CHUNK, Segment, encode_chunk};
-use crate::protocol::state::{CONDITIONS_PER_OP, Condition, TXN_BYTES, Txn, Write};
+use crate::protocol::kv::{COMPARES_PER_WRITE, Compare, MAX_TXN_BYTES, Txn, WriteOp};
 use crate::protocol::worker::TaskId;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -60,7 +60,7 @@
     /// Any other key is put or removed.
     Put {
         /// The write.
-        write: Write,
+        write: WriteOp,
     },
 }
 
@@ -108,7 +108,7 @@
     kinds: BTreeSet<String>,
     open: BTreeSet<String>,
     ended: BTreeMap<String, u32>,
-    puts: Vec<Write>,
+    puts: Vec<WriteOp>,
     put_bytes: usize,
 }
 
@@ -221,23 +221,23 @@
         }
         self.ring.next_seq = seq + 1;
         let mut when = vec![
-            Condition::new(records::LEADER, leader_stamp),
-            Condition::new(records::log(slot), stamp),
+            Compare::new(records::LEADER, leader_stamp),
+            Compare::new(records::log(slot), stamp),
         ];
         for job in &draft.open {
             let stamp = jobs.get(job).map_or(0, |known| known.stamp);
-            when.push(Condition::new(records::open(job), stamp));
+            when.push(Compare::new(records::open(job), stamp));
         }
         let segment = draft.builder.finish();
-        let mut writes = vec![Write::set(records::log(slot), &segment)];
+        let mut writes = vec![WriteOp::set(records::log(slot), &segment)];
         for (id, done) in &draft.ended {
-            when.push(Condition::new(records::over(id), 0));
-            writes.push(Write::remove(records::open(id)));
+            when.push(Compare::new(records::over(id), 0));
+            writes.push(WriteOp::remove(records::open(id)));
             let record = OverRecord {
                 ending: Ending::Done,
                 done: *done,
             };
-            writes.push(Write::set(records::over(id), &record));
+            writes.push(WriteOp::set(records::over(id), &record));
         }
         writes.append(&mut draft.puts);
         let txn = Txn { when, writes };
@@ -302,8 +302,8 @@
             Change::End { job } => (2, 0, 2 * job.len() + 256),
             Change::Put { write } => (1, 0, write.json_size()),
         };
-        let txn_limit = (TXN_BYTES as f64 * FILL) as usize;
-        let conditions = CONDITIONS_PER_OP * self.limits.ops;
+        let txn_limit = (MAX_TXN_BYTES as f64 * FILL) as usize;
+        let conditions = COMPARES_PER_WRITE * self.limits.ops;
         // A first change always goes in where there is room at all, so that nothing is stuck.
         draft.ops() + ops <= self.limits.ops.min(budget.max(3))
             && draft.conditions() + 2 <= conditions
--- a/src/bookkeeping/permits.rs
+++ b/src/bookkeeping/permits.rs
@@ -5,7 +5,7 @@
 //! ages are worked out by who asks.
 
 use super::hosts::{Binding, Host, RevocationReason};
-use crate::protocol::worker::{Cause, StepReport, StepStatus, TaskId};
+use crate::protocol::worker::{ExitReason, TaskId, TaskState, TaskStatus};
 use std::collections::BTreeMap;
 
 /// What is asked for.
@@ -132,15 +132,16 @@
 
 /// Whether an attempt that a worker shows may be cleared. After that a start that arrives late, or once
 /// more, would run it again; copies do no harm to a task that is done, whose result is kept.
-pub fn clear(host: &Host, task: &TaskId, step: &StepReport) -> Result<(), Denial> {
-    if step.status != StepStatus::Exited {
+pub fn clear(host: &Host, task: &TaskId, step: &TaskStatus) -> Result<(), Denial> {
+    if step.status != TaskState::Exited {
         return Err(Denial::NotExited);
     }
     let bound = host.bindings.get(task);
     if bound.is_some_and(|binding| binding.attempt == step.attempt) {
         return Err(Denial::NotWritten);
     }
-    let harmless = step.cause == Some(Cause::Done) && host.pending.only_copies(task, step.attempt);
+    let harmless =
+        step.cause == Some(ExitReason::Done) && host.pending.only_copies(task, step.attempt);
     if host.pending.may_arrive(task, step.attempt) && !harmless {
         return Err(Denial::StartMayArrive);
     }
--- a/src/bookkeeping/quotas.rs
+++ b/src/bookkeeping/quotas.rs
@@ -1,6 +1,6 @@
 //! What teams use, and what they are guaranteed and allowed.
 
-use crate::protocol::job::{JobSpec, Shape};
+use crate::protocol::job::{JobKind, JobSpec};
 use crate::settings::Team;
 use std::collections::HashMap;
 
@@ -45,8 +45,8 @@
             return false;
         };
         let tasks = match spec.shape {
-            Shape::Array => 1.0,
-            Shape::Standing | Shape::Group => f64::from(spec.tasks),
+            JobKind::Array => 1.0,
+            JobKind::Standing | JobKind::Group => f64::from(spec.tasks),
         };
         let below = |need: f64, limit: f64| limit <= 0.0 || need <= limit + ROUNDING;
         below(spec.cpus * tasks, team.cpus_max) && below(spec.gpus * tasks, team.gpus_max)
--- a/src/coordination/catalogue.rs
+++ b/src/coordination/catalogue.rs
@@ -4,9 +4,9 @@
 use super::outbox::{CloudAsk, Outbox, StoreAsk};
 use crate::bookkeeping::records;
 use crate::protocol::cbor;
-use crate::protocol::cloud::{CloudCall, CloudReply, Flavor};
-use crate::protocol::state::{StoreCall, StoreReply, Txn, Write};
-use crate::settings::Workers;
+use crate::protocol::cloud::{CloudRequest, CloudResponse, InstanceType};
+use crate::protocol::kv::{KvRequest, KvResponse, Txn, WriteOp};
+use crate::settings::WorkerSettings;
 use std::rc::Rc;
 
 /// Leases between two questions to the cloud that was answered.
@@ -19,8 +19,8 @@
 pub struct Catalogue {
     lease_s: f64,
     report_s: f64,
-    flavors: Option<Rc<Vec<Flavor>>>,
-    stored: Option<Rc<Vec<Flavor>>>,
+    flavors: Option<Rc<Vec<InstanceType>>>,
+    stored: Option<Rc<Vec<InstanceType>>>,
     ask_at: f64,
     /// What the state service keeps has been read, or is certainly missing.
     read: bool,
@@ -28,7 +28,7 @@
 
 impl Catalogue {
     /// Nothing is known yet.
-    pub fn new(workers: &Workers) -> Catalogue {
+    pub fn new(workers: &WorkerSettings) -> Catalogue {
         Catalogue {
             lease_s: workers.lease_s,
             report_s: workers.report_s,
@@ -40,7 +40,7 @@
     }
 
     /// The machine types, once they are known.
-    pub fn flavors(&self) -> Option<&Rc<Vec<Flavor>>> {
+    pub fn flavors(&self) -> Option<&Rc<Vec<InstanceType>>> {
         self.flavors.as_ref()
     }
 
@@ -51,9 +51,9 @@
         }
         self.ask_at = now + self.lease_s;
         let within_s = self.report_s * PATIENCE_REPORTS;
-        out.cloud(CloudAsk::Types, CloudCall::Types, within_s);
+        out.cloud(CloudAsk::Types, CloudRequest::Types, within_s);
         if !self.read {
-            let call = StoreCall::Get(records::CATALOGUE.to_owned());
+            let call = KvRequest::Get(records::CATALOGUE.to_owned());
             out.store(StoreAsk::Catalogue, call, within_s, now);
         } else if leads {
             self.keep(within_s, out, now);
@@ -71,15 +71,15 @@
         }
         let txn = Txn {
             when: Vec::new(),
-            writes: vec![Write::set(records::CATALOGUE, flavors.as_ref())],
+            writes: vec![WriteOp::set(records::CATALOGUE, flavors.as_ref())],
         };
         self.stored = Some(flavors.clone());
-        out.store(StoreAsk::Ignored, StoreCall::Txn(txn), within_s, now);
+        out.store(StoreAsk::Ignored, KvRequest::Txn(txn), within_s, now);
     }
 
     /// Takes the cloud's answer. True: the types are new.
-    pub fn told(&mut self, reply: CloudReply, now: f64) -> bool {
-        let CloudReply::Types(flavors) = reply else {
+    pub fn told(&mut self, reply: CloudResponse, now: f64) -> bool {
+        let CloudResponse::Types(flavors) = reply else {
             self.ask_at = now + self.report_s;
             return false;
         };
@@ -89,12 +89,12 @@
     }
 
     /// Takes what the state service keeps. True: the types are new.
-    pub fn loaded(&mut self, reply: &StoreReply) -> bool {
-        self.read |= matches!(reply, StoreReply::Found(_) | StoreReply::Missing);
-        let StoreReply::Found(item) = reply else {
+    pub fn loaded(&mut self, reply: &KvResponse) -> bool {
+        self.read |= matches!(reply, KvResponse::Found(_) | KvResponse::Missing);
+        let KvResponse::Found(item) = reply else {
             return false;
         };
-        let Ok(flavors) = cbor::from_value::<Vec<Flavor>>(&item.value) else {
+        let Ok(flavors) = cbor::from_value::<Vec<InstanceType>>(&item.value) else {
             return false;
         };
         let flavors = Rc::new(flavors);
@@ -106,11 +106,11 @@
 }
 
 /// Whether two catalogues differ in their prices at most.
-fn same_types(a: &[Flavor], b: &[Flavor]) -> bool {
-    let plain = |flavors: &[Flavor]| {
+fn same_types(a: &[InstanceType], b: &[InstanceType]) -> bool {
+    let plain = |flavors: &[InstanceType]| {
         flavors
             .iter()
-            .map(|flavor| Flavor {
+            .map(|flavor| InstanceType {
                 market_price: flavor.market_price.map(|_| 0.0),
                 ..flavor.clone()
             })
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -16,13 +16,13 @@
 use crate::bookkeeping::quotas::Quotas;
 use crate::bookkeeping::records::{self, LeaderRecord};
 use crate::policy::Policy;
-use crate::protocol::cloud::{CloudReply, Flavor};
+use crate::protocol::cloud::{CloudResponse, InstanceType};
 use crate::protocol::job::{self, JobSpec};
-use crate::protocol::peer::Heartbeat;
-use crate::protocol::state::StoreReply;
-use crate::protocol::token::{ImpossibleToken, MAX_EPOCH};
-use crate::protocol::worker::{Redirect, Report, WorkerReply};
-use crate::protocol::{cbor, state};
+use crate::protocol::kv::KvResponse;
+use crate::protocol::peer::PeerHeartbeat;
+use crate::protocol::token::{InvalidFencingToken, MAX_EPOCH};
+use crate::protocol::worker::{NotLeader, WorkerHeartbeat, WorkerResponse};
+use crate::protocol::{cbor, kv};
 use crate::settings::Settings;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -169,7 +169,7 @@
             .submit(to, spec, verdict.err(), &mut self.out, now.steady);
     }
 
-    fn could_run(&self, spec: &JobSpec, flavors: &[Flavor]) -> Result<(), &'static str> {
+    fn could_run(&self, spec: &JobSpec, flavors: &[InstanceType]) -> Result<(), &'static str> {
         if !self.quotas.knows(&spec.team) {
             return Err("unknown team");
         }
@@ -237,7 +237,7 @@
             self.redirected.insert(report.host, now);
         }
         let foreman = self.foreman(now);
-        self.out.answer(to, 421, &Redirect { foreman });
+        self.out.answer(to, 421, &NotLeader { foreman });
     }
 
     /// What this node knows, and how old that is.
@@ -260,7 +260,7 @@
     // ---- answers
 
     /// Takes an answer of the state service.
-    pub fn store_reply(&mut self, tag: Tag, reply: StoreReply, now: Now) {
+    pub fn store_reply(&mut self, tag: Tag, reply: KvResponse, now: Now) {
         let Some((ask, sent)) = self.out.store_ask(tag) else {
             return;
         };
@@ -269,7 +269,7 @@
             ask,
             StoreAsk::Check(_) | StoreAsk::Look(_) | StoreAsk::Renew | StoreAsk::Write(_)
         );
-        if matches!(reply, StoreReply::Refused | StoreReply::Silent) {
+        if matches!(reply, KvResponse::Refused | KvResponse::Silent) {
             self.doubt_at = t;
         } else {
             self.state_ok_at = Some(t);
@@ -344,7 +344,7 @@
     }
 
     /// Takes an answer of the cloud.
-    pub fn cloud_reply(&mut self, tag: Tag, reply: CloudReply, now: Now) {
+    pub fn cloud_reply(&mut self, tag: Tag, reply: CloudResponse, now: Now) {
         let Some(ask) = self.out.cloud_ask(tag) else {
             return;
         };
@@ -375,7 +375,7 @@
     }
 
     /// Takes what came of a direct call to a worker.
-    pub fn worker_reply(&mut self, tag: Tag, reply: WorkerReply, now: Now) {
+    pub fn worker_reply(&mut self, tag: Tag, reply: WorkerResponse, now: Now) {
         let Some(ask) = self.out.worker_ask(tag) else {
             return;
         };
@@ -385,7 +385,7 @@
     }
 
     /// Takes a peer's word.
-    pub fn heartbeat(&mut self, heartbeat: Heartbeat, now: Now) {
+    pub fn heartbeat(&mut self, heartbeat: PeerHeartbeat, now: Now) {
         let known = self
             .settings
             .seeds
@@ -426,7 +426,7 @@
     fn apply_job_update(&mut self, news: WatchUpdate, now: Now) {
         match news {
             WatchUpdate::Reset(items, revision) => {
-                let listed: BTreeMap<String, state::Item> = items
+                let listed: BTreeMap<String, kv::KeyValue> = items
                     .into_iter()
                     .filter_map(|item| {
                         let id = item.key.strip_prefix(records::OPEN)?.to_owned();
@@ -595,7 +595,7 @@
         self.frontend.note_counts(&counts);
         let changes_per_s = self.share_changes(now);
         self.ends.add(self.frontend.take_news(), now);
-        let heartbeat = Heartbeat {
+        let heartbeat = PeerHeartbeat {
             label: self.settings.label.clone(),
             epoch: self.election.highest(),
             leader: self.election.leader().map(str::to_owned),
@@ -657,17 +657,17 @@
     #[error("not a report: {0}")]
     Malformed(#[from] cbor::CborError),
     #[error(transparent)]
-    Token(#[from] ImpossibleToken),
+    FencingToken(#[from] InvalidFencingToken),
 }
 
-fn read_report(body: &[u8]) -> Result<Report, ReportError> {
-    let report = cbor::decode::<Report>(body)?;
+fn read_report(body: &[u8]) -> Result<WorkerHeartbeat, ReportError> {
+    let report = cbor::decode::<WorkerHeartbeat>(body)?;
     report.token.check()?;
     Ok(report)
 }
 
 /// Whether an answer that renews a worker's lease may leave, by other means than those that allowed it.
-fn is_within_hold_over(knowledge: &Knowledge, report: &Report) -> bool {
+fn is_within_hold_over(knowledge: &Knowledge, report: &WorkerHeartbeat) -> bool {
     let age_s = knowledge.lease_age_s.max(knowledge.view_age_s);
     let within = age_s <= knowledge.limits.hold_over_s;
     let details = format_args!("host {}, after {age_s} s", report.host);
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -4,9 +4,9 @@
 use crate::bookkeeping::permits::{Knowledge, Limits};
 use crate::bookkeeping::records::{self, LeaderRecord};
 use crate::protocol::cbor;
-use crate::protocol::state::{Condition, StoreCall, StoreReply, Txn, Write};
+use crate::protocol::kv::{Compare, KvRequest, KvResponse, Txn, WriteOp};
 use crate::protocol::token::MAX_EPOCH;
-use crate::settings::{DRIFT, Workers};
+use crate::settings::{DRIFT, WorkerSettings};
 
 /// Times of the election, all worked out from those of the workers.
 #[derive(Debug, Clone, Copy)]
@@ -29,7 +29,7 @@
     /// view of the open jobs is no longer current hears of none; the tasks of a job that was cancelled
     /// right after it was so must be gone in time all the same: their workers' leases, renewed until
     /// the hold-over ends, must have run out by then.
-    pub fn new(workers: &Workers) -> Times {
+    pub fn new(workers: &WorkerSettings) -> Times {
         let lease_s = workers.lease_s;
         let life_s = (lease_s / 5.0).max(0.1);
         let news_s = workers.report_s / 2.0;
@@ -213,7 +213,7 @@
         let Phase::Leading { hold, .. } = self.phase else {
             return Outcome::Same;
         };
-        out.store(StoreAsk::Drop, StoreCall::Drop(hold), self.patience(), now);
+        out.store(StoreAsk::Drop, KvRequest::Drop(hold), self.patience(), now);
         self.campaign_at = now + self.times.quiet_s;
         self.step_down()
     }
@@ -253,7 +253,7 @@
                     self.renewing = true;
                     out.store(
                         StoreAsk::Renew,
-                        StoreCall::Renew(hold),
+                        KvRequest::Renew(hold),
                         self.patience(),
                         now,
                     );
@@ -264,7 +264,7 @@
             Phase::Following if watching && now >= self.campaign_at && self.claim().is_some() => {
                 self.phase = Phase::Granting;
                 let life_ms = (self.times.life_s * 1000.0) as u64;
-                let call = StoreCall::Grant(life_ms);
+                let call = KvRequest::Grant(life_ms);
                 out.store(StoreAsk::Grant, call, self.patience(), now);
             }
             _ => {}
@@ -276,38 +276,38 @@
     pub fn reply(
         &mut self,
         ask: &StoreAsk,
-        reply: &StoreReply,
+        reply: &KvResponse,
         sent: f64,
         out: &mut Outbox,
         now: f64,
     ) -> Outcome {
         match (ask, &self.phase) {
             (StoreAsk::Grant, Phase::Granting) => {
-                let StoreReply::Granted(hold) = *reply else {
+                let KvResponse::Granted(hold) = *reply else {
                     self.back_off(now);
                     return Outcome::Same;
                 };
                 // Another may have taken the lead while the lease was on its way.
                 let Some(stamp) = self.claim() else {
-                    out.store(StoreAsk::Drop, StoreCall::Drop(hold), self.patience(), now);
+                    out.store(StoreAsk::Drop, KvRequest::Drop(hold), self.patience(), now);
                     self.phase = Phase::Following;
                     return Outcome::Same;
                 };
                 let txn = Txn {
-                    when: vec![Condition::new(records::LEADER, stamp)],
-                    writes: vec![Write::Set {
+                    when: vec![Compare::new(records::LEADER, stamp)],
+                    writes: vec![WriteOp::Set {
                         key: records::LEADER.to_owned(),
                         value: cbor::to_value(&self.me),
                         hold: Some(hold),
                     }],
                 };
                 self.phase = Phase::Taking { hold, since: sent };
-                out.store(StoreAsk::Take, StoreCall::Txn(txn), self.patience(), now);
+                out.store(StoreAsk::Take, KvRequest::Txn(txn), self.patience(), now);
                 Outcome::Same
             }
             (StoreAsk::Take, Phase::Taking { hold, since }) => {
                 let (hold, since) = (*hold, *since);
-                if let StoreReply::Committed(epoch) = *reply
+                if let KvResponse::Committed(epoch) = *reply
                     && is_usable(epoch)
                 {
                     self.phase = Phase::Leading { epoch, hold };
@@ -320,19 +320,19 @@
                     return Outcome::Won(epoch);
                 }
                 // An unanswered take may still be applied; without its lease it cannot.
-                out.store(StoreAsk::Drop, StoreCall::Drop(hold), self.patience(), now);
+                out.store(StoreAsk::Drop, KvRequest::Drop(hold), self.patience(), now);
                 self.back_off(now);
                 Outcome::Same
             }
             (StoreAsk::Renew, Phase::Leading { .. }) => {
                 self.renewing = false;
                 match reply {
-                    StoreReply::Ok => {
+                    KvResponse::Ok => {
                         self.renewed_at = sent;
                         self.renew_next = sent + self.times.life_s * RENEW;
                         Outcome::Same
                     }
-                    StoreReply::Gone => {
+                    KvResponse::Gone => {
                         self.known = None;
                         self.step_down()
                     }
--- a/src/coordination/frontend/mod.rs
+++ b/src/coordination/frontend/mod.rs
@@ -14,8 +14,8 @@
 use crate::bookkeeping::records::{self, Ending, OverRecord};
 use crate::protocol::cbor;
 use crate::protocol::job::{JobSpec, JobStatus, JobView};
-use crate::protocol::peer::{Counts, Termination};
-use crate::protocol::state::{CONDITIONS_PER_OP, Condition, StoreCall, StoreReply, Txn, Write};
+use crate::protocol::kv::{COMPARES_PER_WRITE, Compare, KvRequest, KvResponse, Txn, WriteOp};
+use crate::protocol::peer::{JobCounts, Termination};
 use crate::settings::StateLimits;
 use calls::Calls;
 use finals::Finals;
@@ -172,7 +172,7 @@
     }
 
     /// Takes the leader's display counts.
-    pub fn note_counts(&mut self, counts: &[Counts]) {
+    pub fn note_counts(&mut self, counts: &[JobCounts]) {
         for c in counts {
             if self.open.contains_key(&c.job) {
                 self.counts.insert(c.job.clone(), (c.done, c.running));
@@ -284,7 +284,7 @@
             _ => records::open(id),
         };
         let ask = StoreAsk::Look(id.to_owned());
-        out.store(ask, StoreCall::Get(key), self.patience_s / 2.0, now);
+        out.store(ask, KvRequest::Get(key), self.patience_s / 2.0, now);
     }
 
     /// Makes the calls that are due.
@@ -329,7 +329,7 @@
             return;
         }
         self.check_at = now + self.check_every_s;
-        let most = CONDITIONS_PER_OP * self.limits.txn_ops / 2;
+        let most = COMPARES_PER_WRITE * self.limits.txn_ops / 2;
         let count = self.polls.len().min(most);
         let mut batch: Vec<PendingRequest> = self.polls.drain(..count).collect();
         let mut ids = HashSet::new();
@@ -338,12 +338,10 @@
             pending.compared_open = self.open.contains_key(&pending.id);
             if ids.insert(pending.id.clone()) {
                 match self.open.get(&pending.id) {
-                    Some((stamp, _)) => {
-                        when.push(Condition::new(records::open(&pending.id), *stamp))
-                    }
+                    Some((stamp, _)) => when.push(Compare::new(records::open(&pending.id), *stamp)),
                     None => {
-                        when.push(Condition::new(records::open(&pending.id), 0));
-                        when.push(Condition::new(records::over(&pending.id), 0));
+                        when.push(Compare::new(records::open(&pending.id), 0));
+                        when.push(Compare::new(records::over(&pending.id), 0));
                     }
                 }
             }
@@ -353,7 +351,7 @@
             when,
             writes: Vec::new(),
         };
-        out.store(ask, StoreCall::Txn(txn), self.patience_s, now);
+        out.store(ask, KvRequest::Txn(txn), self.patience_s, now);
     }
 
     fn drive_writes(&mut self, out: &mut Outbox, now: f64) {
@@ -374,7 +372,7 @@
             let open = records::open(&pending.id);
             let over = records::over(&pending.id);
             let (stamp, writes) = match &pending.kind {
-                RequestKind::Submit(spec) => (0, vec![Write::set(open.clone(), spec.as_ref())]),
+                RequestKind::Submit(spec) => (0, vec![WriteOp::set(open.clone(), spec.as_ref())]),
                 _ => {
                     let Some((stamp, _)) = self.open.get(&pending.id) else {
                         self.look(pending);
@@ -386,22 +384,22 @@
                         done,
                     };
                     let writes = vec![
-                        Write::remove(open.clone()),
-                        Write::set(over.clone(), &record),
+                        WriteOp::remove(open.clone()),
+                        WriteOp::set(over.clone(), &record),
                     ];
                     (*stamp, writes)
                 }
             };
-            let size: usize = writes.iter().map(Write::json_size).sum();
+            let size: usize = writes.iter().map(WriteOp::json_size).sum();
             let full = txn.writes.len() + writes.len() > level as usize
-                || (!batch.is_empty() && bytes + size > crate::protocol::state::TXN_BYTES / 2);
+                || (!batch.is_empty() && bytes + size > crate::protocol::kv::MAX_TXN_BYTES / 2);
             if full {
                 later.push_back(pending);
                 break;
             }
             bytes += size;
-            txn.when.push(Condition::new(open, stamp));
-            txn.when.push(Condition::new(over, 0));
+            txn.when.push(Compare::new(open, stamp));
+            txn.when.push(Compare::new(over, 0));
             txn.writes.extend(writes);
             batch.push(pending);
         }
@@ -415,27 +413,27 @@
         self.changes_made += txn.writes.len() as f64;
         self.requests.force(1.0, now);
         let ask = StoreAsk::Write(self.writing.add(batch, now));
-        out.store(ask, StoreCall::Txn(txn), self.patience_s, now);
+        out.store(ask, KvRequest::Txn(txn), self.patience_s, now);
     }
 
-    fn note_reply(&mut self, reply: &StoreReply, now: f64) {
-        self.refused_at = matches!(reply, StoreReply::Refused).then_some(now);
+    fn note_reply(&mut self, reply: &KvResponse, now: f64) {
+        self.refused_at = matches!(reply, KvResponse::Refused).then_some(now);
     }
 
     /// The answer to the comparison for polls.
-    pub fn checked(&mut self, call: u64, reply: StoreReply, out: &mut Outbox, now: f64) {
+    pub fn checked(&mut self, call: u64, reply: KvResponse, out: &mut Outbox, now: f64) {
         self.note_reply(&reply, now);
         for pending in self.checking.end(call) {
             match &reply {
-                StoreReply::Committed(_) => self.answer_poll(pending, out),
-                StoreReply::Conflict(failed) => {
+                KvResponse::Committed(_) => self.answer_poll(pending, out),
+                KvResponse::Conflict(failed) => {
                     if pending.concerned(failed) {
                         self.look(pending);
                     } else {
                         self.polls.push_back(pending);
                     }
                 }
-                StoreReply::Busy => self.polls.push_back(pending),
+                KvResponse::Busy => self.polls.push_back(pending),
                 _ => refuse_out(pending.request, out),
             }
         }
@@ -496,7 +494,7 @@
     pub fn written(
         &mut self,
         call: u64,
-        reply: StoreReply,
+        reply: KvResponse,
         out: &mut Outbox,
         now: f64,
     ) -> Vec<(u64, Rc<JobSpec>)> {
@@ -505,7 +503,7 @@
         let batch = self.writing.end(call);
         for pending in batch {
             match &reply {
-                StoreReply::Committed(stamp) => match &pending.kind {
+                KvResponse::Committed(stamp) => match &pending.kind {
                     RequestKind::Submit(spec) => {
                         self.open.insert(pending.id.clone(), (*stamp, spec.clone()));
                         tracing::debug!(
@@ -528,16 +526,16 @@
                         self.answer_over(pending.request, &pending.id, &pending.kind, record, out);
                     }
                 },
-                StoreReply::Conflict(failed) => {
+                KvResponse::Conflict(failed) => {
                     if pending.concerned(failed) {
                         self.look(pending);
                     } else {
                         self.writes.push_back(pending);
                     }
                 }
-                StoreReply::Busy => self.writes.push_back(pending),
+                KvResponse::Busy => self.writes.push_back(pending),
                 // It may have been applied: look, and answer by what is there.
-                StoreReply::Silent => self.look(pending),
+                KvResponse::Silent => self.look(pending),
                 _ => refuse_out(pending.request, out),
             }
         }
@@ -547,22 +545,22 @@
 
     /// The answer to a look at a job's keys: first `open/`, then `over/`, so that a job that moves
     /// from the one to the other in between is not missed.
-    pub fn looked(&mut self, id: &str, reply: StoreReply, out: &mut Outbox, now: f64) {
+    pub fn looked(&mut self, id: &str, reply: KvResponse, out: &mut Outbox, now: f64) {
         self.note_reply(&reply, now);
         let stage = self.looks.get(id).map_or(Stage::Queued, |look| look.stage);
         let state = match reply {
-            StoreReply::Found(item) if item.key == records::open(id) => {
+            KvResponse::Found(item) if item.key == records::open(id) => {
                 match cbor::from_value::<JobSpec>(&item.value) {
                     Ok(spec) => Some(KeyState::Open(item.stamp, Rc::new(spec))),
                     Err(_) => None,
                 }
             }
-            StoreReply::Found(item) => cbor::from_value(&item.value).ok().map(KeyState::Over),
-            StoreReply::Missing if stage == Stage::Open => {
+            KvResponse::Found(item) => cbor::from_value(&item.value).ok().map(KeyState::Over),
+            KvResponse::Missing if stage == Stage::Open => {
                 self.look_at(id, Stage::Over, out, now);
                 return;
             }
-            StoreReply::Missing => Some(KeyState::Never),
+            KvResponse::Missing => Some(KeyState::Never),
             _ => None,
         };
         self.looking = self.looking.saturating_sub(1);
--- a/src/coordination/leader/direct.rs
+++ b/src/coordination/leader/direct.rs
@@ -6,7 +6,7 @@
 use crate::bookkeeping::pending_starts::CallFate;
 use crate::bookkeeping::permits::Knowledge;
 use crate::coordination::outbox::{Outbox, WorkerAsk};
-use crate::protocol::worker::{Order, Verb, WorkerCall, WorkerReply};
+use crate::protocol::worker::{Command, CommandKind, WorkerRequest, WorkerResponse};
 
 /// Report intervals without a report after which a worker is asked directly. They come with a
 /// quarter more at most.
@@ -15,7 +15,7 @@
 /// A direct call that a worker needs.
 struct WantedCall {
     host: String,
-    orders: Vec<Order>,
+    orders: Vec<Command>,
     /// Starts that may still arrive are to be revoked, which can't wait.
     revokes: bool,
     /// The worker may well not answer.
@@ -92,7 +92,7 @@
         let up = host.heard.is_some() || host.listed_up || !host.bindings.is_empty();
         let greet = !host.acked && !host.marked && up;
         // Clears can wait for the next report.
-        let pressing = orders.iter().any(|order| order.verb != Verb::Clear);
+        let pressing = orders.iter().any(|order| order.verb != CommandKind::Clear);
         let wanted = pressing || revokes || waits || probe || greet;
         if !wanted || host.endpoint.is_empty() {
             return None;
@@ -133,32 +133,32 @@
             orders: commands.orders.clone(),
         };
         let within_s = self.settings.deployment.workers.report_s / 2.0;
-        out.worker(ask, endpoint, WorkerCall::Commands(commands), within_s);
+        out.worker(ask, endpoint, WorkerRequest::Commands(commands), within_s);
     }
 
     /// Takes what came of a direct call.
-    pub fn pushed(&mut self, ask: &WorkerAsk, reply: WorkerReply, now: f64) {
+    pub fn pushed(&mut self, ask: &WorkerAsk, reply: WorkerResponse, now: f64) {
         self.pushing.remove(&ask.host);
         self.push_due.insert(ask.host.clone());
         if let Some(host) = self.hosts.get_mut(&ask.host) {
             host.settle_call(&ask.orders, fate_of(&reply));
             match reply {
-                WorkerReply::Done(_) | WorkerReply::Mismatch(_) => host.unreached = None,
-                WorkerReply::Silent | WorkerReply::Unreached => {
+                WorkerResponse::Done(_) | WorkerResponse::Mismatch(_) => host.unreached = None,
+                WorkerResponse::Silent | WorkerResponse::Unreached => {
                     host.unreached.get_or_insert(now);
                 }
-                WorkerReply::NotSent => {}
+                WorkerResponse::NotSent => {}
             }
             self.schedule_due = true;
         }
         let report = match reply {
-            WorkerReply::Done(report) => report,
-            WorkerReply::Mismatch(report) => {
+            WorkerResponse::Done(report) => report,
+            WorkerResponse::Mismatch(report) => {
                 // Its session is known now: the next call can follow at once.
                 self.pushed_at.remove(&ask.host);
                 report
             }
-            WorkerReply::NotSent | WorkerReply::Unreached | WorkerReply::Silent => return,
+            WorkerResponse::NotSent | WorkerResponse::Unreached | WorkerResponse::Silent => return,
         };
         if report.host != ask.host {
             tracing::warn!(host = ask.host, "another worker answers at its address");
@@ -177,10 +177,10 @@
 }
 
 /// What became of a direct call, as its outcome tells.
-fn fate_of(reply: &WorkerReply) -> CallFate {
+fn fate_of(reply: &WorkerResponse) -> CallFate {
     match reply {
-        WorkerReply::Done(_) | WorkerReply::Mismatch(_) => CallFate::Answered,
-        WorkerReply::Silent => CallFate::Unanswered,
-        WorkerReply::NotSent | WorkerReply::Unreached => CallFate::NotSent,
+        WorkerResponse::Done(_) | WorkerResponse::Mismatch(_) => CallFate::Answered,
+        WorkerResponse::Silent => CallFate::Unanswered,
+        WorkerResponse::NotSent | WorkerResponse::Unreached => CallFate::NotSent,
     }
 }
--- a/src/coordination/leader/exits.rs
+++ b/src/coordination/leader/exits.rs
@@ -6,7 +6,7 @@
 use crate::bookkeeping::jobs::{Job, Jobs};
 use crate::bookkeeping::ledger::Change;
 use crate::bookkeeping::permits;
-use crate::protocol::worker::{Cause, StepStatus, TaskId};
+use crate::protocol::worker::{ExitReason, TaskId, TaskState};
 
 /// What a report tells of a bound task.
 enum Finding {
@@ -15,7 +15,7 @@
     /// A replica of a failing service has run for so long.
     RanFor(f64),
     /// It has exited for this cause; whether it was seen running before.
-    Exited(Cause, bool),
+    Exited(ExitReason, bool),
     /// It is not there and won't be.
     Absent,
 }
@@ -36,13 +36,13 @@
         return absent.then_some(Finding::Absent);
     };
     match (step.status, binding.running) {
-        (StepStatus::Exited, ran) => {
-            let cause = step.cause.unwrap_or(Cause::Other);
+        (TaskState::Exited, ran) => {
+            let cause = step.cause.unwrap_or(ExitReason::Other);
             Some(Finding::Exited(cause, ran.is_some()))
         }
-        (StepStatus::Fetching, _) => None,
+        (TaskState::Fetching, _) => None,
         (_, None) => Some(Finding::Began),
-        (StepStatus::Running, Some(since)) => {
+        (TaskState::Running, Some(since)) => {
             let failing = jobs.get(&task.job).is_some_and(Job::is_failing_service);
             failing.then_some(Finding::RanFor(now - since))
         }
@@ -119,14 +119,14 @@
         name: &str,
         task: &TaskId,
         attempt: u64,
-        cause: Cause,
+        cause: ExitReason,
         ran: bool,
         now: f64,
     ) {
         tracing::debug!(host = name, %task, attempt, ?cause, "exited");
         let mut done = false;
         match cause {
-            Cause::Done => {
+            ExitReason::Done => {
                 if ran {
                     self.note_finish(name, task, now);
                 }
@@ -140,10 +140,10 @@
                 }
                 self.note_success(name, &task.job);
             }
-            Cause::Error | Cause::NoSuch | Cause::Other => {
+            ExitReason::Error | ExitReason::NoSuch | ExitReason::Other => {
                 self.note_failure(name, task, cause, now);
             }
-            Cause::Stopped | Cause::Full | Cause::Busy => {}
+            ExitReason::Stopped | ExitReason::Full | ExitReason::Busy => {}
         }
         // The end of the job goes first: should only it be written, the binding still is in the
         // records and ends by the worker's next report.
--- a/src/coordination/leader/fleet.rs
+++ b/src/coordination/leader/fleet.rs
@@ -9,10 +9,11 @@
 use crate::coordination::autoscaler::{self, Meter};
 use crate::coordination::outbox::{CloudAsk, Outbox};
 use crate::protocol::cloud::{
-    CloudCall, CloudReply, MAX_DELETE, MAX_RENT, Machine, MachineStatus, Rental,
+    CloudRequest, CloudResponse, CreateInstances, Instance, InstanceStatus,
+    MAX_INSTANCES_PER_CREATE, MAX_INSTANCES_PER_DELETE,
 };
-use crate::protocol::job::Rank;
-use crate::protocol::state::Write;
+use crate::protocol::job::PriorityClass;
+use crate::protocol::kv::WriteOp;
 use crate::settings::Settings;
 use std::collections::{BTreeMap, HashMap};
 
@@ -77,7 +78,7 @@
     record: RentalRecord,
     stage: Stage,
     /// The most urgent work that it is for, and the order within that.
-    turn: (Rank, u64),
+    turn: (PriorityClass, u64),
     /// It may have reached the cloud.
     sent: bool,
 }
@@ -134,7 +135,7 @@
     /// Machines whose deletion was confirmed, and when.
     gone: HashMap<String, f64>,
     calls: Bucket,
-    listing: Vec<Machine>,
+    listing: Vec<Instance>,
     list_busy: bool,
     list_at: f64,
     listed: Option<f64>,
@@ -165,7 +166,7 @@
 /// Boots that take longer don't slow the rounds down.
 const MAX_READY_S: f64 = 60.0;
 /// Machines asked for at a time in one pool; what is there of them shows soon enough.
-const MAX_RENTED: u32 = 8 * MAX_RENT;
+const MAX_RENTED: u32 = 8 * MAX_INSTANCES_PER_CREATE;
 /// Longest time for which a refused pool is left alone, in boot times.
 const MAX_BLOCK: f64 = 4.0;
 
@@ -210,23 +211,23 @@
         let renting = Renting {
             record,
             stage: Stage::Ready(0.0),
-            turn: (Rank::Production, 0),
+            turn: (PriorityClass::Production, 0),
             sent: true,
         };
         self.rentals.insert(bid.to_owned(), renting);
     }
 
     /// A rental's record was written or removed.
-    pub(super) fn written(&mut self, write: &Write) {
+    pub(super) fn written(&mut self, write: &WriteOp) {
         match write {
-            Write::Set { key, .. } => {
+            WriteOp::Set { key, .. } => {
                 if let Some(bid) = key.strip_prefix(records::RENTAL)
                     && let Some(rental) = self.rentals.get_mut(bid)
                 {
                     rental.stage = Stage::Ready(0.0);
                 }
             }
-            Write::Remove { key } => {
+            WriteOp::Remove { key } => {
                 if let Some(bid) = key.strip_prefix(records::RENTAL) {
                     self.rentals.remove(bid);
                 }
@@ -260,7 +261,7 @@
     /// that was asked for.
     pub(super) fn worth_asking(&self, key: &PoolKey) -> u32 {
         match self.pools.get(key) {
-            Some(pool) if pool.block_s > 0.0 => MAX_RENT,
+            Some(pool) if pool.block_s > 0.0 => MAX_INSTANCES_PER_CREATE,
             _ => u32::MAX,
         }
     }
@@ -352,7 +353,11 @@
         fleet.list_busy = true;
         let from = fleet.listing.last().map(|machine| machine.name.clone());
         let within_s = 2.0 * fleet.report_s;
-        out.cloud(CloudAsk::List(fleet.epoch), CloudCall::List(from), within_s);
+        out.cloud(
+            CloudAsk::List(fleet.epoch),
+            CloudRequest::List(from),
+            within_s,
+        );
     }
 
     fn drive_deletes(&mut self, out: &mut Outbox, now: f64) {
@@ -364,7 +369,7 @@
             .iter()
             .filter(|host| permits::delete(host).is_ok() && !self.fleet.is_gone(&host.name))
             .map(|host| host.name.clone())
-            .take(MAX_DELETE)
+            .take(MAX_INSTANCES_PER_DELETE)
             .collect();
         if names.is_empty() || !self.fleet.calls.take(1.0, now) {
             return;
@@ -372,7 +377,7 @@
         self.fleet.delete_busy = true;
         tracing::debug!(hosts = ?names, "deletion sent");
         let ask = CloudAsk::Delete(self.epoch, names.clone());
-        out.cloud(ask, CloudCall::Delete(names), 2.0 * self.fleet.report_s);
+        out.cloud(ask, CloudRequest::Delete(names), 2.0 * self.fleet.report_s);
     }
 
     fn drive_rentals(&mut self, out: &mut Outbox, now: f64) {
@@ -391,7 +396,7 @@
             // The pool has turned out to be sold out; the next round asks elsewhere.
             rental.stage = Stage::Settling;
             self.ledger.push(Change::Put {
-                write: Write::remove(records::rental(bid)),
+                write: WriteOp::remove(records::rental(bid)),
             });
             return;
         }
@@ -402,7 +407,7 @@
         rental.stage = Stage::Calling;
         rental.sent = true;
         fleet.rent_busy = true;
-        let call = CloudCall::Rent(Rental {
+        let call = CloudRequest::Rent(CreateInstances {
             bid: bid.clone(),
             flavor: rental.record.flavor.clone(),
             zone: rental.record.zone.clone(),
@@ -414,9 +419,9 @@
     }
 
     /// Takes a page of the cloud's list.
-    pub fn listed(&mut self, reply: CloudReply, now: f64) {
+    pub fn listed(&mut self, reply: CloudResponse, now: f64) {
         self.fleet.list_busy = false;
-        let CloudReply::Page(machines, more) = reply else {
+        let CloudResponse::Page(machines, more) = reply else {
             self.fleet.listing.clear();
             self.fleet.list_at = now + self.fleet.report_s;
             return;
@@ -437,7 +442,7 @@
         self.settle_rentals();
     }
 
-    fn take_listed(&mut self, machine: &Machine, now: f64) {
+    fn take_listed(&mut self, machine: &Instance, now: f64) {
         if self.fleet.is_gone(&machine.name) {
             return;
         }
@@ -458,11 +463,11 @@
         }
         host.listed = Some(now);
         match machine.status {
-            MachineStatus::Running if !host.listed_up => {
+            InstanceStatus::Running if !host.listed_up => {
                 host.listed_up = true;
                 self.push_due.insert(machine.name.clone());
             }
-            MachineStatus::Failed if !host.returning => {
+            InstanceStatus::Failed if !host.returning => {
                 self.give_back(&machine.name, GiveBackReason::Failed);
             }
             _ => {}
@@ -483,14 +488,14 @@
             if seen {
                 rental.stage = Stage::Settling;
                 self.ledger.push(Change::Put {
-                    write: Write::remove(records::rental(bid)),
+                    write: WriteOp::remove(records::rental(bid)),
                 });
             }
         }
     }
 
     /// Takes what came of a rental.
-    pub fn rented(&mut self, bid: &str, reply: CloudReply, now: f64) {
+    pub fn rented(&mut self, bid: &str, reply: CloudResponse, now: f64) {
         self.fleet.rent_busy = false;
         let Some(rental) = self.fleet.rentals.get_mut(bid) else {
             return;
@@ -503,7 +508,7 @@
             .find(|f| f.name == key.flavor)
             .map_or(self.fleet.report_s, |f| f.ready_s);
         match reply {
-            CloudReply::Rented(names) => {
+            CloudResponse::Rented(names) => {
                 tracing::info!(bid, pool = %key, wanted, got = names.len(), "rented");
                 if names.len() < wanted as usize {
                     self.fleet.block(&key, ready_s, now);
@@ -522,12 +527,12 @@
                 }
                 self.settle_rentals();
             }
-            CloudReply::NoCapacity | CloudReply::Bad => {
+            CloudResponse::NoCapacity | CloudResponse::Bad => {
                 tracing::info!(bid, pool = %key, wanted, "rental refused");
                 rental.stage = Stage::Settling;
                 self.fleet.block(&key, ready_s, now);
                 self.ledger.push(Change::Put {
-                    write: Write::remove(records::rental(bid)),
+                    write: WriteOp::remove(records::rental(bid)),
                 });
             }
             // It may have been carried out: the same name is asked again until there is an answer.
@@ -536,9 +541,9 @@
     }
 
     /// Takes what came of a deletion.
-    pub fn deleted(&mut self, names: &[String], reply: &CloudReply, now: f64) {
+    pub fn deleted(&mut self, names: &[String], reply: &CloudResponse, now: f64) {
         self.fleet.delete_busy = false;
-        if !matches!(reply, CloudReply::Deleted) {
+        if !matches!(reply, CloudResponse::Deleted) {
             self.fleet.delete_at = now + self.fleet.report_s;
             return;
         }
@@ -566,7 +571,7 @@
         }
     }
 
-    pub(super) fn rent(&mut self, key: &PoolKey, rank: Option<Rank>, count: u32) {
+    pub(super) fn rent(&mut self, key: &PoolKey, rank: Option<PriorityClass>, count: u32) {
         let mut left = count.min(MAX_RENTED);
         while left > 0 {
             self.fleet.bids += 1;
@@ -575,16 +580,16 @@
                 flavor: key.flavor.clone(),
                 zone: key.zone.clone(),
                 spot: key.spot,
-                count: left.min(MAX_RENT),
+                count: left.min(MAX_INSTANCES_PER_CREATE),
             };
             left -= record.count;
             self.ledger.push(Change::Put {
-                write: Write::set(records::rental(&bid), &record),
+                write: WriteOp::set(records::rental(&bid), &record),
             });
             let renting = Renting {
                 record,
                 stage: Stage::Writing,
-                turn: (rank.unwrap_or(Rank::BestEffort), self.fleet.bids),
+                turn: (rank.unwrap_or(PriorityClass::BestEffort), self.fleet.bids),
                 sent: false,
             };
             self.fleet.rentals.insert(bid, renting);
--- a/src/coordination/leader/load.rs
+++ b/src/coordination/leader/load.rs
@@ -7,14 +7,14 @@
 use crate::coordination::outbox::{Outbox, StoreAsk};
 use crate::protocol::cbor;
 use crate::protocol::job::JobSpec;
-use crate::protocol::state::{Item, StoreCall, StoreReply};
+use crate::protocol::kv::{KeyValue, KvRequest, KvResponse};
 use crate::protocol::worker::TaskId;
 
 /// A reading that goes on.
 #[derive(Debug)]
 pub(super) struct Loading {
     prefixes: Vec<&'static str>,
-    items: Vec<Item>,
+    items: Vec<KeyValue>,
     from: Option<String>,
     in_flight: bool,
     retry_at: f64,
@@ -47,7 +47,7 @@
             return;
         };
         loading.in_flight = true;
-        let call = StoreCall::List {
+        let call = KvRequest::List {
             under: (*prefix).to_owned(),
             from: loading.from.clone(),
         };
@@ -56,12 +56,12 @@
     }
 
     /// Takes a page of records.
-    pub fn loaded(&mut self, reply: StoreReply, now: f64, wall: f64) {
+    pub fn loaded(&mut self, reply: KvResponse, now: f64, wall: f64) {
         let Some(loading) = &mut self.loading else {
             return;
         };
         loading.in_flight = false;
-        let StoreReply::Page(items, more, _) = reply else {
+        let KvResponse::Page(items, more, _) = reply else {
             loading.retry_at = now + self.settings.deployment.workers.report_s / 10.0;
             return;
         };
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -23,10 +23,10 @@
 use crate::bookkeeping::quotas::Quotas;
 use crate::bookkeeping::records::OverRecord;
 use crate::policy::Policy;
-use crate::protocol::cloud::Flavor;
-use crate::protocol::job::{JobSpec, Shape};
-use crate::protocol::peer::{Counts, MAX_COUNTS};
-use crate::protocol::worker::{Order, Report, TaskId};
+use crate::protocol::cloud::InstanceType;
+use crate::protocol::job::{JobKind, JobSpec};
+use crate::protocol::peer::{JobCounts, MAX_JOB_COUNTS};
+use crate::protocol::worker::{Command, TaskId, WorkerHeartbeat};
 use crate::settings::{DRIFT, Settings};
 use fleet::Fleet;
 use load::Loading;
@@ -72,13 +72,13 @@
     since: f64,
     settings: Rc<Settings>,
     policy: Rc<Policy>,
-    flavors: Rc<Vec<Flavor>>,
+    flavors: Rc<Vec<InstanceType>>,
     jobs: Jobs,
     hosts: Hosts,
     quotas: Quotas,
     ledger: Ledger,
     loading: Option<Loading>,
-    early: BTreeMap<String, Report>,
+    early: BTreeMap<String, WorkerHeartbeat>,
     closed_early: HashSet<String>,
     /// Jobs that an earlier leader has told to be suspect.
     inherited_suspects: BTreeSet<String>,
@@ -99,7 +99,7 @@
     push_due: BTreeSet<String>,
     /// Hosts with a direct call on its way, and whether it may well not be answered.
     pushing: HashMap<String, bool>,
-    pushed_at: HashMap<String, (Vec<Order>, f64)>,
+    pushed_at: HashMap<String, (Vec<Command>, f64)>,
     unplaced: Vec<scheduler::Unplaced>,
     fleet: Fleet,
     notices: Vec<Notice>,
@@ -125,7 +125,7 @@
         epoch: u64,
         settings: Rc<Settings>,
         policy: Rc<Policy>,
-        flavors: Rc<Vec<Flavor>>,
+        flavors: Rc<Vec<InstanceType>>,
         hold_over_s: f64,
         rng: SmallRng,
         now: f64,
@@ -208,7 +208,7 @@
     }
 
     /// Takes a new catalogue.
-    pub fn set_flavors(&mut self, flavors: Rc<Vec<Flavor>>) {
+    pub fn set_flavors(&mut self, flavors: Rc<Vec<InstanceType>>) {
         self.flavors = flavors;
         self.schedule_due = true;
     }
@@ -524,7 +524,7 @@
         }
         // The tasks of a group find one another by a common attempt.
         let mates = match job.group_attempt {
-            Some(attempt) if job.spec.shape == Shape::Group && !job.bound.is_empty() => {
+            Some(attempt) if job.spec.shape == JobKind::Group && !job.bound.is_empty() => {
                 Some(attempt)
             }
             _ => None,
@@ -568,11 +568,11 @@
     }
 
     /// Display counts of the open jobs.
-    pub fn counts(&self) -> Vec<Counts> {
+    pub fn counts(&self) -> Vec<JobCounts> {
         self.jobs
             .iter()
-            .take(MAX_COUNTS)
-            .map(|job| Counts {
+            .take(MAX_JOB_COUNTS)
+            .map(|job| JobCounts {
                 job: job.spec.id.clone(),
                 done: job.done.len(),
                 running: job.running,
--- a/src/coordination/leader/orders.rs
+++ b/src/coordination/leader/orders.rs
@@ -7,14 +7,14 @@
 use crate::bookkeeping::invariants::{self, Invariant};
 use crate::bookkeeping::jobs::Jobs;
 use crate::bookkeeping::permits::Knowledge;
-use crate::protocol::token::Token;
-use crate::protocol::worker::{Cause, Commands, Order, TaskId, Verb};
+use crate::protocol::token::FencingToken;
+use crate::protocol::worker::{Command, CommandBatch, CommandKind, ExitReason, TaskId};
 
 impl Leader {
     /// The token that a worker is given now.
-    pub(super) fn token_of(&self, host: &str) -> Token {
+    pub(super) fn token_of(&self, host: &str) -> FencingToken {
         let fence = self.hosts.get(host).map_or(0, |host| host.pending.fence());
-        Token::new(self.epoch, fence)
+        FencingToken::new(self.epoch, fence)
     }
 
     /// Raises a worker's fence if starts are to be revoked. What is on its way to it in a direct call would
@@ -40,14 +40,14 @@
     pub(super) fn send_off(
         &mut self,
         name: &str,
-        mut orders: Vec<Order>,
+        mut orders: Vec<Command>,
         way: Way,
         knowledge: &Knowledge,
-    ) -> Commands {
+    ) -> CommandBatch {
         let token = self.token_of(name);
         let jobs = &self.jobs;
         let Some(host) = self.hosts.get_mut(name) else {
-            return Commands {
+            return CommandBatch {
                 token,
                 tenure: None,
                 orders: Vec::new(),
@@ -59,7 +59,7 @@
             Way::Direct => Some(session_of(host)),
             Way::Answer(_) => None,
         };
-        Commands {
+        CommandBatch {
             token,
             tenure,
             orders,
@@ -74,23 +74,24 @@
 }
 
 /// Whether an order may go out, by other means than those that made it.
-fn is_sound(order: &Order, host: &Host, jobs: &Jobs) -> bool {
+fn is_sound(order: &Command, host: &Host, jobs: &Jobs) -> bool {
     let Some(task) = TaskId::parse(&order.step) else {
         // Workers may show what is no task of ours; it is stopped and cleared.
-        return order.verb != Verb::Start;
+        return order.verb != CommandKind::Start;
     };
     let attempt = order.attempt;
     let details = format_args!("host {}, task {task}, attempt {attempt}", host.name);
     match order.verb {
-        Verb::Start => {
+        CommandKind::Start => {
             let open = jobs.get(&task.job).is_some();
             invariants::uphold(Invariant::NoStartOfClosedJob, open, details)
         }
-        Verb::Clear => {
+        CommandKind::Clear => {
             let cause = host.step(&task, attempt).and_then(|step| step.cause);
-            let harmless = cause == Some(Cause::Done) || !host.pending.may_arrive(&task, attempt);
+            let harmless =
+                cause == Some(ExitReason::Done) || !host.pending.may_arrive(&task, attempt);
             invariants::uphold(Invariant::NoClearWhileStartMayArrive, harmless, details)
         }
-        Verb::Halt => true,
+        CommandKind::Halt => true,
     }
 }
--- a/src/coordination/leader/reports.rs
+++ b/src/coordination/leader/reports.rs
@@ -3,7 +3,9 @@
 use super::{Leader, MAX_EARLY, Notice};
 use crate::bookkeeping::hosts::{Host, Way};
 use crate::bookkeeping::permits::{Action, Knowledge};
-use crate::protocol::worker::{Commands, Order, Report, StepReport, StepStatus, TaskId};
+use crate::protocol::worker::{
+    Command, CommandBatch, TaskId, TaskState, TaskStatus, WorkerHeartbeat,
+};
 use std::collections::BTreeMap;
 
 /// Orders in one message, well below the size limit of messages.
@@ -13,7 +15,7 @@
 #[derive(Debug, PartialEq)]
 pub enum ReportAnswer {
     /// 200 with these orders.
-    Orders(Commands),
+    Orders(CommandBatch),
     /// Nothing that renews its lease: what runs there may be cancelled.
     NotNow,
     /// The worker has seen a higher Epoch: 421.
@@ -25,7 +27,7 @@
     /// it. `is_open`: the open jobs that this node knows of besides the tables.
     pub fn report(
         &mut self,
-        report: &Report,
+        report: &WorkerHeartbeat,
         knowledge: &Knowledge,
         is_open: impl Fn(&str) -> bool,
         now: f64,
@@ -52,7 +54,7 @@
             let runs_closed = report
                 .steps
                 .iter()
-                .filter(|step| step.status != StepStatus::Exited)
+                .filter(|step| step.status != TaskState::Exited)
                 .filter_map(|step| TaskId::parse(&step.step))
                 .any(|task| !is_open(&task.job));
             let known = self.early.contains_key(&report.host);
@@ -81,8 +83,8 @@
 
     fn answer(
         &mut self,
-        report: &Report,
-        orders: Vec<Order>,
+        report: &WorkerHeartbeat,
+        orders: Vec<Command>,
         knowledge: &Knowledge,
     ) -> ReportAnswer {
         let way = Way::Answer(report.tick);
@@ -90,7 +92,12 @@
     }
 
     /// Takes a report from whatever way. False: a newer one is known.
-    pub(super) fn take_report(&mut self, report: &Report, by_itself: bool, now: f64) -> bool {
+    pub(super) fn take_report(
+        &mut self,
+        report: &WorkerHeartbeat,
+        by_itself: bool,
+        now: f64,
+    ) -> bool {
         let since = self.others_until;
         let known = self.hosts.get(&report.host).is_some();
         if !known && self.fleet.is_gone(&report.host) {
@@ -161,7 +168,7 @@
             host.lease_from = now;
             self.schedule_due = true;
         }
-        let mut steps: BTreeMap<TaskId, Vec<StepReport>> = BTreeMap::new();
+        let mut steps: BTreeMap<TaskId, Vec<TaskStatus>> = BTreeMap::new();
         for step in &report.steps {
             if let Some(task) = TaskId::parse(&step.step) {
                 steps.entry(task).or_default().push(step.clone());
--- a/src/coordination/leader/scaling.rs
+++ b/src/coordination/leader/scaling.rs
@@ -7,8 +7,8 @@
 use crate::coordination::autoscaler::{self, Load};
 use crate::coordination::scheduler;
 use crate::policy::{Figures, PoolView};
-use crate::protocol::cloud::Flavor;
-use crate::protocol::job::{JobSpec, Rank};
+use crate::protocol::cloud::InstanceType;
+use crate::protocol::job::{JobSpec, PriorityClass};
 use std::collections::HashMap;
 
 /// Margin on the time until waiting work has its turn on machines that are in use.
@@ -28,7 +28,7 @@
 
 struct Offer<'a> {
     key: PoolKey,
-    flavor: &'a Flavor,
+    flavor: &'a InstanceType,
     price: f64,
     blocked: bool,
     /// Machines that may be asked for in this round; few after a refusal, so that not all demand
@@ -66,7 +66,7 @@
 #[derive(Default, Clone)]
 struct Demand {
     /// The most urgent work.
-    rank: Option<Rank>,
+    rank: Option<PriorityClass>,
     pending: u32,
     oldest_s: f64,
     expect_s: f64,
@@ -134,7 +134,7 @@
     }
 
     /// All pools, the cheap ones first.
-    fn offers<'a>(&self, flavors: &'a [Flavor], now: f64) -> Vec<Offer<'a>> {
+    fn offers<'a>(&self, flavors: &'a [InstanceType], now: f64) -> Vec<Offer<'a>> {
         let mut offers: Vec<Offer> = flavors
             .iter()
             .flat_map(|flavor| {
--- a/src/coordination/leader/verdicts.rs
+++ b/src/coordination/leader/verdicts.rs
@@ -3,8 +3,8 @@
 use super::{AVOID_LEASES, Leader};
 use crate::bookkeeping::hosts::Hosts;
 use crate::bookkeeping::jobs::Job;
-use crate::protocol::peer::MAX_SUSPECTS;
-use crate::protocol::worker::{Cause, TaskId};
+use crate::protocol::peer::MAX_CRASH_LOOPING_JOBS;
+use crate::protocol::worker::{ExitReason, TaskId};
 use rand::Rng;
 use std::collections::BTreeSet;
 
@@ -62,7 +62,7 @@
     }
 
     /// A task has failed: its machine may be faulty, or its job was submitted with a mistake.
-    pub(super) fn note_failure(&mut self, host: &str, task: &TaskId, cause: Cause, now: f64) {
+    pub(super) fn note_failure(&mut self, host: &str, task: &TaskId, cause: ExitReason, now: f64) {
         let workers = &self.settings.deployment.workers;
         let avoid_s = AVOID_LEASES * workers.lease_s;
         let shortest_s = PROBE_REPORTS * workers.report_s;
@@ -84,7 +84,7 @@
         }
         if newly_suspect {
             withdraw_failures(job, &mut self.hosts);
-        } else if cause == Cause::Error
+        } else if cause == ExitReason::Error
             && !job.failures.is_suspect()
             && let Some(host) = self.hosts.get_mut(host)
         {
@@ -97,7 +97,7 @@
     pub fn suspects(&self) -> Vec<String> {
         let suspect = self.jobs.iter().filter(|job| job.failures.is_suspect());
         let ids = suspect.map(|job| job.spec.id.clone());
-        ids.take(MAX_SUSPECTS).collect()
+        ids.take(MAX_CRASH_LOOPING_JOBS).collect()
     }
 
     /// Takes over the jobs that an earlier leader has told to be suspect: they begin with a probe. What
--- a/src/coordination/leader/writes.rs
+++ b/src/coordination/leader/writes.rs
@@ -6,7 +6,7 @@
 use crate::bookkeeping::segment::Segment;
 use crate::coordination::outbox::{Outbox, StoreAsk};
 use crate::protocol::cbor;
-use crate::protocol::state::{StoreCall, StoreReply};
+use crate::protocol::kv::{KvRequest, KvResponse};
 
 /// Share of the leader's budget of changes that must have come back before the next transaction.
 const PACE: f64 = 2.0;
@@ -40,7 +40,7 @@
         let state = &self.settings.deployment.state;
         self.write_at = now + PACE / (state.write_rps * STATE_SHARE);
         let ask = StoreAsk::Ledger(self.epoch);
-        out.store(ask, StoreCall::Txn(txn), self.patience_s(), now);
+        out.store(ask, KvRequest::Txn(txn), self.patience_s(), now);
     }
 
     fn patience_s(&self) -> f64 {
@@ -48,12 +48,12 @@
     }
 
     /// Takes the answer to a transaction.
-    pub fn written(&mut self, reply: StoreReply, out: &mut Outbox, now: f64) {
+    pub fn written(&mut self, reply: KvResponse, out: &mut Outbox, now: f64) {
         self.writing = false;
         let report_s = self.settings.deployment.workers.report_s;
         match reply {
-            StoreReply::Committed(stamp) => self.commit(stamp, now),
-            StoreReply::Conflict(failed) => {
+            KvResponse::Committed(stamp) => self.commit(stamp, now),
+            KvResponse::Conflict(failed) => {
                 if failed.iter().any(|key| key == records::LEADER) {
                     self.note(Notice::Deposed);
                 } else if let Some(key) = self.ledger.witness()
@@ -66,14 +66,14 @@
                     self.refused(&failed);
                 }
             }
-            StoreReply::Busy | StoreReply::Refused => {
+            KvResponse::Busy | KvResponse::Refused => {
                 // An earlier copy may still be on its way; if there is none, all may be put anew.
                 if !self.ledger.doubtful() {
                     self.ledger.not_executed();
                 }
                 self.write_at = now + report_s / 10.0;
             }
-            StoreReply::Bad => {
+            KvResponse::Bad => {
                 tracing::error!("the state service calls a transaction malformed");
                 self.ledger.not_executed();
                 self.write_at = now + report_s;
@@ -90,17 +90,17 @@
         self.writing = true;
         self.requests.force(1.0, now);
         let ask = StoreAsk::Witness(self.epoch);
-        out.store(ask, StoreCall::Get(key), self.patience_s(), now);
+        out.store(ask, KvRequest::Get(key), self.patience_s(), now);
     }
 
     /// Takes the look that tells whether a transaction of unknown fate was executed.
-    pub fn witnessed(&mut self, reply: StoreReply, out: &mut Outbox, now: f64) {
+    pub fn witnessed(&mut self, reply: KvResponse, out: &mut Outbox, now: f64) {
         self.writing = false;
         let ours = match &reply {
-            StoreReply::Found(item) => cbor::from_value::<Segment>(&item.value)
+            KvResponse::Found(item) => cbor::from_value::<Segment>(&item.value)
                 .is_ok_and(|segment| self.ledger.is_witness(&segment))
                 .then_some(item.stamp),
-            StoreReply::Missing => None,
+            KvResponse::Missing => None,
             _ => {
                 if let Some(key) = self.ledger.witness() {
                     self.look_at_witness(key, out, now);
--- a/src/coordination/outbox.rs
+++ b/src/coordination/outbox.rs
@@ -1,10 +1,10 @@
 //! What the coordinator wants done: actions for the event loop, and the meaning of their answers.
 
-use crate::protocol::cloud::CloudCall;
-use crate::protocol::job::Refusal;
-use crate::protocol::peer::Heartbeat;
-use crate::protocol::state::StoreCall;
-use crate::protocol::worker::WorkerCall;
+use crate::protocol::cloud::CloudRequest;
+use crate::protocol::job::ErrorBody;
+use crate::protocol::kv::KvRequest;
+use crate::protocol::peer::PeerHeartbeat;
+use crate::protocol::worker::WorkerRequest;
 use crate::protocol::{cbor, job};
 use std::collections::{BTreeMap, HashMap};
 
@@ -30,7 +30,7 @@
         /// Names the call.
         tag: Tag,
         /// The call.
-        call: StoreCall,
+        call: KvRequest,
         /// Seconds after which to give up.
         within_s: f64,
     },
@@ -39,7 +39,7 @@
         /// Names the call.
         tag: Tag,
         /// The call.
-        call: CloudCall,
+        call: CloudRequest,
         /// Seconds after which to give up.
         within_s: f64,
     },
@@ -50,12 +50,12 @@
         /// Its address.
         endpoint: String,
         /// The call.
-        call: WorkerCall,
+        call: WorkerRequest,
         /// Seconds after which to give up.
         within_s: f64,
     },
     /// Tell all peers.
-    Heartbeat(Heartbeat),
+    Heartbeat(PeerHeartbeat),
 }
 
 /// Which part asked the state service, and for what.
@@ -112,7 +112,7 @@
     /// The host.
     pub host: String,
     /// The orders sent.
-    pub orders: Vec<crate::protocol::worker::Order>,
+    pub orders: Vec<crate::protocol::worker::Command>,
 }
 
 /// Collects actions and remembers what their answers are for.
@@ -138,7 +138,7 @@
     }
 
     /// Calls the state service.
-    pub fn store(&mut self, ask: StoreAsk, call: StoreCall, within_s: f64, now: f64) {
+    pub fn store(&mut self, ask: StoreAsk, call: KvRequest, within_s: f64, now: f64) {
         let tag = self.tag();
         self.store.insert(tag, (ask, now));
         self.actions.push(Action::Store {
@@ -149,7 +149,7 @@
     }
 
     /// Calls the cloud.
-    pub fn cloud(&mut self, ask: CloudAsk, call: CloudCall, within_s: f64) {
+    pub fn cloud(&mut self, ask: CloudAsk, call: CloudRequest, within_s: f64) {
         let tag = self.tag();
         self.cloud.insert(tag, ask);
         self.actions.push(Action::Cloud {
@@ -160,7 +160,7 @@
     }
 
     /// Calls a worker.
-    pub fn worker(&mut self, ask: WorkerAsk, endpoint: String, call: WorkerCall, within_s: f64) {
+    pub fn worker(&mut self, ask: WorkerAsk, endpoint: String, call: WorkerRequest, within_s: f64) {
         let tag = self.tag();
         self.worker.insert(tag, ask);
         self.actions.push(Action::Worker {
@@ -196,7 +196,7 @@
 
     /// Answers with a job's state.
     pub fn answer_state(&mut self, to: u64, status: u16, id: &str, state: job::JobStatus) {
-        let accepted = job::Accepted {
+        let accepted = job::JobAccepted {
             id: id.to_owned(),
             status: state,
         };
@@ -220,7 +220,7 @@
             }
             *self.refused.entry(reason).or_default() += 1;
         }
-        let refusal = Refusal {
+        let refusal = ErrorBody {
             error: why.to_owned(),
         };
         self.actions.push(Action::Answer {
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -1,11 +1,11 @@
 //! What the other controllers have told lately.
 
-use crate::protocol::peer::Heartbeat;
+use crate::protocol::peer::PeerHeartbeat;
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Debug)]
 struct Peer {
-    heartbeat: Heartbeat,
+    heartbeat: PeerHeartbeat,
     at: f64,
 }
 
@@ -17,14 +17,14 @@
 
 impl Peers {
     /// Takes a heartbeat.
-    pub fn take(&mut self, heartbeat: Heartbeat, now: f64) {
+    pub fn take(&mut self, heartbeat: PeerHeartbeat, now: f64) {
         let label = heartbeat.label.clone();
         let peer = Peer { heartbeat, at: now };
         self.known.insert(label, peer);
     }
 
     /// The heartbeats that were heard within so long.
-    fn heard(&self, within_s: f64, now: f64) -> impl Iterator<Item = &Heartbeat> {
+    fn heard(&self, within_s: f64, now: f64) -> impl Iterator<Item = &PeerHeartbeat> {
         let fresh = self.known.values();
         let fresh = fresh.filter(move |peer| now - peer.at < within_s);
         fresh.map(|peer| &peer.heartbeat)
--- a/src/coordination/routes.rs
+++ b/src/coordination/routes.rs
@@ -57,7 +57,9 @@
             return Err(RouteError::WrongMethod);
         }
         match route {
-            Route::Poll(id) | Route::Cancel(id) if !job::valid_id(id) => Err(RouteError::NoSuchJob),
+            Route::Poll(id) | Route::Cancel(id) if !job::is_valid_job_id(id) => {
+                Err(RouteError::NoSuchJob)
+            }
             route => Ok(route),
         }
     }
--- a/src/coordination/scheduler/mod.rs
+++ b/src/coordination/scheduler/mod.rs
@@ -6,8 +6,8 @@
 use crate::bookkeeping::hosts::{Host, Hosts, Room};
 use crate::bookkeeping::jobs::{Job, Jobs};
 use crate::bookkeeping::quotas::Quotas;
-use crate::protocol::cloud::Flavor;
-use crate::protocol::job::{JobSpec, Rank, Shape};
+use crate::protocol::cloud::InstanceType;
+use crate::protocol::job::{JobKind, JobSpec, PriorityClass};
 use crate::protocol::worker::TaskId;
 use rand::Rng;
 use rand::seq::index::sample;
@@ -70,7 +70,7 @@
 /// A bound task that might be stopped for others.
 struct Movable<'a> {
     task: &'a TaskId,
-    rank: Rank,
+    rank: PriorityClass,
     standing: bool,
     team: &'a str,
     need: Room,
@@ -132,7 +132,7 @@
     /// Needs that found no free room on ordinary machines, or on any: room only shrinks in a pass.
     unsatisfiable: [Option<Room>; 2],
     /// The lowest rank that has tasks bound.
-    lowest: Rank,
+    lowest: PriorityClass,
     limits: Limits,
     now: f64,
 }
@@ -173,12 +173,13 @@
     pub fn new(
         jobs: &'a Jobs,
         hosts: &'a Hosts,
-        flavors: &[Flavor],
+        flavors: &[InstanceType],
         quotas: &Quotas,
         limits: Limits,
         now: f64,
     ) -> Pass<'a> {
-        let kinds: HashMap<&str, &Flavor> = flavors.iter().map(|f| (f.name.as_str(), f)).collect();
+        let kinds: HashMap<&str, &InstanceType> =
+            flavors.iter().map(|f| (f.name.as_str(), f)).collect();
         let mut zones: Vec<&str> = Vec::new();
         let slots = hosts
             .iter()
@@ -209,7 +210,7 @@
             lowest: bound
                 .map(|job| job.spec.rank)
                 .max()
-                .unwrap_or(Rank::Production),
+                .unwrap_or(PriorityClass::Production),
             limits,
             now,
         }
@@ -222,7 +223,7 @@
             .jobs
             .iter()
             .filter(|job| now >= job.not_before && job.startable() > 0)
-            .filter(|job| job.spec.shape != Shape::Group || job.bound.is_empty())
+            .filter(|job| job.spec.shape != JobKind::Group || job.bound.is_empty())
             .map(|job| (self.order_key(job), job))
             .collect();
         order.sort_by(|(a, x), (b, y)| {
@@ -266,7 +267,7 @@
         }
         // The tasks of a group start together or not at all; what has been tried is taken back, and
         // only what is beyond the room there was counts as missing.
-        let together = spec.shape == Shape::Group;
+        let together = spec.shape == JobKind::Group;
         let before = together.then(|| (self.plan.binds.len(), self.quotas.clone()));
         let (placed, barred, limited) = self.place_tasks(job, &mut placing, rng);
         if let Some((first, quotas)) = before
@@ -319,7 +320,7 @@
         let spec = placing.spec;
         let (mut placed, mut barred, mut expected) = (0, 0, 0);
         // Worth stopping others for: a start within the time that is asked for.
-        let prompt = spec.shape == Shape::Standing
+        let prompt = spec.shape == JobKind::Standing
             && !job.failures.is_suspect()
             && job
                 .prompt_s
@@ -418,7 +419,7 @@
                     slot,
                     failed: placing.failures.has_failed_on(&host.name),
                     image,
-                    slow: spec.rank <= Rank::Urgent && !image && !waits,
+                    slow: spec.rank <= PriorityClass::Urgent && !image && !waits,
                     dear: spec.spot && !host.spot,
                 }
             })
@@ -465,7 +466,7 @@
                     };
                     let left = slot.free.minus(&placing.need).share_of(&slot.whole);
                     let mates = match placing.placed.get(&c.slot) {
-                        Some(count) if !c.image && spec.shape == Shape::Standing => *count,
+                        Some(count) if !c.image && spec.shape == JobKind::Standing => *count,
                         _ => 0,
                     };
                     ((c.failed, c.slow, c.dear, replicas, !c.image, mates), left)
@@ -513,7 +514,7 @@
 /// waited for long without a start, then those that can still be on time, the earliest deadline
 /// first.
 struct OrderKey {
-    rank: Rank,
+    rank: PriorityClass,
     beyond: bool,
     patient: bool,
     late: bool,
--- a/src/coordination/terminations.rs
+++ b/src/coordination/terminations.rs
@@ -4,7 +4,7 @@
 //! it: what a peer has not heard of, it bounds by time (see `Times::hold_over_s`). So the queue may
 //! drop what is older than a cancelled task can be, and the oldest when there are too many.
 
-use crate::protocol::peer::{Ack, MAX_TERMINATIONS, Termination, Terminations};
+use crate::protocol::peer::{MAX_TERMINATIONS, Termination, TerminationAck, TerminationLog};
 use std::collections::{BTreeMap, VecDeque};
 
 /// What this node has to tell, and what it has heard.
@@ -57,20 +57,20 @@
     }
 
     /// What goes into this node's next word to its peers.
-    pub fn word(&mut self, now: f64) -> Terminations {
+    pub fn word(&mut self, now: f64) -> TerminationLog {
         while let Some((since, _)) = self.queue.front()
             && now - since > self.keep_s
         {
             self.drop_first();
         }
-        Terminations {
+        TerminationLog {
             life: self.life,
             first: self.first,
             list: self.queue.iter().map(|(_, ended)| ended.clone()).collect(),
             acks: self
                 .heard
                 .iter()
-                .map(|(label, (life, up_to))| Ack {
+                .map(|(label, (life, up_to))| TerminationAck {
                     label: label.clone(),
                     life: *life,
                     up_to: *up_to,
@@ -81,7 +81,7 @@
 
     /// Takes a peer's word: what it has acknowledged need not be told any more, and what it tells is
     /// acknowledged with this node's next word.
-    pub fn heard(&mut self, peer: &str, ends: &Terminations) {
+    pub fn heard(&mut self, peer: &str, ends: &TerminationLog) {
         let Some(mark) = self.acked.get_mut(peer) else {
             return;
         };
--- a/src/coordination/watch.rs
+++ b/src/coordination/watch.rs
@@ -1,14 +1,14 @@
 //! Follows a prefix of the state service: one listing, then changes.
 
 use super::outbox::{Outbox, StoreAsk};
-use crate::protocol::state::{Event, Item, StoreCall, StoreReply};
+use crate::protocol::kv::{KeyValue, KvRequest, KvResponse, WatchEvent};
 use ciborium::Value;
 
 /// What a watch has learned.
 #[derive(Debug)]
 pub enum WatchUpdate {
     /// The whole content, at a revision.
-    Reset(Vec<Item>, u64),
+    Reset(Vec<KeyValue>, u64),
     /// A key was put.
     Set(String, Value, u64),
     /// A key was deleted.
@@ -23,7 +23,7 @@
     wait_s: f64,
     patience_s: f64,
     revision: Option<u64>,
-    partial: Vec<Item>,
+    partial: Vec<KeyValue>,
     listing_at: Option<u64>,
     in_flight: bool,
     known: bool,
@@ -82,7 +82,7 @@
                 // After an interruption it catches up first, and waits for news then.
                 let in_step = now - self.current_at < IN_STEP * self.wait_s + self.patience_s;
                 let wait_s = if in_step { self.wait_s } else { 0.0 };
-                let call = StoreCall::Follow {
+                let call = KvRequest::Follow {
                     under: self.prefix.to_owned(),
                     from,
                     wait_ms: (wait_s * 1000.0) as u64,
@@ -90,7 +90,7 @@
                 (call, wait_s + self.patience_s)
             }
             None => (
-                StoreCall::List {
+                KvRequest::List {
                     under: self.prefix.to_owned(),
                     from: self.partial.last().map(|item| item.key.clone()),
                 },
@@ -101,10 +101,10 @@
     }
 
     /// Takes the answer to the call that was made at `sent`.
-    pub fn reply(&mut self, reply: StoreReply, sent: f64, now: f64) -> Vec<WatchUpdate> {
+    pub fn reply(&mut self, reply: KvResponse, sent: f64, now: f64) -> Vec<WatchUpdate> {
         self.in_flight = false;
         match reply {
-            StoreReply::Page(items, more, revision) => {
+            KvResponse::Page(items, more, revision) => {
                 let at = *self.listing_at.get_or_insert(revision);
                 let progress = !items.is_empty();
                 self.partial.extend(items);
@@ -116,31 +116,33 @@
                 self.known = true;
                 vec![WatchUpdate::Reset(std::mem::take(&mut self.partial), at)]
             }
-            StoreReply::Events(events, revision) => {
+            KvResponse::Events(events, revision) => {
                 self.failed = false;
                 self.revision = Some(revision.max(self.revision.unwrap_or(0)));
                 self.current_at = sent;
                 events
                     .into_iter()
                     .map(|event| match event {
-                        Event::Set { key, value, stamp } => WatchUpdate::Set(key, value, stamp),
-                        Event::Remove { key, .. } => WatchUpdate::Removed(key),
+                        WatchEvent::Set { key, value, stamp } => {
+                            WatchUpdate::Set(key, value, stamp)
+                        }
+                        WatchEvent::Remove { key, .. } => WatchUpdate::Removed(key),
                     })
                     .collect()
             }
-            StoreReply::Gone => {
+            KvResponse::Gone => {
                 self.revision = None;
                 Vec::new()
             }
             // A watch without a usable answer may have brought more than we take: once more, then the
             // keys are read anew, in pages.
-            StoreReply::Silent if self.revision.is_some() && self.failed => {
+            KvResponse::Silent if self.revision.is_some() && self.failed => {
                 self.failed = false;
                 self.revision = None;
                 Vec::new()
             }
             other => {
-                self.failed = matches!(other, StoreReply::Silent);
+                self.failed = matches!(other, KvResponse::Silent);
                 self.retry_at = now + self.patience_s / 4.0;
                 Vec::new()
             }
--- a/src/node.rs
+++ b/src/node.rs
@@ -4,10 +4,10 @@
 use crate::coordination::outbox::{Action, Tag};
 use crate::latency::Latency;
 use crate::policy::Policy;
-use crate::protocol::cloud::{CloudCall, CloudReply};
+use crate::protocol::cloud::{CloudRequest, CloudResponse};
+use crate::protocol::kv::{KvRequest, KvResponse};
 use crate::protocol::peer;
-use crate::protocol::state::{StoreCall, StoreReply};
-use crate::protocol::worker::{WorkerCall, WorkerReply};
+use crate::protocol::worker::{WorkerRequest, WorkerResponse};
 use crate::settings::Settings;
 use crate::transport::client::{Call, Client, Outcome};
 use crate::transport::frames::{Incoming, Outgoing};
@@ -77,8 +77,8 @@
 }
 
 enum Waiting {
-    Store(Tag, StoreCall, f64),
-    Cloud(Tag, CloudCall),
+    Store(Tag, KvRequest, f64),
+    Cloud(Tag, CloudRequest),
     Worker(Tag),
 }
 
@@ -448,7 +448,8 @@
                 }
                 Err(_) => {
                     tracing::warn!(endpoint, "not an address");
-                    self.controller.worker_reply(tag, WorkerReply::NotSent, now);
+                    self.controller
+                        .worker_reply(tag, WorkerResponse::NotSent, now);
                 }
             },
             Action::Heartbeat(heartbeat) => {
@@ -502,14 +503,14 @@
             };
             match waiting {
                 Waiting::Store(tag, call, sent) => {
-                    if !matches!(call, StoreCall::Follow { .. }) {
+                    if !matches!(call, KvRequest::Follow { .. }) {
                         self.state_calls.record(now.steady - sent);
                     }
                     let reply = match outcome {
                         Outcome::Answer(r) => call.reply(r.status, &r.body),
                         // Certainly not executed, but no more is known of the service.
                         Outcome::NotSent | Outcome::Unreached | Outcome::Silent => {
-                            StoreReply::Silent
+                            KvResponse::Silent
                         }
                     };
                     self.controller.store_reply(tag, reply, now);
@@ -518,17 +519,17 @@
                     let reply = match outcome {
                         Outcome::Answer(r) => call.reply(r.status, &r.body),
                         Outcome::NotSent | Outcome::Unreached | Outcome::Silent => {
-                            CloudReply::Silent
+                            CloudResponse::Silent
                         }
                     };
                     self.controller.cloud_reply(tag, reply, now);
                 }
                 Waiting::Worker(tag) => {
                     let reply = match outcome {
-                        Outcome::Answer(r) => WorkerCall::reply(r.status, &r.body),
-                        Outcome::NotSent => WorkerReply::NotSent,
-                        Outcome::Unreached => WorkerReply::Unreached,
-                        Outcome::Silent => WorkerReply::Silent,
+                        Outcome::Answer(r) => WorkerRequest::reply(r.status, &r.body),
+                        Outcome::NotSent => WorkerResponse::NotSent,
+                        Outcome::Unreached => WorkerResponse::Unreached,
+                        Outcome::Silent => WorkerResponse::Silent,
                     };
                     self.controller.worker_reply(tag, reply, now);
                 }
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -4,15 +4,15 @@
 use serde::{Deserialize, Serialize};
 
 /// The most machines of one rental request.
-pub const MAX_RENT: u32 = 50;
+pub const MAX_INSTANCES_PER_CREATE: u32 = 50;
 /// The most names of one deletion.
-pub const MAX_DELETE: usize = 100;
+pub const MAX_INSTANCES_PER_DELETE: usize = 100;
 /// Machines in a page of the list.
 pub const PAGE: u32 = 500;
 
 /// A machine type.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Flavor {
+pub struct InstanceType {
     /// Name.
     #[serde(rename = "Label")]
     pub name: String,
@@ -50,15 +50,15 @@
 }
 
 #[derive(Deserialize)]
-struct Flavors {
+struct InstanceTypeList {
     #[serde(rename = "Flavors")]
-    flavors: Vec<Flavor>,
+    flavors: Vec<InstanceType>,
 }
 
 /// State of a machine in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum MachineStatus {
+pub enum InstanceStatus {
     /// Booting.
     Starting,
     /// Up.
@@ -72,7 +72,7 @@
 
 /// A machine in the list.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Machine {
+pub struct Instance {
     /// Name.
     #[serde(rename = "NameId")]
     pub name: String,
@@ -90,29 +90,29 @@
     pub spot: bool,
     /// State.
     #[serde(rename = "Status")]
-    pub status: MachineStatus,
+    pub status: InstanceStatus,
     /// Age at the time the list describes.
     #[serde(rename = "AgeS", default, deserialize_with = "cbor::amount")]
     pub age_s: f64,
 }
 
 #[derive(Deserialize)]
-struct MachinePage {
+struct InstancePage {
     #[serde(rename = "Hosts")]
-    hosts: Vec<Machine>,
+    hosts: Vec<Instance>,
     #[serde(rename = "More", default)]
     more: bool,
 }
 
 #[derive(Deserialize)]
-struct Rented {
+struct CreatedInstances {
     #[serde(rename = "Hosts")]
     hosts: Vec<String>,
 }
 
 /// A rental request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Rental {
+pub struct CreateInstances {
     /// Name of the request; never used twice.
     #[serde(rename = "Bid")]
     pub bid: String,
@@ -138,11 +138,11 @@
 
 /// A call to the cloud.
 #[derive(Debug, Clone)]
-pub enum CloudCall {
+pub enum CloudRequest {
     /// The catalogue.
     Types,
     /// Rent machines.
-    Rent(Rental),
+    Rent(CreateInstances),
     /// Delete machines.
     Delete(Vec<String>),
     /// List machines after a name.
@@ -151,9 +151,9 @@
 
 /// What came of a call to the cloud.
 #[derive(Debug, Clone)]
-pub enum CloudReply {
+pub enum CloudResponse {
     /// The catalogue.
-    Types(Vec<Flavor>),
+    Types(Vec<InstanceType>),
     /// The names of the machines rented.
     Rented(Vec<String>),
     /// None available.
@@ -161,7 +161,7 @@
     /// The machines are gone.
     Deleted,
     /// A page of the list, and whether more follow.
-    Page(Vec<Machine>, bool),
+    Page(Vec<Instance>, bool),
     /// Too many requests.
     Busy,
     /// An outage.
@@ -172,19 +172,19 @@
     Silent,
 }
 
-impl CloudCall {
+impl CloudRequest {
     /// Method, path and body.
     pub fn request(&self) -> (&'static str, String, Vec<u8>) {
         match self {
-            CloudCall::Types => ("GET", "/machine_types".to_owned(), Vec::new()),
-            CloudCall::Rent(rental) => ("POST", "/machines".to_owned(), cbor::encode(rental)),
-            CloudCall::Delete(hosts) => (
+            CloudRequest::Types => ("GET", "/machine_types".to_owned(), Vec::new()),
+            CloudRequest::Rent(rental) => ("POST", "/machines".to_owned(), cbor::encode(rental)),
+            CloudRequest::Delete(hosts) => (
                 "POST",
                 "/machines/delete".to_owned(),
                 cbor::encode(&Names { hosts }),
             ),
-            CloudCall::List(None) => ("GET", format!("/machines?Page={PAGE}"), Vec::new()),
-            CloudCall::List(Some(from)) => (
+            CloudRequest::List(None) => ("GET", format!("/machines?Page={PAGE}"), Vec::new()),
+            CloudRequest::List(Some(from)) => (
                 "GET",
                 format!("/machines?From={from}&Page={PAGE}"),
                 Vec::new(),
@@ -193,29 +193,29 @@
     }
 
     /// Reads the answer.
-    pub fn reply(&self, status: u16, body: &[u8]) -> CloudReply {
+    pub fn reply(&self, status: u16, body: &[u8]) -> CloudResponse {
         match (status, self) {
-            (200, CloudCall::Types) => match cbor::decode::<Flavors>(body) {
-                Ok(list) => CloudReply::Types(list.flavors),
-                Err(_) => CloudReply::Silent,
+            (200, CloudRequest::Types) => match cbor::decode::<InstanceTypeList>(body) {
+                Ok(list) => CloudResponse::Types(list.flavors),
+                Err(_) => CloudResponse::Silent,
             },
-            (200, CloudCall::Rent(_)) => match cbor::decode::<Rented>(body) {
-                Ok(rented) => CloudReply::Rented(rented.hosts),
-                Err(_) => CloudReply::Silent,
+            (200, CloudRequest::Rent(_)) => match cbor::decode::<CreatedInstances>(body) {
+                Ok(rented) => CloudResponse::Rented(rented.hosts),
+                Err(_) => CloudResponse::Silent,
             },
-            (200, CloudCall::Delete(_)) => CloudReply::Deleted,
-            (200, CloudCall::List(_)) => match cbor::decode::<MachinePage>(body) {
-                Ok(page) => CloudReply::Page(page.hosts, page.more),
-                Err(_) => CloudReply::Silent,
+            (200, CloudRequest::Delete(_)) => CloudResponse::Deleted,
+            (200, CloudRequest::List(_)) => match cbor::decode::<InstancePage>(body) {
+                Ok(page) => CloudResponse::Page(page.hosts, page.more),
+                Err(_) => CloudResponse::Silent,
             },
-            (503, CloudCall::Rent(_)) => match cbor::decode::<super::job::Refusal>(body) {
-                Ok(refusal) if refusal.error == "no capacity" => CloudReply::NoCapacity,
-                _ => CloudReply::Trouble,
+            (503, CloudRequest::Rent(_)) => match cbor::decode::<super::job::ErrorBody>(body) {
+                Ok(refusal) if refusal.error == "no capacity" => CloudResponse::NoCapacity,
+                _ => CloudResponse::Trouble,
             },
-            (503, _) => CloudReply::Trouble,
-            (429, _) => CloudReply::Busy,
-            (400, _) => CloudReply::Bad,
-            _ => CloudReply::Silent,
+            (503, _) => CloudResponse::Trouble,
+            (429, _) => CloudResponse::Busy,
+            (400, _) => CloudResponse::Bad,
+            _ => CloudResponse::Silent,
         }
     }
 }
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -10,14 +10,14 @@
 /// The longest text we take in a field.
 const MAX_TEXT: usize = 200;
 /// The most machine types a job may name.
-const MAX_FLAVORS: usize = 64;
+const MAX_INSTANCE_TYPES: usize = 64;
 /// The largest amount we take in a field; far beyond any machine, and safe in sums.
 const MAX_AMOUNT: f64 = 1e9;
 
 /// Whether the tasks of a job complete or run until the job is cancelled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Shape {
+pub enum JobKind {
     /// Independent tasks, each of which runs to completion.
     Array,
     /// Tasks that run to completion and need one another: they are started together. Not in the
@@ -30,7 +30,7 @@
 /// Priority, the most important first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Rank {
+pub enum PriorityClass {
     /// Before everything else.
     Production,
     /// Before normal work.
@@ -55,10 +55,10 @@
     pub team: String,
     /// Array or standing.
     #[serde(rename = "Shape")]
-    pub shape: Shape,
+    pub shape: JobKind,
     /// Priority.
     #[serde(rename = "Rank")]
-    pub rank: Rank,
+    pub rank: PriorityClass,
     /// Number of tasks.
     #[serde(rename = "Steps")]
     pub tasks: u32,
@@ -132,7 +132,7 @@
 
 /// Why a submission is malformed (400).
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadJob {
+pub enum InvalidJob {
     /// The body is not CBOR, or not a map.
     #[error("the body is not a CBOR map")]
     NotAMap,
@@ -145,7 +145,7 @@
 }
 
 /// Whether a text has the form that all job ids have.
-pub fn valid_id(id: &str) -> bool {
+pub fn is_valid_job_id(id: &str) -> bool {
     id.strip_prefix("j-")
         .is_some_and(|n| (1..=20).contains(&n.len()) && n.bytes().all(|b| b.is_ascii_digit()))
 }
@@ -156,71 +156,73 @@
     fn get(&self, name: &'static str) -> Option<&Value> {
         self.0.get(name).filter(|value| !value.is_null())
     }
-    fn need(&self, name: &'static str) -> Result<&Value, BadJob> {
-        self.get(name).ok_or(BadJob::Missing(name))
+    fn need(&self, name: &'static str) -> Result<&Value, InvalidJob> {
+        self.get(name).ok_or(InvalidJob::Missing(name))
     }
-    fn text_of(value: &Value, name: &'static str) -> Result<String, BadJob> {
+    fn text_of(value: &Value, name: &'static str) -> Result<String, InvalidJob> {
         match value.as_text() {
             Some(text) if !text.is_empty() && text.len() <= MAX_TEXT => Ok(text.to_owned()),
-            _ => Err(BadJob::Invalid(name)),
+            _ => Err(InvalidJob::Invalid(name)),
         }
     }
-    fn text(&self, name: &'static str) -> Result<String, BadJob> {
+    fn text(&self, name: &'static str) -> Result<String, InvalidJob> {
         Self::text_of(self.need(name)?, name)
     }
-    fn amount(&self, name: &'static str) -> Result<f64, BadJob> {
+    fn amount(&self, name: &'static str) -> Result<f64, InvalidJob> {
         let number = match self.need(name)? {
             Value::Float(number) => *number,
             Value::Integer(number) => i128::from(*number) as f64,
-            _ => return Err(BadJob::Invalid(name)),
+            _ => return Err(InvalidJob::Invalid(name)),
         };
         if (0.0..=MAX_AMOUNT).contains(&number) {
             Ok(number)
         } else {
-            Err(BadJob::Invalid(name))
+            Err(InvalidJob::Invalid(name))
         }
     }
-    fn count(&self, name: &'static str) -> Result<u64, BadJob> {
+    fn count(&self, name: &'static str) -> Result<u64, InvalidJob> {
         self.need(name)?
             .as_integer()
             .and_then(|number| u64::try_from(number).ok())
-            .ok_or(BadJob::Invalid(name))
+            .ok_or(InvalidJob::Invalid(name))
     }
-    fn flag(&self, name: &'static str) -> Result<bool, BadJob> {
-        self.need(name)?.as_bool().ok_or(BadJob::Invalid(name))
+    fn flag(&self, name: &'static str) -> Result<bool, InvalidJob> {
+        self.need(name)?.as_bool().ok_or(InvalidJob::Invalid(name))
     }
-    fn choice<T: for<'de> Deserialize<'de>>(&self, name: &'static str) -> Result<T, BadJob> {
-        cbor::from_value(self.need(name)?).map_err(|_| BadJob::Invalid(name))
+    fn choice<T: for<'de> Deserialize<'de>>(&self, name: &'static str) -> Result<T, InvalidJob> {
+        cbor::from_value(self.need(name)?).map_err(|_| InvalidJob::Invalid(name))
     }
 }
 
 /// Reads a submission. `at` is the time of day at which it came.
-pub fn parse(body: &[u8], at: f64) -> Result<JobSpec, BadJob> {
-    let value: Value = cbor::decode(body).map_err(|_| BadJob::NotAMap)?;
-    let pairs = value.into_map().map_err(|_| BadJob::NotAMap)?;
+pub fn parse(body: &[u8], at: f64) -> Result<JobSpec, InvalidJob> {
+    let value: Value = cbor::decode(body).map_err(|_| InvalidJob::NotAMap)?;
+    let pairs = value.into_map().map_err(|_| InvalidJob::NotAMap)?;
     let mut map = HashMap::with_capacity(pairs.len());
     for (key, item) in pairs {
-        let key = key.into_text().map_err(|_| BadJob::NotAMap)?;
+        let key = key.into_text().map_err(|_| InvalidJob::NotAMap)?;
         map.insert(key, item);
     }
     let fields = Fields(map);
     let id = fields.text("NameId")?;
-    if !valid_id(&id) {
-        return Err(BadJob::Invalid("NameId"));
+    if !is_valid_job_id(&id) {
+        return Err(InvalidJob::Invalid("NameId"));
     }
     let tasks = fields.count("Steps")?;
     if !(1..=MAX_TASKS).contains(&tasks) {
-        return Err(BadJob::Invalid("Steps"));
+        return Err(InvalidJob::Invalid("Steps"));
     }
     let flavors = match fields.get("Flavors") {
         None => None,
-        Some(Value::Array(items)) if !items.is_empty() && items.len() <= MAX_FLAVORS => Some(
-            items
-                .iter()
-                .map(|item| Fields::text_of(item, "Flavors"))
-                .collect::<Result<Vec<_>, _>>()?,
-        ),
-        Some(_) => return Err(BadJob::Invalid("Flavors")),
+        Some(Value::Array(items)) if !items.is_empty() && items.len() <= MAX_INSTANCE_TYPES => {
+            Some(
+                items
+                    .iter()
+                    .map(|item| Fields::text_of(item, "Flavors"))
+                    .collect::<Result<Vec<_>, _>>()?,
+            )
+        }
+        Some(_) => return Err(InvalidJob::Invalid("Flavors")),
     };
     let zone = match fields.get("Grove") {
         None => None,
@@ -271,7 +273,7 @@
 
 /// Answer to submissions and cancels.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Accepted {
+pub struct JobAccepted {
     /// Job id.
     #[serde(rename = "NameId")]
     pub id: String,
@@ -297,7 +299,7 @@
 
 /// Body of an answer that says no.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Refusal {
+pub struct ErrorBody {
     /// Why.
     pub error: String,
 }
--- a/src/protocol/state.rs
+++ b/src/protocol/kv.rs
@@ -5,15 +5,15 @@
 use serde::{Deserialize, Serialize};
 
 /// The most a transaction may hold in all, counted as JSON.
-pub const TXN_BYTES: usize = 64 * 1024;
+pub const MAX_TXN_BYTES: usize = 64 * 1024;
 /// Conditions per write that a transaction may have.
-pub const CONDITIONS_PER_OP: usize = 4;
+pub const COMPARES_PER_WRITE: usize = 4;
 /// Items in a page of keys.
 pub const PAGE: u32 = 1000;
 
 /// A condition of a transaction: the key has this version (0: it does not exist).
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Condition {
+pub struct Compare {
     /// Key.
     #[serde(rename = "Path")]
     pub key: String,
@@ -22,10 +22,10 @@
     pub stamp: u64,
 }
 
-impl Condition {
+impl Compare {
     /// The key has this version.
-    pub fn new(key: impl Into<String>, stamp: u64) -> Condition {
-        Condition {
+    pub fn new(key: impl Into<String>, stamp: u64) -> Compare {
+        Compare {
             key: key.into(),
             stamp,
         }
@@ -35,7 +35,7 @@
 /// A change in a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Write {
+pub enum WriteOp {
     /// Put a value, attached to a lease or not.
     Set {
         /// Key.
@@ -56,24 +56,24 @@
     },
 }
 
-impl Write {
+impl WriteOp {
     /// Puts one of our own types.
-    pub fn set<T: Serialize>(key: impl Into<String>, value: &T) -> Write {
-        Write::Set {
+    pub fn set<T: Serialize>(key: impl Into<String>, value: &T) -> WriteOp {
+        WriteOp::Set {
             key: key.into(),
             value: cbor::to_value(value),
             hold: None,
         }
     }
     /// Deletes a key.
-    pub fn remove(key: impl Into<String>) -> Write {
-        Write::Remove { key: key.into() }
+    pub fn remove(key: impl Into<String>) -> WriteOp {
+        WriteOp::Remove { key: key.into() }
     }
     /// Size as the protocol counts it.
     pub fn json_size(&self) -> usize {
         match self {
-            Write::Set { key, value, .. } => key.len() + 48 + cbor::json_size(value),
-            Write::Remove { key } => key.len() + 16,
+            WriteOp::Set { key, value, .. } => key.len() + 48 + cbor::json_size(value),
+            WriteOp::Remove { key } => key.len() + 16,
         }
     }
 }
@@ -83,15 +83,15 @@
 pub struct Txn {
     /// Conditions.
     #[serde(rename = "When", default)]
-    pub when: Vec<Condition>,
+    pub when: Vec<Compare>,
     /// Changes.
     #[serde(rename = "Writes", default)]
-    pub writes: Vec<Write>,
+    pub writes: Vec<WriteOp>,
 }
 
 /// A key with its value and version.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Item {
+pub struct KeyValue {
     /// Key.
     #[serde(rename = "Path")]
     pub key: String,
@@ -109,7 +109,7 @@
 /// A change seen by a watch.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Event {
+pub enum WatchEvent {
     /// A key was put.
     Set {
         /// Key.
@@ -148,7 +148,7 @@
 #[derive(Deserialize)]
 struct ItemPage {
     #[serde(rename = "Items", default)]
-    items: Vec<Item>,
+    items: Vec<KeyValue>,
     #[serde(rename = "More", default)]
     more: bool,
     #[serde(rename = "Ledger")]
@@ -160,24 +160,24 @@
     #[serde(rename = "Ledger")]
     ledger: u64,
     #[serde(rename = "Events", default)]
-    events: Vec<Event>,
+    events: Vec<WatchEvent>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct HoldBody {
+struct LeaseBody {
     #[serde(rename = "Hold")]
     hold: u64,
 }
 
 #[derive(Serialize)]
-struct Life {
+struct GrantLeaseBody {
     #[serde(rename = "LifeMs")]
     life_ms: u64,
 }
 
 /// A call to the state service.
 #[derive(Debug, Clone, PartialEq)]
-pub enum StoreCall {
+pub enum KvRequest {
     /// Read a key.
     Get(String),
     /// Read a page of keys under a prefix, after a key.
@@ -208,13 +208,13 @@
 
 /// What came of a call to the state service.
 #[derive(Debug, Clone)]
-pub enum StoreReply {
+pub enum KvResponse {
     /// The key.
-    Found(Item),
+    Found(KeyValue),
     /// The key does not exist.
     Missing,
     /// A page of keys, whether more follow, and the revision.
-    Page(Vec<Item>, bool, u64),
+    Page(Vec<KeyValue>, bool, u64),
     /// Committed at a revision.
     Committed(u64),
     /// Conditions that do not hold.
@@ -226,7 +226,7 @@
     /// The lease has ended, or the watched revision is too old.
     Gone,
     /// Changes and the revision they lead to.
-    Events(Vec<Event>, u64),
+    Events(Vec<WatchEvent>, u64),
     /// Over the rate limit; not executed.
     Busy,
     /// Not executed.
@@ -237,12 +237,12 @@
     Silent,
 }
 
-impl StoreCall {
+impl KvRequest {
     /// Method, path and body.
     pub fn request(&self) -> (&'static str, String, Vec<u8>) {
         match self {
-            StoreCall::Get(key) => ("GET", format!("/keys/{key}"), Vec::new()),
-            StoreCall::List { under, from } => {
+            KvRequest::Get(key) => ("GET", format!("/keys/{key}"), Vec::new()),
+            KvRequest::List { under, from } => {
                 let from = from
                     .as_ref()
                     .map(|key| format!("&From={key}"))
@@ -253,15 +253,15 @@
                     Vec::new(),
                 )
             }
-            StoreCall::Txn(txn) => ("POST", "/txn".to_owned(), cbor::encode(txn)),
-            StoreCall::Grant(life_ms) => (
+            KvRequest::Txn(txn) => ("POST", "/txn".to_owned(), cbor::encode(txn)),
+            KvRequest::Grant(life_ms) => (
                 "POST",
                 "/holds".to_owned(),
-                cbor::encode(&Life { life_ms: *life_ms }),
+                cbor::encode(&GrantLeaseBody { life_ms: *life_ms }),
             ),
-            StoreCall::Renew(hold) => ("POST", format!("/holds/{hold}/renew"), Vec::new()),
-            StoreCall::Drop(hold) => ("DELETE", format!("/holds/{hold}"), Vec::new()),
-            StoreCall::Follow {
+            KvRequest::Renew(hold) => ("POST", format!("/holds/{hold}/renew"), Vec::new()),
+            KvRequest::Drop(hold) => ("DELETE", format!("/holds/{hold}"), Vec::new()),
+            KvRequest::Follow {
                 under,
                 from,
                 wait_ms,
@@ -274,40 +274,40 @@
     }
 
     /// Reads the answer.
-    pub fn reply(&self, status: u16, body: &[u8]) -> StoreReply {
+    pub fn reply(&self, status: u16, body: &[u8]) -> KvResponse {
         match status {
-            429 => return StoreReply::Busy,
-            503 => return StoreReply::Refused,
-            400 => return StoreReply::Bad,
+            429 => return KvResponse::Busy,
+            503 => return KvResponse::Refused,
+            400 => return KvResponse::Bad,
             _ => {}
         }
-        self.read(status, body).unwrap_or(StoreReply::Silent)
+        self.read(status, body).unwrap_or(KvResponse::Silent)
     }
 
-    fn read(&self, status: u16, body: &[u8]) -> Option<StoreReply> {
+    fn read(&self, status: u16, body: &[u8]) -> Option<KvResponse> {
         Some(match (self, status) {
-            (StoreCall::Get(_), 200) => StoreReply::Found(cbor::decode(body).ok()?),
-            (StoreCall::Get(_), 404) => StoreReply::Missing,
-            (StoreCall::List { .. }, 200) => {
+            (KvRequest::Get(_), 200) => KvResponse::Found(cbor::decode(body).ok()?),
+            (KvRequest::Get(_), 404) => KvResponse::Missing,
+            (KvRequest::List { .. }, 200) => {
                 let page: ItemPage = cbor::decode(body).ok()?;
-                StoreReply::Page(page.items, page.more, page.ledger)
+                KvResponse::Page(page.items, page.more, page.ledger)
             }
-            (StoreCall::Txn(_), 200) => {
-                StoreReply::Committed(cbor::decode::<Revision>(body).ok()?.ledger)
+            (KvRequest::Txn(_), 200) => {
+                KvResponse::Committed(cbor::decode::<Revision>(body).ok()?.ledger)
             }
-            (StoreCall::Txn(_), 409) => {
-                StoreReply::Conflict(cbor::decode::<Failed>(body).ok()?.failed)
+            (KvRequest::Txn(_), 409) => {
+                KvResponse::Conflict(cbor::decode::<Failed>(body).ok()?.failed)
             }
-            (StoreCall::Grant(_), 200) => {
-                StoreReply::Granted(cbor::decode::<HoldBody>(body).ok()?.hold)
+            (KvRequest::Grant(_), 200) => {
+                KvResponse::Granted(cbor::decode::<LeaseBody>(body).ok()?.hold)
             }
-            (StoreCall::Renew(_) | StoreCall::Drop(_), 200..=299) => StoreReply::Ok,
-            (StoreCall::Renew(_) | StoreCall::Drop(_), 404) => StoreReply::Gone,
-            (StoreCall::Follow { .. }, 200) => {
+            (KvRequest::Renew(_) | KvRequest::Drop(_), 200..=299) => KvResponse::Ok,
+            (KvRequest::Renew(_) | KvRequest::Drop(_), 404) => KvResponse::Gone,
+            (KvRequest::Follow { .. }, 200) => {
                 let page: Events = cbor::decode(body).ok()?;
-                StoreReply::Events(page.events, page.ledger)
+                KvResponse::Events(page.events, page.ledger)
             }
-            (StoreCall::Follow { .. }, 410) => StoreReply::Gone,
+            (KvRequest::Follow { .. }, 410) => KvResponse::Gone,
             _ => return None,
         })
     }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -3,7 +3,7 @@
 pub mod cbor;
 pub mod cloud;
 pub mod job;
+pub mod kv;
 pub mod peer;
-pub mod state;
 pub mod token;
 pub mod worker;
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -5,16 +5,16 @@
 /// The longest frame; a longer one ends the connection.
 pub const MAX_FRAME: usize = 256 * 1024;
 /// The most jobs whose counts fit into one message.
-pub const MAX_COUNTS: usize = 2000;
+pub const MAX_JOB_COUNTS: usize = 2000;
 
 /// The most suspect jobs that fit into one message; the others are found to be so once more.
-pub const MAX_SUSPECTS: usize = 500;
+pub const MAX_CRASH_LOOPING_JOBS: usize = 500;
 /// The most ends of jobs that fit into one message; others are looked up when somebody asks.
 pub const MAX_TERMINATIONS: usize = 1000;
 
 /// Display counts of one job.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
-pub struct Counts {
+pub struct JobCounts {
     /// Job id.
     pub job: String,
     /// Completed tasks.
@@ -36,7 +36,7 @@
 
 /// Up to which number a node has heard of a peer's ends.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
-pub struct Ack {
+pub struct TerminationAck {
     /// The peer.
     pub label: String,
     /// Which of its processes.
@@ -47,7 +47,7 @@
 
 /// Terminations of jobs that some peer has not acknowledged yet; peers need not look them up.
 #[derive(Debug, Clone, Default, PartialEq, Archive, Serialize, Deserialize)]
-pub struct Terminations {
+pub struct TerminationLog {
     /// Tells this process from earlier ones of the same node.
     pub life: u64,
     /// Number of the first of the list.
@@ -55,12 +55,12 @@
     /// The ends, numbered in order.
     pub list: Vec<Termination>,
     /// What was heard of each peer.
-    pub acks: Vec<Ack>,
+    pub acks: Vec<TerminationAck>,
 }
 
 /// A node's regular word to its peers.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
-pub struct Heartbeat {
+pub struct PeerHeartbeat {
     /// Sender.
     pub label: String,
     /// Highest Epoch the sender knows.
@@ -72,25 +72,25 @@
     /// Workers that knocked at it lately although another node leads.
     pub redirected: u32,
     /// From the leader: display counts of the open jobs.
-    pub counts: Vec<Counts>,
+    pub counts: Vec<JobCounts>,
     /// From the leader: jobs that are suspect, since their tasks fail on several machines.
     pub suspects: Vec<String>,
     /// Changes a second that this node has lately made in the state service for its users.
     pub changes_per_s: f64,
     /// Jobs that have ended by this node's doing.
-    pub ends: Terminations,
+    pub ends: TerminationLog,
 }
 
 /// Encodes a message, without its frame.
-pub fn encode(heartbeat: &Heartbeat) -> Vec<u8> {
+pub fn encode(heartbeat: &PeerHeartbeat) -> Vec<u8> {
     rkyv::to_bytes::<rkyv::rancor::Error>(heartbeat)
         .map(|bytes| bytes.to_vec())
         .unwrap_or_default()
 }
 
 /// Decodes and validates a message.
-pub fn decode(bytes: &[u8]) -> Option<Heartbeat> {
+pub fn decode(bytes: &[u8]) -> Option<PeerHeartbeat> {
     let mut aligned = rkyv::util::AlignedVec::<16>::with_capacity(bytes.len());
     aligned.extend_from_slice(bytes);
-    rkyv::from_bytes::<Heartbeat, rkyv::rancor::Error>(&aligned).ok()
+    rkyv::from_bytes::<PeerHeartbeat, rkyv::rancor::Error>(&aligned).ok()
 }
--- a/src/protocol/token.rs
+++ b/src/protocol/token.rs
@@ -21,26 +21,26 @@
     "Epoch: {token} is no token of a controller, since its epoch is above {MAX_EPOCH}; \
      restart the worker that shows it as a new machine"
 )]
-pub struct ImpossibleToken {
+pub struct InvalidFencingToken {
     token: u64,
 }
 
 /// Who commands a worker, and from which fence on.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(transparent)]
-pub struct Token(u64);
+pub struct FencingToken(u64);
 
-impl Token {
+impl FencingToken {
     /// The token of a leader for a worker with this fence.
-    pub fn new(epoch: u64, fence: u32) -> Token {
+    pub fn new(epoch: u64, fence: u32) -> FencingToken {
         let epoch = epoch.min(MAX_EPOCH);
         let fence = fence.min(MAX_FENCE);
-        Token((epoch << FENCE_BITS) | u64::from(fence))
+        FencingToken((epoch << FENCE_BITS) | u64::from(fence))
     }
 
     /// The token that an integer on the wire stands for.
-    pub fn from_wire(token: u64) -> Token {
-        Token(token)
+    pub fn from_wire(token: u64) -> FencingToken {
+        FencingToken(token)
     }
 
     /// The leader's epoch. Tokens of versions without fences were plain epochs, which count as lower than
@@ -55,18 +55,18 @@
     }
 
     /// Whether a controller can have given it.
-    pub fn check(self) -> Result<(), ImpossibleToken> {
+    pub fn check(self) -> Result<(), InvalidFencingToken> {
         if self.epoch() > MAX_EPOCH {
-            return Err(ImpossibleToken { token: self.0 });
+            return Err(InvalidFencingToken { token: self.0 });
         }
         Ok(())
     }
 }
 
-impl<'de> Deserialize<'de> for Token {
-    fn deserialize<D: Deserializer<'de>>(source: D) -> Result<Token, D::Error> {
+impl<'de> Deserialize<'de> for FencingToken {
+    fn deserialize<D: Deserializer<'de>>(source: D) -> Result<FencingToken, D::Error> {
         let token = u64::deserialize(source);
-        token.map(Token).map_err(|error| {
+        token.map(FencingToken).map_err(|error| {
             let why = format!(
                 "Epoch: {error}; a token is an integer from 0 to {}",
                 u64::MAX
@@ -76,7 +76,7 @@
     }
 }
 
-impl std::fmt::Display for Token {
+impl std::fmt::Display for FencingToken {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(f, "{}.{}", self.epoch(), self.fence())
     }
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -1,7 +1,7 @@
 //! The worker protocol: reports, orders and direct commands.
 
 use super::cbor;
-use super::token::Token;
+use super::token::FencingToken;
 use serde::{Deserialize, Serialize};
 
 /// A task's place in its job, written `j-000412/3` on the wire.
@@ -33,7 +33,7 @@
 /// State of a task on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum StepStatus {
+pub enum TaskState {
     /// Waiting for its image.
     Fetching,
     /// Running.
@@ -50,7 +50,7 @@
 /// Why a task ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub enum ExitReason {
     /// Completed.
     Done,
     /// Stopped by command.
@@ -70,7 +70,7 @@
 
 /// One task in a report.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct StepReport {
+pub struct TaskStatus {
     /// Task, in wire form.
     #[serde(rename = "Step")]
     pub step: String,
@@ -79,15 +79,15 @@
     pub attempt: u64,
     /// State.
     #[serde(rename = "Status")]
-    pub status: StepStatus,
+    pub status: TaskState,
     /// Why it exited.
     #[serde(rename = "Cause", default)]
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitReason>,
 }
 
 /// A worker's report.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Report {
+pub struct WorkerHeartbeat {
     /// Machine name.
     #[serde(rename = "Host")]
     pub host: String,
@@ -111,7 +111,7 @@
     pub tick: u64,
     /// Highest token the worker has seen.
     #[serde(rename = "Epoch")]
-    pub token: Token,
+    pub token: FencingToken,
     /// Seconds until the cloud takes the machine.
     #[serde(
         rename = "WarningS",
@@ -121,13 +121,13 @@
     pub warning_s: Option<f64>,
     /// Tasks on the machine.
     #[serde(rename = "Steps", default)]
-    pub steps: Vec<StepReport>,
+    pub steps: Vec<TaskStatus>,
 }
 
 /// What an order does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Verb {
+pub enum CommandKind {
     /// Start a task.
     Start,
     /// Stop a task.
@@ -138,10 +138,10 @@
 
 /// One command to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Order {
+pub struct Command {
     /// What to do.
     #[serde(rename = "Verb")]
-    pub verb: Verb,
+    pub verb: CommandKind,
     /// To which task.
     #[serde(rename = "Step")]
     pub step: String,
@@ -155,21 +155,21 @@
 
 /// Answer to a report, and the body of direct commands.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Commands {
+pub struct CommandBatch {
     /// Token.
     #[serde(rename = "Epoch")]
-    pub token: Token,
+    pub token: FencingToken,
     /// Session; only in direct commands.
     #[serde(rename = "Tenure", skip_serializing_if = "Option::is_none", default)]
     pub tenure: Option<u64>,
     /// Commands in order.
     #[serde(rename = "Orders")]
-    pub orders: Vec<Order>,
+    pub orders: Vec<Command>,
 }
 
 /// Body of a 421.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Redirect {
+pub struct NotLeader {
     /// The node to report to.
     #[serde(rename = "Foreman", skip_serializing_if = "Option::is_none", default)]
     pub foreman: Option<String>,
@@ -177,18 +177,18 @@
 
 /// A direct call to a worker.
 #[derive(Debug, Clone)]
-pub enum WorkerCall {
+pub enum WorkerRequest {
     /// POST /commands.
-    Commands(Commands),
+    Commands(CommandBatch),
 }
 
 /// What came of a direct call.
 #[derive(Debug, Clone)]
-pub enum WorkerReply {
+pub enum WorkerResponse {
     /// Executed (or shown).
-    Done(Box<Report>),
+    Done(Box<WorkerHeartbeat>),
     /// Nothing executed: token or session do not match.
-    Mismatch(Box<Report>),
+    Mismatch(Box<WorkerHeartbeat>),
     /// The call was never sent, for want of a connection to spare.
     NotSent,
     /// The call was never sent: the worker takes no connection.
@@ -197,22 +197,22 @@
     Silent,
 }
 
-impl WorkerCall {
+impl WorkerRequest {
     /// Method, path and body.
     pub fn request(&self) -> (&'static str, String, Vec<u8>) {
         match self {
-            WorkerCall::Commands(commands) => {
+            WorkerRequest::Commands(commands) => {
                 ("POST", "/commands".to_owned(), cbor::encode(commands))
             }
         }
     }
 
     /// Reads the answer.
-    pub fn reply(status: u16, body: &[u8]) -> WorkerReply {
-        match (status, cbor::decode::<Report>(body)) {
-            (200, Ok(report)) => WorkerReply::Done(Box::new(report)),
-            (409, Ok(report)) => WorkerReply::Mismatch(Box::new(report)),
-            _ => WorkerReply::Silent,
+    pub fn reply(status: u16, body: &[u8]) -> WorkerResponse {
+        match (status, cbor::decode::<WorkerHeartbeat>(body)) {
+            (200, Ok(report)) => WorkerResponse::Done(Box::new(report)),
+            (409, Ok(report)) => WorkerResponse::Mismatch(Box::new(report)),
+            _ => WorkerResponse::Silent,
         }
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -86,7 +86,7 @@
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Worker protocol.
-    pub workers: Workers,
+    pub workers: WorkerSettings,
     /// State service.
     pub state: StateLimits,
     /// Cloud.
@@ -132,7 +132,7 @@
 
 /// Figures of the worker protocol.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Workers {
+pub struct WorkerSettings {
     /// Interval of reports.
     pub report_s: f64,
     /// Lease of a session.
--- a/tests/bindings.rs
+++ b/tests/bindings.rs
@@ -4,11 +4,11 @@
 
 use cedarladder::bookkeeping::hosts::{HaltReason, Host, RevocationReason, Way};
 use cedarladder::bookkeeping::pending_starts::CallFate;
-use cedarladder::protocol::worker::{Cause, Order, StepStatus, Verb};
+use cedarladder::protocol::worker::{Command, CommandKind, ExitReason, TaskState};
 use common::{binding, host, knowledge, spec, step, task};
 
 type Setup = fn(&mut Host);
-type Steps = fn(&mut Host, &[Order]);
+type Steps = fn(&mut Host, &[Command]);
 
 fn bound(host: &mut Host, change: impl Fn(&mut cedarladder::bookkeeping::hosts::Binding)) {
     let mut b = binding(&spec("j-1", 4), 7);
@@ -16,24 +16,24 @@
     host.bindings.insert(task("j-1", 0), b);
 }
 
-fn shows(host: &mut Host, attempt: u64, status: StepStatus) {
+fn shows(host: &mut Host, attempt: u64, status: TaskState) {
     let task = task("j-1", 0);
-    let cause = (status == StepStatus::Exited).then_some(Cause::Done);
+    let cause = (status == TaskState::Exited).then_some(ExitReason::Done);
     let steps = host.steps.entry(task.clone()).or_default();
     steps.push(step(&task, attempt, status, cause));
 }
 
 #[test]
 fn orders() {
-    use StepStatus::{Exited, Flushing, Running};
-    type Case = (&'static str, Setup, bool, Vec<(Verb, u64)>);
+    use TaskState::{Exited, Flushing, Running};
+    type Case = (&'static str, Setup, bool, Vec<(CommandKind, u64)>);
     let cases: Vec<Case> = vec![
         ("nothing bound, nothing shown", |_| {}, true, vec![]),
         (
             "bound and not shown: start",
             |h| bound(h, |_| {}),
             true,
-            vec![(Verb::Start, 7)],
+            vec![(CommandKind::Start, 7)],
         ),
         (
             "no starts without a confirmed lead",
@@ -84,7 +84,7 @@
                 shows(h, 7, Running);
             },
             false,
-            vec![(Verb::Halt, 7)],
+            vec![(CommandKind::Halt, 7)],
         ),
         (
             "saving, and may go on saving",
@@ -102,7 +102,7 @@
                 shows(h, 7, Flushing);
             },
             true,
-            vec![(Verb::Halt, 7)],
+            vec![(CommandKind::Halt, 7)],
         ),
         (
             "exited, but its end is not written down: no clear",
@@ -117,7 +117,7 @@
             "exited and written down: clear",
             |h| shows(h, 7, Exited),
             true,
-            vec![(Verb::Clear, 7)],
+            vec![(CommandKind::Clear, 7)],
         ),
         (
             "a start may still arrive: no clear",
@@ -134,7 +134,7 @@
             "running and bound by nobody: halt",
             |h| shows(h, 7, Running),
             true,
-            vec![(Verb::Halt, 7)],
+            vec![(CommandKind::Halt, 7)],
         ),
         (
             "an old attempt is cleared before the new one starts",
@@ -143,13 +143,13 @@
                 bound(h, |_| {});
             },
             true,
-            vec![(Verb::Clear, 6), (Verb::Start, 7)],
+            vec![(CommandKind::Clear, 6), (CommandKind::Start, 7)],
         ),
     ];
     for (name, setup, confirmed, expected) in cases {
         let mut host = host("h", "a", false);
         setup(&mut host);
-        let got: Vec<(Verb, u64)> = host
+        let got: Vec<(CommandKind, u64)> = host
             .orders(confirmed, 100)
             .into_iter()
             .map(|order| (order.verb, order.attempt))
@@ -159,7 +159,7 @@
 }
 
 /// Orders that go out directly, and what became of the call.
-fn sent_directly(host: &mut Host, orders: &[Order], fate: CallFate) {
+fn sent_directly(host: &mut Host, orders: &[Command], fate: CallFate) {
     host.note_sent(orders, Way::Direct, &knowledge());
     host.settle_call(orders, fate);
 }
@@ -168,7 +168,7 @@
 /// that was stopped is kept till then: cleared, it would run beside its successor.
 #[test]
 fn copies_of_starts() {
-    use cedarladder::protocol::worker::StepStatus::Exited;
+    use cedarladder::protocol::worker::TaskState::Exited;
     let answered: Steps = |h, o| sent_directly(h, o, CallFate::Answered);
     let unanswered: Steps = |h, o| sent_directly(h, o, CallFate::Unanswered);
     let in_answer: Steps = |h, o| {
@@ -176,16 +176,21 @@
         h.pending.settle_answers(6);
     };
     for (name, steps, cause, cleared) in [
-        ("direct, done", answered, Cause::Done, true),
+        ("direct, done", answered, ExitReason::Done, true),
         (
             "direct without answer, done",
             unanswered,
-            Cause::Done,
+            ExitReason::Done,
             false,
         ),
-        ("direct, stopped", answered, Cause::Stopped, false),
-        ("direct, refused", answered, Cause::Full, false),
-        ("in an answer, stopped", in_answer, Cause::Stopped, true),
+        ("direct, stopped", answered, ExitReason::Stopped, false),
+        ("direct, refused", answered, ExitReason::Full, false),
+        (
+            "in an answer, stopped",
+            in_answer,
+            ExitReason::Stopped,
+            true,
+        ),
     ] {
         let mut host = host("h", "a", false);
         bound(&mut host, |_| {});
@@ -318,7 +323,7 @@
     let orders = host.orders(true, 10);
     host.note_sent(&orders, Way::Direct, &knowledge());
     let mut halt = orders.clone();
-    halt[0].verb = Verb::Halt;
+    halt[0].verb = CommandKind::Halt;
     host.settle_call(&halt, CallFate::Answered);
     assert!(host.pending.may_arrive(&task("j-1", 0), 7));
     assert!(!host.pending.only_copies(&task("j-1", 0), 7));
@@ -327,7 +332,7 @@
 /// When the starts that went out are revoked, and whether the worker is told at once.
 #[test]
 fn revocations() {
-    use cedarladder::protocol::worker::StepStatus::Running;
+    use cedarladder::protocol::worker::TaskState::Running;
     fn halt(host: &mut Host, reason: HaltReason) {
         let binding = host.bindings.get_mut(&task("j-1", 0)).expect("bound");
         binding.halt = Some((0.0, reason));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,9 +4,9 @@
 use cedarladder::bookkeeping::hosts::{Binding, Host, Room};
 use cedarladder::bookkeeping::jobs::Job;
 use cedarladder::bookkeeping::permits::{Knowledge, Limits};
-use cedarladder::protocol::cloud::Flavor;
-use cedarladder::protocol::job::{JobSpec, Rank, Shape};
-use cedarladder::protocol::worker::{Cause, StepReport, StepStatus, TaskId};
+use cedarladder::protocol::cloud::InstanceType;
+use cedarladder::protocol::job::{JobKind, JobSpec, PriorityClass};
+use cedarladder::protocol::worker::{ExitReason, TaskId, TaskState, TaskStatus};
 use cedarladder::settings::Team;
 
 pub fn spec(id: &str, tasks: u32) -> JobSpec {
@@ -14,8 +14,8 @@
         id: id.to_owned(),
         class: "c".into(),
         team: "t".into(),
-        shape: Shape::Array,
-        rank: Rank::Normal,
+        shape: JobKind::Array,
+        rank: PriorityClass::Normal,
         tasks,
         cpus: 2.0,
         gpus: 0.0,
@@ -39,8 +39,8 @@
     Job::new(spec, 5, 0.0)
 }
 
-pub fn flavor(name: &str) -> Flavor {
-    Flavor {
+pub fn flavor(name: &str) -> InstanceType {
+    InstanceType {
         name: name.into(),
         cpus: 8.0,
         gpus: 0.0,
@@ -113,8 +113,13 @@
     }
 }
 
-pub fn step(task: &TaskId, attempt: u64, status: StepStatus, cause: Option<Cause>) -> StepReport {
-    StepReport {
+pub fn step(
+    task: &TaskId,
+    attempt: u64,
+    status: TaskState,
+    cause: Option<ExitReason>,
+) -> TaskStatus {
+    TaskStatus {
         step: task.to_string(),
         attempt,
         status,
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -4,15 +4,15 @@
 use cedarladder::bookkeeping::records::LeaderRecord;
 use cedarladder::coordination::election::{Election, Outcome, Times};
 use cedarladder::coordination::outbox::{Action, Outbox, StoreAsk};
-use cedarladder::protocol::state::{StoreCall, StoreReply};
-use cedarladder::settings::Workers;
+use cedarladder::protocol::kv::{KvRequest, KvResponse};
+use cedarladder::settings::WorkerSettings;
 
 const LEASE_S: f64 = 10.0;
 /// What is left of `CANCEL_S` after a lease and half a report interval, by the slower of two clocks.
 const HOLD_OVER_S: f64 = 18.98;
 
-fn workers() -> Workers {
-    Workers {
+fn workers() -> WorkerSettings {
+    WorkerSettings {
         report_s: 2.0,
         lease_s: LEASE_S,
         cancel_s: 30.0,
@@ -31,7 +31,7 @@
             out: Outbox::default(),
         }
     }
-    fn calls(&mut self) -> Vec<StoreCall> {
+    fn calls(&mut self) -> Vec<KvRequest> {
         std::mem::take(&mut self.out.actions)
             .into_iter()
             .filter_map(|action| match action {
@@ -40,14 +40,14 @@
             })
             .collect()
     }
-    fn reply(&mut self, ask: StoreAsk, reply: StoreReply, sent: f64, now: f64) -> Outcome {
+    fn reply(&mut self, ask: StoreAsk, reply: KvResponse, sent: f64, now: f64) -> Outcome {
         self.election.reply(&ask, &reply, sent, &mut self.out, now)
     }
     /// Wins with Epoch 42 at time 0.1; the lease was asked for at time 0.
     fn won(mut self) -> Bed {
         self.election.drive(true, 0.0, &mut self.out, 0.0);
-        self.reply(StoreAsk::Grant, StoreReply::Granted(9), 0.0, 0.05);
-        let outcome = self.reply(StoreAsk::Take, StoreReply::Committed(42), 0.05, 0.1);
+        self.reply(StoreAsk::Grant, KvResponse::Granted(9), 0.0, 0.05);
+        let outcome = self.reply(StoreAsk::Take, KvResponse::Committed(42), 0.05, 0.1);
         assert_eq!(outcome, Outcome::Won(42));
         self.calls();
         self
@@ -95,9 +95,9 @@
             assert_eq!(granted, vec![], "{name}");
             continue;
         };
-        assert_eq!(granted, vec![StoreCall::Grant(2000)], "{name}");
-        bed.reply(StoreAsk::Grant, StoreReply::Granted(9), 1.0, 1.1);
-        let [StoreCall::Txn(txn)] = &bed.calls()[..] else {
+        assert_eq!(granted, vec![KvRequest::Grant(2000)], "{name}");
+        bed.reply(StoreAsk::Grant, KvResponse::Granted(9), 1.0, 1.1);
+        let [KvRequest::Txn(txn)] = &bed.calls()[..] else {
             panic!("{name}: a transaction");
         };
         assert_eq!(txn.when[0].stamp, stamp, "{name}");
@@ -111,19 +111,19 @@
     let cases: [(&str, Steps, Outcome, bool); 12] = [
         (
             "a renewal",
-            |b| b.reply(StoreAsk::Renew, StoreReply::Ok, 1.0, 1.1),
+            |b| b.reply(StoreAsk::Renew, KvResponse::Ok, 1.0, 1.1),
             Outcome::Same,
             true,
         ),
         (
             "the lease is over",
-            |b| b.reply(StoreAsk::Renew, StoreReply::Gone, 1.0, 1.1),
+            |b| b.reply(StoreAsk::Renew, KvResponse::Gone, 1.0, 1.1),
             Outcome::Lost,
             false,
         ),
         (
             "a refused renewal: hold-over",
-            |b| b.reply(StoreAsk::Renew, StoreReply::Refused, 1.0, 1.1),
+            |b| b.reply(StoreAsk::Renew, KvResponse::Refused, 1.0, 1.1),
             Outcome::Same,
             true,
         ),
@@ -166,7 +166,7 @@
         (
             "renewed, with a view of the open jobs as old as a hold-over may be",
             |b| {
-                b.reply(StoreAsk::Renew, StoreReply::Ok, 25.0, 25.1);
+                b.reply(StoreAsk::Renew, KvResponse::Ok, 25.0, 25.1);
                 drive(b, 9.0, 9.0 + HOLD_OVER_S - 0.1)
             },
             Outcome::Same,
@@ -175,7 +175,7 @@
         (
             "renewed, with a view of the open jobs that is older than that",
             |b| {
-                b.reply(StoreAsk::Renew, StoreReply::Ok, 25.0, 25.1);
+                b.reply(StoreAsk::Renew, KvResponse::Ok, 25.0, 25.1);
                 drive(b, 9.0, 9.0 + HOLD_OVER_S + 0.1)
             },
             Outcome::Lost,
@@ -202,7 +202,7 @@
     for (now, confirmed) in [(0.1, true), (1.9, true), (2.0, false), (5.0, false)] {
         assert_eq!(bed.election.confirmed(now), confirmed, "at {now}");
     }
-    bed.reply(StoreAsk::Renew, StoreReply::Ok, 1.5, 5.0);
+    bed.reply(StoreAsk::Renew, KvResponse::Ok, 1.5, 5.0);
     for (now, confirmed) in [(3.4, true), (3.5, false)] {
         assert_eq!(bed.election.confirmed(now), confirmed, "renewed, at {now}");
     }
@@ -224,7 +224,7 @@
     ];
     for (name, current_at, now, expected) in cases {
         let mut bed = Bed::new().won();
-        bed.reply(StoreAsk::Renew, StoreReply::Ok, 10.0, 10.1);
+        bed.reply(StoreAsk::Renew, KvResponse::Ok, 10.0, 10.1);
         let knowledge = bed.election.knowledge(current_at, f64::NEG_INFINITY, now);
         let may_renew = knowledge.may_renew().is_ok();
         assert_eq!(may_renew, expected, "{name}");
@@ -241,8 +241,8 @@
     bed.election.drive(true, 0.0, &mut bed.out, 0.0);
     bed.election.observe(Some((record("n1", 5), 7)), 0.0, 0.05);
     bed.calls();
-    bed.reply(StoreAsk::Grant, StoreReply::Granted(9), 0.0, 0.1);
-    assert_eq!(bed.calls(), vec![StoreCall::Drop(9)]);
+    bed.reply(StoreAsk::Grant, KvResponse::Granted(9), 0.0, 0.1);
+    assert_eq!(bed.calls(), vec![KvRequest::Drop(9)]);
     assert_eq!(bed.election.leader(), Some("n1"));
 }
 
@@ -251,9 +251,9 @@
 fn unanswered_take() {
     let mut bed = Bed::new();
     bed.election.drive(true, 0.0, &mut bed.out, 0.0);
-    bed.reply(StoreAsk::Grant, StoreReply::Granted(9), 0.0, 0.1);
+    bed.reply(StoreAsk::Grant, KvResponse::Granted(9), 0.0, 0.1);
     bed.calls();
-    bed.reply(StoreAsk::Take, StoreReply::Silent, 0.1, 0.8);
-    assert_eq!(bed.calls(), vec![StoreCall::Drop(9)]);
+    bed.reply(StoreAsk::Take, KvResponse::Silent, 0.1, 0.8);
+    assert_eq!(bed.calls(), vec![KvRequest::Drop(9)]);
     assert_eq!(bed.election.epoch(), None);
 }
--- a/tests/frontend.rs
+++ b/tests/frontend.rs
@@ -6,7 +6,7 @@
 use cedarladder::coordination::frontend::Frontend;
 use cedarladder::coordination::outbox::{Action, Outbox, StoreAsk};
 use cedarladder::protocol::cbor;
-use cedarladder::protocol::state::{Item, StoreCall, StoreReply, Txn};
+use cedarladder::protocol::kv::{KeyValue, KvRequest, KvResponse, Txn};
 use cedarladder::settings::StateLimits;
 use common::spec;
 
@@ -65,39 +65,39 @@
     panic!("no answer");
 }
 
-fn state_service(call: &StoreCall, truth: Truth) -> StoreReply {
+fn state_service(call: &KvRequest, truth: Truth) -> KvResponse {
     let stamp = |key: &str| {
         let open = key == records::open(ID) && truth == Truth::Open;
         let over = key == records::over(ID) && matches!(truth, Truth::Done | Truth::Aborted);
         if open || over { 5 } else { 0 }
     };
     match call {
-        StoreCall::Txn(Txn { when, .. }) => {
+        KvRequest::Txn(Txn { when, .. }) => {
             let failed: Vec<String> = when
                 .iter()
                 .filter(|c| stamp(&c.key) != c.stamp)
                 .map(|c| c.key.clone())
                 .collect();
             if failed.is_empty() {
-                StoreReply::Committed(9)
+                KvResponse::Committed(9)
             } else {
-                StoreReply::Conflict(failed)
+                KvResponse::Conflict(failed)
             }
         }
-        StoreCall::Get(key) if stamp(key) != 0 => {
+        KvRequest::Get(key) if stamp(key) != 0 => {
             let value = if truth == Truth::Open {
                 cbor::to_value(&spec(ID, 1))
             } else {
                 cbor::to_value(&over(truth))
             };
-            StoreReply::Found(Item {
+            KvResponse::Found(KeyValue {
                 key: key.clone(),
                 value,
                 stamp: 5,
                 hold: None,
             })
         }
-        _ => StoreReply::Missing,
+        _ => KvResponse::Missing,
     }
 }
 
@@ -153,7 +153,7 @@
     frontend.poll(1, ID, &mut out, 0.0);
     out.actions.clear();
     frontend.note_closed(ID);
-    frontend.checked(1, StoreReply::Committed(9), &mut out, 0.1);
+    frontend.checked(1, KvResponse::Committed(9), &mut out, 0.1);
     assert_eq!(serve(&mut frontend, &mut out, Truth::Done).0, 200);
 }
 
@@ -166,9 +166,9 @@
     frontend.cancel(1, ID, &mut out, 0.0);
     out.actions.clear();
     frontend.cancel(2, ID, &mut out, 0.0);
-    frontend.looked(ID, StoreReply::Missing, &mut out, 0.1);
+    frontend.looked(ID, KvResponse::Missing, &mut out, 0.1);
     out.actions.clear();
-    frontend.looked(ID, StoreReply::Missing, &mut out, 0.1);
+    frontend.looked(ID, KvResponse::Missing, &mut out, 0.1);
     let first: Vec<u64> = out
         .actions
         .iter()
@@ -194,7 +194,7 @@
             |d, out| {
                 d.submit(1, spec(ID, 1), None, out, 0.0);
                 out.actions.clear();
-                d.written(1, StoreReply::Refused, out, 0.0);
+                d.written(1, KvResponse::Refused, out, 0.0);
             },
             503,
         ),
@@ -202,7 +202,7 @@
             "it has just refused another",
             |d, out| {
                 d.poll(1, "j-2", out, 0.0);
-                d.checked(1, StoreReply::Refused, out, 0.0);
+                d.checked(1, KvResponse::Refused, out, 0.0);
                 out.actions.clear();
                 d.submit(2, spec(ID, 1), None, out, 0.1);
             },
--- a/tests/golden/controllers.rs
+++ b/tests/golden/controllers.rs
@@ -1,13 +1,15 @@
 //! Heartbeats between controllers, and the HTTP and frames that carry messages.
 
 use super::pinned::PinnedFile;
-use cedarladder::protocol::peer::{self, Ack, Counts, Heartbeat, Termination, Terminations};
+use cedarladder::protocol::peer::{
+    self, JobCounts, PeerHeartbeat, Termination, TerminationAck, TerminationLog,
+};
 use cedarladder::transport::frames;
 use cedarladder::transport::http;
 
 /// A heartbeat in which every field has a value of its own.
-fn full_heartbeat() -> Heartbeat {
-    let counts = |job: &str, done, running| Counts {
+fn full_heartbeat() -> PeerHeartbeat {
+    let counts = |job: &str, done, running| JobCounts {
         job: job.into(),
         done,
         running,
@@ -17,12 +19,12 @@
         aborted,
         done,
     };
-    let ack = |label: &str, life, up_to| Ack {
+    let ack = |label: &str, life, up_to| TerminationAck {
         label: label.into(),
         life,
         up_to,
     };
-    Heartbeat {
+    PeerHeartbeat {
         label: "rung-1-with-a-long-name".into(),
         epoch: 41,
         leader: Some("rung-2".into()),
@@ -31,7 +33,7 @@
         counts: vec![counts("j-000412", 3, 13), counts("j-1", 4, 0)],
         suspects: vec!["j-000398".into(), "j-3".into()],
         changes_per_s: 4.5,
-        ends: Terminations {
+        ends: TerminationLog {
             life: 5,
             first: 8,
             list: vec![
@@ -46,8 +48,8 @@
     }
 }
 
-fn empty_heartbeat() -> Heartbeat {
-    Heartbeat {
+fn empty_heartbeat() -> PeerHeartbeat {
+    PeerHeartbeat {
         label: String::new(),
         epoch: 0,
         leader: None,
@@ -56,7 +58,7 @@
         counts: Vec::new(),
         suspects: Vec::new(),
         changes_per_s: 0.0,
-        ends: Terminations::default(),
+        ends: TerminationLog::default(),
     }
 }
 
--- a/tests/golden/leaders.rs
+++ b/tests/golden/leaders.rs
@@ -7,7 +7,7 @@
 use cedarladder::coordination::controller::{Controller, Now};
 use cedarladder::coordination::outbox::Action;
 use cedarladder::protocol::cbor;
-use cedarladder::protocol::state::{StoreCall, StoreReply};
+use cedarladder::protocol::kv::{KvRequest, KvResponse};
 use cedarladder::transport::http;
 use std::collections::BTreeSet;
 
@@ -23,14 +23,14 @@
 const REPORT: u64 = 1;
 
 /// An empty state service that takes everything.
-fn state_service(call: &StoreCall) -> StoreReply {
+fn state_service(call: &KvRequest) -> KvResponse {
     match call {
-        StoreCall::Get(_) => StoreReply::Missing,
-        StoreCall::List { .. } => StoreReply::Page(Vec::new(), false, REVISION),
-        StoreCall::Txn(_) => StoreReply::Committed(REVISION),
-        StoreCall::Grant(_) => StoreReply::Granted(LEASE),
-        StoreCall::Renew(_) | StoreCall::Drop(_) => StoreReply::Ok,
-        StoreCall::Follow { .. } => StoreReply::Events(Vec::new(), REVISION),
+        KvRequest::Get(_) => KvResponse::Missing,
+        KvRequest::List { .. } => KvResponse::Page(Vec::new(), false, REVISION),
+        KvRequest::Txn(_) => KvResponse::Committed(REVISION),
+        KvRequest::Grant(_) => KvResponse::Granted(LEASE),
+        KvRequest::Renew(_) | KvRequest::Drop(_) => KvResponse::Ok,
+        KvRequest::Follow { .. } => KvResponse::Events(Vec::new(), REVISION),
     }
 }
 
--- a/tests/golden/program.rs
+++ b/tests/golden/program.rs
@@ -2,7 +2,7 @@
 
 use super::pinned::{PinnedFile, directory};
 use cedarladder::protocol::cbor;
-use cedarladder::protocol::job::{Accepted, JobStatus, JobView, Refusal};
+use cedarladder::protocol::job::{ErrorBody, JobAccepted, JobStatus, JobView};
 use cedarladder::transport::http::{self, Parsed};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -130,7 +130,7 @@
     let id = "j-000412";
     let accepted = |status| {
         let id = id.to_owned();
-        cbor::encode(&Accepted { id, status })
+        cbor::encode(&JobAccepted { id, status })
     };
     let view = cbor::encode(&JobView {
         id: id.into(),
@@ -138,7 +138,7 @@
         done: 3,
         running: 13,
     });
-    let refusal = |why: &str| cbor::encode(&Refusal { error: why.into() });
+    let refusal = |why: &str| cbor::encode(&ErrorBody { error: why.into() });
     let cases = [
         (
             "submit, accepted",
--- a/tests/golden/records.rs
+++ b/tests/golden/records.rs
@@ -8,9 +8,9 @@
 use cedarladder::bookkeeping::records::{self, Ending, LeaderRecord, OverRecord, RentalRecord};
 use cedarladder::bookkeeping::segment::{self, Amount, Builder, CHUNK, Segment};
 use cedarladder::protocol::cbor;
-use cedarladder::protocol::cloud::Flavor;
+use cedarladder::protocol::cloud::InstanceType;
 use cedarladder::protocol::job::JobSpec;
-use cedarladder::protocol::state::{StoreCall, Txn, Write};
+use cedarladder::protocol::kv::{KvRequest, Txn, WriteOp};
 use ciborium::{Value, cbor};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -22,9 +22,9 @@
     key: &str,
     record: &T,
 ) {
-    let writes = vec![Write::set(key, record)];
+    let writes = vec![WriteOp::set(key, record)];
     let when = Vec::new();
-    let (_, _, body) = StoreCall::Txn(Txn { when, writes }).request();
+    let (_, _, body) = KvRequest::Txn(Txn { when, writes }).request();
     file.pin(&format!("{case}, transaction"), &body);
     let bytes = file.pin(&format!("{case}, value"), &cbor::encode(record));
     let value: Value = cbor::decode(&bytes).expect("CBOR");
@@ -130,12 +130,12 @@
     let mut file = PinnedFile::open("records_of_the_catalogue");
     let types = vec![machine_type(Some(4.5)), machine_type(None)];
     pin_record(&mut file, "catalogue", records::CATALOGUE, &types);
-    let none: Vec<Flavor> = Vec::new();
+    let none: Vec<InstanceType> = Vec::new();
     pin_record(&mut file, "empty catalogue", records::CATALOGUE, &none);
     let stored = cbor!({"Label" => "g8", "Cores" => 96, "Gpus" => 8, "RamGb" => 768,
         "LocalGb" => 200, "PullGbPerS" => 1, "Hourly" => 12, "MarketPrice" => null,
         "ReadyS" => 45, "Groves" => ["a", "b"]});
-    pin_readings::<Flavor>(&mut file, "type", &stored.expect("a value"));
+    pin_readings::<InstanceType>(&mut file, "type", &stored.expect("a value"));
     file.finish();
 }
 
--- a/tests/golden/services.rs
+++ b/tests/golden/services.rs
@@ -3,9 +3,11 @@
 use super::pinned::{PinnedFile, show, without};
 use super::workers::{received_report, two_orders};
 use cedarladder::protocol::cbor;
-use cedarladder::protocol::cloud::{CloudCall, CloudReply, Flavor, Machine, MachineStatus, Rental};
-use cedarladder::protocol::state::{Condition, Item, StoreCall, StoreReply, Txn, Write};
-use cedarladder::protocol::worker::{WorkerCall, WorkerReply};
+use cedarladder::protocol::cloud::{
+    CloudRequest, CloudResponse, CreateInstances, Instance, InstanceStatus, InstanceType,
+};
+use cedarladder::protocol::kv::{Compare, KeyValue, KvRequest, KvResponse, Txn, WriteOp};
+use cedarladder::protocol::worker::{WorkerRequest, WorkerResponse};
 use ciborium::{Value, cbor};
 
 /// Every status that some answer may have, with statuses that none should have.
@@ -45,41 +47,38 @@
     }
 }
 
-fn store_calls() -> Vec<(&'static str, StoreCall)> {
-    let attached = Write::Set {
+fn store_calls() -> Vec<(&'static str, KvRequest)> {
+    let attached = WriteOp::Set {
         key: "leader".into(),
         value: cbor!({"Label" => "n0", "Life" => 5}).expect("a value"),
         hold: Some(7),
     };
-    let list = |from: Option<&str>| StoreCall::List {
+    let list = |from: Option<&str>| KvRequest::List {
         under: "open/".into(),
         from: from.map(str::to_owned),
     };
     vec![
-        ("get", StoreCall::Get("open/j-000412".into())),
+        ("get", KvRequest::Get("open/j-000412".into())),
         ("first page", list(None)),
         ("next page", list(Some("open/j-000412"))),
-        ("empty transaction", StoreCall::Txn(Txn::default())),
+        ("empty transaction", KvRequest::Txn(Txn::default())),
         (
             "transaction",
-            StoreCall::Txn(Txn {
-                when: vec![
-                    Condition::new("open/j-1", 412),
-                    Condition::new("over/j-1", 0),
-                ],
+            KvRequest::Txn(Txn {
+                when: vec![Compare::new("open/j-1", 412), Compare::new("over/j-1", 0)],
                 writes: vec![
                     attached,
-                    Write::set("over/j-1", &1.0),
-                    Write::remove("open/j-1"),
+                    WriteOp::set("over/j-1", &1.0),
+                    WriteOp::remove("open/j-1"),
                 ],
             }),
         ),
-        ("grant", StoreCall::Grant(5000)),
-        ("renew", StoreCall::Renew(7)),
-        ("drop", StoreCall::Drop(7)),
+        ("grant", KvRequest::Grant(5000)),
+        ("renew", KvRequest::Renew(7)),
+        ("drop", KvRequest::Drop(7)),
         (
             "follow",
-            StoreCall::Follow {
+            KvRequest::Follow {
                 under: "open/".into(),
                 from: 431,
                 wait_ms: 10_000,
@@ -88,25 +87,25 @@
     ]
 }
 
-fn store_reading(reply: &StoreReply) -> String {
+fn store_reading(reply: &KvResponse) -> String {
     match reply {
-        StoreReply::Found(item) => format!("found {}", show(item)),
-        StoreReply::Missing => "missing".to_owned(),
-        StoreReply::Page(items, more, revision) => {
+        KvResponse::Found(item) => format!("found {}", show(item)),
+        KvResponse::Missing => "missing".to_owned(),
+        KvResponse::Page(items, more, revision) => {
             format!("page {}, more {more}, revision {revision}", show(items))
         }
-        StoreReply::Committed(revision) => format!("committed at {revision}"),
-        StoreReply::Conflict(keys) => format!("conflict {}", show(keys)),
-        StoreReply::Granted(lease) => format!("granted {lease}"),
-        StoreReply::Ok => "ok".to_owned(),
-        StoreReply::Gone => "gone".to_owned(),
-        StoreReply::Events(events, revision) => {
+        KvResponse::Committed(revision) => format!("committed at {revision}"),
+        KvResponse::Conflict(keys) => format!("conflict {}", show(keys)),
+        KvResponse::Granted(lease) => format!("granted {lease}"),
+        KvResponse::Ok => "ok".to_owned(),
+        KvResponse::Gone => "gone".to_owned(),
+        KvResponse::Events(events, revision) => {
             format!("events {}, revision {revision}", show(events))
         }
-        StoreReply::Busy => "over the rate limit".to_owned(),
-        StoreReply::Refused => "not executed".to_owned(),
-        StoreReply::Bad => "malformed".to_owned(),
-        StoreReply::Silent => "no usable answer".to_owned(),
+        KvResponse::Busy => "over the rate limit".to_owned(),
+        KvResponse::Refused => "not executed".to_owned(),
+        KvResponse::Bad => "malformed".to_owned(),
+        KvResponse::Silent => "no usable answer".to_owned(),
     }
 }
 
@@ -172,7 +171,7 @@
 #[test]
 fn items_keep_their_bytes() {
     let mut file = PinnedFile::open("state_items");
-    let item = |hold| Item {
+    let item = |hold| KeyValue {
         key: "open/j-1".into(),
         value: Value::from(5),
         stamp: 412,
@@ -183,8 +182,8 @@
     file.finish();
 }
 
-fn cloud_calls() -> Vec<(&'static str, CloudCall)> {
-    let rental = Rental {
+fn cloud_calls() -> Vec<(&'static str, CloudRequest)> {
+    let rental = CreateInstances {
         bid: "r-17".into(),
         flavor: "g8".into(),
         zone: "a".into(),
@@ -192,28 +191,28 @@
         count: 12,
     };
     vec![
-        ("types", CloudCall::Types),
-        ("rent", CloudCall::Rent(rental)),
+        ("types", CloudRequest::Types),
+        ("rent", CloudRequest::Rent(rental)),
         (
             "delete",
-            CloudCall::Delete(vec!["host-000231".into(), "host-000232".into()]),
+            CloudRequest::Delete(vec!["host-000231".into(), "host-000232".into()]),
         ),
-        ("first page", CloudCall::List(None)),
-        ("next page", CloudCall::List(Some("host-000230".into()))),
+        ("first page", CloudRequest::List(None)),
+        ("next page", CloudRequest::List(Some("host-000230".into()))),
     ]
 }
 
-fn cloud_reading(reply: &CloudReply) -> String {
+fn cloud_reading(reply: &CloudResponse) -> String {
     match reply {
-        CloudReply::Types(types) => format!("types {}", show(types)),
-        CloudReply::Rented(names) => format!("rented {}", show(names)),
-        CloudReply::NoCapacity => "no capacity".to_owned(),
-        CloudReply::Deleted => "deleted".to_owned(),
-        CloudReply::Page(machines, more) => format!("page {}, more {more}", show(machines)),
-        CloudReply::Busy => "over the rate limit".to_owned(),
-        CloudReply::Trouble => "outage".to_owned(),
-        CloudReply::Bad => "malformed".to_owned(),
-        CloudReply::Silent => "no usable answer".to_owned(),
+        CloudResponse::Types(types) => format!("types {}", show(types)),
+        CloudResponse::Rented(names) => format!("rented {}", show(names)),
+        CloudResponse::NoCapacity => "no capacity".to_owned(),
+        CloudResponse::Deleted => "deleted".to_owned(),
+        CloudResponse::Page(machines, more) => format!("page {}, more {more}", show(machines)),
+        CloudResponse::Busy => "over the rate limit".to_owned(),
+        CloudResponse::Trouble => "outage".to_owned(),
+        CloudResponse::Bad => "malformed".to_owned(),
+        CloudResponse::Silent => "no usable answer".to_owned(),
     }
 }
 
@@ -282,8 +281,8 @@
 }
 
 /// Every field has a value of its own, so that none can take another's place.
-pub fn machine_type(market_price: Option<f64>) -> Flavor {
-    Flavor {
+pub fn machine_type(market_price: Option<f64>) -> InstanceType {
+    InstanceType {
         name: "g8".into(),
         cpus: 96.0,
         gpus: 8.0,
@@ -303,12 +302,12 @@
     file.pin_message("type", &machine_type(Some(4.5)));
     file.pin_message("type without spot price", &machine_type(None));
     for (case, status) in [
-        ("starting", MachineStatus::Starting),
-        ("running", MachineStatus::Running),
-        ("failed", MachineStatus::Failed),
-        ("unknown", MachineStatus::Other),
+        ("starting", InstanceStatus::Starting),
+        ("running", InstanceStatus::Running),
+        ("failed", InstanceStatus::Failed),
+        ("unknown", InstanceStatus::Other),
     ] {
-        let machine = Machine {
+        let machine = Instance {
             name: "host-000231".into(),
             endpoint: "10.1.0.232:9000".into(),
             flavor: "g8".into(),
@@ -322,20 +321,20 @@
     file.finish();
 }
 
-fn worker_reading(reply: &WorkerReply) -> String {
+fn worker_reading(reply: &WorkerResponse) -> String {
     match reply {
-        WorkerReply::Done(report) => format!("done {}", show(report)),
-        WorkerReply::Mismatch(report) => format!("mismatch {}", show(report)),
-        WorkerReply::NotSent => "never sent".to_owned(),
-        WorkerReply::Unreached => "no connection".to_owned(),
-        WorkerReply::Silent => "no usable answer".to_owned(),
+        WorkerResponse::Done(report) => format!("done {}", show(report)),
+        WorkerResponse::Mismatch(report) => format!("mismatch {}", show(report)),
+        WorkerResponse::NotSent => "never sent".to_owned(),
+        WorkerResponse::Unreached => "no connection".to_owned(),
+        WorkerResponse::Silent => "no usable answer".to_owned(),
     }
 }
 
 #[test]
 fn direct_commands_and_their_answers_keep_their_bytes() {
     let mut file = PinnedFile::open("worker_calls");
-    let call = WorkerCall::Commands(two_orders(Some(3)));
+    let call = WorkerRequest::Commands(two_orders(Some(3)));
     pin_request(&mut file, "commands", call.request());
     let bodies = [
         ("report", received_report()),
@@ -347,7 +346,7 @@
     ];
     let calls = [("commands", call)];
     pin_answers(&mut file, &calls, &bodies, |_, status, body| {
-        worker_reading(&WorkerCall::reply(status, body))
+        worker_reading(&WorkerRequest::reply(status, body))
     });
     file.finish();
 }
--- a/tests/golden/users.rs
+++ b/tests/golden/users.rs
@@ -8,10 +8,10 @@
 use cedarladder::policy::Policy;
 use cedarladder::protocol::cbor;
 use cedarladder::protocol::job::{
-    Accepted, JobSpec, JobStatus, JobView, Rank, Refusal, Shape, parse,
+    ErrorBody, JobAccepted, JobKind, JobSpec, JobStatus, JobView, PriorityClass, parse,
 };
-use cedarladder::protocol::peer::{Heartbeat, Terminations};
-use cedarladder::protocol::state::{Item, StoreCall, StoreReply};
+use cedarladder::protocol::kv::{KeyValue, KvRequest, KvResponse};
+use cedarladder::protocol::peer::{PeerHeartbeat, TerminationLog};
 use cedarladder::settings::Settings;
 use cedarladder::transport::http;
 use ciborium::{Value, cbor};
@@ -26,8 +26,8 @@
         id: "j-000412".into(),
         class: "train".into(),
         team: "vision".into(),
-        shape: Shape::Array,
-        rank: Rank::Urgent,
+        shape: JobKind::Array,
+        rank: PriorityClass::Urgent,
         tasks: 16,
         cpus: 8.0,
         gpus: 1.0,
@@ -58,7 +58,7 @@
         ("whole".to_owned(), whole.clone()),
         ("bare".to_owned(), bare),
     ];
-    for (word, shape) in [("group", Shape::Group), ("standing", Shape::Standing)] {
+    for (word, shape) in [("group", JobKind::Group), ("standing", JobKind::Standing)] {
         let spec = JobSpec {
             shape,
             ..whole.clone()
@@ -66,9 +66,9 @@
         all.push((word.to_owned(), spec));
     }
     for (word, rank) in [
-        ("production", Rank::Production),
-        ("normal", Rank::Normal),
-        ("best effort", Rank::BestEffort),
+        ("production", PriorityClass::Production),
+        ("normal", PriorityClass::Normal),
+        ("best effort", PriorityClass::BestEffort),
     ] {
         let spec = JobSpec {
             rank,
@@ -214,7 +214,7 @@
         ("done", JobStatus::Done),
         ("aborted", JobStatus::Aborted),
     ] {
-        let accepted = Accepted {
+        let accepted = JobAccepted {
             id: "j-000412".into(),
             status,
         };
@@ -228,7 +228,7 @@
         file.pin_message(&format!("view, {word}"), &view);
     }
     let error = "no such job".into();
-    file.pin_message("refusal", &Refusal { error });
+    file.pin_message("refusal", &ErrorBody { error });
     file.finish();
 }
 
@@ -284,9 +284,9 @@
     node.tick(START);
     for action in tell_types(&mut node) {
         if let Action::Store { tag, call, .. } = action
-            && matches!(call, StoreCall::List { .. })
+            && matches!(call, KvRequest::List { .. })
         {
-            let page = StoreReply::Page(Vec::new(), false, STAMP);
+            let page = KvResponse::Page(Vec::new(), false, STAMP);
             node.store_reply(tag, page, START);
         }
     }
@@ -297,7 +297,7 @@
 /// A node that has been told by a peer who leads.
 fn node_with_a_leader() -> Controller {
     let mut node = ready_node();
-    let heartbeat = Heartbeat {
+    let heartbeat = PeerHeartbeat {
         label: "n1".into(),
         epoch: STAMP,
         leader: Some("n1".into()),
@@ -306,7 +306,7 @@
         counts: Vec::new(),
         suspects: Vec::new(),
         changes_per_s: 0.0,
-        ends: Terminations::default(),
+        ends: TerminationLog::default(),
     };
     node.heartbeat(heartbeat, START);
     node
@@ -329,7 +329,7 @@
     others
 }
 
-fn state_service(call: &StoreCall, truth: Truth) -> StoreReply {
+fn state_service(call: &KvRequest, truth: Truth) -> KvResponse {
     let value_of = |key: &str| match truth {
         Truth::Open if key == records::open(JOB) => Some(small_job()),
         Truth::Over(ending) if key == records::over(JOB) => {
@@ -339,8 +339,8 @@
     };
     let stamp = |key: &str| value_of(key).map_or(0, |_| STAMP);
     match (truth, call) {
-        (Truth::Out, _) => StoreReply::Refused,
-        (_, StoreCall::Txn(txn)) => {
+        (Truth::Out, _) => KvResponse::Refused,
+        (_, KvRequest::Txn(txn)) => {
             let mut failed = Vec::new();
             for condition in &txn.when {
                 if stamp(&condition.key) != condition.stamp {
@@ -348,21 +348,21 @@
                 }
             }
             if failed.is_empty() {
-                StoreReply::Committed(STAMP + 1)
+                KvResponse::Committed(STAMP + 1)
             } else {
-                StoreReply::Conflict(failed)
+                KvResponse::Conflict(failed)
             }
         }
-        (_, StoreCall::Get(key)) => match value_of(key) {
-            Some(value) => StoreReply::Found(Item {
+        (_, KvRequest::Get(key)) => match value_of(key) {
+            Some(value) => KvResponse::Found(KeyValue {
                 key: key.clone(),
                 value,
                 stamp: STAMP,
                 hold: None,
             }),
-            None => StoreReply::Missing,
+            None => KvResponse::Missing,
         },
-        _ => StoreReply::Silent,
+        _ => KvResponse::Silent,
     }
 }
 
--- a/tests/golden/workers.rs
+++ b/tests/golden/workers.rs
@@ -1,15 +1,16 @@
 //! Messages of the worker protocol: as we write them, and as we read those of workers of any version.
 
 use super::pinned::{PinnedFile, names_of, with, without};
-use cedarladder::protocol::token::{MAX_EPOCH, MAX_FENCE, Token};
+use cedarladder::protocol::token::{FencingToken, MAX_EPOCH, MAX_FENCE};
 use cedarladder::protocol::worker::{
-    Cause, Commands, Order, Redirect, Report, StepReport, StepStatus, TaskId, Verb,
+    Command, CommandBatch, CommandKind, ExitReason, NotLeader, TaskId, TaskState, TaskStatus,
+    WorkerHeartbeat,
 };
 use ciborium::{Value, cbor};
 
 /// The token of the messages here.
-fn token() -> Token {
-    Token::new(41, 7)
+fn token() -> FencingToken {
+    FencingToken::new(41, 7)
 }
 
 /// A report as a worker sends it.
@@ -23,20 +24,20 @@
 }
 
 /// An answer to a report, or, with a session, a direct command.
-pub fn two_orders(tenure: Option<u64>) -> Commands {
-    let order = |verb, step: &str, attempt, drain_s| Order {
+pub fn two_orders(tenure: Option<u64>) -> CommandBatch {
+    let order = |verb, step: &str, attempt, drain_s| Command {
         verb,
         step: step.into(),
         attempt,
         drain_s,
     };
-    Commands {
+    CommandBatch {
         token: token(),
         tenure,
         orders: vec![
-            order(Verb::Start, "j-000412/4", 2, None),
-            order(Verb::Halt, "j-000377/1", 1, Some(10.0)),
-            order(Verb::Clear, "j-000398/0", 3, None),
+            order(CommandKind::Start, "j-000412/4", 2, None),
+            order(CommandKind::Halt, "j-000377/1", 1, Some(10.0)),
+            order(CommandKind::Clear, "j-000398/0", 3, None),
         ],
     }
 }
@@ -54,7 +55,7 @@
 #[test]
 fn reports_keep_their_bytes() {
     let mut file = PinnedFile::open("reports_written");
-    let report = |warning_s, steps| Report {
+    let report = |warning_s, steps| WorkerHeartbeat {
         host: "host-000231".into(),
         endpoint: "10.1.0.232:9000".into(),
         flavor: "g8".into(),
@@ -69,13 +70,13 @@
     file.pin_message("empty", &report(None, Vec::new()));
     file.pin_message("notice", &report(Some(25.5), Vec::new()));
     for (word, status) in [
-        ("fetching", StepStatus::Fetching),
-        ("running", StepStatus::Running),
-        ("flushing", StepStatus::Flushing),
-        ("exited", StepStatus::Exited),
-        ("unknown", StepStatus::Other),
+        ("fetching", TaskState::Fetching),
+        ("running", TaskState::Running),
+        ("flushing", TaskState::Flushing),
+        ("exited", TaskState::Exited),
+        ("unknown", TaskState::Other),
     ] {
-        let step = StepReport {
+        let step = TaskStatus {
             step: "j-000412/3".into(),
             attempt: 2,
             status,
@@ -84,18 +85,18 @@
         file.pin_message(&format!("state {word}"), &report(None, vec![step]));
     }
     for (word, cause) in [
-        ("done", Cause::Done),
-        ("stopped", Cause::Stopped),
-        ("error", Cause::Error),
-        ("full", Cause::Full),
-        ("busy", Cause::Busy),
-        ("no such", Cause::NoSuch),
-        ("unknown", Cause::Other),
+        ("done", ExitReason::Done),
+        ("stopped", ExitReason::Stopped),
+        ("error", ExitReason::Error),
+        ("full", ExitReason::Full),
+        ("busy", ExitReason::Busy),
+        ("no such", ExitReason::NoSuch),
+        ("unknown", ExitReason::Other),
     ] {
-        let step = StepReport {
+        let step = TaskStatus {
             step: "j-000412/3".into(),
             attempt: 2,
-            status: StepStatus::Exited,
+            status: TaskState::Exited,
             cause: Some(cause),
         };
         file.pin_message(&format!("cause {word}"), &report(None, vec![step]));
@@ -151,7 +152,7 @@
     ));
     cases.push(("not a map".into(), Value::from(1)));
     for (case, report) in cases {
-        file.pin_received::<Report>(&case, &report);
+        file.pin_received::<WorkerHeartbeat>(&case, &report);
     }
     file.finish();
 }
@@ -159,8 +160,8 @@
 #[test]
 fn commands_and_redirections_keep_their_bytes() {
     let mut file = PinnedFile::open("commands");
-    let none = Commands {
-        token: Token::default(),
+    let none = CommandBatch {
+        token: FencingToken::default(),
         tenure: None,
         orders: Vec::new(),
     };
@@ -169,14 +170,14 @@
     file.pin_message("direct", &two_orders(Some(3)));
     for (case, foreman) in [("to a node", Some("rung-2")), ("to any", None)] {
         let foreman = foreman.map(str::to_owned);
-        file.pin_message(&format!("redirection {case}"), &Redirect { foreman });
+        file.pin_message(&format!("redirection {case}"), &NotLeader { foreman });
     }
     let received = cbor!({"Epoch" => 41, "Orders" => [
         {"Verb" => "halt", "Step" => "j-000377/1", "Try" => 1, "DrainS" => 10.0}]});
-    file.pin_received::<Commands>("received", &received.expect("a value"));
+    file.pin_received::<CommandBatch>("received", &received.expect("a value"));
     let unknown = cbor!({"Epoch" => 41, "Orders" => [
         {"Verb" => "dance", "Step" => "j-000377/1", "Try" => 1}]});
-    file.pin_received::<Commands>("received with an unknown verb", &unknown.expect("a value"));
+    file.pin_received::<CommandBatch>("received with an unknown verb", &unknown.expect("a value"));
     file.finish();
 }
 
@@ -184,14 +185,14 @@
 fn tokens_and_task_names_keep_their_forms() {
     let mut file = PinnedFile::open("tokens");
     for (case, token) in [
-        ("none", Token::default()),
-        ("plain epoch", Token::from_wire(41)),
-        ("first fence", Token::new(41, 0)),
+        ("none", FencingToken::default()),
+        ("plain epoch", FencingToken::from_wire(41)),
+        ("first fence", FencingToken::new(41, 0)),
         ("later fence", token()),
-        ("highest fence", Token::new(41, MAX_FENCE)),
-        ("highest", Token::new(MAX_EPOCH, MAX_FENCE)),
-        ("beyond the highest", Token::new(u64::MAX, u32::MAX)),
-        ("impossible", Token::from_wire(u64::MAX)),
+        ("highest fence", FencingToken::new(41, MAX_FENCE)),
+        ("highest", FencingToken::new(MAX_EPOCH, MAX_FENCE)),
+        ("beyond the highest", FencingToken::new(u64::MAX, u32::MAX)),
+        ("impossible", FencingToken::from_wire(u64::MAX)),
     ] {
         file.pin_message(case, &token);
         let verdict = match token.check() {
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -7,7 +7,7 @@
 use cedarladder::bookkeeping::ledger::{Change, Ledger, TxnLimits};
 use cedarladder::bookkeeping::segment::{CHUNK, Segment, decode_chunk, encode_chunk};
 use cedarladder::protocol::cbor;
-use cedarladder::protocol::state::{Txn, Write};
+use cedarladder::protocol::kv::{Txn, WriteOp};
 use common::{binding, host, job, spec, task};
 
 const EPOCH: u64 = 3;
@@ -60,15 +60,15 @@
         .writes
         .iter()
         .map(|write| match write {
-            Write::Set { key, .. } => format!("+{key}"),
-            Write::Remove { key } => format!("-{key}"),
+            WriteOp::Set { key, .. } => format!("+{key}"),
+            WriteOp::Remove { key } => format!("-{key}"),
         })
         .collect();
     (when, writes)
 }
 
 fn segment(txn: &Txn) -> Segment {
-    let Some(Write::Set { value, .. }) = txn.writes.first() else {
+    let Some(WriteOp::Set { value, .. }) = txn.writes.first() else {
         panic!("a segment first: {:?}", txn.writes);
     };
     assert!(
@@ -257,7 +257,7 @@
         }
         while let Some(txn) = ledger.next(EPOCH, &hosts, &jobs, 100) {
             stamp += 1;
-            let Some(Write::Set { key, .. }) = txn.writes.first() else {
+            let Some(WriteOp::Set { key, .. }) = txn.writes.first() else {
                 panic!("a segment");
             };
             written.insert(key.clone(), segment(&txn));
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -1,8 +1,10 @@
 //! What comes in from outside: submissions, HTTP, frames, settings.
 
-use cedarladder::protocol::job::{BadJob, parse};
-use cedarladder::protocol::peer::{self, Ack, Counts, Heartbeat, Termination, Terminations};
-use cedarladder::protocol::token::Token;
+use cedarladder::protocol::job::{InvalidJob, parse};
+use cedarladder::protocol::peer::{
+    self, JobCounts, PeerHeartbeat, Termination, TerminationAck, TerminationLog,
+};
+use cedarladder::protocol::token::FencingToken;
 use cedarladder::protocol::{cbor, worker};
 use cedarladder::settings::Settings;
 use cedarladder::transport::frames::split;
@@ -86,9 +88,9 @@
             fields.push((field, value));
         }
         let expected = if missing {
-            BadJob::Missing(field)
+            InvalidJob::Missing(field)
         } else {
-            BadJob::Invalid(field)
+            InvalidJob::Invalid(field)
         };
         assert_eq!(
             parse(&body(&fields), 0.0),
@@ -103,7 +105,7 @@
         b"\x01",
         &body(&submission())[..100],
     ] {
-        assert_eq!(parse(bytes, 0.0), Err(BadJob::NotAMap));
+        assert_eq!(parse(bytes, 0.0), Err(InvalidJob::NotAMap));
     }
 }
 
@@ -184,20 +186,20 @@
 #[test]
 fn mangled() {
     let mut rng = SmallRng::seed_from_u64(3);
-    let heartbeat = Heartbeat {
+    let heartbeat = PeerHeartbeat {
         label: "n1".into(),
         epoch: 7,
         leader: Some("n0".into()),
         state_ok: true,
         redirected: 2,
-        counts: vec![Counts {
+        counts: vec![JobCounts {
             job: "j-1".into(),
             done: 1,
             running: 2,
         }],
         suspects: vec!["j-3".into()],
         changes_per_s: 4.5,
-        ends: Terminations {
+        ends: TerminationLog {
             life: 5,
             first: 8,
             list: vec![Termination {
@@ -205,7 +207,7 @@
                 aborted: true,
                 done: 3,
             }],
-            acks: vec![Ack {
+            acks: vec![TerminationAck {
                 label: "n0".into(),
                 life: 4,
                 up_to: 9,
@@ -214,8 +216,8 @@
     };
     let frame = peer::encode(&heartbeat);
     assert_eq!(peer::decode(&frame), Some(heartbeat));
-    let commands = worker::Commands {
-        token: Token::new(5, 2),
+    let commands = worker::CommandBatch {
+        token: FencingToken::new(5, 2),
         tenure: Some(1),
         orders: vec![],
     };
@@ -243,8 +245,8 @@
                 }
             }
             let _ = peer::decode(&bytes);
-            let _ = cbor::decode::<worker::Report>(&bytes);
-            let _ = cbor::decode::<worker::Commands>(&bytes);
+            let _ = cbor::decode::<worker::WorkerHeartbeat>(&bytes);
+            let _ = cbor::decode::<worker::CommandBatch>(&bytes);
             let _ = parse(&bytes, 0.0);
             let _ = parse_request(&bytes);
             let _ = parse_response(&bytes, 1000, true);
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -7,8 +7,8 @@
 use cedarladder::coordination::frontend::Frontend;
 use cedarladder::coordination::outbox::{Action, Outbox, StoreAsk};
 use cedarladder::protocol::cbor;
+use cedarladder::protocol::kv::{KeyValue, KvRequest, KvResponse};
 use cedarladder::protocol::peer::Termination;
-use cedarladder::protocol::state::{Item, StoreCall, StoreReply};
 use cedarladder::settings::StateLimits;
 use cedarladder::transport::server::{After, Server};
 use common::spec;
@@ -69,19 +69,19 @@
                         Action::Store { tag, call, .. } => {
                             calls += 1;
                             let (ask, _) = out.store_ask(tag).expect("a call");
-                            if let StoreCall::Txn(txn) = &call {
+                            if let KvRequest::Txn(txn) = &call {
                                 assert!(txn.writes.len() <= limits.txn_ops, "{name}");
                                 changes += txn.writes.len();
                             }
                             match ask {
                                 StoreAsk::Check(call) => {
-                                    frontend.checked(call, StoreReply::Committed(9), &mut out, now);
+                                    frontend.checked(call, KvResponse::Committed(9), &mut out, now);
                                 }
                                 StoreAsk::Write(call) => {
-                                    frontend.written(call, StoreReply::Committed(9), &mut out, now);
+                                    frontend.written(call, KvResponse::Committed(9), &mut out, now);
                                 }
                                 StoreAsk::Look(id) => {
-                                    frontend.looked(&id, StoreReply::Missing, &mut out, now);
+                                    frontend.looked(&id, KvResponse::Missing, &mut out, now);
                                 }
                                 other => panic!("{name}: {other:?}"),
                             }
@@ -123,7 +123,7 @@
         }
         let over = |id: &str| id[2..].parse::<u32>().expect("a number") >= 600;
         let mut asked: BTreeMap<u64, (f64, bool)> = BTreeMap::new();
-        let mut back: std::collections::VecDeque<(f64, u64, StoreCall)> = Default::default();
+        let mut back: std::collections::VecDeque<(f64, u64, KvRequest)> = Default::default();
         let (mut next, mut looks, mut ended) = (0u64, 0, 600);
         for step in 0..1_200u32 {
             let now = f64::from(step) * 0.01;
@@ -154,7 +154,7 @@
                 let (_, tag, call) = back.pop_front().expect("a call");
                 let (ask, _) = out.store_ask(tag).expect("a call");
                 match (ask, call) {
-                    (StoreAsk::Check(check), StoreCall::Txn(txn)) => {
+                    (StoreAsk::Check(check), KvRequest::Txn(txn)) => {
                         let failed: Vec<String> = txn
                             .when
                             .iter()
@@ -162,27 +162,27 @@
                             .map(|c| c.key.clone())
                             .collect();
                         let reply = if failed.is_empty() {
-                            StoreReply::Committed(9)
+                            KvResponse::Committed(9)
                         } else {
-                            StoreReply::Conflict(failed)
+                            KvResponse::Conflict(failed)
                         };
                         frontend.checked(check, reply, &mut out, now);
                     }
-                    (StoreAsk::Look(id), StoreCall::Get(key)) => {
+                    (StoreAsk::Look(id), KvRequest::Get(key)) => {
                         looks += 1;
                         let reply = if key.starts_with("over/") {
                             let record = OverRecord {
                                 ending: Ending::Done,
                                 done: 5,
                             };
-                            StoreReply::Found(Item {
+                            KvResponse::Found(KeyValue {
                                 value: cbor::to_value(&record),
                                 key,
                                 stamp: 2,
                                 hold: None,
                             })
                         } else {
-                            StoreReply::Missing
+                            KvResponse::Missing
                         };
                         frontend.looked(&id, reply, &mut out, now);
                     }
@@ -351,11 +351,11 @@
                         let Some((StoreAsk::Write(number), _)) = out.store_ask(tag) else {
                             continue;
                         };
-                        let StoreCall::Txn(txn) = &call else {
+                        let KvRequest::Txn(txn) = &call else {
                             panic!("{call:?}");
                         };
                         changes += txn.writes.len();
-                        frontend.written(number, StoreReply::Committed(9), &mut out, now);
+                        frontend.written(number, KvResponse::Committed(9), &mut out, now);
                     }
                     _ => {}
                 }
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -3,8 +3,8 @@
 use cedarladder::coordination::outbox::{Action, Outbox, StoreAsk};
 use cedarladder::coordination::terminations::TerminationQueue;
 use cedarladder::coordination::watch::Watch;
-use cedarladder::protocol::peer::{MAX_TERMINATIONS, Termination, Terminations};
-use cedarladder::protocol::state::{StoreCall, StoreReply};
+use cedarladder::protocol::kv::{KvRequest, KvResponse};
+use cedarladder::protocol::peer::{MAX_TERMINATIONS, Termination, TerminationLog};
 
 const KEEP_S: f64 = 30.0;
 
@@ -21,7 +21,7 @@
     }
 }
 
-fn jobs(ends: &Terminations) -> Vec<&str> {
+fn jobs(ends: &TerminationLog) -> Vec<&str> {
     ends.list.iter().map(|e| e.job.as_str()).collect()
 }
 
@@ -94,10 +94,10 @@
 /// of a call that was refused or not answered.
 #[test]
 fn how_current_a_watch_is() {
-    let page = || StoreReply::Page(Vec::new(), false, 9);
-    let events = || StoreReply::Events(Vec::new(), 9);
+    let page = || KvResponse::Page(Vec::new(), false, 9);
+    let events = || KvResponse::Events(Vec::new(), 9);
     // Each: answers with the time of their calls' sending and their own, and when it was current.
-    type Case = (&'static str, Vec<(StoreReply, f64, f64)>, f64);
+    type Case = (&'static str, Vec<(KvResponse, f64, f64)>, f64);
     let cases: Vec<Case> = vec![
         (
             "a listing alone",
@@ -119,8 +119,8 @@
             vec![
                 (page(), 1.0, 1.1),
                 (events(), 1.1, 2.1),
-                (StoreReply::Refused, 2.1, 3.0),
-                (StoreReply::Silent, 3.1, 5.0),
+                (KvResponse::Refused, 2.1, 3.0),
+                (KvResponse::Silent, 3.1, 5.0),
             ],
             1.1,
         ),
@@ -129,7 +129,7 @@
             vec![
                 (page(), 1.0, 1.1),
                 (events(), 1.1, 1.2),
-                (StoreReply::Gone, 1.2, 2.0),
+                (KvResponse::Gone, 1.2, 2.0),
                 (page(), 2.0, 2.1),
             ],
             1.1,
@@ -154,16 +154,16 @@
         watch.drive(&mut out, now);
         out.actions.into_iter().find_map(|action| match action {
             Action::Store {
-                call: StoreCall::Follow { wait_ms, .. },
+                call: KvRequest::Follow { wait_ms, .. },
                 ..
             } => Some(wait_ms),
             _ => None,
         })
     };
-    watch.reply(StoreReply::Page(Vec::new(), false, 9), 1.0, 1.1);
+    watch.reply(KvResponse::Page(Vec::new(), false, 9), 1.0, 1.1);
     assert_eq!(wait_ms(&mut watch, 1.2), Some(0), "after the listing");
-    watch.reply(StoreReply::Events(Vec::new(), 9), 1.2, 1.3);
+    watch.reply(KvResponse::Events(Vec::new(), 9), 1.2, 1.3);
     assert_eq!(wait_ms(&mut watch, 1.3), Some(1_000), "in step");
-    watch.reply(StoreReply::Refused, 1.3, 20.0);
+    watch.reply(KvResponse::Refused, 1.3, 20.0);
     assert_eq!(wait_ms(&mut watch, 20.2), Some(0), "after an outage");
 }
--- a/tests/reports.rs
+++ b/tests/reports.rs
@@ -7,9 +7,11 @@
 use cedarladder::coordination::leader::{Leader, ReportAnswer};
 use cedarladder::policy::Policy;
 use cedarladder::protocol::cbor;
-use cedarladder::protocol::state::{Item, StoreReply};
-use cedarladder::protocol::token::Token;
-use cedarladder::protocol::worker::{Commands, Order, Report, StepReport, StepStatus, Verb};
+use cedarladder::protocol::kv::{KeyValue, KvResponse};
+use cedarladder::protocol::token::FencingToken;
+use cedarladder::protocol::worker::{
+    Command, CommandBatch, CommandKind, TaskState, TaskStatus, WorkerHeartbeat,
+};
 use cedarladder::settings::Settings;
 use ciborium::Value;
 use common::{flavor, host, knowledge, knowledge_of_age, spec};
@@ -23,7 +25,7 @@
 fn leader() -> Leader {
     let mut leader = loading();
     for _ in 0..3 {
-        leader.loaded(StoreReply::Page(Vec::new(), false, 9), 0.0, 0.0);
+        leader.loaded(KvResponse::Page(Vec::new(), false, 9), 0.0, 0.0);
     }
     assert!(!leader.loading());
     leader
@@ -38,8 +40,8 @@
     Leader::new(EPOCH, settings, policy, flavors, 30.0, rng, 0.0)
 }
 
-fn report(tenure: u64, tick: u64, epoch: u64) -> Report {
-    Report {
+fn report(tenure: u64, tick: u64, epoch: u64) -> WorkerHeartbeat {
+    WorkerHeartbeat {
         host: "h".into(),
         endpoint: "10.1.0.1:9000".into(),
         flavor: "f".into(),
@@ -47,16 +49,16 @@
         spot: false,
         tenure,
         tick,
-        token: Token::new(epoch, 0),
+        token: FencingToken::new(epoch, 0),
         warning_s: None,
         steps: Vec::new(),
     }
 }
 
 /// 200 with these orders, under the leader's token.
-fn answer(orders: Vec<Order>) -> ReportAnswer {
-    ReportAnswer::Orders(Commands {
-        token: Token::new(EPOCH, 0),
+fn answer(orders: Vec<Command>) -> ReportAnswer {
+    ReportAnswer::Orders(CommandBatch {
+        token: FencingToken::new(EPOCH, 0),
         tenure: None,
         orders,
     })
@@ -66,7 +68,7 @@
 #[test]
 fn who_is_heard() {
     // Each: reports with the time they come, and the silence.
-    type Case = (&'static str, Vec<(f64, Report)>, f64);
+    type Case = (&'static str, Vec<(f64, WorkerHeartbeat)>, f64);
     let cases: Vec<Case> = vec![
         (
             "a report with our Epoch",
@@ -129,13 +131,13 @@
 /// gives one. A leader that loads its tables can't stop anything yet, however long that takes.
 #[test]
 fn whose_lease_is_renewed() {
-    let step = |status| StepReport {
+    let step = |status| TaskStatus {
         step: "j-000001/0".into(),
         attempt: 7,
         status,
         cause: None,
     };
-    let running = || vec![step(StepStatus::Running)];
+    let running = || vec![step(TaskState::Running)];
     // Each: whether the tables are loaded, the tasks, whether the node may renew, whether it knows the
     // job as open, and whether the lease is renewed.
     let cases = [
@@ -167,7 +169,7 @@
         (
             "loading, and the task has exited",
             false,
-            vec![step(StepStatus::Exited)],
+            vec![step(TaskState::Exited)],
             true,
             false,
             true,
@@ -194,8 +196,8 @@
     let mut report = report(1, 1, EPOCH);
     report.steps = running();
     let got = leader().report(&report, &knowledge_of_age(9.0), |_| false, 1.0);
-    let halt = Order {
-        verb: Verb::Halt,
+    let halt = Command {
+        verb: CommandKind::Halt,
         step: "j-000001/0".into(),
         attempt: 7,
         drain_s: Some(0.0),
@@ -208,13 +210,13 @@
 #[test]
 fn segments_of_impossible_leaders() {
     let page = |key: &str, value: Value| {
-        let item = Item {
+        let item = KeyValue {
             key: key.to_owned(),
             value,
             stamp: 5,
             hold: None,
         };
-        StoreReply::Page(vec![item], false, 9)
+        KvResponse::Page(vec![item], false, 9)
     };
     let spec = spec("j-000001", 1);
     let mut builder = Builder::new(EPOCH + 1, 1);
@@ -224,13 +226,13 @@
     let mut leader = loading();
     leader.loaded(page("open/j-000001", cbor::to_value(&spec)), 0.0, 0.0);
     leader.loaded(page("log/0", segment), 0.0, 0.0);
-    leader.loaded(StoreReply::Page(Vec::new(), false, 9), 0.0, 0.0);
+    leader.loaded(KvResponse::Page(Vec::new(), false, 9), 0.0, 0.0);
     assert!(!leader.loading());
     let mut report = report(1, 1, EPOCH);
-    report.steps = vec![StepReport {
+    report.steps = vec![TaskStatus {
         step: "j-000001/0".into(),
         attempt: 7,
-        status: StepStatus::Running,
+        status: TaskState::Running,
         cause: None,
     }];
     let got = leader.report(&report, &knowledge(), |_| true, 1.0);
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -6,7 +6,7 @@
 use cedarladder::bookkeeping::jobs::{Job, Jobs};
 use cedarladder::bookkeeping::quotas::Quotas;
 use cedarladder::coordination::scheduler::{Limits, Pass, Plan};
-use cedarladder::protocol::job::{JobSpec, Rank, Shape};
+use cedarladder::protocol::job::{JobKind, JobSpec, PriorityClass};
 use common::{binding, flavor, host, job, spec, task, team};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -196,7 +196,7 @@
             "a group goes together or not at all; what is missing is beyond the room there is",
             Scene::new(
                 vec![host("o-a", "a", false)],
-                vec![with("j-1", 5, |s| s.shape = Shape::Group)],
+                vec![with("j-1", 5, |s| s.shape = JobKind::Group)],
             ),
             vec![],
             vec![],
@@ -208,7 +208,7 @@
                 vec![host("o-a", "a", false)],
                 vec![
                     with("j-1", 4, |s| s.team = "u".into()),
-                    with("j-2", 1, |s| s.rank = Rank::Urgent),
+                    with("j-2", 1, |s| s.rank = PriorityClass::Urgent),
                 ],
             )
             .bind("o-a", "j-1", 0, 10.0)
@@ -270,7 +270,7 @@
 /// priority nor limit, and one with large tasks gets a machine of its own to wait for.
 #[test]
 fn ageing() {
-    let urgent = |s: &mut JobSpec| s.rank = Rank::Urgent;
+    let urgent = |s: &mut JobSpec| s.rank = PriorityClass::Urgent;
     let large = |s: &mut JobSpec| s.cpus = 8.0;
     // Each: tasks of the machine's, jobs with the time they came, and whose tasks are bound first.
     type Case = (&'static str, u32, Vec<(JobSpec, f64)>, Vec<&'static str>);
@@ -339,8 +339,8 @@
     let replicas = |tasks| {
         let mut job = Job::new(
             with("j-1", tasks, |s| {
-                s.shape = Shape::Standing;
-                s.rank = Rank::Production;
+                s.shape = JobKind::Standing;
+                s.rank = PriorityClass::Production;
                 s.spot = false;
                 s.image_gb = 2.0;
                 s.team = "u".into();
@@ -426,12 +426,12 @@
         ("a task too large", with("j-1", 1, |s| s.cpus = 12.5), false),
         (
             "all replicas together",
-            with("j-1", 7, |s| s.shape = Shape::Standing),
+            with("j-1", 7, |s| s.shape = JobKind::Standing),
             false,
         ),
         (
             "replicas that fit",
-            with("j-1", 6, |s| s.shape = Shape::Standing),
+            with("j-1", 6, |s| s.shape = JobKind::Standing),
             true,
         ),
         (
--- a/tests/soak/state.rs
+++ b/tests/soak/state.rs
@@ -5,7 +5,7 @@
 use super::plan::Trouble;
 use super::truth::{Shared, lock};
 use cedarladder::protocol::cbor;
-use cedarladder::protocol::state::{Event, Item, Txn, Write};
+use cedarladder::protocol::kv::{KeyValue, Txn, WatchEvent, WriteOp};
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -37,7 +37,7 @@
     keys: BTreeMap<String, Entry>,
     holds: BTreeMap<u64, Hold>,
     next_hold: u64,
-    changes: VecDeque<(u64, Event)>,
+    changes: VecDeque<(u64, WatchEvent)>,
     dropped_up_to: u64,
 }
 
@@ -57,7 +57,7 @@
 #[derive(Serialize)]
 struct Page {
     #[serde(rename = "Items")]
-    items: Vec<Item>,
+    items: Vec<KeyValue>,
     #[serde(rename = "More")]
     more: bool,
     #[serde(rename = "Ledger")]
@@ -69,7 +69,7 @@
     #[serde(rename = "Ledger")]
     ledger: u64,
     #[serde(rename = "Events")]
-    events: Vec<Event>,
+    events: Vec<WatchEvent>,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -95,29 +95,29 @@
 }
 
 impl Store {
-    fn change(&mut self, writes: &[Write]) {
+    fn change(&mut self, writes: &[WriteOp]) {
         self.revision += 1;
         let stamp = self.revision;
         for write in writes {
             let event = match write {
-                Write::Set { key, value, hold } => {
+                WriteOp::Set { key, value, hold } => {
                     let entry = Entry {
                         value: value.clone(),
                         stamp,
                         hold: *hold,
                     };
                     self.keys.insert(key.clone(), entry);
-                    Event::Set {
+                    WatchEvent::Set {
                         key: key.clone(),
                         value: value.clone(),
                         stamp,
                     }
                 }
-                Write::Remove { key } => {
+                WriteOp::Remove { key } => {
                     if self.keys.remove(key).is_none() {
                         continue;
                     }
-                    Event::Remove {
+                    WatchEvent::Remove {
                         key: key.clone(),
                         stamp,
                     }
@@ -134,7 +134,7 @@
 
     fn transact(&mut self, txn: &Txn) -> Reply {
         let no_lease = txn.writes.iter().any(|write| {
-            matches!(write, Write::Set { hold: Some(hold), .. } if !self.holds.contains_key(hold))
+            matches!(write, WriteOp::Set { hold: Some(hold), .. } if !self.holds.contains_key(hold))
         });
         if no_lease {
             return refusal(400, "no such lease");
@@ -161,11 +161,11 @@
         if self.holds.remove(&hold).is_none() {
             return false;
         }
-        let attached: Vec<Write> = self
+        let attached: Vec<WriteOp> = self
             .keys
             .iter()
             .filter(|(_, entry)| entry.hold == Some(hold))
-            .map(|(key, _)| Write::remove(key.clone()))
+            .map(|(key, _)| WriteOp::remove(key.clone()))
             .collect();
         if !attached.is_empty() {
             self.change(&attached);
@@ -177,7 +177,7 @@
         let matching = |key: &&String| {
             key.starts_with(under) && from.is_none_or(|from| key.as_str() > from.as_str())
         };
-        let mut items: Vec<Item> = self
+        let mut items: Vec<KeyValue> = self
             .keys
             .iter()
             .filter(|(key, _)| matching(key))
@@ -193,9 +193,9 @@
         }
     }
 
-    fn changes_since(&self, under: &str, from: u64) -> Vec<Event> {
-        let concerns = |event: &Event| {
-            let (Event::Set { key, .. } | Event::Remove { key, .. }) = event;
+    fn changes_since(&self, under: &str, from: u64) -> Vec<WatchEvent> {
+        let concerns = |event: &WatchEvent| {
+            let (WatchEvent::Set { key, .. } | WatchEvent::Remove { key, .. }) = event;
             key.starts_with(under)
         };
         self.changes
@@ -206,8 +206,8 @@
     }
 }
 
-fn item(key: &str, entry: &Entry) -> Item {
-    Item {
+fn item(key: &str, entry: &Entry) -> KeyValue {
+    KeyValue {
         key: key.to_owned(),
         value: entry.value.clone(),
         stamp: entry.stamp,
--- a/tests/tokens.rs
+++ b/tests/tokens.rs
@@ -6,8 +6,8 @@
 use cedarladder::coordination::outbox::Action;
 use cedarladder::policy::Policy;
 use cedarladder::protocol::cbor;
-use cedarladder::protocol::peer::{Heartbeat, Terminations};
-use cedarladder::protocol::token::{MAX_EPOCH, MAX_FENCE, Token};
+use cedarladder::protocol::peer::{PeerHeartbeat, TerminationLog};
+use cedarladder::protocol::token::{FencingToken, MAX_EPOCH, MAX_FENCE};
 use cedarladder::settings::Settings;
 use ciborium::Value;
 use std::rc::Rc;
@@ -59,24 +59,30 @@
 #[test]
 fn order() {
     let rising = [
-        ("none", Token::default()),
-        ("an epoch of a version without fences", Token::from_wire(5)),
-        ("the first leader with fences", Token::new(9, 0)),
-        ("a worker's first fence", Token::new(9, 1)),
-        ("its last fence", Token::new(9, MAX_FENCE)),
-        ("the successor", Token::new(10, 0)),
-        ("the last leader of all", Token::new(MAX_EPOCH, MAX_FENCE)),
+        ("none", FencingToken::default()),
+        (
+            "an epoch of a version without fences",
+            FencingToken::from_wire(5),
+        ),
+        ("the first leader with fences", FencingToken::new(9, 0)),
+        ("a worker's first fence", FencingToken::new(9, 1)),
+        ("its last fence", FencingToken::new(9, MAX_FENCE)),
+        ("the successor", FencingToken::new(10, 0)),
+        (
+            "the last leader of all",
+            FencingToken::new(MAX_EPOCH, MAX_FENCE),
+        ),
     ];
     for pair in rising.windows(2) {
         assert!(pair[0].1 < pair[1].1, "{} and {}", pair[0].0, pair[1].0);
     }
-    let old_and_high = Token::from_wire(20_000_000);
-    assert!(old_and_high < Token::new(20_000_001, 0));
+    let old_and_high = FencingToken::from_wire(20_000_000);
+    assert!(old_and_high < FencingToken::new(20_000_001, 0));
     assert!(old_and_high.epoch() < 20_000_001);
-    let token = Token::new(41, 7);
+    let token = FencingToken::new(41, 7);
     assert_eq!((token.epoch(), token.fence()), (41, 7));
     assert_eq!(
-        cbor::decode::<Token>(&cbor::encode(&token)).ok(),
+        cbor::decode::<FencingToken>(&cbor::encode(&token)).ok(),
         Some(token)
     );
 }
@@ -84,12 +90,12 @@
 /// Beyond the limits a token is none, and what would not fit is not wrapped round.
 #[test]
 fn limits() {
-    assert!(Token::new(MAX_EPOCH, MAX_FENCE).check().is_ok());
-    assert!(Token::from_wire(u64::MAX).check().is_err());
-    assert_eq!(Token::new(3, MAX_FENCE).epoch(), 3);
+    assert!(FencingToken::new(MAX_EPOCH, MAX_FENCE).check().is_ok());
+    assert!(FencingToken::from_wire(u64::MAX).check().is_err());
+    assert_eq!(FencingToken::new(3, MAX_FENCE).epoch(), 3);
     assert_eq!(
-        Token::new(u64::MAX, u32::MAX),
-        Token::new(MAX_EPOCH, MAX_FENCE)
+        FencingToken::new(u64::MAX, u32::MAX),
+        FencingToken::new(MAX_EPOCH, MAX_FENCE)
     );
 }
 
@@ -112,7 +118,7 @@
 /// A peer's heartbeat with an epoch that can't be changes nothing: workers are sent to the leader known.
 #[test]
 fn impossible_heartbeats() {
-    let heartbeat = |epoch: u64| Heartbeat {
+    let heartbeat = |epoch: u64| PeerHeartbeat {
         label: "n1".into(),
         epoch,
         leader: Some("n1".into()),
@@ -121,7 +127,7 @@
         counts: Vec::new(),
         suspects: Vec::new(),
         changes_per_s: 0.0,
-        ends: Terminations::default(),
+        ends: TerminationLog::default(),
     };
     for (name, epoch, known) in [
         ("one that can be", 7, true),
--- a/tests/world/checks.rs
+++ b/tests/world/checks.rs
@@ -72,7 +72,7 @@
     }
 
     /// Notes a report that comes late.
-    pub(super) fn note_copy(&mut self, report: &Report) {
+    pub(super) fn note_copy(&mut self, report: &WorkerHeartbeat) {
         if let Some(worker) = self.workers.get(&report.host) {
             self.counts.old_reports += u32::from(report.tick < worker.tick);
             self.counts.old_sessions += u32::from(report.tenure < worker.tenure);
@@ -204,10 +204,10 @@
         self.store.puts_of(LEADER)
     }
 
-    pub(super) fn count(&mut self, call: &StoreCall) {
+    pub(super) fn count(&mut self, call: &KvRequest) {
         let second = self.now as u64;
         *self.counts.requests.entry(second).or_default() += 1;
-        if let StoreCall::Txn(txn) = call {
+        if let KvRequest::Txn(txn) = call {
             *self.counts.changes.entry(second).or_default() += txn.writes.len() as u32;
         }
     }
