--- a/tests/world/cloud.rs
+++ b/tests/world/cloud.rs
@@ -9,9 +9,9 @@
         self.workers.remove(name);
     }
 
-    pub(super) fn cloud_call(&mut self, call: &CloudCall) -> CloudReply {
+    pub(super) fn cloud_call(&mut self, call: &CloudRequest) -> CloudResponse {
         match call {
-            CloudCall::Types => CloudReply::Types(vec![Flavor {
+            CloudRequest::Types => CloudResponse::Types(vec![InstanceType {
                 name: "f".into(),
                 cpus: 8.0,
                 gpus: 0.0,
@@ -23,15 +23,15 @@
                 ready_s: 5.0,
                 zones: vec!["a".into(), "b".into()],
             }]),
-            CloudCall::Rent(rental) => {
+            CloudRequest::Rent(rental) => {
                 if let Some(names) = self.rented.get(&rental.bid) {
-                    return CloudReply::Rented(names.clone());
+                    return CloudResponse::Rented(names.clone());
                 }
-                let alike = |m: &&Machine| m.zone == rental.zone && m.spot == rental.spot;
+                let alike = |m: &&Instance| m.zone == rental.zone && m.spot == rental.spot;
                 let there = self.machines.values().filter(alike).count() as u32;
                 let count = rental.count.min(self.pool.saturating_sub(there));
                 if count == 0 {
-                    return CloudReply::NoCapacity;
+                    return CloudResponse::NoCapacity;
                 }
                 let mut names = Vec::new();
                 for _ in 0..count {
@@ -39,13 +39,13 @@
                     self.next_machine += 1;
                     self.machines.insert(
                         name.clone(),
-                        Machine {
+                        Instance {
                             name: name.clone(),
                             endpoint: name.clone(),
                             flavor: rental.flavor.clone(),
                             zone: rental.zone.clone(),
                             spot: rental.spot,
-                            status: MachineStatus::Starting,
+                            status: InstanceStatus::Starting,
                             age_s: self.now,
                         },
                     );
@@ -66,9 +66,9 @@
                     names.push(name);
                 }
                 self.rented.insert(rental.bid.clone(), names.clone());
-                CloudReply::Rented(names)
+                CloudResponse::Rented(names)
             }
-            CloudCall::Delete(names) => {
+            CloudRequest::Delete(names) => {
                 for name in names {
                     let busy = |w: &Worker| w.running().next().is_some();
                     if self.workers.get(name).is_some_and(busy) {
@@ -76,19 +76,19 @@
                     }
                     self.remove_machine(name);
                 }
-                CloudReply::Deleted
+                CloudResponse::Deleted
             }
-            CloudCall::List(from) => {
+            CloudRequest::List(from) => {
                 let machines = self
                     .machines
                     .values()
                     .filter(|m| from.as_ref().is_none_or(|from| m.name > *from))
-                    .map(|m| Machine {
+                    .map(|m| Instance {
                         age_s: self.now - m.age_s,
                         ..m.clone()
                     })
                     .collect();
-                CloudReply::Page(machines, false)
+                CloudResponse::Page(machines, false)
             }
         }
     }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -17,13 +17,16 @@
 use cedarladder::coordination::outbox::Action;
 use cedarladder::policy::Policy;
 use cedarladder::protocol::cbor;
-use cedarladder::protocol::cloud::{CloudCall, CloudReply, Flavor, Machine, MachineStatus};
+use cedarladder::protocol::cloud::{
+    CloudRequest, CloudResponse, Instance, InstanceStatus, InstanceType,
+};
 use cedarladder::protocol::job::{JobStatus, JobView};
-use cedarladder::protocol::peer::Heartbeat;
-use cedarladder::protocol::state::{Event, Item, StoreCall, StoreReply, Txn, Write};
-use cedarladder::protocol::token::Token;
+use cedarladder::protocol::kv::{KeyValue, KvRequest, KvResponse, Txn, WatchEvent, WriteOp};
+use cedarladder::protocol::peer::PeerHeartbeat;
+use cedarladder::protocol::token::FencingToken;
 use cedarladder::protocol::worker::{
-    Cause, Commands, Redirect, Report, StepReport, StepStatus, Verb, WorkerCall, WorkerReply,
+    CommandBatch, CommandKind, ExitReason, NotLeader, TaskState, TaskStatus, WorkerHeartbeat,
+    WorkerRequest, WorkerResponse,
 };
 use cedarladder::settings::{Seed, Settings};
 use ciborium::Value;
@@ -52,19 +55,19 @@
 #[derive(Clone)]
 enum What {
     Tick(usize, u64),
-    StoreAt(usize, u64, u64, StoreCall),
-    StoreBack(usize, u64, u64, StoreReply),
-    CloudAt(usize, u64, u64, CloudCall),
-    CloudBack(usize, u64, u64, CloudReply),
-    WorkerAt(usize, u64, u64, String, WorkerCall),
+    StoreAt(usize, u64, u64, KvRequest),
+    StoreBack(usize, u64, u64, KvResponse),
+    CloudAt(usize, u64, u64, CloudRequest),
+    CloudBack(usize, u64, u64, CloudResponse),
+    WorkerAt(usize, u64, u64, String, WorkerRequest),
     /// A direct command that was held on its way, and whose sender has given up.
-    HeldCommandAt(usize, u64, u64, String, WorkerCall),
-    WorkerBack(usize, u64, u64, WorkerReply),
-    HeartbeatAt(usize, Heartbeat),
+    HeldCommandAt(usize, u64, u64, String, WorkerRequest),
+    WorkerBack(usize, u64, u64, WorkerResponse),
+    HeartbeatAt(usize, PeerHeartbeat),
     Wake(String),
-    ReportAt(usize, String, Box<Report>),
+    ReportAt(usize, String, Box<WorkerHeartbeat>),
     /// A late copy of a report, for whose answer nobody waits.
-    CopyAt(usize, Box<Report>),
+    CopyAt(usize, Box<WorkerHeartbeat>),
     Nobody,
     ReportBack(String, u64, u64, u16, Vec<u8>),
     User(usize),
@@ -90,7 +93,7 @@
     next_request: u64,
     store: Store,
     rented: BTreeMap<String, Vec<String>>,
-    machines: BTreeMap<String, Machine>,
+    machines: BTreeMap<String, Instance>,
     workers: BTreeMap<String, Worker>,
     next_machine: u32,
     pub users: Vec<User>,
@@ -490,7 +493,7 @@
                     call,
                     within_s,
                 } => {
-                    let silent = What::StoreBack(i, life, tag, StoreReply::Silent);
+                    let silent = What::StoreBack(i, life, tag, KvResponse::Silent);
                     self.after(within_s, silent);
                     self.count(&call);
                     if self.now < self.alone[i] || self.is_inside(i) {
@@ -503,7 +506,7 @@
                     call,
                     within_s,
                 } => {
-                    let silent = What::CloudBack(i, life, tag, CloudReply::Silent);
+                    let silent = What::CloudBack(i, life, tag, CloudResponse::Silent);
                     self.after(within_s, silent);
                     if self.is_inside(i) {
                         continue;
@@ -516,7 +519,7 @@
                     call,
                     within_s,
                 } => {
-                    let silent = What::WorkerBack(i, life, tag, WorkerReply::Silent);
+                    let silent = What::WorkerBack(i, life, tag, WorkerResponse::Silent);
                     self.after(within_s, silent);
                     self.counts.worker_calls += 1;
                     let open = self.calls.entry((i, life)).or_default();
--- a/tests/world/recorder.rs
+++ b/tests/world/recorder.rs
@@ -20,7 +20,7 @@
     /// An answer to a user or a worker.
     Answer = 4,
     /// A heartbeat to the other controllers.
-    Heartbeat = 5,
+    PeerHeartbeat = 5,
     /// An answer that has reached its user, or the end of the user's patience.
     UserTold = 6,
     /// The same for a request that can't be taken.
@@ -33,7 +33,7 @@
         Kind::ToCloud,
         Kind::ToWorker,
         Kind::Answer,
-        Kind::Heartbeat,
+        Kind::PeerHeartbeat,
         Kind::UserTold,
         Kind::OddUserTold,
     ];
@@ -82,7 +82,7 @@
                 self.request(call.request(), *within_s);
             }
             Action::Heartbeat(heartbeat) => {
-                self.begin(Kind::Heartbeat, now, controller);
+                self.begin(Kind::PeerHeartbeat, now, controller);
                 self.bytes(&peer::encode(heartbeat));
             }
         }
--- a/tests/world/store.rs
+++ b/tests/world/store.rs
@@ -9,31 +9,31 @@
     pub(super) keys: BTreeMap<String, (Value, u64, Option<u64>)>,
     pub(super) holds: BTreeMap<u64, (f64, f64)>,
     pub(super) next_hold: u64,
-    pub(super) log: Vec<(u64, Event)>,
+    pub(super) log: Vec<(u64, WatchEvent)>,
     pub(super) follows: Vec<(usize, u64, u64, String, u64, f64)>,
     pub(super) out: bool,
 }
 
 impl Store {
-    pub(super) fn change(&mut self, writes: &[Write]) -> u64 {
+    pub(super) fn change(&mut self, writes: &[WriteOp]) -> u64 {
         self.revision += 1;
         let stamp = self.revision;
         for write in writes {
             match write {
-                Write::Set { key, value, hold } => {
+                WriteOp::Set { key, value, hold } => {
                     self.keys.insert(key.clone(), (value.clone(), stamp, *hold));
-                    let event = Event::Set {
+                    let event = WatchEvent::Set {
                         key: key.clone(),
                         value: value.clone(),
                         stamp,
                     };
                     self.log.push((stamp, event));
                 }
-                Write::Remove { key } => {
+                WriteOp::Remove { key } => {
                     if self.keys.remove(key).is_some() {
                         self.log.push((
                             stamp,
-                            Event::Remove {
+                            WatchEvent::Remove {
                                 key: key.clone(),
                                 stamp,
                             },
@@ -45,14 +45,14 @@
         stamp
     }
 
-    pub(super) fn txn(&mut self, txn: &Txn) -> StoreReply {
+    pub(super) fn txn(&mut self, txn: &Txn) -> KvResponse {
         for write in &txn.writes {
-            if let Write::Set {
+            if let WriteOp::Set {
                 hold: Some(hold), ..
             } = write
                 && !self.holds.contains_key(hold)
             {
-                return StoreReply::Bad;
+                return KvResponse::Bad;
             }
         }
         let stamp_of = |key: &String| self.keys.get(key).map_or(0, |(_, stamp, _)| *stamp);
@@ -63,21 +63,21 @@
             .map(|c| c.key.clone())
             .collect();
         if !failed.is_empty() {
-            return StoreReply::Conflict(failed);
+            return KvResponse::Conflict(failed);
         }
         if txn.writes.is_empty() {
-            return StoreReply::Committed(self.revision);
+            return KvResponse::Committed(self.revision);
         }
-        StoreReply::Committed(self.change(&txn.writes))
+        KvResponse::Committed(self.change(&txn.writes))
     }
 
     pub(super) fn end_hold(&mut self, hold: u64) {
         self.holds.remove(&hold);
-        let keys: Vec<Write> = self
+        let keys: Vec<WriteOp> = self
             .keys
             .iter()
             .filter(|(_, (_, _, h))| *h == Some(hold))
-            .map(|(key, _)| Write::remove(key.clone()))
+            .map(|(key, _)| WriteOp::remove(key.clone()))
             .collect();
         if !keys.is_empty() {
             self.change(&keys);
@@ -101,44 +101,45 @@
 
     /// How often a key was put.
     pub(super) fn puts_of(&self, wanted: &str) -> usize {
-        let put = |event: &Event| matches!(event, Event::Set { key, .. } if key == wanted);
+        let put =
+            |event: &WatchEvent| matches!(event, WatchEvent::Set { key, .. } if key == wanted);
         self.log.iter().filter(|(_, event)| put(event)).count()
     }
 
-    pub(super) fn events(&self, under: &str, from: u64) -> Vec<Event> {
+    pub(super) fn events(&self, under: &str, from: u64) -> Vec<WatchEvent> {
         self.log
             .iter()
             .filter(|(stamp, event)| {
-                let (Event::Set { key, .. } | Event::Remove { key, .. }) = event;
+                let (WatchEvent::Set { key, .. } | WatchEvent::Remove { key, .. }) = event;
                 *stamp > from && key.starts_with(under)
             })
             .map(|(_, event)| event.clone())
             .collect()
     }
 
-    pub(super) fn call(&mut self, call: &StoreCall, now: f64) -> StoreReply {
+    pub(super) fn call(&mut self, call: &KvRequest, now: f64) -> KvResponse {
         if self.out {
-            return StoreReply::Refused;
+            return KvResponse::Refused;
         }
         match call {
-            StoreCall::Get(key) => match self.keys.get(key) {
-                Some((value, stamp, hold)) => StoreReply::Found(Item {
+            KvRequest::Get(key) => match self.keys.get(key) {
+                Some((value, stamp, hold)) => KvResponse::Found(KeyValue {
                     key: key.clone(),
                     value: value.clone(),
                     stamp: *stamp,
                     hold: *hold,
                 }),
-                None => StoreReply::Missing,
+                None => KvResponse::Missing,
             },
-            StoreCall::List { under, from } => {
+            KvRequest::List { under, from } => {
                 // Pages of three, so that paging is used.
-                let mut items: Vec<Item> = self
+                let mut items: Vec<KeyValue> = self
                     .keys
                     .iter()
                     .filter(|(key, _)| {
                         key.starts_with(under.as_str()) && from.as_ref().is_none_or(|f| *key > f)
                     })
-                    .map(|(key, (value, stamp, hold))| Item {
+                    .map(|(key, (value, stamp, hold))| KeyValue {
                         key: key.clone(),
                         value: value.clone(),
                         stamp: *stamp,
@@ -147,38 +148,38 @@
                     .collect();
                 let more = items.len() > 3;
                 items.truncate(3);
-                StoreReply::Page(items, more, self.revision)
+                KvResponse::Page(items, more, self.revision)
             }
-            StoreCall::Txn(txn) => self.txn(txn),
-            StoreCall::Grant(life_ms) => {
+            KvRequest::Txn(txn) => self.txn(txn),
+            KvRequest::Grant(life_ms) => {
                 self.next_hold += 1;
                 let life_s = *life_ms as f64 / 1000.0;
                 self.holds.insert(self.next_hold, (now + life_s, life_s));
-                StoreReply::Granted(self.next_hold)
+                KvResponse::Granted(self.next_hold)
             }
-            StoreCall::Renew(hold) => match self.holds.get_mut(hold) {
+            KvRequest::Renew(hold) => match self.holds.get_mut(hold) {
                 Some((until, life_s)) => {
                     *until = now + *life_s;
-                    StoreReply::Ok
+                    KvResponse::Ok
                 }
-                None => StoreReply::Gone,
+                None => KvResponse::Gone,
             },
-            StoreCall::Drop(hold) => {
+            KvRequest::Drop(hold) => {
                 self.end_hold(*hold);
-                StoreReply::Ok
+                KvResponse::Ok
             }
-            StoreCall::Follow { .. } => unreachable!("follows are held by the world"),
+            KvRequest::Follow { .. } => unreachable!("follows are held by the world"),
         }
     }
 }
 
 impl World {
-    pub(super) fn store_call(&mut self, i: usize, life: u64, tag: u64, call: StoreCall) {
+    pub(super) fn store_call(&mut self, i: usize, life: u64, tag: u64, call: KvRequest) {
         if self.now < self.refused[i] {
-            self.after(0.003, What::StoreBack(i, life, tag, StoreReply::Refused));
+            self.after(0.003, What::StoreBack(i, life, tag, KvResponse::Refused));
             return;
         }
-        if let StoreCall::Follow {
+        if let KvRequest::Follow {
             under,
             from,
             wait_ms,
@@ -190,11 +191,11 @@
             }
             return;
         }
-        if self.now < self.hung_listings && matches!(call, StoreCall::List { .. }) {
+        if self.now < self.hung_listings && matches!(call, KvRequest::List { .. }) {
             return;
         }
         let reply = self.store.call(&call, self.now);
-        if let (StoreCall::Txn(txn), StoreReply::Committed(_)) = (&call, &reply)
+        if let (KvRequest::Txn(txn), KvResponse::Committed(_)) = (&call, &reply)
             && !txn.writes.is_empty()
         {
             let newest = self.newest_txn.entry(i).or_default();
@@ -224,7 +225,7 @@
             if events.is_empty() && self.now < *until {
                 kept.push(follow);
             } else {
-                let reply = StoreReply::Events(events, self.store.revision);
+                let reply = KvResponse::Events(events, self.store.revision);
                 self.after(0.003, What::StoreBack(*i, *life, *tag, reply));
             }
         }
--- a/tests/world/troubles.rs
+++ b/tests/world/troubles.rs
@@ -104,7 +104,7 @@
             let later = 1.0 + self.rng.random::<f64>() * 3.0 * LEASE_S;
             self.after(later, what.clone());
         }
-        if let What::StoreAt(_, _, _, StoreCall::Txn(txn)) = &what
+        if let What::StoreAt(_, _, _, KvRequest::Txn(txn)) = &what
             && !txn.writes.is_empty()
             && self.weather.late_writes > 0.0
             && self.rng.random::<f64>() < self.weather.late_writes
@@ -125,12 +125,12 @@
     }
 
     /// For how long a direct command is held, if it is.
-    pub(super) fn holds_command(&mut self, call: &WorkerCall) -> Option<f64> {
-        let WorkerCall::Commands(commands) = call;
+    pub(super) fn holds_command(&mut self, call: &WorkerRequest) -> Option<f64> {
+        let WorkerRequest::Commands(commands) = call;
         let starts = commands
             .orders
             .iter()
-            .any(|order| order.verb == Verb::Start);
+            .any(|order| order.verb == CommandKind::Start);
         if !starts || self.now >= self.held_commands.until {
             return None;
         }
@@ -139,8 +139,8 @@
     }
 
     /// Notes a held command that arrives, whether or not it is carried out.
-    pub(super) fn note_held_command(&mut self, host: &str, call: &WorkerCall) {
-        let WorkerCall::Commands(commands) = call;
+    pub(super) fn note_held_command(&mut self, host: &str, call: &WorkerRequest) {
+        let WorkerRequest::Commands(commands) = call;
         let Some(worker) = self.workers.get(host) else {
             return;
         };
@@ -150,7 +150,10 @@
             let told = user.and_then(|u| u.told_cancelled);
             told.is_some_and(|at| self.now > at + CANCEL_S)
         };
-        let starts = commands.orders.iter().filter(|o| o.verb == Verb::Start);
+        let starts = commands
+            .orders
+            .iter()
+            .filter(|o| o.verb == CommandKind::Start);
         let late = starts.filter(|order| too_late(&order.step)).count() as u32;
         self.counts.starts_past_cancellation += late;
         self.counts.starts_past_in_session += if same_session { late } else { 0 };
@@ -395,7 +398,7 @@
         worker.lease_from = now;
         worker.next_report = now + 0.2;
         if forgets {
-            (worker.tenure, worker.tick, worker.token) = (1, 0, Token::default());
+            (worker.tenure, worker.tick, worker.token) = (1, 0, FencingToken::default());
         } else {
             worker.tenure += 1;
         }
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -315,7 +315,7 @@
                 let told: JobStatus = match ask.what {
                     Ask::Poll => cbor::decode::<JobView>(body).expect("a view").status,
                     _ => {
-                        let answer: cedarladder::protocol::job::Accepted =
+                        let answer: cedarladder::protocol::job::JobAccepted =
                             cbor::decode(body).expect("an answer");
                         answer.status
                     }
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -5,8 +5,8 @@
 #[derive(Debug, Clone)]
 pub(super) struct Task {
     pub(super) attempt: u64,
-    pub(super) status: StepStatus,
-    pub(super) cause: Option<Cause>,
+    pub(super) status: TaskState,
+    pub(super) cause: Option<ExitReason>,
     pub(super) until: f64,
 }
 
@@ -17,7 +17,7 @@
     pub(super) cpus: f64,
     pub(super) tenure: u64,
     pub(super) tick: u64,
-    pub(super) token: Token,
+    pub(super) token: FencingToken,
     pub(super) lease_from: f64,
     pub(super) tasks: BTreeMap<String, Vec<Task>>,
     pub(super) at: usize,
@@ -46,7 +46,7 @@
 impl Worker {
     pub(super) fn runs(&self, step: &str) -> bool {
         let tasks = self.tasks.get(step).into_iter().flatten();
-        tasks.into_iter().any(|t| t.status != StepStatus::Exited)
+        tasks.into_iter().any(|t| t.status != TaskState::Exited)
     }
 
     /// Whether one more task would not fit.
@@ -63,14 +63,14 @@
         self.tasks.iter().flat_map(|(step, tasks)| {
             tasks
                 .iter()
-                .filter(|t| t.status != StepStatus::Exited)
+                .filter(|t| t.status != TaskState::Exited)
                 .map(move |t| (step.as_str(), t))
         })
     }
 
-    pub(super) fn report(&mut self) -> Report {
+    pub(super) fn report(&mut self) -> WorkerHeartbeat {
         self.tick += 1;
-        Report {
+        WorkerHeartbeat {
             host: self.name.clone(),
             endpoint: self.name.clone(),
             flavor: "f".into(),
@@ -84,7 +84,7 @@
                 .tasks
                 .iter()
                 .flat_map(|(step, tasks)| {
-                    tasks.iter().map(|t| StepReport {
+                    tasks.iter().map(|t| TaskStatus {
                         step: step.clone(),
                         attempt: t.attempt,
                         status: t.status,
@@ -101,8 +101,8 @@
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        if machine.status == MachineStatus::Starting {
-            machine.status = MachineStatus::Running;
+        if machine.status == InstanceStatus::Starting {
+            machine.status = InstanceStatus::Running;
             let worker = Worker {
                 name: name.to_owned(),
                 zone: machine.zone.clone(),
@@ -110,7 +110,7 @@
                 cpus: 8.0,
                 tenure: 1,
                 tick: 0,
-                token: Token::default(),
+                token: FencingToken::default(),
                 lease_from: self.now,
                 tasks: BTreeMap::new(),
                 at: self.rng.random_range(0..self.nodes.len()),
@@ -139,16 +139,17 @@
         }
         for tasks in worker.tasks.values_mut() {
             for task in tasks.iter_mut() {
-                if task.status == StepStatus::Running && now >= task.until {
-                    task.status = StepStatus::Exited;
-                    task.cause = Some(Cause::Done);
+                if task.status == TaskState::Running && now >= task.until {
+                    task.status = TaskState::Exited;
+                    task.cause = Some(ExitReason::Done);
                     worker.next_report = now;
                 }
             }
         }
         let mut ended = BTreeSet::new();
         for (step, tasks) in &worker.tasks {
-            if tasks.iter().any(|t| t.cause == Some(Cause::Done)) && self.done.insert(step.clone())
+            if tasks.iter().any(|t| t.cause == Some(ExitReason::Done))
+                && self.done.insert(step.clone())
             {
                 ended.insert(job_of(step).to_owned());
             }
@@ -218,7 +219,7 @@
         worker.next_report = now + 2.0;
         match status {
             200 => {
-                let commands: Commands = cbor::decode(body).expect("an answer to a report");
+                let commands: CommandBatch = cbor::decode(body).expect("an answer to a report");
                 if commands.token < worker.token {
                     return;
                 }
@@ -230,7 +231,7 @@
                 self.execute(name, &commands);
             }
             421 => {
-                let redirect: Redirect = cbor::decode(body).expect("a redirect");
+                let redirect: NotLeader = cbor::decode(body).expect("a redirect");
                 match redirect
                     .foreman
                     .as_deref()
@@ -259,7 +260,7 @@
         life: u64,
         tag: u64,
         host: &str,
-        call: &WorkerCall,
+        call: &WorkerRequest,
     ) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(host) else {
@@ -286,9 +287,9 @@
             return;
         }
         let reply = match call {
-            WorkerCall::Commands(commands) => {
+            WorkerRequest::Commands(commands) => {
                 if commands.token < worker.token || commands.tenure != Some(worker.tenure) {
-                    WorkerReply::Mismatch(Box::new(worker.report()))
+                    WorkerResponse::Mismatch(Box::new(worker.report()))
                 } else {
                     if commands.token > worker.token {
                         worker.next_report = now;
@@ -297,31 +298,31 @@
                     let commands = commands.clone();
                     self.execute(host, &commands);
                     let worker = self.workers.get_mut(host).expect("still there");
-                    WorkerReply::Done(Box::new(worker.report()))
+                    WorkerResponse::Done(Box::new(worker.report()))
                 }
             }
         };
         self.deliver(0.003, What::WorkerBack(i, life, tag, reply));
     }
 
-    pub(super) fn execute(&mut self, name: &str, commands: &Commands) {
+    pub(super) fn execute(&mut self, name: &str, commands: &CommandBatch) {
         for order in &commands.orders {
             match order.verb {
-                Verb::Start => self.start(name, &order.step, order.attempt),
-                Verb::Halt => {
+                CommandKind::Start => self.start(name, &order.step, order.attempt),
+                CommandKind::Halt => {
                     let worker = self.workers.get_mut(name).expect("a worker");
                     for task in worker.tasks.get_mut(&order.step).into_iter().flatten() {
-                        if task.attempt == order.attempt && task.status == StepStatus::Running {
-                            task.status = StepStatus::Exited;
-                            task.cause = Some(Cause::Stopped);
+                        if task.attempt == order.attempt && task.status == TaskState::Running {
+                            task.status = TaskState::Exited;
+                            task.cause = Some(ExitReason::Stopped);
                         }
                     }
                 }
-                Verb::Clear => {
+                CommandKind::Clear => {
                     let worker = self.workers.get_mut(name).expect("a worker");
                     if let Some(tasks) = worker.tasks.get_mut(&order.step) {
                         tasks.retain(|t| {
-                            t.attempt != order.attempt || t.status != StepStatus::Exited
+                            t.attempt != order.attempt || t.status != TaskState::Exited
                         });
                         if tasks.is_empty() {
                             worker.tasks.remove(&order.step);
@@ -359,22 +360,22 @@
         if tasks.iter().any(|t| t.attempt == attempt) {
             return;
         }
-        let busy = tasks.iter().any(|t| t.status == StepStatus::Running);
+        let busy = tasks.iter().any(|t| t.status == TaskState::Running);
         let full = worker.is_full();
         let zone = worker.zone.clone();
         let refused = if self.done.contains(step) {
             // Its result is kept: it exits at once.
-            Some(Cause::Done)
+            Some(ExitReason::Done)
         } else if busy {
-            Some(Cause::Busy)
+            Some(ExitReason::Busy)
         } else if full {
-            Some(Cause::Full)
+            Some(ExitReason::Full)
         } else if broken || worker.faulty {
-            Some(Cause::Error)
+            Some(ExitReason::Error)
         } else {
             None
         };
-        if refused == Some(Cause::Error) {
+        if refused == Some(ExitReason::Error) {
             *self.counts.failures.entry(job.clone()).or_default() += 1;
             let on = self.counts.failures_on.entry(name.to_owned());
             *on.or_default() += 1;
@@ -412,9 +413,9 @@
         }
         let until = if standing { f64::INFINITY } else { now + run_s };
         let status = if refused.is_some() {
-            StepStatus::Exited
+            TaskState::Exited
         } else {
-            StepStatus::Running
+            TaskState::Running
         };
         let worker = self.workers.get_mut(name).expect("a worker");
         worker.next_report = worker.next_report.min(now + 0.5);
