--- a/src/bookkeeping/hosts.rs
+++ b/src/bookkeeping/hosts.rs
@@ -29,7 +29,7 @@
         Room {
             cpus: flavor.cpus,
             gpus: flavor.gpus,
-            ram: flavor.ram,
+            ram: flavor.ram_gb,
         }
     }
     /// Whether `need` fits.
@@ -273,7 +273,7 @@
 
     /// Whether a report is newer than all seen.
     pub fn is_newer(&self, report: &WorkerHeartbeat) -> bool {
-        (report.tenure, report.tick) > (self.tenure, self.tick)
+        (report.incarnation, report.sequence) > (self.tenure, self.tick)
     }
 
     /// Whether a binding's attempt is in the latest report, and how.
@@ -287,7 +287,7 @@
     /// Whether the latest report shows an attempt as exited.
     pub fn has_exited(&self, task: &TaskId, attempt: u64) -> bool {
         self.step(task, attempt)
-            .is_some_and(|step| step.status == TaskState::Exited)
+            .is_some_and(|step| step.state == TaskState::Exited)
     }
 
     /// Remembers that the host has an image.
@@ -387,19 +387,19 @@
         for order in orders {
             tracing::debug!(
                 host = self.name,
-                task = order.step,
+                task = order.task,
                 attempt = order.attempt,
-                verb = ?order.verb,
+                verb = ?order.kind,
                 ?way,
                 tenure = self.tenure,
                 fence = self.pending.fence(),
                 view_age_s = knowledge.view_age_s,
                 "order sent"
             );
-            if order.verb != CommandKind::Start {
+            if order.kind != CommandKind::Start {
                 continue;
             }
-            let Some(task) = TaskId::parse(&order.step) else {
+            let Some(task) = TaskId::parse(&order.task) else {
                 continue;
             };
             match way {
@@ -413,18 +413,18 @@
     pub fn settle_call(&mut self, orders: &[Command], fate: CallFate) {
         for order in orders
             .iter()
-            .filter(|order| order.verb == CommandKind::Start)
+            .filter(|order| order.kind == CommandKind::Start)
         {
             if fate == CallFate::Unanswered {
                 tracing::debug!(
                     host = self.name,
-                    task = order.step,
+                    task = order.task,
                     attempt = order.attempt,
                     fence = self.pending.fence(),
                     "start without answer: it may still arrive"
                 );
             }
-            if let Some(task) = TaskId::parse(&order.step) {
+            if let Some(task) = TaskId::parse(&order.task) {
                 self.pending.settle_call(&task, order.attempt, fate);
             }
         }
@@ -439,15 +439,15 @@
                 if permits::clear(self, task, step).is_ok() {
                     orders.push(order(
                         CommandKind::Clear,
-                        step.step.clone(),
+                        step.task.clone(),
                         step.attempt,
                         None,
                     ));
                 } else if let Some(drain_s) = self.wanted_halt(task, step) {
                     let drain_s = Some(drain_s);
                     orders.push(order(
-                        CommandKind::Halt,
-                        step.step.clone(),
+                        CommandKind::Stop,
+                        step.task.clone(),
                         step.attempt,
                         drain_s,
                     ));
@@ -472,7 +472,7 @@
 
     /// The time to save of a task that is to be stopped, or stopped once more.
     fn wanted_halt(&self, task: &TaskId, step: &TaskStatus) -> Option<f64> {
-        if step.status == TaskState::Exited {
+        if step.state == TaskState::Exited {
             return None;
         }
         let bound = self.bindings.get(task);
@@ -480,17 +480,17 @@
             return Some(0.0);
         };
         let (drain_s, _) = binding.halt?;
-        let saves = step.status == TaskState::Flushing && drain_s > 0.0;
+        let saves = step.state == TaskState::Checkpointing && drain_s > 0.0;
         (!saves).then_some(drain_s)
     }
 }
 
 fn order(verb: CommandKind, step: String, attempt: u64, drain_s: Option<f64>) -> Command {
     Command {
-        verb,
-        step,
+        kind: verb,
+        task: step,
         attempt,
-        drain_s,
+        grace_s: drain_s,
     }
 }
 
--- a/src/bookkeeping/jobs.rs
+++ b/src/bookkeeping/jobs.rs
@@ -91,7 +91,7 @@
     /// A job of which nothing but its key is known.
     pub fn new(spec: JobSpec, stamp: u64, since: f64) -> Job {
         let tasks = spec.tasks;
-        let due = spec.due_s.map(|due| since + due);
+        let due = spec.deadline_s.map(|due| since + due);
         Job {
             due,
             prompt_s: None,
@@ -115,7 +115,7 @@
 
     /// Whether the tasks run until the job is cancelled.
     pub fn standing(&self) -> bool {
-        self.spec.shape == JobKind::Standing
+        self.spec.kind == JobKind::Service
     }
 
     /// The tasks that wait, in the order in which they are to be placed.
@@ -149,10 +149,10 @@
             return waiting;
         }
         let probing = self.bound.len() as u32 > self.bound_done;
-        match self.spec.shape {
+        match self.spec.kind {
             _ if probing => 0,
-            JobKind::Group => waiting,
-            JobKind::Array | JobKind::Standing => waiting.min(1),
+            JobKind::Gang => waiting,
+            JobKind::Array | JobKind::Service => waiting.min(1),
         }
     }
 
--- a/src/bookkeeping/ledger.rs
+++ b/src/bookkeeping/ledger.rs
@@ -229,18 +229,18 @@
             when.push(Compare::new(records::open(job), stamp));
         }
         let segment = draft.builder.finish();
-        let mut writes = vec![WriteOp::set(records::log(slot), &segment)];
+        let mut writes = vec![WriteOp::put(records::log(slot), &segment)];
         for (id, done) in &draft.ended {
             when.push(Compare::new(records::over(id), 0));
-            writes.push(WriteOp::remove(records::open(id)));
+            writes.push(WriteOp::delete(records::open(id)));
             let record = OverRecord {
                 ending: Ending::Done,
                 done: *done,
             };
-            writes.push(WriteOp::set(records::over(id), &record));
+            writes.push(WriteOp::put(records::over(id), &record));
         }
         writes.append(&mut draft.puts);
-        let txn = Txn { when, writes };
+        let txn = Txn { compares: when, writes };
         self.in_flight = Some(InFlight {
             txn: txn.clone(),
             changes: draft.changes,
--- a/src/bookkeeping/permits.rs
+++ b/src/bookkeeping/permits.rs
@@ -133,7 +133,7 @@
 /// Whether an attempt that a worker shows may be cleared. After that a start that arrives late, or once
 /// more, would run it again; copies do no harm to a task that is done, whose result is kept.
 pub fn clear(host: &Host, task: &TaskId, step: &TaskStatus) -> Result<(), Denial> {
-    if step.status != TaskState::Exited {
+    if step.state != TaskState::Exited {
         return Err(Denial::NotExited);
     }
     let bound = host.bindings.get(task);
@@ -141,7 +141,7 @@
         return Err(Denial::NotWritten);
     }
     let harmless =
-        step.cause == Some(ExitReason::Done) && host.pending.only_copies(task, step.attempt);
+        step.exit_reason == Some(ExitReason::Completed) && host.pending.only_copies(task, step.attempt);
     if host.pending.may_arrive(task, step.attempt) && !harmless {
         return Err(Denial::StartMayArrive);
     }
--- a/src/bookkeeping/quotas.rs
+++ b/src/bookkeeping/quotas.rs
@@ -44,9 +44,9 @@
         let Some((team, _)) = self.teams.get(&spec.team) else {
             return false;
         };
-        let tasks = match spec.shape {
+        let tasks = match spec.kind {
             JobKind::Array => 1.0,
-            JobKind::Standing | JobKind::Group => f64::from(spec.tasks),
+            JobKind::Service | JobKind::Gang => f64::from(spec.tasks),
         };
         let below = |need: f64, limit: f64| limit <= 0.0 || need <= limit + ROUNDING;
         below(spec.cpus * tasks, team.cpus_max) && below(spec.gpus * tasks, team.gpus_max)
--- a/src/coordination/catalogue.rs
+++ b/src/coordination/catalogue.rs
@@ -51,7 +51,7 @@
         }
         self.ask_at = now + self.lease_s;
         let within_s = self.report_s * PATIENCE_REPORTS;
-        out.cloud(CloudAsk::Types, CloudRequest::Types, within_s);
+        out.cloud(CloudAsk::Types, CloudRequest::ListInstanceTypes, within_s);
         if !self.read {
             let call = KvRequest::Get(records::CATALOGUE.to_owned());
             out.store(StoreAsk::Catalogue, call, within_s, now);
@@ -70,8 +70,8 @@
             return;
         }
         let txn = Txn {
-            when: Vec::new(),
-            writes: vec![WriteOp::set(records::CATALOGUE, flavors.as_ref())],
+            compares: Vec::new(),
+            writes: vec![WriteOp::put(records::CATALOGUE, flavors.as_ref())],
         };
         self.stored = Some(flavors.clone());
         out.store(StoreAsk::Ignored, KvRequest::Txn(txn), within_s, now);
@@ -79,7 +79,7 @@
 
     /// Takes the cloud's answer. True: the types are new.
     pub fn told(&mut self, reply: CloudResponse, now: f64) -> bool {
-        let CloudResponse::Types(flavors) = reply else {
+        let CloudResponse::InstanceTypes(flavors) = reply else {
             self.ask_at = now + self.report_s;
             return false;
         };
@@ -90,8 +90,8 @@
 
     /// Takes what the state service keeps. True: the types are new.
     pub fn loaded(&mut self, reply: &KvResponse) -> bool {
-        self.read |= matches!(reply, KvResponse::Found(_) | KvResponse::Missing);
-        let KvResponse::Found(item) = reply else {
+        self.read |= matches!(reply, KvResponse::Value(_) | KvResponse::NotFound);
+        let KvResponse::Value(item) = reply else {
             return false;
         };
         let Ok(flavors) = cbor::from_value::<Vec<InstanceType>>(&item.value) else {
@@ -111,7 +111,7 @@
         flavors
             .iter()
             .map(|flavor| InstanceType {
-                market_price: flavor.market_price.map(|_| 0.0),
+                spot_price: flavor.spot_price.map(|_| 0.0),
                 ..flavor.clone()
             })
             .collect::<Vec<_>>()
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -151,7 +151,7 @@
     }
 
     fn submit(&mut self, to: u64, body: &[u8], now: Now) {
-        let spec = match job::parse(body, now.wall) {
+        let spec = match job::parse_submission(body, now.wall) {
             Ok(spec) => spec,
             Err(error) => {
                 tracing::debug!(%error, "malformed submission");
@@ -234,10 +234,10 @@
             }
         }
         if self.redirected.len() < MAX_REDIRECTED {
-            self.redirected.insert(report.host, now);
+            self.redirected.insert(report.worker, now);
         }
         let foreman = self.foreman(now);
-        self.out.answer(to, 421, &NotLeader { foreman });
+        self.out.answer(to, 421, &NotLeader { leader_hint: foreman });
     }
 
     /// What this node knows, and how old that is.
@@ -269,7 +269,7 @@
             ask,
             StoreAsk::Check(_) | StoreAsk::Look(_) | StoreAsk::Renew | StoreAsk::Write(_)
         );
-        if matches!(reply, KvResponse::Refused | KvResponse::Silent) {
+        if matches!(reply, KvResponse::Unavailable | KvResponse::OutcomeUnknown) {
             self.doubt_at = t;
         } else {
             self.state_ok_at = Some(t);
@@ -404,8 +404,8 @@
         }
         let outcome = self.election.notice(heartbeat.epoch);
         self.follow_outcome(outcome, now.steady);
-        self.ends.heard(&heartbeat.label, &heartbeat.ends);
-        self.frontend.note_ended(&heartbeat.ends.list);
+        self.ends.heard(&heartbeat.label, &heartbeat.terminations);
+        self.frontend.note_ended(&heartbeat.terminations.entries);
         self.tell_ended();
         match &mut self.leader {
             Some(leader) if heartbeat.epoch >= leader.epoch() => {
@@ -447,7 +447,7 @@
                     leader.keep_open(revision, listed.keys().cloned().collect());
                 }
                 for (id, item) in listed {
-                    self.job_opened(&id, item.stamp, &item.value, now);
+                    self.job_opened(&id, item.mod_revision, &item.value, now);
                 }
             }
             WatchUpdate::Set(key, value, stamp) => {
@@ -489,7 +489,7 @@
                 let known = items
                     .iter()
                     .find(|item| item.key == records::LEADER)
-                    .and_then(|item| Some((read_leader(&item.value)?, item.stamp)));
+                    .and_then(|item| Some((read_leader(&item.value)?, item.mod_revision)));
                 self.election.observe(known, jitter, now)
             }
             WatchUpdate::Set(key, value, stamp) if key == records::LEADER => {
@@ -599,14 +599,14 @@
             label: self.settings.label.clone(),
             epoch: self.election.highest(),
             leader: self.election.leader().map(str::to_owned),
-            state_ok: self
+            state_service_ok: self
                 .state_ok_at
                 .is_some_and(|at| now - at < self.report_s()),
-            redirected: self.redirected.len() as u32,
+            redirected_workers: self.redirected.len() as u32,
             counts,
-            suspects,
+            crash_looping_jobs: suspects,
             changes_per_s,
-            ends: self.ends.word(now),
+            terminations: self.ends.word(now),
         };
         self.out.actions.push(Action::Heartbeat(heartbeat));
     }
@@ -670,7 +670,7 @@
 fn is_within_hold_over(knowledge: &Knowledge, report: &WorkerHeartbeat) -> bool {
     let age_s = knowledge.lease_age_s.max(knowledge.view_age_s);
     let within = age_s <= knowledge.limits.hold_over_s;
-    let details = format_args!("host {}, after {age_s} s", report.host);
+    let details = format_args!("host {}, after {age_s} s", report.worker);
     invariants::uphold(Invariant::NoRenewalBeyondHoldOver, within, details)
 }
 
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -213,7 +213,7 @@
         let Phase::Leading { hold, .. } = self.phase else {
             return Outcome::Same;
         };
-        out.store(StoreAsk::Drop, KvRequest::Drop(hold), self.patience(), now);
+        out.store(StoreAsk::Drop, KvRequest::RevokeLease(hold), self.patience(), now);
         self.campaign_at = now + self.times.quiet_s;
         self.step_down()
     }
@@ -253,7 +253,7 @@
                     self.renewing = true;
                     out.store(
                         StoreAsk::Renew,
-                        KvRequest::Renew(hold),
+                        KvRequest::KeepAlive(hold),
                         self.patience(),
                         now,
                     );
@@ -264,7 +264,7 @@
             Phase::Following if watching && now >= self.campaign_at && self.claim().is_some() => {
                 self.phase = Phase::Granting;
                 let life_ms = (self.times.life_s * 1000.0) as u64;
-                let call = KvRequest::Grant(life_ms);
+                let call = KvRequest::GrantLease(life_ms);
                 out.store(StoreAsk::Grant, call, self.patience(), now);
             }
             _ => {}
@@ -283,22 +283,22 @@
     ) -> Outcome {
         match (ask, &self.phase) {
             (StoreAsk::Grant, Phase::Granting) => {
-                let KvResponse::Granted(hold) = *reply else {
+                let KvResponse::LeaseGranted(hold) = *reply else {
                     self.back_off(now);
                     return Outcome::Same;
                 };
                 // Another may have taken the lead while the lease was on its way.
                 let Some(stamp) = self.claim() else {
-                    out.store(StoreAsk::Drop, KvRequest::Drop(hold), self.patience(), now);
+                    out.store(StoreAsk::Drop, KvRequest::RevokeLease(hold), self.patience(), now);
                     self.phase = Phase::Following;
                     return Outcome::Same;
                 };
                 let txn = Txn {
-                    when: vec![Compare::new(records::LEADER, stamp)],
-                    writes: vec![WriteOp::Set {
+                    compares: vec![Compare::new(records::LEADER, stamp)],
+                    writes: vec![WriteOp::Put {
                         key: records::LEADER.to_owned(),
                         value: cbor::to_value(&self.me),
-                        hold: Some(hold),
+                        lease_id: Some(hold),
                     }],
                 };
                 self.phase = Phase::Taking { hold, since: sent };
@@ -320,19 +320,19 @@
                     return Outcome::Won(epoch);
                 }
                 // An unanswered take may still be applied; without its lease it cannot.
-                out.store(StoreAsk::Drop, KvRequest::Drop(hold), self.patience(), now);
+                out.store(StoreAsk::Drop, KvRequest::RevokeLease(hold), self.patience(), now);
                 self.back_off(now);
                 Outcome::Same
             }
             (StoreAsk::Renew, Phase::Leading { .. }) => {
                 self.renewing = false;
                 match reply {
-                    KvResponse::Ok => {
+                    KvResponse::LeaseOk => {
                         self.renewed_at = sent;
                         self.renew_next = sent + self.times.life_s * RENEW;
                         Outcome::Same
                     }
-                    KvResponse::Gone => {
+                    KvResponse::LeaseExpired => {
                         self.known = None;
                         self.step_down()
                     }
--- a/src/coordination/frontend/mod.rs
+++ b/src/coordination/frontend/mod.rs
@@ -348,7 +348,7 @@
         }
         let ask = StoreAsk::Check(self.checking.add(batch, now));
         let txn = Txn {
-            when,
+            compares: when,
             writes: Vec::new(),
         };
         out.store(ask, KvRequest::Txn(txn), self.patience_s, now);
@@ -372,7 +372,7 @@
             let open = records::open(&pending.id);
             let over = records::over(&pending.id);
             let (stamp, writes) = match &pending.kind {
-                RequestKind::Submit(spec) => (0, vec![WriteOp::set(open.clone(), spec.as_ref())]),
+                RequestKind::Submit(spec) => (0, vec![WriteOp::put(open.clone(), spec.as_ref())]),
                 _ => {
                     let Some((stamp, _)) = self.open.get(&pending.id) else {
                         self.look(pending);
@@ -384,8 +384,8 @@
                         done,
                     };
                     let writes = vec![
-                        WriteOp::remove(open.clone()),
-                        WriteOp::set(over.clone(), &record),
+                        WriteOp::delete(open.clone()),
+                        WriteOp::put(over.clone(), &record),
                     ];
                     (*stamp, writes)
                 }
@@ -398,8 +398,8 @@
                 break;
             }
             bytes += size;
-            txn.when.push(Compare::new(open, stamp));
-            txn.when.push(Compare::new(over, 0));
+            txn.compares.push(Compare::new(open, stamp));
+            txn.compares.push(Compare::new(over, 0));
             txn.writes.extend(writes);
             batch.push(pending);
         }
@@ -417,7 +417,7 @@
     }
 
     fn note_reply(&mut self, reply: &KvResponse, now: f64) {
-        self.refused_at = matches!(reply, KvResponse::Refused).then_some(now);
+        self.refused_at = matches!(reply, KvResponse::Unavailable).then_some(now);
     }
 
     /// The answer to the comparison for polls.
@@ -426,14 +426,14 @@
         for pending in self.checking.end(call) {
             match &reply {
                 KvResponse::Committed(_) => self.answer_poll(pending, out),
-                KvResponse::Conflict(failed) => {
+                KvResponse::CompareFailed(failed) => {
                     if pending.concerned(failed) {
                         self.look(pending);
                     } else {
                         self.polls.push_back(pending);
                     }
                 }
-                KvResponse::Busy => self.polls.push_back(pending),
+                KvResponse::RateLimited => self.polls.push_back(pending),
                 _ => refuse_out(pending.request, out),
             }
         }
@@ -526,16 +526,16 @@
                         self.answer_over(pending.request, &pending.id, &pending.kind, record, out);
                     }
                 },
-                KvResponse::Conflict(failed) => {
+                KvResponse::CompareFailed(failed) => {
                     if pending.concerned(failed) {
                         self.look(pending);
                     } else {
                         self.writes.push_back(pending);
                     }
                 }
-                KvResponse::Busy => self.writes.push_back(pending),
+                KvResponse::RateLimited => self.writes.push_back(pending),
                 // It may have been applied: look, and answer by what is there.
-                KvResponse::Silent => self.look(pending),
+                KvResponse::OutcomeUnknown => self.look(pending),
                 _ => refuse_out(pending.request, out),
             }
         }
@@ -549,18 +549,18 @@
         self.note_reply(&reply, now);
         let stage = self.looks.get(id).map_or(Stage::Queued, |look| look.stage);
         let state = match reply {
-            KvResponse::Found(item) if item.key == records::open(id) => {
+            KvResponse::Value(item) if item.key == records::open(id) => {
                 match cbor::from_value::<JobSpec>(&item.value) {
-                    Ok(spec) => Some(KeyState::Open(item.stamp, Rc::new(spec))),
+                    Ok(spec) => Some(KeyState::Open(item.mod_revision, Rc::new(spec))),
                     Err(_) => None,
                 }
             }
-            KvResponse::Found(item) => cbor::from_value(&item.value).ok().map(KeyState::Over),
-            KvResponse::Missing if stage == Stage::Open => {
+            KvResponse::Value(item) => cbor::from_value(&item.value).ok().map(KeyState::Over),
+            KvResponse::NotFound if stage == Stage::Open => {
                 self.look_at(id, Stage::Over, out, now);
                 return;
             }
-            KvResponse::Missing => Some(KeyState::Never),
+            KvResponse::NotFound => Some(KeyState::Never),
             _ => None,
         };
         self.looking = self.looking.saturating_sub(1);
--- a/src/coordination/leader/consolidation.rs
+++ b/src/coordination/leader/consolidation.rs
@@ -47,7 +47,7 @@
         if let Some(host) = self.hosts.get_mut(&name) {
             host.draining = true;
             for (task, binding) in &mut host.bindings {
-                let flush_s = self.jobs.get(&task.job).map_or(0.0, |job| job.spec.flush_s);
+                let flush_s = self.jobs.get(&task.job).map_or(0.0, |job| job.spec.checkpoint_grace_s);
                 binding.halt = Some((flush_s, HaltReason::Drained));
             }
             self.push_due.insert(name);
--- a/src/coordination/leader/direct.rs
+++ b/src/coordination/leader/direct.rs
@@ -92,7 +92,7 @@
         let up = host.heard.is_some() || host.listed_up || !host.bindings.is_empty();
         let greet = !host.acked && !host.marked && up;
         // Clears can wait for the next report.
-        let pressing = orders.iter().any(|order| order.verb != CommandKind::Clear);
+        let pressing = orders.iter().any(|order| order.kind != CommandKind::Clear);
         let wanted = pressing || revokes || waits || probe || greet;
         if !wanted || host.endpoint.is_empty() {
             return None;
@@ -126,11 +126,11 @@
         self.push_due.remove(&name);
         self.pushing.insert(name.clone(), call.doubtful);
         self.pushed_at
-            .insert(name.clone(), (commands.orders.clone(), now));
+            .insert(name.clone(), (commands.commands.clone(), now));
         let ask = WorkerAsk {
             epoch: self.epoch,
             host: name,
-            orders: commands.orders.clone(),
+            orders: commands.commands.clone(),
         };
         let within_s = self.settings.deployment.workers.report_s / 2.0;
         out.worker(ask, endpoint, WorkerRequest::Commands(commands), within_s);
@@ -143,8 +143,8 @@
         if let Some(host) = self.hosts.get_mut(&ask.host) {
             host.settle_call(&ask.orders, fate_of(&reply));
             match reply {
-                WorkerResponse::Done(_) | WorkerResponse::Mismatch(_) => host.unreached = None,
-                WorkerResponse::Silent | WorkerResponse::Unreached => {
+                WorkerResponse::Executed(_) | WorkerResponse::Rejected(_) => host.unreached = None,
+                WorkerResponse::OutcomeUnknown | WorkerResponse::Unreachable => {
                     host.unreached.get_or_insert(now);
                 }
                 WorkerResponse::NotSent => {}
@@ -152,15 +152,15 @@
             self.schedule_due = true;
         }
         let report = match reply {
-            WorkerResponse::Done(report) => report,
-            WorkerResponse::Mismatch(report) => {
+            WorkerResponse::Executed(report) => report,
+            WorkerResponse::Rejected(report) => {
                 // Its session is known now: the next call can follow at once.
                 self.pushed_at.remove(&ask.host);
                 report
             }
-            WorkerResponse::NotSent | WorkerResponse::Unreached | WorkerResponse::Silent => return,
+            WorkerResponse::NotSent | WorkerResponse::Unreachable | WorkerResponse::OutcomeUnknown => return,
         };
-        if report.host != ask.host {
+        if report.worker != ask.host {
             tracing::warn!(host = ask.host, "another worker answers at its address");
             return;
         }
@@ -179,8 +179,8 @@
 /// What became of a direct call, as its outcome tells.
 fn fate_of(reply: &WorkerResponse) -> CallFate {
     match reply {
-        WorkerResponse::Done(_) | WorkerResponse::Mismatch(_) => CallFate::Answered,
-        WorkerResponse::Silent => CallFate::Unanswered,
-        WorkerResponse::NotSent | WorkerResponse::Unreached => CallFate::NotSent,
+        WorkerResponse::Executed(_) | WorkerResponse::Rejected(_) => CallFate::Answered,
+        WorkerResponse::OutcomeUnknown => CallFate::Unanswered,
+        WorkerResponse::NotSent | WorkerResponse::Unreachable => CallFate::NotSent,
     }
 }
--- a/src/coordination/leader/exits.rs
+++ b/src/coordination/leader/exits.rs
@@ -35,9 +35,9 @@
         let absent = permits::unbind_absent(host, task, binding).is_ok();
         return absent.then_some(Finding::Absent);
     };
-    match (step.status, binding.running) {
+    match (step.state, binding.running) {
         (TaskState::Exited, ran) => {
-            let cause = step.cause.unwrap_or(ExitReason::Other);
+            let cause = step.exit_reason.unwrap_or(ExitReason::Unknown);
             Some(Finding::Exited(cause, ran.is_some()))
         }
         (TaskState::Fetching, _) => None,
@@ -126,7 +126,7 @@
         tracing::debug!(host = name, %task, attempt, ?cause, "exited");
         let mut done = false;
         match cause {
-            ExitReason::Done => {
+            ExitReason::Completed => {
                 if ran {
                     self.note_finish(name, task, now);
                 }
@@ -140,10 +140,10 @@
                 }
                 self.note_success(name, &task.job);
             }
-            ExitReason::Error | ExitReason::NoSuch | ExitReason::Other => {
+            ExitReason::Failed | ExitReason::UnknownTask | ExitReason::Unknown => {
                 self.note_failure(name, task, cause, now);
             }
-            ExitReason::Stopped | ExitReason::Full | ExitReason::Busy => {}
+            ExitReason::Stopped | ExitReason::InsufficientResources | ExitReason::AttemptConflict => {}
         }
         // The end of the job goes first: should only it be written, the binding still is in the
         // records and ends by the worker's next report.
@@ -170,11 +170,11 @@
             let ran_s = binding.running.map_or(0.0, |since| now - since);
             let finishes = !job.standing()
                 && binding.running.is_some()
-                && (spec.expect_s - ran_s).max(0.0) < left_s;
+                && (spec.expected_runtime_s - ran_s).max(0.0) < left_s;
             if !finishes {
                 tracing::debug!(host = name, %task, "drained: the machine is about to be taken");
-                let drain_s = if spec.flush_s <= left_s {
-                    spec.flush_s
+                let drain_s = if spec.checkpoint_grace_s <= left_s {
+                    spec.checkpoint_grace_s
                 } else {
                     0.0
                 };
--- a/src/coordination/leader/failure_detection.rs
+++ b/src/coordination/leader/failure_detection.rs
@@ -129,7 +129,7 @@
                 .flavors
                 .iter()
                 .find(|f| f.name == host.flavor)
-                .map_or(self.fleet.report_s, |f| f.ready_s);
+                .map_or(self.fleet.report_s, |f| f.boot_time_s);
             let lost_s = 4.0 * self.fleet.list_lag_s + ready_s;
             let taken = host
                 .taken_at
--- a/src/coordination/leader/fleet.rs
+++ b/src/coordination/leader/fleet.rs
@@ -220,14 +220,14 @@
     /// A rental's record was written or removed.
     pub(super) fn written(&mut self, write: &WriteOp) {
         match write {
-            WriteOp::Set { key, .. } => {
+            WriteOp::Put { key, .. } => {
                 if let Some(bid) = key.strip_prefix(records::RENTAL)
                     && let Some(rental) = self.rentals.get_mut(bid)
                 {
                     rental.stage = Stage::Ready(0.0);
                 }
             }
-            WriteOp::Remove { key } => {
+            WriteOp::Delete { key } => {
                 if let Some(bid) = key.strip_prefix(records::RENTAL) {
                     self.rentals.remove(bid);
                 }
@@ -337,7 +337,7 @@
             self.retire(now);
         }
         if informed && now >= self.fleet.scale_at {
-            let ready_s = self.flavors.iter().map(|flavor| flavor.ready_s);
+            let ready_s = self.flavors.iter().map(|flavor| flavor.boot_time_s);
             let quickest_s = ready_s.fold(f64::INFINITY, f64::min).min(MAX_READY_S);
             self.fleet.scale_at = now + quickest_s / ROUNDS_PER_BOOT;
             self.scale(now);
@@ -355,7 +355,7 @@
         let within_s = 2.0 * fleet.report_s;
         out.cloud(
             CloudAsk::List(fleet.epoch),
-            CloudRequest::List(from),
+            CloudRequest::ListInstances(from),
             within_s,
         );
     }
@@ -377,7 +377,7 @@
         self.fleet.delete_busy = true;
         tracing::debug!(hosts = ?names, "deletion sent");
         let ask = CloudAsk::Delete(self.epoch, names.clone());
-        out.cloud(ask, CloudRequest::Delete(names), 2.0 * self.fleet.report_s);
+        out.cloud(ask, CloudRequest::DeleteInstances(names), 2.0 * self.fleet.report_s);
     }
 
     fn drive_rentals(&mut self, out: &mut Outbox, now: f64) {
@@ -396,7 +396,7 @@
             // The pool has turned out to be sold out; the next round asks elsewhere.
             rental.stage = Stage::Settling;
             self.ledger.push(Change::Put {
-                write: WriteOp::remove(records::rental(bid)),
+                write: WriteOp::delete(records::rental(bid)),
             });
             return;
         }
@@ -407,9 +407,9 @@
         rental.stage = Stage::Calling;
         rental.sent = true;
         fleet.rent_busy = true;
-        let call = CloudRequest::Rent(CreateInstances {
-            bid: bid.clone(),
-            flavor: rental.record.flavor.clone(),
+        let call = CloudRequest::CreateInstances(CreateInstances {
+            idempotency_key: bid.clone(),
+            instance_type: rental.record.flavor.clone(),
             zone: rental.record.zone.clone(),
             spot: rental.record.spot,
             count: rental.record.count,
@@ -450,7 +450,7 @@
         let host = self.hosts.entry(&machine.name, || {
             let mut host = Host::new(
                 &machine.name,
-                &machine.flavor,
+                &machine.instance_type,
                 &machine.zone,
                 machine.spot,
                 now - machine.age_s,
@@ -488,7 +488,7 @@
             if seen {
                 rental.stage = Stage::Settling;
                 self.ledger.push(Change::Put {
-                    write: WriteOp::remove(records::rental(bid)),
+                    write: WriteOp::delete(records::rental(bid)),
                 });
             }
         }
@@ -506,9 +506,9 @@
             .flavors
             .iter()
             .find(|f| f.name == key.flavor)
-            .map_or(self.fleet.report_s, |f| f.ready_s);
+            .map_or(self.fleet.report_s, |f| f.boot_time_s);
         match reply {
-            CloudResponse::Rented(names) => {
+            CloudResponse::Created(names) => {
                 tracing::info!(bid, pool = %key, wanted, got = names.len(), "rented");
                 if names.len() < wanted as usize {
                     self.fleet.block(&key, ready_s, now);
@@ -527,12 +527,12 @@
                 }
                 self.settle_rentals();
             }
-            CloudResponse::NoCapacity | CloudResponse::Bad => {
+            CloudResponse::InsufficientCapacity | CloudResponse::InvalidRequest => {
                 tracing::info!(bid, pool = %key, wanted, "rental refused");
                 rental.stage = Stage::Settling;
                 self.fleet.block(&key, ready_s, now);
                 self.ledger.push(Change::Put {
-                    write: WriteOp::remove(records::rental(bid)),
+                    write: WriteOp::delete(records::rental(bid)),
                 });
             }
             // It may have been carried out: the same name is asked again until there is an answer.
@@ -584,7 +584,7 @@
             };
             left -= record.count;
             self.ledger.push(Change::Put {
-                write: WriteOp::set(records::rental(&bid), &record),
+                write: WriteOp::put(records::rental(&bid), &record),
             });
             let renting = Renting {
                 record,
--- a/src/coordination/leader/load.rs
+++ b/src/coordination/leader/load.rs
@@ -48,8 +48,8 @@
         };
         loading.in_flight = true;
         let call = KvRequest::List {
-            under: (*prefix).to_owned(),
-            from: loading.from.clone(),
+            prefix: (*prefix).to_owned(),
+            after: loading.from.clone(),
         };
         self.requests.force(1.0, now);
         out.store(StoreAsk::Load(self.epoch), call, patience_s, now);
@@ -87,7 +87,7 @@
                 if let Ok(spec) = cbor::from_value::<JobSpec>(&item.value)
                     && !self.closed_early.contains(&spec.id)
                 {
-                    self.opened(item.stamp, &spec, now, wall);
+                    self.opened(item.mod_revision, &spec, now, wall);
                 }
             } else if item.key.starts_with(records::LOG) {
                 match cbor::from_value::<Segment>(&item.value) {
@@ -118,7 +118,7 @@
             self.replay_kinds(segment, now);
         }
         for (item, segment) in &segments {
-            self.ledger.inherit(&item.key, item.stamp, segment);
+            self.ledger.inherit(&item.key, item.mod_revision, segment);
             self.replay(segment);
         }
         self.count_inherited();
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -218,14 +218,14 @@
         if self.jobs.get(&spec.id).is_some() {
             return;
         }
-        let since = now - (wall - spec.at).clamp(0.0, now.max(0.0) + 1e6);
+        let since = now - (wall - spec.submitted_at).clamp(0.0, now.max(0.0) + 1e6);
         let mut job = Job::new(spec.clone(), stamp, since);
         if job.due.is_none() && !job.standing() {
             job.due = self.objective("finished", &spec.class).map(|s| since + s);
         }
         job.prompt_s = self.objective("wait", &spec.class);
         if let (Some(due), None) = (job.due, job.prompt_s) {
-            job.patient_until = due - EXPECT_MARGIN * spec.expect_s;
+            job.patient_until = due - EXPECT_MARGIN * spec.expected_runtime_s;
         }
         self.jobs.insert(job);
         self.schedule_due = true;
@@ -506,7 +506,7 @@
             let host = self.hosts.get_mut(&name);
             if let Some(binding) = host.and_then(|host| host.bindings.get_mut(&task)) {
                 tracing::info!(host = name, %task, "preempted");
-                let flush_s = self.jobs.get(&task.job).map_or(0.0, |job| job.spec.flush_s);
+                let flush_s = self.jobs.get(&task.job).map_or(0.0, |job| job.spec.checkpoint_grace_s);
                 binding.halt = Some((flush_s, HaltReason::Preempted));
                 self.push_due.insert(name);
             }
@@ -524,7 +524,7 @@
         }
         // The tasks of a group find one another by a common attempt.
         let mates = match job.group_attempt {
-            Some(attempt) if job.spec.shape == JobKind::Group && !job.bound.is_empty() => {
+            Some(attempt) if job.spec.kind == JobKind::Gang && !job.bound.is_empty() => {
                 Some(attempt)
             }
             _ => None,
--- a/src/coordination/leader/orders.rs
+++ b/src/coordination/leader/orders.rs
@@ -49,8 +49,8 @@
         let Some(host) = self.hosts.get_mut(name) else {
             return CommandBatch {
                 token,
-                tenure: None,
-                orders: Vec::new(),
+                incarnation: None,
+                commands: Vec::new(),
             };
         };
         orders.retain(|order| is_sound(order, host, jobs));
@@ -61,8 +61,8 @@
         };
         CommandBatch {
             token,
-            tenure,
-            orders,
+            incarnation: tenure,
+            commands: orders,
         }
     }
 }
@@ -75,23 +75,23 @@
 
 /// Whether an order may go out, by other means than those that made it.
 fn is_sound(order: &Command, host: &Host, jobs: &Jobs) -> bool {
-    let Some(task) = TaskId::parse(&order.step) else {
+    let Some(task) = TaskId::parse(&order.task) else {
         // Workers may show what is no task of ours; it is stopped and cleared.
-        return order.verb != CommandKind::Start;
+        return order.kind != CommandKind::Start;
     };
     let attempt = order.attempt;
     let details = format_args!("host {}, task {task}, attempt {attempt}", host.name);
-    match order.verb {
+    match order.kind {
         CommandKind::Start => {
             let open = jobs.get(&task.job).is_some();
             invariants::uphold(Invariant::NoStartOfClosedJob, open, details)
         }
         CommandKind::Clear => {
-            let cause = host.step(&task, attempt).and_then(|step| step.cause);
+            let cause = host.step(&task, attempt).and_then(|step| step.exit_reason);
             let harmless =
-                cause == Some(ExitReason::Done) || !host.pending.may_arrive(&task, attempt);
+                cause == Some(ExitReason::Completed) || !host.pending.may_arrive(&task, attempt);
             invariants::uphold(Invariant::NoClearWhileStartMayArrive, harmless, details)
         }
-        CommandKind::Halt => true,
+        CommandKind::Stop => true,
     }
 }
--- a/src/coordination/leader/reports.rs
+++ b/src/coordination/leader/reports.rs
@@ -40,7 +40,7 @@
         self.tally.count(Action::Renew, renewal);
         if let Err(reason) = renewal {
             tracing::debug!(
-                host = report.host,
+                host = report.worker,
                 ?reason,
                 lease_age_s = knowledge.lease_age_s,
                 view_age_s = knowledge.view_age_s,
@@ -52,21 +52,21 @@
             // Nothing can be stopped yet, however long it takes to load: workers with tasks of jobs
             // that are over don't have their leases renewed meanwhile.
             let runs_closed = report
-                .steps
+                .tasks
                 .iter()
-                .filter(|step| step.status != TaskState::Exited)
-                .filter_map(|step| TaskId::parse(&step.step))
+                .filter(|step| step.state != TaskState::Exited)
+                .filter_map(|step| TaskId::parse(&step.task))
                 .any(|task| !is_open(&task.job));
-            let known = self.early.contains_key(&report.host);
+            let known = self.early.contains_key(&report.worker);
             if runs_closed || (!known && self.early.len() >= MAX_EARLY) {
                 return ReportAnswer::NotNow;
             }
-            self.early.insert(report.host.clone(), report.clone());
+            self.early.insert(report.worker.clone(), report.clone());
             return self.answer(report, Vec::new(), knowledge);
         }
         let newer = self.take_report(report, true, now);
-        self.revoke_where_due(&report.host);
-        let Some(host) = self.hosts.get(&report.host).filter(|_| newer) else {
+        self.revoke_where_due(&report.worker);
+        let Some(host) = self.hosts.get(&report.worker).filter(|_| newer) else {
             // Late: an answer renews nothing, and its task list is old.
             return self.answer(report, Vec::new(), knowledge);
         };
@@ -74,9 +74,9 @@
         let orders = host.orders(may_start, MAX_ORDERS);
         if may_start && orders.len() < MAX_ORDERS {
             // The answer carries all; the next report shows what came of it.
-            self.push_due.remove(&report.host);
+            self.push_due.remove(&report.worker);
             self.pushed_at
-                .insert(report.host.clone(), (orders.clone(), now));
+                .insert(report.worker.clone(), (orders.clone(), now));
         }
         self.answer(report, orders, knowledge)
     }
@@ -87,8 +87,8 @@
         orders: Vec<Command>,
         knowledge: &Knowledge,
     ) -> ReportAnswer {
-        let way = Way::Answer(report.tick);
-        ReportAnswer::Orders(self.send_off(&report.host, orders, way, knowledge))
+        let way = Way::Answer(report.sequence);
+        ReportAnswer::Orders(self.send_off(&report.worker, orders, way, knowledge))
     }
 
     /// Takes a report from whatever way. False: a newer one is known.
@@ -99,17 +99,17 @@
         now: f64,
     ) -> bool {
         let since = self.others_until;
-        let known = self.hosts.get(&report.host).is_some();
-        if !known && self.fleet.is_gone(&report.host) {
+        let known = self.hosts.get(&report.worker).is_some();
+        if !known && self.fleet.is_gone(&report.worker) {
             return false;
         }
-        let host = self.hosts.entry(&report.host, || {
-            let mut host = Host::new(&report.host, &report.flavor, &report.zone, report.spot, now);
+        let host = self.hosts.entry(&report.worker, || {
+            let mut host = Host::new(&report.worker, &report.instance_type, &report.zone, report.spot, now);
             host.lease_from = since;
             host
         });
         if !known {
-            tracing::info!(host = report.host, "a machine nobody expected reports");
+            tracing::info!(host = report.worker, "a machine nobody expected reports");
         }
         if !host.is_newer(report) {
             // A copy, or overtaken by a direct answer. Should the worker still wait for our answer,
@@ -127,7 +127,7 @@
             };
         }
         let ours = report.token.epoch() == self.epoch;
-        let new_session = report.tenure > host.tenure;
+        let new_session = report.incarnation > host.tenure;
         if new_session {
             if host.heard.is_some() {
                 // It lost a session although we answered it: perhaps our answers don't arrive.
@@ -138,12 +138,12 @@
             // Its lease runs from its beginning, of which a direct answer may be the first word.
             host.lease_from = host.lease_from.max(now);
         } else if by_itself {
-            host.pending.settle_answers(report.tick);
+            host.pending.settle_answers(report.sequence);
         }
         if host.heard.is_none() {
             tracing::info!(
-                host = report.host,
-                flavor = report.flavor,
+                host = report.worker,
+                flavor = report.instance_type,
                 zone = report.zone,
                 spot = report.spot,
                 after_s = now - host.since,
@@ -151,8 +151,8 @@
             );
             host.idle_since = now;
         }
-        host.tenure = report.tenure;
-        host.tick = report.tick;
+        host.tenure = report.incarnation;
+        host.tick = report.sequence;
         host.first_heard.get_or_insert(now);
         host.heard = Some(now);
         if ours {
@@ -161,7 +161,7 @@
             self.last_report = Some(now);
         }
         host.endpoint.clone_from(&report.endpoint);
-        host.taken_at = report.warning_s.map(|left| now + left);
+        host.taken_at = report.reclaim_in_s.map(|left| now + left);
         if ours && !host.acked {
             // From here on nobody else's answers renew its lease, or reach it at all.
             host.acked = true;
@@ -169,21 +169,21 @@
             self.schedule_due = true;
         }
         let mut steps: BTreeMap<TaskId, Vec<TaskStatus>> = BTreeMap::new();
-        for step in &report.steps {
-            if let Some(task) = TaskId::parse(&step.step) {
+        for step in &report.tasks {
+            if let Some(task) = TaskId::parse(&step.task) {
                 steps.entry(task).or_default().push(step.clone());
             }
         }
         host.steps = steps;
-        let name = report.host.clone();
+        let name = report.worker.clone();
         if new_session {
             // A new session has killed and forgotten all tasks of the earlier ones.
-            let tenure = report.tenure;
+            let tenure = report.incarnation;
             self.lose_bindings(&name, |binding| binding.tenure < tenure);
             self.schedule_due = true;
         }
         self.settle_bindings(&name, now);
-        if report.warning_s.is_some() {
+        if report.reclaim_in_s.is_some() {
             self.drain(&name, now);
         }
         self.push_due.insert(name);
--- a/src/coordination/leader/scaling.rs
+++ b/src/coordination/leader/scaling.rs
@@ -143,7 +143,7 @@
                     .iter()
                     .flat_map(move |zone| [false, true].map(|spot| (flavor, zone.clone(), spot)))
             })
-            .filter(|(flavor, _, spot)| !spot || flavor.market_price.is_some())
+            .filter(|(flavor, _, spot)| !spot || flavor.spot_price.is_some())
             .map(|(flavor, zone, spot)| {
                 let key = PoolKey {
                     flavor: flavor.name.clone(),
@@ -155,9 +155,9 @@
                     // What would come up in a zone that is cut off could not be reached either.
                     blocked: self.fleet.is_blocked(&key, now) || self.fleet.is_cut(&key.zone, now),
                     price: if spot {
-                        flavor.market_price.unwrap_or(flavor.hourly)
+                        flavor.spot_price.unwrap_or(flavor.on_demand_price)
                     } else {
-                        flavor.hourly
+                        flavor.on_demand_price
                     },
                     key,
                     flavor,
@@ -177,7 +177,7 @@
             }
             let overdue = host.heard.is_none()
                 && !host.listed_up
-                && now - host.since > fleet::BOOT_USUAL * offer.flavor.ready_s;
+                && now - host.since > fleet::BOOT_USUAL * offer.flavor.boot_time_s;
             if overdue {
                 continue;
             }
@@ -203,7 +203,7 @@
     fn figures(&self, offer: &Offer, stock: &Stock, demand: &Demand) -> Figures {
         self.policy.figures(&PoolView {
             spot: offer.key.spot,
-            ready_s: offer.flavor.ready_s,
+            ready_s: offer.flavor.boot_time_s,
             hourly: offer.price,
             cpus: offer.flavor.cpus,
             busy: stock.busy,
@@ -281,7 +281,7 @@
                 .hosts
                 .iter()
                 .filter(|h| !h.returning && h.heard.is_none() && is_in(h, &offer.key))
-                .filter(|h| now - h.since <= fleet::BOOT_USUAL * offer.flavor.ready_s)
+                .filter(|h| now - h.since <= fleet::BOOT_USUAL * offer.flavor.boot_time_s)
                 .count() as u32;
             let expected = self.fleet.renting(&offer.key);
             for _ in 0..booting + expected {
@@ -310,7 +310,7 @@
         let margin = TURN_MARGIN * (1.0 + TURN_DOUBT / f64::from(running.max(1)).sqrt());
         let ready_s = offers
             .iter()
-            .map(|offer| offer.flavor.ready_s)
+            .map(|offer| offer.flavor.boot_time_s)
             .fold(f64::INFINITY, f64::min);
         let mut ahead = 0.0;
         for unplaced in &self.unplaced {
@@ -322,9 +322,9 @@
             let mut zones = job.zones.clone();
             // Work that may use spot machines waits for them as long as it can still be on time
             // with an ordinary machine rented later.
-            let time_s = EXPECT_MARGIN * self.fleet.bias * spec.expect_s;
+            let time_s = EXPECT_MARGIN * self.fleet.bias * spec.expected_runtime_s;
             let patient = |offer: &Offer| {
-                let ready_s = offer.flavor.ready_s;
+                let ready_s = offer.flavor.boot_time_s;
                 spec.spot && job.due.is_some_and(|due| now + ready_s + time_s < due)
             };
             // What will have its turn in time on the machines there are, or sooner than a new one is
@@ -353,10 +353,10 @@
                 let offer = &offers[bin.pool];
                 *zones.entry(offer.key.zone.clone()).or_default() += 1;
                 let pool = &mut demand[bin.pool];
-                pool.rank = Some(pool.rank.map_or(spec.rank, |rank| rank.min(spec.rank)));
+                pool.rank = Some(pool.rank.map_or(spec.priority, |rank| rank.min(spec.priority)));
                 pool.pending += 1;
                 pool.oldest_s = pool.oldest_s.max(unplaced.age_s);
-                pool.expect_s += spec.expect_s;
+                pool.expect_s += spec.expected_runtime_s;
                 pool.share += need.share_of(&Room::of_flavor(offer.flavor));
             }
         }
@@ -373,7 +373,7 @@
                 if let Some(job) = self.jobs.get(&task.job)
                     && !job.standing()
                 {
-                    let takes_s = self.fleet.bias * job.spec.expect_s;
+                    let takes_s = self.fleet.bias * job.spec.expected_runtime_s;
                     freed += binding.need.cpus / takes_s.max(self.fleet.report_s / 2.0);
                     running += 1;
                 }
--- a/src/coordination/leader/verdicts.rs
+++ b/src/coordination/leader/verdicts.rs
@@ -24,7 +24,7 @@
         let running = host.bindings.get(task).and_then(|binding| binding.running);
         if let Some(since) = running {
             let job = self.jobs.get(&task.job);
-            let expect_s = job.map_or(0.0, |job| job.spec.expect_s);
+            let expect_s = job.map_or(0.0, |job| job.spec.expected_runtime_s);
             self.fleet.note_finish(host, now - since, expect_s, now);
         }
     }
@@ -84,7 +84,7 @@
         }
         if newly_suspect {
             withdraw_failures(job, &mut self.hosts);
-        } else if cause == ExitReason::Error
+        } else if cause == ExitReason::Failed
             && !job.failures.is_suspect()
             && let Some(host) = self.hosts.get_mut(host)
         {
--- a/src/coordination/leader/writes.rs
+++ b/src/coordination/leader/writes.rs
@@ -53,7 +53,7 @@
         let report_s = self.settings.deployment.workers.report_s;
         match reply {
             KvResponse::Committed(stamp) => self.commit(stamp, now),
-            KvResponse::Conflict(failed) => {
+            KvResponse::CompareFailed(failed) => {
                 if failed.iter().any(|key| key == records::LEADER) {
                     self.note(Notice::Deposed);
                 } else if let Some(key) = self.ledger.witness()
@@ -66,14 +66,14 @@
                     self.refused(&failed);
                 }
             }
-            KvResponse::Busy | KvResponse::Refused => {
+            KvResponse::RateLimited | KvResponse::Unavailable => {
                 // An earlier copy may still be on its way; if there is none, all may be put anew.
                 if !self.ledger.doubtful() {
                     self.ledger.not_executed();
                 }
                 self.write_at = now + report_s / 10.0;
             }
-            KvResponse::Bad => {
+            KvResponse::InvalidRequest => {
                 tracing::error!("the state service calls a transaction malformed");
                 self.ledger.not_executed();
                 self.write_at = now + report_s;
@@ -97,10 +97,10 @@
     pub fn witnessed(&mut self, reply: KvResponse, out: &mut Outbox, now: f64) {
         self.writing = false;
         let ours = match &reply {
-            KvResponse::Found(item) => cbor::from_value::<Segment>(&item.value)
+            KvResponse::Value(item) => cbor::from_value::<Segment>(&item.value)
                 .is_ok_and(|segment| self.ledger.is_witness(&segment))
-                .then_some(item.stamp),
-            KvResponse::Missing => None,
+                .then_some(item.mod_revision),
+            KvResponse::NotFound => None,
             _ => {
                 if let Some(key) = self.ledger.witness() {
                     self.look_at_witness(key, out, now);
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -38,13 +38,13 @@
     /// Whether the state service has lately answered some peer.
     pub fn any_served(&self, within_s: f64, now: f64) -> bool {
         self.heard(within_s, now)
-            .any(|heartbeat| heartbeat.state_ok)
+            .any(|heartbeat| heartbeat.state_service_ok)
     }
 
     /// Whether workers have lately come to some peer while this node leads.
     pub fn any_redirected(&self, within_s: f64, now: f64) -> bool {
         self.heard(within_s, now)
-            .any(|heartbeat| heartbeat.redirected > 0)
+            .any(|heartbeat| heartbeat.redirected_workers > 0)
     }
 
     /// The highest epoch that peers have told, and who leads with it.
@@ -58,7 +58,7 @@
     /// Jobs that leaders have told to be suspect.
     pub fn suspects(&self, within_s: f64, now: f64) -> BTreeSet<String> {
         let told = self.heard(within_s, now);
-        told.flat_map(|heartbeat| heartbeat.suspects.iter().cloned())
+        told.flat_map(|heartbeat| heartbeat.crash_looping_jobs.iter().cloned())
             .collect()
     }
 
--- a/src/coordination/scheduler/mod.rs
+++ b/src/coordination/scheduler/mod.rs
@@ -49,7 +49,7 @@
     Room {
         cpus: spec.cpus,
         gpus: spec.gpus,
-        ram: spec.ram,
+        ram: spec.ram_gb,
     }
 }
 
@@ -191,7 +191,7 @@
                     host,
                     zone: number_of(&mut zones, &host.zone),
                     whole,
-                    pull_gb_s: flavor.pull_gb_s,
+                    pull_gb_s: flavor.image_pull_gb_per_s,
                     free: whole.minus(&host.used()),
                     leaving: host.leaving(),
                     movable: None,
@@ -208,7 +208,7 @@
             within: within_guarantee(jobs, quotas),
             unsatisfiable: [None, None],
             lowest: bound
-                .map(|job| job.spec.rank)
+                .map(|job| job.spec.priority)
                 .max()
                 .unwrap_or(PriorityClass::Production),
             limits,
@@ -223,7 +223,7 @@
             .jobs
             .iter()
             .filter(|job| now >= job.not_before && job.startable() > 0)
-            .filter(|job| job.spec.shape != JobKind::Group || job.bound.is_empty())
+            .filter(|job| job.spec.kind != JobKind::Gang || job.bound.is_empty())
             .map(|job| (self.order_key(job), job))
             .collect();
         order.sort_by(|(a, x), (b, y)| {
@@ -240,7 +240,7 @@
 
     fn order_key(&self, job: &Job) -> OrderKey {
         OrderKey {
-            rank: job.spec.rank,
+            rank: job.spec.priority,
             beyond: !self.within.contains(&job.spec.id),
             patient: job.begun()
                 || job.failures.is_suspect()
@@ -267,7 +267,7 @@
         }
         // The tasks of a group start together or not at all; what has been tried is taken back, and
         // only what is beyond the room there was counts as missing.
-        let together = spec.shape == JobKind::Group;
+        let together = spec.kind == JobKind::Gang;
         let before = together.then(|| (self.plan.binds.len(), self.quotas.clone()));
         let (placed, barred, limited) = self.place_tasks(job, &mut placing, rng);
         if let Some((first, quotas)) = before
@@ -320,7 +320,7 @@
         let spec = placing.spec;
         let (mut placed, mut barred, mut expected) = (0, 0, 0);
         // Worth stopping others for: a start within the time that is asked for.
-        let prompt = spec.shape == JobKind::Standing
+        let prompt = spec.kind == JobKind::Service
             && !job.failures.is_suspect()
             && job
                 .prompt_s
@@ -399,7 +399,7 @@
         let mut all: Vec<usize> = (0..self.slots.len())
             .filter(|i| self.slots[*i].free.fits(need) && self.allows(placing, &self.slots[*i]))
             .collect();
-        let anywhere = spec.flavors.is_none() && spec.zone.is_none();
+        let anywhere = spec.instance_types.is_none() && spec.zone.is_none();
         if all.is_empty() && anywhere && !spec.one_zone && !spec.spread {
             self.unsatisfiable[kind] = Some(*need);
         }
@@ -419,7 +419,7 @@
                     slot,
                     failed: placing.failures.has_failed_on(&host.name),
                     image,
-                    slow: spec.rank <= PriorityClass::Urgent && !image && !waits,
+                    slow: spec.priority <= PriorityClass::Urgent && !image && !waits,
                     dear: spec.spot && !host.spot,
                 }
             })
@@ -466,7 +466,7 @@
                     };
                     let left = slot.free.minus(&placing.need).share_of(&slot.whole);
                     let mates = match placing.placed.get(&c.slot) {
-                        Some(count) if !c.image && spec.shape == JobKind::Standing => *count,
+                        Some(count) if !c.image && spec.kind == JobKind::Service => *count,
                         _ => 0,
                     };
                     ((c.failed, c.slow, c.dear, replicas, !c.image, mates), left)
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -32,7 +32,7 @@
         }
         let spec = placing.spec;
         let within = self.within.contains(&spec.id);
-        if stops == Stops::Nowhere || (spec.rank >= self.lowest && !within) {
+        if stops == Stops::Nowhere || (spec.priority >= self.lowest && !within) {
             return false;
         }
         let count = usable.len().min(SAMPLE);
@@ -76,7 +76,7 @@
                 let ran_s = b.running.map_or(0.0, |since| self.now - since);
                 Some(Movable {
                     task,
-                    rank: job.spec.rank,
+                    rank: job.spec.priority,
                     standing: job.standing(),
                     team: &b.team,
                     need: b.need,
@@ -101,7 +101,7 @@
                     .quotas
                     .beyond_without(victim.team, need.cpus, need.gpus)
         };
-        !victim.stopped && (victim.rank > placing.spec.rank || borrowed())
+        !victim.stopped && (victim.rank > placing.spec.priority || borrowed())
     }
 
     /// How many of a host's tasks would have to stop, the least work lost first, and the work lost.
--- a/src/coordination/terminations.rs
+++ b/src/coordination/terminations.rs
@@ -64,15 +64,15 @@
             self.drop_first();
         }
         TerminationLog {
-            life: self.life,
-            first: self.first,
-            list: self.queue.iter().map(|(_, ended)| ended.clone()).collect(),
+            process_incarnation: self.life,
+            first_sequence: self.first,
+            entries: self.queue.iter().map(|(_, ended)| ended.clone()).collect(),
             acks: self
                 .heard
                 .iter()
                 .map(|(label, (life, up_to))| TerminationAck {
                     label: label.clone(),
-                    life: *life,
+                    process_incarnation: *life,
                     up_to: *up_to,
                 })
                 .collect(),
@@ -88,13 +88,13 @@
         let acks = ends
             .acks
             .iter()
-            .filter(|ack| ack.label == self.me && ack.life == self.life);
+            .filter(|ack| ack.label == self.me && ack.process_incarnation == self.life);
         *mark = acks.map(|ack| ack.up_to).fold(*mark, u64::max);
         let all = self.acked.values().copied().min().unwrap_or(0);
         while self.first < all && !self.queue.is_empty() {
             self.drop_first();
         }
-        let up_to = ends.first.saturating_add(ends.list.len() as u64);
-        self.heard.insert(peer.to_owned(), (ends.life, up_to));
+        let up_to = ends.first_sequence.saturating_add(ends.entries.len() as u64);
+        self.heard.insert(peer.to_owned(), (ends.process_incarnation, up_to));
     }
 }
--- a/src/coordination/watch.rs
+++ b/src/coordination/watch.rs
@@ -82,17 +82,17 @@
                 // After an interruption it catches up first, and waits for news then.
                 let in_step = now - self.current_at < IN_STEP * self.wait_s + self.patience_s;
                 let wait_s = if in_step { self.wait_s } else { 0.0 };
-                let call = KvRequest::Follow {
-                    under: self.prefix.to_owned(),
-                    from,
+                let call = KvRequest::Watch {
+                    prefix: self.prefix.to_owned(),
+                    after: from,
                     wait_ms: (wait_s * 1000.0) as u64,
                 };
                 (call, wait_s + self.patience_s)
             }
             None => (
                 KvRequest::List {
-                    under: self.prefix.to_owned(),
-                    from: self.partial.last().map(|item| item.key.clone()),
+                    prefix: self.prefix.to_owned(),
+                    after: self.partial.last().map(|item| item.key.clone()),
                 },
                 self.patience_s,
             ),
@@ -123,26 +123,26 @@
                 events
                     .into_iter()
                     .map(|event| match event {
-                        WatchEvent::Set { key, value, stamp } => {
+                        WatchEvent::Put { key, value, mod_revision: stamp } => {
                             WatchUpdate::Set(key, value, stamp)
                         }
-                        WatchEvent::Remove { key, .. } => WatchUpdate::Removed(key),
+                        WatchEvent::Delete { key, .. } => WatchUpdate::Removed(key),
                     })
                     .collect()
             }
-            KvResponse::Gone => {
+            KvResponse::Compacted => {
                 self.revision = None;
                 Vec::new()
             }
             // A watch without a usable answer may have brought more than we take: once more, then the
             // keys are read anew, in pages.
-            KvResponse::Silent if self.revision.is_some() && self.failed => {
+            KvResponse::OutcomeUnknown if self.revision.is_some() && self.failed => {
                 self.failed = false;
                 self.revision = None;
                 Vec::new()
             }
             other => {
-                self.failed = matches!(other, KvResponse::Silent);
+                self.failed = matches!(other, KvResponse::OutcomeUnknown);
                 self.retry_at = now + self.patience_s / 4.0;
                 Vec::new()
             }
--- a/src/node.rs
+++ b/src/node.rs
@@ -422,7 +422,7 @@
                 call,
                 within_s,
             } => {
-                let request = call.request();
+                let request = call.http_request();
                 let waiting = Waiting::Store(tag, call, now.steady);
                 self.send(Pool::State, self.state, request, waiting, within_s, now);
             }
@@ -431,7 +431,7 @@
                 call,
                 within_s,
             } => {
-                let request = call.request();
+                let request = call.http_request();
                 let waiting = Waiting::Cloud(tag, call);
                 self.send(Pool::Cloud, self.cloud, request, waiting, within_s, now);
             }
@@ -442,7 +442,7 @@
                 within_s,
             } => match endpoint.parse::<SocketAddr>() {
                 Ok(to) => {
-                    let request = call.request();
+                    let request = call.http_request();
                     let waiting = Waiting::Worker(tag);
                     self.send(Pool::Workers, to, request, waiting, within_s, now);
                 }
@@ -503,33 +503,33 @@
             };
             match waiting {
                 Waiting::Store(tag, call, sent) => {
-                    if !matches!(call, KvRequest::Follow { .. }) {
+                    if !matches!(call, KvRequest::Watch { .. }) {
                         self.state_calls.record(now.steady - sent);
                     }
                     let reply = match outcome {
-                        Outcome::Answer(r) => call.reply(r.status, &r.body),
+                        Outcome::Answer(r) => call.response(r.status, &r.body),
                         // Certainly not executed, but no more is known of the service.
                         Outcome::NotSent | Outcome::Unreached | Outcome::Silent => {
-                            KvResponse::Silent
+                            KvResponse::OutcomeUnknown
                         }
                     };
                     self.controller.store_reply(tag, reply, now);
                 }
                 Waiting::Cloud(tag, call) => {
                     let reply = match outcome {
-                        Outcome::Answer(r) => call.reply(r.status, &r.body),
+                        Outcome::Answer(r) => call.response(r.status, &r.body),
                         Outcome::NotSent | Outcome::Unreached | Outcome::Silent => {
-                            CloudResponse::Silent
+                            CloudResponse::OutcomeUnknown
                         }
                     };
                     self.controller.cloud_reply(tag, reply, now);
                 }
                 Waiting::Worker(tag) => {
                     let reply = match outcome {
-                        Outcome::Answer(r) => WorkerRequest::reply(r.status, &r.body),
+                        Outcome::Answer(r) => WorkerRequest::response(r.status, &r.body),
                         Outcome::NotSent => WorkerResponse::NotSent,
-                        Outcome::Unreached => WorkerResponse::Unreached,
-                        Outcome::Silent => WorkerResponse::Silent,
+                        Outcome::Unreached => WorkerResponse::Unreachable,
+                        Outcome::Silent => WorkerResponse::OutcomeUnknown,
                     };
                     self.controller.worker_reply(tag, reply, now);
                 }
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -8,7 +8,7 @@
 /// The most names of one deletion.
 pub const MAX_INSTANCES_PER_DELETE: usize = 100;
 /// Machines in a page of the list.
-pub const PAGE: u32 = 500;
+pub const PAGE_SIZE: u32 = 500;
 
 /// A machine type.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -24,26 +24,26 @@
     pub gpus: f64,
     /// Memory.
     #[serde(rename = "RamGb", deserialize_with = "cbor::amount")]
-    pub ram: f64,
+    pub ram_gb: f64,
     /// Space for images.
     #[serde(rename = "LocalGb", default, deserialize_with = "cbor::amount")]
-    pub cache_gb: f64,
+    pub image_cache_gb: f64,
     /// Image fetch rate.
     #[serde(rename = "PullGbPerS", default, deserialize_with = "cbor::amount")]
-    pub pull_gb_s: f64,
+    pub image_pull_gb_per_s: f64,
     /// Ordinary price per hour.
     #[serde(rename = "Hourly", deserialize_with = "cbor::amount")]
-    pub hourly: f64,
+    pub on_demand_price: f64,
     /// Present spot price per hour.
     #[serde(
         rename = "MarketPrice",
         default,
         deserialize_with = "cbor::optional_amount"
     )]
-    pub market_price: Option<f64>,
+    pub spot_price: Option<f64>,
     /// Usual boot time.
     #[serde(rename = "ReadyS", deserialize_with = "cbor::amount")]
-    pub ready_s: f64,
+    pub boot_time_s: f64,
     /// Zones in which it is offered.
     #[serde(rename = "Groves")]
     pub zones: Vec<String>,
@@ -52,7 +52,7 @@
 #[derive(Deserialize)]
 struct InstanceTypeList {
     #[serde(rename = "Flavors")]
-    flavors: Vec<InstanceType>,
+    instance_types: Vec<InstanceType>,
 }
 
 /// State of a machine in the list.
@@ -81,7 +81,7 @@
     pub endpoint: String,
     /// Type.
     #[serde(rename = "Flavor")]
-    pub flavor: String,
+    pub instance_type: String,
     /// Zone.
     #[serde(rename = "Grove")]
     pub zone: String,
@@ -115,10 +115,10 @@
 pub struct CreateInstances {
     /// Name of the request; never used twice.
     #[serde(rename = "Bid")]
-    pub bid: String,
+    pub idempotency_key: String,
     /// Type.
     #[serde(rename = "Flavor")]
-    pub flavor: String,
+    pub instance_type: String,
     /// Zone.
     #[serde(rename = "Grove")]
     pub zone: String,
@@ -140,82 +140,82 @@
 #[derive(Debug, Clone)]
 pub enum CloudRequest {
     /// The catalogue.
-    Types,
+    ListInstanceTypes,
     /// Rent machines.
-    Rent(CreateInstances),
+    CreateInstances(CreateInstances),
     /// Delete machines.
-    Delete(Vec<String>),
+    DeleteInstances(Vec<String>),
     /// List machines after a name.
-    List(Option<String>),
+    ListInstances(Option<String>),
 }
 
 /// What came of a call to the cloud.
 #[derive(Debug, Clone)]
 pub enum CloudResponse {
     /// The catalogue.
-    Types(Vec<InstanceType>),
+    InstanceTypes(Vec<InstanceType>),
     /// The names of the machines rented.
-    Rented(Vec<String>),
+    Created(Vec<String>),
     /// None available.
-    NoCapacity,
+    InsufficientCapacity,
     /// The machines are gone.
     Deleted,
     /// A page of the list, and whether more follow.
     Page(Vec<Instance>, bool),
     /// Too many requests.
-    Busy,
+    RateLimited,
     /// An outage.
-    Trouble,
+    Unavailable,
     /// Malformed, says the cloud.
-    Bad,
+    InvalidRequest,
     /// No usable answer; the call may be executed at any later time.
-    Silent,
+    OutcomeUnknown,
 }
 
 impl CloudRequest {
     /// Method, path and body.
-    pub fn request(&self) -> (&'static str, String, Vec<u8>) {
+    pub fn http_request(&self) -> (&'static str, String, Vec<u8>) {
         match self {
-            CloudRequest::Types => ("GET", "/machine_types".to_owned(), Vec::new()),
-            CloudRequest::Rent(rental) => ("POST", "/machines".to_owned(), cbor::encode(rental)),
-            CloudRequest::Delete(hosts) => (
+            CloudRequest::ListInstanceTypes => ("GET", "/machine_types".to_owned(), Vec::new()),
+            CloudRequest::CreateInstances(rental) => ("POST", "/machines".to_owned(), cbor::encode(rental)),
+            CloudRequest::DeleteInstances(hosts) => (
                 "POST",
                 "/machines/delete".to_owned(),
                 cbor::encode(&Names { hosts }),
             ),
-            CloudRequest::List(None) => ("GET", format!("/machines?Page={PAGE}"), Vec::new()),
-            CloudRequest::List(Some(from)) => (
+            CloudRequest::ListInstances(None) => ("GET", format!("/machines?Page={PAGE_SIZE}"), Vec::new()),
+            CloudRequest::ListInstances(Some(from)) => (
                 "GET",
-                format!("/machines?From={from}&Page={PAGE}"),
+                format!("/machines?From={from}&Page={PAGE_SIZE}"),
                 Vec::new(),
             ),
         }
     }
 
     /// Reads the answer.
-    pub fn reply(&self, status: u16, body: &[u8]) -> CloudResponse {
+    pub fn response(&self, status: u16, body: &[u8]) -> CloudResponse {
         match (status, self) {
-            (200, CloudRequest::Types) => match cbor::decode::<InstanceTypeList>(body) {
-                Ok(list) => CloudResponse::Types(list.flavors),
-                Err(_) => CloudResponse::Silent,
+            (200, CloudRequest::ListInstanceTypes) => match cbor::decode::<InstanceTypeList>(body) {
+                Ok(list) => CloudResponse::InstanceTypes(list.instance_types),
+                Err(_) => CloudResponse::OutcomeUnknown,
             },
-            (200, CloudRequest::Rent(_)) => match cbor::decode::<CreatedInstances>(body) {
-                Ok(rented) => CloudResponse::Rented(rented.hosts),
-                Err(_) => CloudResponse::Silent,
+            (200, CloudRequest::CreateInstances(_)) => match cbor::decode::<CreatedInstances>(body) {
+                Ok(rented) => CloudResponse::Created(rented.hosts),
+                Err(_) => CloudResponse::OutcomeUnknown,
             },
-            (200, CloudRequest::Delete(_)) => CloudResponse::Deleted,
-            (200, CloudRequest::List(_)) => match cbor::decode::<InstancePage>(body) {
+            (200, CloudRequest::DeleteInstances(_)) => CloudResponse::Deleted,
+            (200, CloudRequest::ListInstances(_)) => match cbor::decode::<InstancePage>(body) {
                 Ok(page) => CloudResponse::Page(page.hosts, page.more),
-                Err(_) => CloudResponse::Silent,
+                Err(_) => CloudResponse::OutcomeUnknown,
             },
-            (503, CloudRequest::Rent(_)) => match cbor::decode::<super::job::ErrorBody>(body) {
-                Ok(refusal) if refusal.error == "no capacity" => CloudResponse::NoCapacity,
-                _ => CloudResponse::Trouble,
+            (503, CloudRequest::CreateInstances(_)) => match cbor::decode::<super::job::ErrorBody>(body) {
+                Ok(refusal) if refusal.error == "no capacity" => CloudResponse::InsufficientCapacity,
+                _ => CloudResponse::Unavailable,
             },
-            (503, _) => CloudResponse::Trouble,
-            (429, _) => CloudResponse::Busy,
-            (400, _) => CloudResponse::Bad,
-            _ => CloudResponse::Silent,
+            (503, _) => CloudResponse::Unavailable,
+            (429, _) => CloudResponse::RateLimited,
+            (400, _) => CloudResponse::InvalidRequest,
+            _ => CloudResponse::OutcomeUnknown,
         }
     }
 }
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -20,11 +20,13 @@
 pub enum JobKind {
     /// Independent tasks, each of which runs to completion.
     Array,
-    /// Tasks that run to completion and need one another: they are started together. Not in the
+    /// Gang scheduling: tasks that run to completion and need one another are started together. Not in the
     /// protocol's text, but its users' tools send it; see docs/questions.md.
-    Group,
+    #[serde(rename = "group")]
+    Gang,
     /// Replicas that run until the job is cancelled.
-    Standing,
+    #[serde(rename = "standing")]
+    Service,
 }
 
 /// Priority, the most important first.
@@ -55,10 +57,10 @@
     pub team: String,
     /// Array or standing.
     #[serde(rename = "Shape")]
-    pub shape: JobKind,
+    pub kind: JobKind,
     /// Priority.
     #[serde(rename = "Rank")]
-    pub rank: PriorityClass,
+    pub priority: PriorityClass,
     /// Number of tasks.
     #[serde(rename = "Steps")]
     pub tasks: u32,
@@ -70,10 +72,10 @@
     pub gpus: f64,
     /// Memory of each task.
     #[serde(rename = "RamGb", deserialize_with = "cbor::amount")]
-    pub ram: f64,
+    pub ram_gb: f64,
     /// Allowed machine types; none: any.
     #[serde(rename = "Flavors")]
-    pub flavors: Option<Vec<String>>,
+    pub instance_types: Option<Vec<String>>,
     /// The only allowed zone.
     #[serde(rename = "Grove")]
     pub zone: Option<String>,
@@ -94,19 +96,19 @@
     pub image_gb: f64,
     /// The owner's estimate of a task's run time.
     #[serde(rename = "ExpectS", deserialize_with = "cbor::amount")]
-    pub expect_s: f64,
+    pub expected_runtime_s: f64,
     /// Checkpoint interval, 0 for none.
     #[serde(rename = "SnapshotS", deserialize_with = "cbor::amount")]
-    pub snapshot_s: f64,
+    pub checkpoint_interval_s: f64,
     /// Time to save when stopped.
     #[serde(rename = "FlushS", deserialize_with = "cbor::amount")]
-    pub flush_s: f64,
+    pub checkpoint_grace_s: f64,
     /// Deadline from submission.
     #[serde(rename = "DueS", default, deserialize_with = "cbor::optional_amount")]
-    pub due_s: Option<f64>,
+    pub deadline_s: Option<f64>,
     /// Time of day at which a node took the job, in seconds; our own addition.
     #[serde(rename = "At", default, deserialize_with = "cbor::amount")]
-    pub at: f64,
+    pub submitted_at: f64,
 }
 
 impl JobSpec {
@@ -124,7 +126,7 @@
         (self.spot || !spot)
             && self.zone.as_deref().is_none_or(|only| only == zone)
             && self
-                .flavors
+                .instance_types
                 .as_ref()
                 .is_none_or(|flavors| flavors.iter().any(|f| f == flavor))
     }
@@ -195,7 +197,7 @@
 }
 
 /// Reads a submission. `at` is the time of day at which it came.
-pub fn parse(body: &[u8], at: f64) -> Result<JobSpec, InvalidJob> {
+pub fn parse_submission(body: &[u8], at: f64) -> Result<JobSpec, InvalidJob> {
     let value: Value = cbor::decode(body).map_err(|_| InvalidJob::NotAMap)?;
     let pairs = value.into_map().map_err(|_| InvalidJob::NotAMap)?;
     let mut map = HashMap::with_capacity(pairs.len());
@@ -236,24 +238,24 @@
         id,
         class: fields.text("Jobclass")?,
         team: fields.text("Owner")?,
-        shape: fields.choice("Shape")?,
-        rank: fields.choice("Rank")?,
+        kind: fields.choice("Shape")?,
+        priority: fields.choice("Rank")?,
         tasks: tasks as u32,
         cpus: fields.amount("Cores")?,
         gpus: fields.amount("Gpus")?,
-        ram: fields.amount("RamGb")?,
-        flavors,
+        ram_gb: fields.amount("RamGb")?,
+        instance_types: flavors,
         zone,
         one_zone: fields.flag("OneZone")?,
         spread: fields.flag("Spread")?,
         spot: fields.flag("Windfall")?,
         image: fields.text("Bundle")?,
         image_gb: fields.amount("PullGb")?,
-        expect_s: fields.amount("ExpectS")?,
-        snapshot_s: fields.amount("SnapshotS")?,
-        flush_s: fields.amount("FlushS")?,
-        due_s,
-        at,
+        expected_runtime_s: fields.amount("ExpectS")?,
+        checkpoint_interval_s: fields.amount("SnapshotS")?,
+        checkpoint_grace_s: fields.amount("FlushS")?,
+        deadline_s: due_s,
+        submitted_at: at,
     })
 }
 
--- a/src/protocol/kv.rs
+++ b/src/protocol/kv.rs
@@ -9,7 +9,7 @@
 /// Conditions per write that a transaction may have.
 pub const COMPARES_PER_WRITE: usize = 4;
 /// Items in a page of keys.
-pub const PAGE: u32 = 1000;
+pub const PAGE_SIZE: u32 = 1000;
 
 /// A condition of a transaction: the key has this version (0: it does not exist).
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -19,7 +19,7 @@
     pub key: String,
     /// Version.
     #[serde(rename = "Stamp")]
-    pub stamp: u64,
+    pub mod_revision: u64,
 }
 
 impl Compare {
@@ -27,7 +27,7 @@
     pub fn new(key: impl Into<String>, stamp: u64) -> Compare {
         Compare {
             key: key.into(),
-            stamp,
+            mod_revision: stamp,
         }
     }
 }
@@ -37,7 +37,7 @@
 #[serde(untagged)]
 pub enum WriteOp {
     /// Put a value, attached to a lease or not.
-    Set {
+    Put {
         /// Key.
         #[serde(rename = "Set")]
         key: String,
@@ -46,10 +46,10 @@
         value: Value,
         /// Lease.
         #[serde(rename = "Hold", skip_serializing_if = "Option::is_none", default)]
-        hold: Option<u64>,
+        lease_id: Option<u64>,
     },
     /// Delete a key.
-    Remove {
+    Delete {
         /// Key.
         #[serde(rename = "Remove")]
         key: String,
@@ -58,22 +58,22 @@
 
 impl WriteOp {
     /// Puts one of our own types.
-    pub fn set<T: Serialize>(key: impl Into<String>, value: &T) -> WriteOp {
-        WriteOp::Set {
+    pub fn put<T: Serialize>(key: impl Into<String>, value: &T) -> WriteOp {
+        WriteOp::Put {
             key: key.into(),
             value: cbor::to_value(value),
-            hold: None,
+            lease_id: None,
         }
     }
     /// Deletes a key.
-    pub fn remove(key: impl Into<String>) -> WriteOp {
-        WriteOp::Remove { key: key.into() }
+    pub fn delete(key: impl Into<String>) -> WriteOp {
+        WriteOp::Delete { key: key.into() }
     }
     /// Size as the protocol counts it.
     pub fn json_size(&self) -> usize {
         match self {
-            WriteOp::Set { key, value, .. } => key.len() + 48 + cbor::json_size(value),
-            WriteOp::Remove { key } => key.len() + 16,
+            WriteOp::Put { key, value, .. } => key.len() + 48 + cbor::json_size(value),
+            WriteOp::Delete { key } => key.len() + 16,
         }
     }
 }
@@ -83,7 +83,7 @@
 pub struct Txn {
     /// Conditions.
     #[serde(rename = "When", default)]
-    pub when: Vec<Compare>,
+    pub compares: Vec<Compare>,
     /// Changes.
     #[serde(rename = "Writes", default)]
     pub writes: Vec<WriteOp>,
@@ -100,10 +100,10 @@
     pub value: Value,
     /// Version.
     #[serde(rename = "Stamp")]
-    pub stamp: u64,
+    pub mod_revision: u64,
     /// Lease.
     #[serde(rename = "Hold", default)]
-    pub hold: Option<u64>,
+    pub lease_id: Option<u64>,
 }
 
 /// A change seen by a watch.
@@ -111,7 +111,7 @@
 #[serde(untagged)]
 pub enum WatchEvent {
     /// A key was put.
-    Set {
+    Put {
         /// Key.
         #[serde(rename = "Set")]
         key: String,
@@ -120,23 +120,23 @@
         value: Value,
         /// Version.
         #[serde(rename = "Stamp")]
-        stamp: u64,
+        mod_revision: u64,
     },
     /// A key was deleted.
-    Remove {
+    Delete {
         /// Key.
         #[serde(rename = "Remove")]
         key: String,
         /// Revision of the deletion.
         #[serde(rename = "Stamp")]
-        stamp: u64,
+        mod_revision: u64,
     },
 }
 
 #[derive(Deserialize)]
 struct Revision {
     #[serde(rename = "Ledger")]
-    ledger: u64,
+    revision: u64,
 }
 
 #[derive(Deserialize)]
@@ -152,13 +152,13 @@
     #[serde(rename = "More", default)]
     more: bool,
     #[serde(rename = "Ledger")]
-    ledger: u64,
+    revision: u64,
 }
 
 #[derive(Deserialize)]
 struct Events {
     #[serde(rename = "Ledger")]
-    ledger: u64,
+    revision: u64,
     #[serde(rename = "Events", default)]
     events: Vec<WatchEvent>,
 }
@@ -166,13 +166,13 @@
 #[derive(Serialize, Deserialize)]
 struct LeaseBody {
     #[serde(rename = "Hold")]
-    hold: u64,
+    lease_id: u64,
 }
 
 #[derive(Serialize)]
 struct GrantLeaseBody {
     #[serde(rename = "LifeMs")]
-    life_ms: u64,
+    ttl_ms: u64,
 }
 
 /// A call to the state service.
@@ -183,24 +183,24 @@
     /// Read a page of keys under a prefix, after a key.
     List {
         /// Prefix.
-        under: String,
+        prefix: String,
         /// Key after which the page starts.
-        from: Option<String>,
+        after: Option<String>,
     },
     /// Compare and change.
     Txn(Txn),
     /// New lease, in milliseconds.
-    Grant(u64),
+    GrantLease(u64),
     /// Renew a lease.
-    Renew(u64),
+    KeepAlive(u64),
     /// End a lease.
-    Drop(u64),
+    RevokeLease(u64),
     /// Wait for changes under a prefix.
-    Follow {
+    Watch {
         /// Prefix.
-        under: String,
+        prefix: String,
         /// Revision already known.
-        from: u64,
+        after: u64,
         /// Longest wait.
         wait_ms: u64,
     },
@@ -210,60 +210,62 @@
 #[derive(Debug, Clone)]
 pub enum KvResponse {
     /// The key.
-    Found(KeyValue),
+    Value(KeyValue),
     /// The key does not exist.
-    Missing,
+    NotFound,
     /// A page of keys, whether more follow, and the revision.
     Page(Vec<KeyValue>, bool, u64),
     /// Committed at a revision.
     Committed(u64),
     /// Conditions that do not hold.
-    Conflict(Vec<String>),
+    CompareFailed(Vec<String>),
     /// The new lease.
-    Granted(u64),
+    LeaseGranted(u64),
     /// The lease was renewed or ended.
-    Ok,
-    /// The lease has ended, or the watched revision is too old.
-    Gone,
+    LeaseOk,
+    /// The lease has expired.
+    LeaseExpired,
+    /// The revision to watch from has been compacted: the keys must be listed anew.
+    Compacted,
     /// Changes and the revision they lead to.
     Events(Vec<WatchEvent>, u64),
     /// Over the rate limit; not executed.
-    Busy,
+    RateLimited,
     /// Not executed.
-    Refused,
+    Unavailable,
     /// Malformed, says the service.
-    Bad,
+    InvalidRequest,
     /// No usable answer; the call may be executed at any later time.
-    Silent,
+    OutcomeUnknown,
 }
 
 impl KvRequest {
     /// Method, path and body.
-    pub fn request(&self) -> (&'static str, String, Vec<u8>) {
+    pub fn http_request(&self) -> (&'static str, String, Vec<u8>) {
         match self {
             KvRequest::Get(key) => ("GET", format!("/keys/{key}"), Vec::new()),
-            KvRequest::List { under, from } => {
+            KvRequest::List { prefix: under, after: from } => {
                 let from = from
                     .as_ref()
                     .map(|key| format!("&From={key}"))
                     .unwrap_or_default();
                 (
                     "GET",
-                    format!("/keys?Under={under}{from}&Page={PAGE}"),
+                    format!("/keys?Under={under}{from}&Page={PAGE_SIZE}"),
                     Vec::new(),
                 )
             }
             KvRequest::Txn(txn) => ("POST", "/txn".to_owned(), cbor::encode(txn)),
-            KvRequest::Grant(life_ms) => (
+            KvRequest::GrantLease(ttl_ms) => (
                 "POST",
                 "/holds".to_owned(),
-                cbor::encode(&GrantLeaseBody { life_ms: *life_ms }),
+                cbor::encode(&GrantLeaseBody { ttl_ms: *ttl_ms }),
             ),
-            KvRequest::Renew(hold) => ("POST", format!("/holds/{hold}/renew"), Vec::new()),
-            KvRequest::Drop(hold) => ("DELETE", format!("/holds/{hold}"), Vec::new()),
-            KvRequest::Follow {
-                under,
-                from,
+            KvRequest::KeepAlive(hold) => ("POST", format!("/holds/{hold}/renew"), Vec::new()),
+            KvRequest::RevokeLease(hold) => ("DELETE", format!("/holds/{hold}"), Vec::new()),
+            KvRequest::Watch {
+                prefix: under,
+                after: from,
                 wait_ms,
             } => (
                 "GET",
@@ -274,40 +276,40 @@
     }
 
     /// Reads the answer.
-    pub fn reply(&self, status: u16, body: &[u8]) -> KvResponse {
+    pub fn response(&self, status: u16, body: &[u8]) -> KvResponse {
         match status {
-            429 => return KvResponse::Busy,
-            503 => return KvResponse::Refused,
-            400 => return KvResponse::Bad,
+            429 => return KvResponse::RateLimited,
+            503 => return KvResponse::Unavailable,
+            400 => return KvResponse::InvalidRequest,
             _ => {}
         }
-        self.read(status, body).unwrap_or(KvResponse::Silent)
+        self.decode(status, body).unwrap_or(KvResponse::OutcomeUnknown)
     }
 
-    fn read(&self, status: u16, body: &[u8]) -> Option<KvResponse> {
+    fn decode(&self, status: u16, body: &[u8]) -> Option<KvResponse> {
         Some(match (self, status) {
-            (KvRequest::Get(_), 200) => KvResponse::Found(cbor::decode(body).ok()?),
-            (KvRequest::Get(_), 404) => KvResponse::Missing,
+            (KvRequest::Get(_), 200) => KvResponse::Value(cbor::decode(body).ok()?),
+            (KvRequest::Get(_), 404) => KvResponse::NotFound,
             (KvRequest::List { .. }, 200) => {
                 let page: ItemPage = cbor::decode(body).ok()?;
-                KvResponse::Page(page.items, page.more, page.ledger)
+                KvResponse::Page(page.items, page.more, page.revision)
             }
             (KvRequest::Txn(_), 200) => {
-                KvResponse::Committed(cbor::decode::<Revision>(body).ok()?.ledger)
+                KvResponse::Committed(cbor::decode::<Revision>(body).ok()?.revision)
             }
             (KvRequest::Txn(_), 409) => {
-                KvResponse::Conflict(cbor::decode::<Failed>(body).ok()?.failed)
+                KvResponse::CompareFailed(cbor::decode::<Failed>(body).ok()?.failed)
             }
-            (KvRequest::Grant(_), 200) => {
-                KvResponse::Granted(cbor::decode::<LeaseBody>(body).ok()?.hold)
+            (KvRequest::GrantLease(_), 200) => {
+                KvResponse::LeaseGranted(cbor::decode::<LeaseBody>(body).ok()?.lease_id)
             }
-            (KvRequest::Renew(_) | KvRequest::Drop(_), 200..=299) => KvResponse::Ok,
-            (KvRequest::Renew(_) | KvRequest::Drop(_), 404) => KvResponse::Gone,
-            (KvRequest::Follow { .. }, 200) => {
+            (KvRequest::KeepAlive(_) | KvRequest::RevokeLease(_), 200..=299) => KvResponse::LeaseOk,
+            (KvRequest::KeepAlive(_) | KvRequest::RevokeLease(_), 404) => KvResponse::LeaseExpired,
+            (KvRequest::Watch { .. }, 200) => {
                 let page: Events = cbor::decode(body).ok()?;
-                KvResponse::Events(page.events, page.ledger)
+                KvResponse::Events(page.events, page.revision)
             }
-            (KvRequest::Follow { .. }, 410) => KvResponse::Gone,
+            (KvRequest::Watch { .. }, 410) => KvResponse::Compacted,
             _ => return None,
         })
     }
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -40,7 +40,7 @@
     /// The peer.
     pub label: String,
     /// Which of its processes.
-    pub life: u64,
+    pub process_incarnation: u64,
     /// All ends before this number were heard.
     pub up_to: u64,
 }
@@ -49,11 +49,11 @@
 #[derive(Debug, Clone, Default, PartialEq, Archive, Serialize, Deserialize)]
 pub struct TerminationLog {
     /// Tells this process from earlier ones of the same node.
-    pub life: u64,
+    pub process_incarnation: u64,
     /// Number of the first of the list.
-    pub first: u64,
+    pub first_sequence: u64,
     /// The ends, numbered in order.
-    pub list: Vec<Termination>,
+    pub entries: Vec<Termination>,
     /// What was heard of each peer.
     pub acks: Vec<TerminationAck>,
 }
@@ -68,17 +68,17 @@
     /// Who it thinks leads.
     pub leader: Option<String>,
     /// Whether the state service answered it lately.
-    pub state_ok: bool,
+    pub state_service_ok: bool,
     /// Workers that knocked at it lately although another node leads.
-    pub redirected: u32,
+    pub redirected_workers: u32,
     /// From the leader: display counts of the open jobs.
     pub counts: Vec<JobCounts>,
     /// From the leader: jobs that are suspect, since their tasks fail on several machines.
-    pub suspects: Vec<String>,
+    pub crash_looping_jobs: Vec<String>,
     /// Changes a second that this node has lately made in the state service for its users.
     pub changes_per_s: f64,
     /// Jobs that have ended by this node's doing.
-    pub ends: TerminationLog,
+    pub terminations: TerminationLog,
 }
 
 /// Encodes a message, without its frame.
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -39,12 +39,13 @@
     /// Running.
     Running,
     /// Saving before it stops.
-    Flushing,
+    #[serde(rename = "flushing")]
+    Checkpointing,
     /// Ended.
     Exited,
     /// A state this version does not know; the task is taken to be on the machine.
-    #[serde(other)]
-    Other,
+    #[serde(rename = "other", other)]
+    Unknown,
 }
 
 /// Why a task ended.
@@ -52,20 +53,25 @@
 #[serde(rename_all = "snake_case")]
 pub enum ExitReason {
     /// Completed.
-    Done,
+    #[serde(rename = "done")]
+    Completed,
     /// Stopped by command.
     Stopped,
     /// Failed.
-    Error,
+    #[serde(rename = "error")]
+    Failed,
     /// Refused: not enough free resources.
-    Full,
+    #[serde(rename = "full")]
+    InsufficientResources,
     /// Refused: the task is here with another attempt.
-    Busy,
+    #[serde(rename = "busy")]
+    AttemptConflict,
     /// Refused: no such job or task.
-    NoSuch,
+    #[serde(rename = "no_such")]
+    UnknownTask,
     /// A cause this version does not know.
-    #[serde(other)]
-    Other,
+    #[serde(rename = "other", other)]
+    Unknown,
 }
 
 /// One task in a report.
@@ -73,16 +79,16 @@
 pub struct TaskStatus {
     /// Task, in wire form.
     #[serde(rename = "Step")]
-    pub step: String,
+    pub task: String,
     /// Attempt.
     #[serde(rename = "Try")]
     pub attempt: u64,
     /// State.
     #[serde(rename = "Status")]
-    pub status: TaskState,
+    pub state: TaskState,
     /// Why it exited.
     #[serde(rename = "Cause", default)]
-    pub cause: Option<ExitReason>,
+    pub exit_reason: Option<ExitReason>,
 }
 
 /// A worker's report.
@@ -90,13 +96,13 @@
 pub struct WorkerHeartbeat {
     /// Machine name.
     #[serde(rename = "Host")]
-    pub host: String,
+    pub worker: String,
     /// Address for direct commands.
     #[serde(rename = "Endpoint")]
     pub endpoint: String,
     /// Machine type.
     #[serde(rename = "Flavor")]
-    pub flavor: String,
+    pub instance_type: String,
     /// Zone.
     #[serde(rename = "Grove")]
     pub zone: String,
@@ -105,10 +111,10 @@
     pub spot: bool,
     /// Session.
     #[serde(rename = "Tenure")]
-    pub tenure: u64,
+    pub incarnation: u64,
     /// Order within the session.
     #[serde(rename = "Tick")]
-    pub tick: u64,
+    pub sequence: u64,
     /// Highest token the worker has seen.
     #[serde(rename = "Epoch")]
     pub token: FencingToken,
@@ -118,10 +124,10 @@
         default,
         deserialize_with = "cbor::optional_amount"
     )]
-    pub warning_s: Option<f64>,
+    pub reclaim_in_s: Option<f64>,
     /// Tasks on the machine.
     #[serde(rename = "Steps", default)]
-    pub steps: Vec<TaskStatus>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// What an order does.
@@ -131,7 +137,8 @@
     /// Start a task.
     Start,
     /// Stop a task.
-    Halt,
+    #[serde(rename = "halt")]
+    Stop,
     /// Drop an exited task from the reports.
     Clear,
 }
@@ -141,16 +148,16 @@
 pub struct Command {
     /// What to do.
     #[serde(rename = "Verb")]
-    pub verb: CommandKind,
+    pub kind: CommandKind,
     /// To which task.
     #[serde(rename = "Step")]
-    pub step: String,
+    pub task: String,
     /// Attempt.
     #[serde(rename = "Try")]
     pub attempt: u64,
     /// Time to save, for `halt`.
     #[serde(rename = "DrainS", skip_serializing_if = "Option::is_none", default)]
-    pub drain_s: Option<f64>,
+    pub grace_s: Option<f64>,
 }
 
 /// Answer to a report, and the body of direct commands.
@@ -161,10 +168,10 @@
     pub token: FencingToken,
     /// Session; only in direct commands.
     #[serde(rename = "Tenure", skip_serializing_if = "Option::is_none", default)]
-    pub tenure: Option<u64>,
+    pub incarnation: Option<u64>,
     /// Commands in order.
     #[serde(rename = "Orders")]
-    pub orders: Vec<Command>,
+    pub commands: Vec<Command>,
 }
 
 /// Body of a 421.
@@ -172,7 +179,7 @@
 pub struct NotLeader {
     /// The node to report to.
     #[serde(rename = "Foreman", skip_serializing_if = "Option::is_none", default)]
-    pub foreman: Option<String>,
+    pub leader_hint: Option<String>,
 }
 
 /// A direct call to a worker.
@@ -186,20 +193,20 @@
 #[derive(Debug, Clone)]
 pub enum WorkerResponse {
     /// Executed (or shown).
-    Done(Box<WorkerHeartbeat>),
+    Executed(Box<WorkerHeartbeat>),
     /// Nothing executed: token or session do not match.
-    Mismatch(Box<WorkerHeartbeat>),
+    Rejected(Box<WorkerHeartbeat>),
     /// The call was never sent, for want of a connection to spare.
     NotSent,
     /// The call was never sent: the worker takes no connection.
-    Unreached,
+    Unreachable,
     /// No usable answer; the call may be executed at any later time.
-    Silent,
+    OutcomeUnknown,
 }
 
 impl WorkerRequest {
     /// Method, path and body.
-    pub fn request(&self) -> (&'static str, String, Vec<u8>) {
+    pub fn http_request(&self) -> (&'static str, String, Vec<u8>) {
         match self {
             WorkerRequest::Commands(commands) => {
                 ("POST", "/commands".to_owned(), cbor::encode(commands))
@@ -208,11 +215,11 @@
     }
 
     /// Reads the answer.
-    pub fn reply(status: u16, body: &[u8]) -> WorkerResponse {
+    pub fn response(status: u16, body: &[u8]) -> WorkerResponse {
         match (status, cbor::decode::<WorkerHeartbeat>(body)) {
-            (200, Ok(report)) => WorkerResponse::Done(Box::new(report)),
-            (409, Ok(report)) => WorkerResponse::Mismatch(Box::new(report)),
-            _ => WorkerResponse::Silent,
+            (200, Ok(report)) => WorkerResponse::Executed(Box::new(report)),
+            (409, Ok(report)) => WorkerResponse::Rejected(Box::new(report)),
+            _ => WorkerResponse::OutcomeUnknown,
         }
     }
 }
--- a/tests/bindings.rs
+++ b/tests/bindings.rs
@@ -18,14 +18,14 @@
 
 fn shows(host: &mut Host, attempt: u64, status: TaskState) {
     let task = task("j-1", 0);
-    let cause = (status == TaskState::Exited).then_some(ExitReason::Done);
+    let cause = (status == TaskState::Exited).then_some(ExitReason::Completed);
     let steps = host.steps.entry(task.clone()).or_default();
     steps.push(step(&task, attempt, status, cause));
 }
 
 #[test]
 fn orders() {
-    use TaskState::{Exited, Flushing, Running};
+    use TaskState::{Checkpointing, Exited, Running};
     type Case = (&'static str, Setup, bool, Vec<(CommandKind, u64)>);
     let cases: Vec<Case> = vec![
         ("nothing bound, nothing shown", |_| {}, true, vec![]),
@@ -84,13 +84,13 @@
                 shows(h, 7, Running);
             },
             false,
-            vec![(CommandKind::Halt, 7)],
+            vec![(CommandKind::Stop, 7)],
         ),
         (
             "saving, and may go on saving",
             |h| {
                 bound(h, |b| b.halt = Some((3.0, HaltReason::Drained)));
-                shows(h, 7, Flushing);
+                shows(h, 7, Checkpointing);
             },
             true,
             vec![],
@@ -99,10 +99,10 @@
             "saving for a job that is over: a second halt",
             |h| {
                 bound(h, |b| b.halt = Some((0.0, HaltReason::Over)));
-                shows(h, 7, Flushing);
+                shows(h, 7, Checkpointing);
             },
             true,
-            vec![(CommandKind::Halt, 7)],
+            vec![(CommandKind::Stop, 7)],
         ),
         (
             "exited, but its end is not written down: no clear",
@@ -134,7 +134,7 @@
             "running and bound by nobody: halt",
             |h| shows(h, 7, Running),
             true,
-            vec![(CommandKind::Halt, 7)],
+            vec![(CommandKind::Stop, 7)],
         ),
         (
             "an old attempt is cleared before the new one starts",
@@ -152,7 +152,7 @@
         let got: Vec<(CommandKind, u64)> = host
             .orders(confirmed, 100)
             .into_iter()
-            .map(|order| (order.verb, order.attempt))
+            .map(|order| (order.kind, order.attempt))
             .collect();
         assert_eq!(got, expected, "{name}");
     }
@@ -176,15 +176,15 @@
         h.pending.settle_answers(6);
     };
     for (name, steps, cause, cleared) in [
-        ("direct, done", answered, ExitReason::Done, true),
+        ("direct, done", answered, ExitReason::Completed, true),
         (
             "direct without answer, done",
             unanswered,
-            ExitReason::Done,
+            ExitReason::Completed,
             false,
         ),
         ("direct, stopped", answered, ExitReason::Stopped, false),
-        ("direct, refused", answered, ExitReason::Full, false),
+        ("direct, refused", answered, ExitReason::InsufficientResources, false),
         (
             "in an answer, stopped",
             in_answer,
@@ -323,7 +323,7 @@
     let orders = host.orders(true, 10);
     host.note_sent(&orders, Way::Direct, &knowledge());
     let mut halt = orders.clone();
-    halt[0].verb = CommandKind::Halt;
+    halt[0].kind = CommandKind::Stop;
     host.settle_call(&halt, CallFate::Answered);
     assert!(host.pending.may_arrive(&task("j-1", 0), 7));
     assert!(!host.pending.only_copies(&task("j-1", 0), 7));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -14,24 +14,24 @@
         id: id.to_owned(),
         class: "c".into(),
         team: "t".into(),
-        shape: JobKind::Array,
-        rank: PriorityClass::Normal,
+        kind: JobKind::Array,
+        priority: PriorityClass::Normal,
         tasks,
         cpus: 2.0,
         gpus: 0.0,
-        ram: 1.0,
-        flavors: None,
+        ram_gb: 1.0,
+        instance_types: None,
         zone: None,
         one_zone: false,
         spread: false,
         spot: true,
         image: "img".into(),
         image_gb: 0.5,
-        expect_s: 10.0,
-        snapshot_s: 0.0,
-        flush_s: 0.0,
-        due_s: None,
-        at: 0.0,
+        expected_runtime_s: 10.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_grace_s: 0.0,
+        deadline_s: None,
+        submitted_at: 0.0,
     }
 }
 
@@ -44,12 +44,12 @@
         name: name.into(),
         cpus: 8.0,
         gpus: 0.0,
-        ram: 32.0,
-        cache_gb: 50.0,
-        pull_gb_s: 1.0,
-        hourly: 1.0,
-        market_price: Some(0.25),
-        ready_s: 25.0,
+        ram_gb: 32.0,
+        image_cache_gb: 50.0,
+        image_pull_gb_per_s: 1.0,
+        on_demand_price: 1.0,
+        spot_price: Some(0.25),
+        boot_time_s: 25.0,
         zones: vec!["a".into(), "b".into()],
     }
 }
@@ -95,7 +95,7 @@
         need: Room {
             cpus: spec.cpus,
             gpus: spec.gpus,
-            ram: spec.ram,
+            ram: spec.ram_gb,
         },
         team: spec.team.clone(),
         durable: true,
@@ -120,10 +120,10 @@
     cause: Option<ExitReason>,
 ) -> TaskStatus {
     TaskStatus {
-        step: task.to_string(),
+        task: task.to_string(),
         attempt,
-        status,
-        cause,
+        state: status,
+        exit_reason: cause,
     }
 }
 
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -46,7 +46,7 @@
     /// Wins with Epoch 42 at time 0.1; the lease was asked for at time 0.
     fn won(mut self) -> Bed {
         self.election.drive(true, 0.0, &mut self.out, 0.0);
-        self.reply(StoreAsk::Grant, KvResponse::Granted(9), 0.0, 0.05);
+        self.reply(StoreAsk::Grant, KvResponse::LeaseGranted(9), 0.0, 0.05);
         let outcome = self.reply(StoreAsk::Take, KvResponse::Committed(42), 0.05, 0.1);
         assert_eq!(outcome, Outcome::Won(42));
         self.calls();
@@ -95,12 +95,12 @@
             assert_eq!(granted, vec![], "{name}");
             continue;
         };
-        assert_eq!(granted, vec![KvRequest::Grant(2000)], "{name}");
-        bed.reply(StoreAsk::Grant, KvResponse::Granted(9), 1.0, 1.1);
+        assert_eq!(granted, vec![KvRequest::GrantLease(2000)], "{name}");
+        bed.reply(StoreAsk::Grant, KvResponse::LeaseGranted(9), 1.0, 1.1);
         let [KvRequest::Txn(txn)] = &bed.calls()[..] else {
             panic!("{name}: a transaction");
         };
-        assert_eq!(txn.when[0].stamp, stamp, "{name}");
+        assert_eq!(txn.compares[0].mod_revision, stamp, "{name}");
     }
 }
 
@@ -111,19 +111,19 @@
     let cases: [(&str, Steps, Outcome, bool); 12] = [
         (
             "a renewal",
-            |b| b.reply(StoreAsk::Renew, KvResponse::Ok, 1.0, 1.1),
+            |b| b.reply(StoreAsk::Renew, KvResponse::LeaseOk, 1.0, 1.1),
             Outcome::Same,
             true,
         ),
         (
             "the lease is over",
-            |b| b.reply(StoreAsk::Renew, KvResponse::Gone, 1.0, 1.1),
+            |b| b.reply(StoreAsk::Renew, KvResponse::LeaseExpired, 1.0, 1.1),
             Outcome::Lost,
             false,
         ),
         (
             "a refused renewal: hold-over",
-            |b| b.reply(StoreAsk::Renew, KvResponse::Refused, 1.0, 1.1),
+            |b| b.reply(StoreAsk::Renew, KvResponse::Unavailable, 1.0, 1.1),
             Outcome::Same,
             true,
         ),
@@ -166,7 +166,7 @@
         (
             "renewed, with a view of the open jobs as old as a hold-over may be",
             |b| {
-                b.reply(StoreAsk::Renew, KvResponse::Ok, 25.0, 25.1);
+                b.reply(StoreAsk::Renew, KvResponse::LeaseOk, 25.0, 25.1);
                 drive(b, 9.0, 9.0 + HOLD_OVER_S - 0.1)
             },
             Outcome::Same,
@@ -175,7 +175,7 @@
         (
             "renewed, with a view of the open jobs that is older than that",
             |b| {
-                b.reply(StoreAsk::Renew, KvResponse::Ok, 25.0, 25.1);
+                b.reply(StoreAsk::Renew, KvResponse::LeaseOk, 25.0, 25.1);
                 drive(b, 9.0, 9.0 + HOLD_OVER_S + 0.1)
             },
             Outcome::Lost,
@@ -202,7 +202,7 @@
     for (now, confirmed) in [(0.1, true), (1.9, true), (2.0, false), (5.0, false)] {
         assert_eq!(bed.election.confirmed(now), confirmed, "at {now}");
     }
-    bed.reply(StoreAsk::Renew, KvResponse::Ok, 1.5, 5.0);
+    bed.reply(StoreAsk::Renew, KvResponse::LeaseOk, 1.5, 5.0);
     for (now, confirmed) in [(3.4, true), (3.5, false)] {
         assert_eq!(bed.election.confirmed(now), confirmed, "renewed, at {now}");
     }
@@ -224,7 +224,7 @@
     ];
     for (name, current_at, now, expected) in cases {
         let mut bed = Bed::new().won();
-        bed.reply(StoreAsk::Renew, KvResponse::Ok, 10.0, 10.1);
+        bed.reply(StoreAsk::Renew, KvResponse::LeaseOk, 10.0, 10.1);
         let knowledge = bed.election.knowledge(current_at, f64::NEG_INFINITY, now);
         let may_renew = knowledge.may_renew().is_ok();
         assert_eq!(may_renew, expected, "{name}");
@@ -241,8 +241,8 @@
     bed.election.drive(true, 0.0, &mut bed.out, 0.0);
     bed.election.observe(Some((record("n1", 5), 7)), 0.0, 0.05);
     bed.calls();
-    bed.reply(StoreAsk::Grant, KvResponse::Granted(9), 0.0, 0.1);
-    assert_eq!(bed.calls(), vec![KvRequest::Drop(9)]);
+    bed.reply(StoreAsk::Grant, KvResponse::LeaseGranted(9), 0.0, 0.1);
+    assert_eq!(bed.calls(), vec![KvRequest::RevokeLease(9)]);
     assert_eq!(bed.election.leader(), Some("n1"));
 }
 
@@ -251,9 +251,9 @@
 fn unanswered_take() {
     let mut bed = Bed::new();
     bed.election.drive(true, 0.0, &mut bed.out, 0.0);
-    bed.reply(StoreAsk::Grant, KvResponse::Granted(9), 0.0, 0.1);
+    bed.reply(StoreAsk::Grant, KvResponse::LeaseGranted(9), 0.0, 0.1);
     bed.calls();
-    bed.reply(StoreAsk::Take, KvResponse::Silent, 0.1, 0.8);
-    assert_eq!(bed.calls(), vec![KvRequest::Drop(9)]);
+    bed.reply(StoreAsk::Take, KvResponse::OutcomeUnknown, 0.1, 0.8);
+    assert_eq!(bed.calls(), vec![KvRequest::RevokeLease(9)]);
     assert_eq!(bed.election.epoch(), None);
 }
--- a/tests/frontend.rs
+++ b/tests/frontend.rs
@@ -72,16 +72,16 @@
         if open || over { 5 } else { 0 }
     };
     match call {
-        KvRequest::Txn(Txn { when, .. }) => {
+        KvRequest::Txn(Txn { compares: when, .. }) => {
             let failed: Vec<String> = when
                 .iter()
-                .filter(|c| stamp(&c.key) != c.stamp)
+                .filter(|c| stamp(&c.key) != c.mod_revision)
                 .map(|c| c.key.clone())
                 .collect();
             if failed.is_empty() {
                 KvResponse::Committed(9)
             } else {
-                KvResponse::Conflict(failed)
+                KvResponse::CompareFailed(failed)
             }
         }
         KvRequest::Get(key) if stamp(key) != 0 => {
@@ -90,14 +90,14 @@
             } else {
                 cbor::to_value(&over(truth))
             };
-            KvResponse::Found(KeyValue {
+            KvResponse::Value(KeyValue {
                 key: key.clone(),
                 value,
-                stamp: 5,
-                hold: None,
+                mod_revision: 5,
+                lease_id: None,
             })
         }
-        _ => KvResponse::Missing,
+        _ => KvResponse::NotFound,
     }
 }
 
@@ -166,9 +166,9 @@
     frontend.cancel(1, ID, &mut out, 0.0);
     out.actions.clear();
     frontend.cancel(2, ID, &mut out, 0.0);
-    frontend.looked(ID, KvResponse::Missing, &mut out, 0.1);
+    frontend.looked(ID, KvResponse::NotFound, &mut out, 0.1);
     out.actions.clear();
-    frontend.looked(ID, KvResponse::Missing, &mut out, 0.1);
+    frontend.looked(ID, KvResponse::NotFound, &mut out, 0.1);
     let first: Vec<u64> = out
         .actions
         .iter()
@@ -194,7 +194,7 @@
             |d, out| {
                 d.submit(1, spec(ID, 1), None, out, 0.0);
                 out.actions.clear();
-                d.written(1, KvResponse::Refused, out, 0.0);
+                d.written(1, KvResponse::Unavailable, out, 0.0);
             },
             503,
         ),
@@ -202,7 +202,7 @@
             "it has just refused another",
             |d, out| {
                 d.poll(1, "j-2", out, 0.0);
-                d.checked(1, KvResponse::Refused, out, 0.0);
+                d.checked(1, KvResponse::Unavailable, out, 0.0);
                 out.actions.clear();
                 d.submit(2, spec(ID, 1), None, out, 0.1);
             },
--- a/tests/golden/controllers.rs
+++ b/tests/golden/controllers.rs
@@ -21,22 +21,22 @@
     };
     let ack = |label: &str, life, up_to| TerminationAck {
         label: label.into(),
-        life,
+        process_incarnation: life,
         up_to,
     };
     PeerHeartbeat {
         label: "rung-1-with-a-long-name".into(),
         epoch: 41,
         leader: Some("rung-2".into()),
-        state_ok: true,
-        redirected: 6,
+        state_service_ok: true,
+        redirected_workers: 6,
         counts: vec![counts("j-000412", 3, 13), counts("j-1", 4, 0)],
-        suspects: vec!["j-000398".into(), "j-3".into()],
+        crash_looping_jobs: vec!["j-000398".into(), "j-3".into()],
         changes_per_s: 4.5,
-        ends: TerminationLog {
-            life: 5,
-            first: 8,
-            list: vec![
+        terminations: TerminationLog {
+            process_incarnation: 5,
+            first_sequence: 8,
+            entries: vec![
                 termination("j-000377", true, 9),
                 termination("j-000378", false, 10),
             ],
@@ -53,12 +53,12 @@
         label: String::new(),
         epoch: 0,
         leader: None,
-        state_ok: false,
-        redirected: 0,
+        state_service_ok: false,
+        redirected_workers: 0,
         counts: Vec::new(),
-        suspects: Vec::new(),
+        crash_looping_jobs: Vec::new(),
         changes_per_s: 0.0,
-        ends: TerminationLog::default(),
+        terminations: TerminationLog::default(),
     }
 }
 
--- a/tests/golden/leaders.rs
+++ b/tests/golden/leaders.rs
@@ -25,12 +25,12 @@
 /// An empty state service that takes everything.
 fn state_service(call: &KvRequest) -> KvResponse {
     match call {
-        KvRequest::Get(_) => KvResponse::Missing,
+        KvRequest::Get(_) => KvResponse::NotFound,
         KvRequest::List { .. } => KvResponse::Page(Vec::new(), false, REVISION),
         KvRequest::Txn(_) => KvResponse::Committed(REVISION),
-        KvRequest::Grant(_) => KvResponse::Granted(LEASE),
-        KvRequest::Renew(_) | KvRequest::Drop(_) => KvResponse::Ok,
-        KvRequest::Follow { .. } => KvResponse::Events(Vec::new(), REVISION),
+        KvRequest::GrantLease(_) => KvResponse::LeaseGranted(LEASE),
+        KvRequest::KeepAlive(_) | KvRequest::RevokeLease(_) => KvResponse::LeaseOk,
+        KvRequest::Watch { .. } => KvResponse::Events(Vec::new(), REVISION),
     }
 }
 
@@ -39,7 +39,7 @@
     node.tick(now);
     for action in tell_types(node) {
         if let Action::Store { tag, call, .. } = action {
-            let (method, path, body) = call.request();
+            let (method, path, body) = call.http_request();
             requests.insert(http::write_request(method, STATE_SERVICE, &path, &body));
             node.store_reply(tag, state_service(&call), now);
         }
--- a/tests/golden/records.rs
+++ b/tests/golden/records.rs
@@ -22,9 +22,9 @@
     key: &str,
     record: &T,
 ) {
-    let writes = vec![WriteOp::set(key, record)];
+    let writes = vec![WriteOp::put(key, record)];
     let when = Vec::new();
-    let (_, _, body) = KvRequest::Txn(Txn { when, writes }).request();
+    let (_, _, body) = KvRequest::Txn(Txn { compares: when, writes }).http_request();
     file.pin(&format!("{case}, transaction"), &body);
     let bytes = file.pin(&format!("{case}, value"), &cbor::encode(record));
     let value: Value = cbor::decode(&bytes).expect("CBOR");
--- a/tests/golden/services.rs
+++ b/tests/golden/services.rs
@@ -48,14 +48,14 @@
 }
 
 fn store_calls() -> Vec<(&'static str, KvRequest)> {
-    let attached = WriteOp::Set {
+    let attached = WriteOp::Put {
         key: "leader".into(),
         value: cbor!({"Label" => "n0", "Life" => 5}).expect("a value"),
-        hold: Some(7),
+        lease_id: Some(7),
     };
     let list = |from: Option<&str>| KvRequest::List {
-        under: "open/".into(),
-        from: from.map(str::to_owned),
+        prefix: "open/".into(),
+        after: from.map(str::to_owned),
     };
     vec![
         ("get", KvRequest::Get("open/j-000412".into())),
@@ -65,22 +65,22 @@
         (
             "transaction",
             KvRequest::Txn(Txn {
-                when: vec![Compare::new("open/j-1", 412), Compare::new("over/j-1", 0)],
+                compares: vec![Compare::new("open/j-1", 412), Compare::new("over/j-1", 0)],
                 writes: vec![
                     attached,
-                    WriteOp::set("over/j-1", &1.0),
-                    WriteOp::remove("open/j-1"),
+                    WriteOp::put("over/j-1", &1.0),
+                    WriteOp::delete("open/j-1"),
                 ],
             }),
         ),
-        ("grant", KvRequest::Grant(5000)),
-        ("renew", KvRequest::Renew(7)),
-        ("drop", KvRequest::Drop(7)),
+        ("grant", KvRequest::GrantLease(5000)),
+        ("renew", KvRequest::KeepAlive(7)),
+        ("drop", KvRequest::RevokeLease(7)),
         (
             "follow",
-            KvRequest::Follow {
-                under: "open/".into(),
-                from: 431,
+            KvRequest::Watch {
+                prefix: "open/".into(),
+                after: 431,
                 wait_ms: 10_000,
             },
         ),
@@ -89,23 +89,23 @@
 
 fn store_reading(reply: &KvResponse) -> String {
     match reply {
-        KvResponse::Found(item) => format!("found {}", show(item)),
-        KvResponse::Missing => "missing".to_owned(),
+        KvResponse::Value(item) => format!("found {}", show(item)),
+        KvResponse::NotFound => "missing".to_owned(),
         KvResponse::Page(items, more, revision) => {
             format!("page {}, more {more}, revision {revision}", show(items))
         }
         KvResponse::Committed(revision) => format!("committed at {revision}"),
-        KvResponse::Conflict(keys) => format!("conflict {}", show(keys)),
-        KvResponse::Granted(lease) => format!("granted {lease}"),
-        KvResponse::Ok => "ok".to_owned(),
-        KvResponse::Gone => "gone".to_owned(),
+        KvResponse::CompareFailed(keys) => format!("conflict {}", show(keys)),
+        KvResponse::LeaseGranted(lease) => format!("granted {lease}"),
+        KvResponse::LeaseOk => "ok".to_owned(),
+        KvResponse::LeaseExpired | KvResponse::Compacted => "gone".to_owned(),
         KvResponse::Events(events, revision) => {
             format!("events {}, revision {revision}", show(events))
         }
-        KvResponse::Busy => "over the rate limit".to_owned(),
-        KvResponse::Refused => "not executed".to_owned(),
-        KvResponse::Bad => "malformed".to_owned(),
-        KvResponse::Silent => "no usable answer".to_owned(),
+        KvResponse::RateLimited => "over the rate limit".to_owned(),
+        KvResponse::Unavailable => "not executed".to_owned(),
+        KvResponse::InvalidRequest => "malformed".to_owned(),
+        KvResponse::OutcomeUnknown => "no usable answer".to_owned(),
     }
 }
 
@@ -151,7 +151,7 @@
 fn requests_to_the_state_service_keep_their_bytes() {
     let mut file = PinnedFile::open("state_requests");
     for (case, call) in store_calls() {
-        pin_request(&mut file, case, call.request());
+        pin_request(&mut file, case, call.http_request());
     }
     file.finish();
 }
@@ -163,7 +163,7 @@
         &mut file,
         &store_calls(),
         &store_bodies(),
-        |call, status, body| store_reading(&call.reply(status, body)),
+        |call, status, body| store_reading(&call.response(status, body)),
     );
     file.finish();
 }
@@ -174,8 +174,8 @@
     let item = |hold| KeyValue {
         key: "open/j-1".into(),
         value: Value::from(5),
-        stamp: 412,
-        hold,
+        mod_revision: 412,
+        lease_id: hold,
     };
     file.pin_message("attached", &item(Some(7)));
     file.pin_message("free", &item(None));
@@ -184,35 +184,35 @@
 
 fn cloud_calls() -> Vec<(&'static str, CloudRequest)> {
     let rental = CreateInstances {
-        bid: "r-17".into(),
-        flavor: "g8".into(),
+        idempotency_key: "r-17".into(),
+        instance_type: "g8".into(),
         zone: "a".into(),
         spot: true,
         count: 12,
     };
     vec![
-        ("types", CloudRequest::Types),
-        ("rent", CloudRequest::Rent(rental)),
+        ("types", CloudRequest::ListInstanceTypes),
+        ("rent", CloudRequest::CreateInstances(rental)),
         (
             "delete",
-            CloudRequest::Delete(vec!["host-000231".into(), "host-000232".into()]),
+            CloudRequest::DeleteInstances(vec!["host-000231".into(), "host-000232".into()]),
         ),
-        ("first page", CloudRequest::List(None)),
-        ("next page", CloudRequest::List(Some("host-000230".into()))),
+        ("first page", CloudRequest::ListInstances(None)),
+        ("next page", CloudRequest::ListInstances(Some("host-000230".into()))),
     ]
 }
 
 fn cloud_reading(reply: &CloudResponse) -> String {
     match reply {
-        CloudResponse::Types(types) => format!("types {}", show(types)),
-        CloudResponse::Rented(names) => format!("rented {}", show(names)),
-        CloudResponse::NoCapacity => "no capacity".to_owned(),
+        CloudResponse::InstanceTypes(types) => format!("types {}", show(types)),
+        CloudResponse::Created(names) => format!("rented {}", show(names)),
+        CloudResponse::InsufficientCapacity => "no capacity".to_owned(),
         CloudResponse::Deleted => "deleted".to_owned(),
         CloudResponse::Page(machines, more) => format!("page {}, more {more}", show(machines)),
-        CloudResponse::Busy => "over the rate limit".to_owned(),
-        CloudResponse::Trouble => "outage".to_owned(),
-        CloudResponse::Bad => "malformed".to_owned(),
-        CloudResponse::Silent => "no usable answer".to_owned(),
+        CloudResponse::RateLimited => "over the rate limit".to_owned(),
+        CloudResponse::Unavailable => "outage".to_owned(),
+        CloudResponse::InvalidRequest => "malformed".to_owned(),
+        CloudResponse::OutcomeUnknown => "no usable answer".to_owned(),
     }
 }
 
@@ -263,7 +263,7 @@
 fn requests_to_the_cloud_keep_their_bytes() {
     let mut file = PinnedFile::open("cloud_requests");
     for (case, call) in cloud_calls() {
-        pin_request(&mut file, case, call.request());
+        pin_request(&mut file, case, call.http_request());
     }
     file.finish();
 }
@@ -275,7 +275,7 @@
         &mut file,
         &cloud_calls(),
         &cloud_bodies(),
-        |call, status, body| cloud_reading(&call.reply(status, body)),
+        |call, status, body| cloud_reading(&call.response(status, body)),
     );
     file.finish();
 }
@@ -286,12 +286,12 @@
         name: "g8".into(),
         cpus: 96.0,
         gpus: 8.0,
-        ram: 768.0,
-        cache_gb: 200.0,
-        pull_gb_s: 1.5,
-        hourly: 12.0,
-        market_price,
-        ready_s: 45.0,
+        ram_gb: 768.0,
+        image_cache_gb: 200.0,
+        image_pull_gb_per_s: 1.5,
+        on_demand_price: 12.0,
+        spot_price: market_price,
+        boot_time_s: 45.0,
         zones: vec!["a".into(), "b".into()],
     }
 }
@@ -310,7 +310,7 @@
         let machine = Instance {
             name: "host-000231".into(),
             endpoint: "10.1.0.232:9000".into(),
-            flavor: "g8".into(),
+            instance_type: "g8".into(),
             zone: "a".into(),
             spot: true,
             status,
@@ -323,11 +323,11 @@
 
 fn worker_reading(reply: &WorkerResponse) -> String {
     match reply {
-        WorkerResponse::Done(report) => format!("done {}", show(report)),
-        WorkerResponse::Mismatch(report) => format!("mismatch {}", show(report)),
+        WorkerResponse::Executed(report) => format!("done {}", show(report)),
+        WorkerResponse::Rejected(report) => format!("mismatch {}", show(report)),
         WorkerResponse::NotSent => "never sent".to_owned(),
-        WorkerResponse::Unreached => "no connection".to_owned(),
-        WorkerResponse::Silent => "no usable answer".to_owned(),
+        WorkerResponse::Unreachable => "no connection".to_owned(),
+        WorkerResponse::OutcomeUnknown => "no usable answer".to_owned(),
     }
 }
 
@@ -335,7 +335,7 @@
 fn direct_commands_and_their_answers_keep_their_bytes() {
     let mut file = PinnedFile::open("worker_calls");
     let call = WorkerRequest::Commands(two_orders(Some(3)));
-    pin_request(&mut file, "commands", call.request());
+    pin_request(&mut file, "commands", call.http_request());
     let bodies = [
         ("report", received_report()),
         ("nothing", Value::Null),
@@ -346,7 +346,7 @@
     ];
     let calls = [("commands", call)];
     pin_answers(&mut file, &calls, &bodies, |_, status, body| {
-        worker_reading(&WorkerRequest::reply(status, body))
+        worker_reading(&WorkerRequest::response(status, body))
     });
     file.finish();
 }
--- a/tests/golden/users.rs
+++ b/tests/golden/users.rs
@@ -8,7 +8,7 @@
 use cedarladder::policy::Policy;
 use cedarladder::protocol::cbor;
 use cedarladder::protocol::job::{
-    ErrorBody, JobAccepted, JobKind, JobSpec, JobStatus, JobView, PriorityClass, parse,
+    ErrorBody, JobAccepted, JobKind, JobSpec, JobStatus, JobView, PriorityClass, parse_submission,
 };
 use cedarladder::protocol::kv::{KeyValue, KvRequest, KvResponse};
 use cedarladder::protocol::peer::{PeerHeartbeat, TerminationLog};
@@ -26,41 +26,41 @@
         id: "j-000412".into(),
         class: "train".into(),
         team: "vision".into(),
-        shape: JobKind::Array,
-        rank: PriorityClass::Urgent,
+        kind: JobKind::Array,
+        priority: PriorityClass::Urgent,
         tasks: 16,
         cpus: 8.0,
         gpus: 1.0,
-        ram: 64.0,
-        flavors: Some(vec!["g8".into(), "g4".into()]),
+        ram_gb: 64.0,
+        instance_types: Some(vec!["g8".into(), "g4".into()]),
         zone: Some("a".into()),
         one_zone: true,
         spread: false,
         spot: true,
         image: "img-07".into(),
         image_gb: 6.2,
-        expect_s: 240.0,
-        snapshot_s: 30.0,
-        flush_s: 4.0,
-        due_s: Some(900.0),
-        at: SUBMITTED_AT,
+        expected_runtime_s: 240.0,
+        checkpoint_interval_s: 30.0,
+        checkpoint_grace_s: 4.0,
+        deadline_s: Some(900.0),
+        submitted_at: SUBMITTED_AT,
     };
     let bare = JobSpec {
-        flavors: None,
+        instance_types: None,
         zone: None,
         one_zone: false,
         spread: true,
         spot: false,
-        due_s: None,
+        deadline_s: None,
         ..whole.clone()
     };
     let mut all = vec![
         ("whole".to_owned(), whole.clone()),
         ("bare".to_owned(), bare),
     ];
-    for (word, shape) in [("group", JobKind::Group), ("standing", JobKind::Standing)] {
+    for (word, shape) in [("group", JobKind::Gang), ("standing", JobKind::Service)] {
         let spec = JobSpec {
-            shape,
+            kind: shape,
             ..whole.clone()
         };
         all.push((word.to_owned(), spec));
@@ -71,7 +71,7 @@
         ("best effort", PriorityClass::BestEffort),
     ] {
         let spec = JobSpec {
-            rank,
+            priority: rank,
             ..whole.clone()
         };
         all.push((word.to_owned(), spec));
@@ -170,7 +170,7 @@
 }
 
 fn reading(body: &[u8]) -> String {
-    match parse(body, SUBMITTED_AT) {
+    match parse_submission(body, SUBMITTED_AT) {
         Ok(spec) => show(&spec),
         Err(error) => error.to_string(),
     }
@@ -301,12 +301,12 @@
         label: "n1".into(),
         epoch: STAMP,
         leader: Some("n1".into()),
-        state_ok: true,
-        redirected: 0,
+        state_service_ok: true,
+        redirected_workers: 0,
         counts: Vec::new(),
-        suspects: Vec::new(),
+        crash_looping_jobs: Vec::new(),
         changes_per_s: 0.0,
-        ends: TerminationLog::default(),
+        terminations: TerminationLog::default(),
     };
     node.heartbeat(heartbeat, START);
     node
@@ -321,7 +321,7 @@
     for action in node.take_actions() {
         match action {
             Action::Cloud { tag, call, .. } => {
-                node.cloud_reply(tag, call.reply(200, &body), START);
+                node.cloud_reply(tag, call.response(200, &body), START);
             }
             other => others.push(other),
         }
@@ -339,30 +339,30 @@
     };
     let stamp = |key: &str| value_of(key).map_or(0, |_| STAMP);
     match (truth, call) {
-        (Truth::Out, _) => KvResponse::Refused,
+        (Truth::Out, _) => KvResponse::Unavailable,
         (_, KvRequest::Txn(txn)) => {
             let mut failed = Vec::new();
-            for condition in &txn.when {
-                if stamp(&condition.key) != condition.stamp {
+            for condition in &txn.compares {
+                if stamp(&condition.key) != condition.mod_revision {
                     failed.push(condition.key.clone());
                 }
             }
             if failed.is_empty() {
                 KvResponse::Committed(STAMP + 1)
             } else {
-                KvResponse::Conflict(failed)
+                KvResponse::CompareFailed(failed)
             }
         }
         (_, KvRequest::Get(key)) => match value_of(key) {
-            Some(value) => KvResponse::Found(KeyValue {
+            Some(value) => KvResponse::Value(KeyValue {
                 key: key.clone(),
                 value,
-                stamp: STAMP,
-                hold: None,
+                mod_revision: STAMP,
+                lease_id: None,
             }),
-            None => KvResponse::Missing,
+            None => KvResponse::NotFound,
         },
-        _ => KvResponse::Silent,
+        _ => KvResponse::OutcomeUnknown,
     }
 }
 
@@ -392,7 +392,7 @@
                 }
                 Action::Store { tag, call, .. } => {
                     calls += 1;
-                    let (method, path, body) = call.request();
+                    let (method, path, body) = call.http_request();
                     let request = http::write_request(method, STATE_SERVICE, &path, &body);
                     file.pin(&format!("{case}, call {calls}"), &request);
                     node.store_reply(tag, state_service(&call, truth), START);
--- a/tests/golden/workers.rs
+++ b/tests/golden/workers.rs
@@ -26,17 +26,17 @@
 /// An answer to a report, or, with a session, a direct command.
 pub fn two_orders(tenure: Option<u64>) -> CommandBatch {
     let order = |verb, step: &str, attempt, drain_s| Command {
-        verb,
-        step: step.into(),
+        kind: verb,
+        task: step.into(),
         attempt,
-        drain_s,
+        grace_s: drain_s,
     };
     CommandBatch {
         token: token(),
-        tenure,
-        orders: vec![
+        incarnation: tenure,
+        commands: vec![
             order(CommandKind::Start, "j-000412/4", 2, None),
-            order(CommandKind::Halt, "j-000377/1", 1, Some(10.0)),
+            order(CommandKind::Stop, "j-000377/1", 1, Some(10.0)),
             order(CommandKind::Clear, "j-000398/0", 3, None),
         ],
     }
@@ -56,48 +56,48 @@
 fn reports_keep_their_bytes() {
     let mut file = PinnedFile::open("reports_written");
     let report = |warning_s, steps| WorkerHeartbeat {
-        host: "host-000231".into(),
+        worker: "host-000231".into(),
         endpoint: "10.1.0.232:9000".into(),
-        flavor: "g8".into(),
+        instance_type: "g8".into(),
         zone: "a".into(),
         spot: true,
-        tenure: 3,
-        tick: 88,
+        incarnation: 3,
+        sequence: 88,
         token: token(),
-        warning_s,
-        steps,
+        reclaim_in_s: warning_s,
+        tasks: steps,
     };
     file.pin_message("empty", &report(None, Vec::new()));
     file.pin_message("notice", &report(Some(25.5), Vec::new()));
     for (word, status) in [
         ("fetching", TaskState::Fetching),
         ("running", TaskState::Running),
-        ("flushing", TaskState::Flushing),
+        ("flushing", TaskState::Checkpointing),
         ("exited", TaskState::Exited),
-        ("unknown", TaskState::Other),
+        ("unknown", TaskState::Unknown),
     ] {
         let step = TaskStatus {
-            step: "j-000412/3".into(),
+            task: "j-000412/3".into(),
             attempt: 2,
-            status,
-            cause: None,
+            state: status,
+            exit_reason: None,
         };
         file.pin_message(&format!("state {word}"), &report(None, vec![step]));
     }
     for (word, cause) in [
-        ("done", ExitReason::Done),
+        ("done", ExitReason::Completed),
         ("stopped", ExitReason::Stopped),
-        ("error", ExitReason::Error),
-        ("full", ExitReason::Full),
-        ("busy", ExitReason::Busy),
-        ("no such", ExitReason::NoSuch),
-        ("unknown", ExitReason::Other),
+        ("error", ExitReason::Failed),
+        ("full", ExitReason::InsufficientResources),
+        ("busy", ExitReason::AttemptConflict),
+        ("no such", ExitReason::UnknownTask),
+        ("unknown", ExitReason::Unknown),
     ] {
         let step = TaskStatus {
-            step: "j-000412/3".into(),
+            task: "j-000412/3".into(),
             attempt: 2,
-            status: TaskState::Exited,
-            cause: Some(cause),
+            state: TaskState::Exited,
+            exit_reason: Some(cause),
         };
         file.pin_message(&format!("cause {word}"), &report(None, vec![step]));
     }
@@ -162,15 +162,15 @@
     let mut file = PinnedFile::open("commands");
     let none = CommandBatch {
         token: FencingToken::default(),
-        tenure: None,
-        orders: Vec::new(),
+        incarnation: None,
+        commands: Vec::new(),
     };
     file.pin_message("no orders", &none);
     file.pin_message("answer to a report", &two_orders(None));
     file.pin_message("direct", &two_orders(Some(3)));
     for (case, foreman) in [("to a node", Some("rung-2")), ("to any", None)] {
         let foreman = foreman.map(str::to_owned);
-        file.pin_message(&format!("redirection {case}"), &NotLeader { foreman });
+        file.pin_message(&format!("redirection {case}"), &NotLeader { leader_hint: foreman });
     }
     let received = cbor!({"Epoch" => 41, "Orders" => [
         {"Verb" => "halt", "Step" => "j-000377/1", "Try" => 1, "DrainS" => 10.0}]});
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -52,23 +52,23 @@
 
 fn keys(txn: &Txn) -> (Vec<String>, Vec<String>) {
     let when = txn
-        .when
+        .compares
         .iter()
-        .map(|c| format!("{}={}", c.key, c.stamp))
+        .map(|c| format!("{}={}", c.key, c.mod_revision))
         .collect();
     let writes = txn
         .writes
         .iter()
         .map(|write| match write {
-            WriteOp::Set { key, .. } => format!("+{key}"),
-            WriteOp::Remove { key } => format!("-{key}"),
+            WriteOp::Put { key, .. } => format!("+{key}"),
+            WriteOp::Delete { key } => format!("-{key}"),
         })
         .collect();
     (when, writes)
 }
 
 fn segment(txn: &Txn) -> Segment {
-    let Some(WriteOp::Set { value, .. }) = txn.writes.first() else {
+    let Some(WriteOp::Put { value, .. }) = txn.writes.first() else {
         panic!("a segment first: {:?}", txn.writes);
     };
     assert!(
@@ -257,7 +257,7 @@
         }
         while let Some(txn) = ledger.next(EPOCH, &hosts, &jobs, 100) {
             stamp += 1;
-            let Some(WriteOp::Set { key, .. }) = txn.writes.first() else {
+            let Some(WriteOp::Put { key, .. }) = txn.writes.first() else {
                 panic!("a segment");
             };
             written.insert(key.clone(), segment(&txn));
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -1,6 +1,6 @@
 //! What comes in from outside: submissions, HTTP, frames, settings.
 
-use cedarladder::protocol::job::{InvalidJob, parse};
+use cedarladder::protocol::job::{InvalidJob, parse_submission};
 use cedarladder::protocol::peer::{
     self, JobCounts, PeerHeartbeat, Termination, TerminationAck, TerminationLog,
 };
@@ -52,8 +52,8 @@
 
 #[test]
 fn submissions() {
-    let good = parse(&body(&submission()), 5.0).expect("a good one");
-    assert_eq!((good.tasks, good.gpus, good.due_s), (16, 1.0, Some(900.0)));
+    let good = parse_submission(&body(&submission()), 5.0).expect("a good one");
+    assert_eq!((good.tasks, good.gpus, good.deadline_s), (16, 1.0, Some(900.0)));
     let text = |s: &str| Value::Text(s.into());
     let cases: Vec<(&'static str, Option<Value>)> = vec![
         ("NameId", None),
@@ -93,7 +93,7 @@
             InvalidJob::Invalid(field)
         };
         assert_eq!(
-            parse(&body(&fields), 0.0),
+            parse_submission(&body(&fields), 0.0),
             Err(expected),
             "{field}: {value:?}"
         );
@@ -105,7 +105,7 @@
         b"\x01",
         &body(&submission())[..100],
     ] {
-        assert_eq!(parse(bytes, 0.0), Err(InvalidJob::NotAMap));
+        assert_eq!(parse_submission(bytes, 0.0), Err(InvalidJob::NotAMap));
     }
 }
 
@@ -190,26 +190,26 @@
         label: "n1".into(),
         epoch: 7,
         leader: Some("n0".into()),
-        state_ok: true,
-        redirected: 2,
+        state_service_ok: true,
+        redirected_workers: 2,
         counts: vec![JobCounts {
             job: "j-1".into(),
             done: 1,
             running: 2,
         }],
-        suspects: vec!["j-3".into()],
+        crash_looping_jobs: vec!["j-3".into()],
         changes_per_s: 4.5,
-        ends: TerminationLog {
-            life: 5,
-            first: 8,
-            list: vec![Termination {
+        terminations: TerminationLog {
+            process_incarnation: 5,
+            first_sequence: 8,
+            entries: vec![Termination {
                 job: "j-2".into(),
                 aborted: true,
                 done: 3,
             }],
             acks: vec![TerminationAck {
                 label: "n0".into(),
-                life: 4,
+                process_incarnation: 4,
                 up_to: 9,
             }],
         },
@@ -218,8 +218,8 @@
     assert_eq!(peer::decode(&frame), Some(heartbeat));
     let commands = worker::CommandBatch {
         token: FencingToken::new(5, 2),
-        tenure: Some(1),
-        orders: vec![],
+        incarnation: Some(1),
+        commands: vec![],
     };
     let request = b"POST /work HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc".to_vec();
     let response = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc".to_vec();
@@ -247,7 +247,7 @@
             let _ = peer::decode(&bytes);
             let _ = cbor::decode::<worker::WorkerHeartbeat>(&bytes);
             let _ = cbor::decode::<worker::CommandBatch>(&bytes);
-            let _ = parse(&bytes, 0.0);
+            let _ = parse_submission(&bytes, 0.0);
             let _ = parse_request(&bytes);
             let _ = parse_response(&bytes, 1000, true);
             let _ = split(&mut bytes, 1000);
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -81,7 +81,7 @@
                                     frontend.written(call, KvResponse::Committed(9), &mut out, now);
                                 }
                                 StoreAsk::Look(id) => {
-                                    frontend.looked(&id, KvResponse::Missing, &mut out, now);
+                                    frontend.looked(&id, KvResponse::NotFound, &mut out, now);
                                 }
                                 other => panic!("{name}: {other:?}"),
                             }
@@ -156,7 +156,7 @@
                 match (ask, call) {
                     (StoreAsk::Check(check), KvRequest::Txn(txn)) => {
                         let failed: Vec<String> = txn
-                            .when
+                            .compares
                             .iter()
                             .filter(|c| c.key.strip_prefix("over/").is_some_and(over))
                             .map(|c| c.key.clone())
@@ -164,7 +164,7 @@
                         let reply = if failed.is_empty() {
                             KvResponse::Committed(9)
                         } else {
-                            KvResponse::Conflict(failed)
+                            KvResponse::CompareFailed(failed)
                         };
                         frontend.checked(check, reply, &mut out, now);
                     }
@@ -175,14 +175,14 @@
                                 ending: Ending::Done,
                                 done: 5,
                             };
-                            KvResponse::Found(KeyValue {
+                            KvResponse::Value(KeyValue {
                                 value: cbor::to_value(&record),
                                 key,
-                                stamp: 2,
-                                hold: None,
+                                mod_revision: 2,
+                                lease_id: None,
                             })
                         } else {
-                            KvResponse::Missing
+                            KvResponse::NotFound
                         };
                         frontend.looked(&id, reply, &mut out, now);
                     }
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -22,7 +22,7 @@
 }
 
 fn jobs(ends: &TerminationLog) -> Vec<&str> {
-    ends.list.iter().map(|e| e.job.as_str()).collect()
+    ends.entries.iter().map(|e| e.job.as_str()).collect()
 }
 
 /// An end is told again until each peer has acknowledged it, whatever is lost in between.
@@ -71,8 +71,8 @@
     let (mut a, mut b, mut c) = (queue("a", 1), queue("b", 2), queue("c", 3));
     a.add((0..MAX_TERMINATIONS + 5).map(ended).collect(), 0.0);
     let word = a.word(1.0);
-    assert_eq!(word.list.len(), MAX_TERMINATIONS);
-    assert_eq!((word.first, word.list[0].clone()), (5, ended(5)));
+    assert_eq!(word.entries.len(), MAX_TERMINATIONS);
+    assert_eq!((word.first_sequence, word.entries[0].clone()), (5, ended(5)));
     a.add(vec![ended(9_999)], 20.0);
     let word = a.word(KEEP_S + 1.0);
     assert_eq!(
@@ -84,7 +84,7 @@
     c.heard("a", &word);
     a.heard("b", &b.word(32.0));
     a.heard("c", &c.word(32.0));
-    assert!(a.word(33.0).list.is_empty());
+    assert!(a.word(33.0).entries.is_empty());
     a.heard("a stranger", &word);
     a.add(vec![ended(7)], 34.0);
     assert_eq!(jobs(&a.word(35.0)), ["j-000007"]);
@@ -119,8 +119,8 @@
             vec![
                 (page(), 1.0, 1.1),
                 (events(), 1.1, 2.1),
-                (KvResponse::Refused, 2.1, 3.0),
-                (KvResponse::Silent, 3.1, 5.0),
+                (KvResponse::Unavailable, 2.1, 3.0),
+                (KvResponse::OutcomeUnknown, 3.1, 5.0),
             ],
             1.1,
         ),
@@ -129,7 +129,7 @@
             vec![
                 (page(), 1.0, 1.1),
                 (events(), 1.1, 1.2),
-                (KvResponse::Gone, 1.2, 2.0),
+                (KvResponse::Compacted, 1.2, 2.0),
                 (page(), 2.0, 2.1),
             ],
             1.1,
@@ -154,7 +154,7 @@
         watch.drive(&mut out, now);
         out.actions.into_iter().find_map(|action| match action {
             Action::Store {
-                call: KvRequest::Follow { wait_ms, .. },
+                call: KvRequest::Watch { wait_ms, .. },
                 ..
             } => Some(wait_ms),
             _ => None,
@@ -164,6 +164,6 @@
     assert_eq!(wait_ms(&mut watch, 1.2), Some(0), "after the listing");
     watch.reply(KvResponse::Events(Vec::new(), 9), 1.2, 1.3);
     assert_eq!(wait_ms(&mut watch, 1.3), Some(1_000), "in step");
-    watch.reply(KvResponse::Refused, 1.3, 20.0);
+    watch.reply(KvResponse::Unavailable, 1.3, 20.0);
     assert_eq!(wait_ms(&mut watch, 20.2), Some(0), "after an outage");
 }
--- a/tests/reports.rs
+++ b/tests/reports.rs
@@ -42,16 +42,16 @@
 
 fn report(tenure: u64, tick: u64, epoch: u64) -> WorkerHeartbeat {
     WorkerHeartbeat {
-        host: "h".into(),
+        worker: "h".into(),
         endpoint: "10.1.0.1:9000".into(),
-        flavor: "f".into(),
+        instance_type: "f".into(),
         zone: "a".into(),
         spot: false,
-        tenure,
-        tick,
+        incarnation: tenure,
+        sequence: tick,
         token: FencingToken::new(epoch, 0),
-        warning_s: None,
-        steps: Vec::new(),
+        reclaim_in_s: None,
+        tasks: Vec::new(),
     }
 }
 
@@ -59,8 +59,8 @@
 fn answer(orders: Vec<Command>) -> ReportAnswer {
     ReportAnswer::Orders(CommandBatch {
         token: FencingToken::new(EPOCH, 0),
-        tenure: None,
-        orders,
+        incarnation: None,
+        commands: orders,
     })
 }
 
@@ -132,10 +132,10 @@
 #[test]
 fn whose_lease_is_renewed() {
     let step = |status| TaskStatus {
-        step: "j-000001/0".into(),
+        task: "j-000001/0".into(),
         attempt: 7,
-        status,
-        cause: None,
+        state: status,
+        exit_reason: None,
     };
     let running = || vec![step(TaskState::Running)];
     // Each: whether the tables are loaded, the tasks, whether the node may renew, whether it knows the
@@ -178,7 +178,7 @@
     for (name, loaded, steps, may_renew, open, renewed) in cases {
         let mut leader = if loaded { leader() } else { loading() };
         let mut report = report(1, 1, EPOCH);
-        report.steps = steps;
+        report.tasks = steps;
         let knowledge = if may_renew {
             knowledge()
         } else {
@@ -194,13 +194,13 @@
     }
     // Once loaded, what belongs to no open job is stopped with the same answer.
     let mut report = report(1, 1, EPOCH);
-    report.steps = running();
+    report.tasks = running();
     let got = leader().report(&report, &knowledge_of_age(9.0), |_| false, 1.0);
     let halt = Command {
-        verb: CommandKind::Halt,
-        step: "j-000001/0".into(),
+        kind: CommandKind::Stop,
+        task: "j-000001/0".into(),
         attempt: 7,
-        drain_s: Some(0.0),
+        grace_s: Some(0.0),
     };
     assert_eq!(got, answer(vec![halt]));
 }
@@ -213,8 +213,8 @@
         let item = KeyValue {
             key: key.to_owned(),
             value,
-            stamp: 5,
-            hold: None,
+            mod_revision: 5,
+            lease_id: None,
         };
         KvResponse::Page(vec![item], false, 9)
     };
@@ -229,11 +229,11 @@
     leader.loaded(KvResponse::Page(Vec::new(), false, 9), 0.0, 0.0);
     assert!(!leader.loading());
     let mut report = report(1, 1, EPOCH);
-    report.steps = vec![TaskStatus {
-        step: "j-000001/0".into(),
+    report.tasks = vec![TaskStatus {
+        task: "j-000001/0".into(),
         attempt: 7,
-        status: TaskState::Running,
-        cause: None,
+        state: TaskState::Running,
+        exit_reason: None,
     }];
     let got = leader.report(&report, &knowledge(), |_| true, 1.0);
     assert_eq!(got, answer(Vec::new()), "its task goes on");
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -130,7 +130,7 @@
             "a type that nobody has",
             Scene::new(
                 all(),
-                vec![with("j-1", 1, |s| s.flavors = Some(vec!["x".into()]))],
+                vec![with("j-1", 1, |s| s.instance_types = Some(vec!["x".into()]))],
             ),
             vec![],
             vec![],
@@ -196,7 +196,7 @@
             "a group goes together or not at all; what is missing is beyond the room there is",
             Scene::new(
                 vec![host("o-a", "a", false)],
-                vec![with("j-1", 5, |s| s.shape = JobKind::Group)],
+                vec![with("j-1", 5, |s| s.kind = JobKind::Gang)],
             ),
             vec![],
             vec![],
@@ -208,7 +208,7 @@
                 vec![host("o-a", "a", false)],
                 vec![
                     with("j-1", 4, |s| s.team = "u".into()),
-                    with("j-2", 1, |s| s.rank = PriorityClass::Urgent),
+                    with("j-2", 1, |s| s.priority = PriorityClass::Urgent),
                 ],
             )
             .bind("o-a", "j-1", 0, 10.0)
@@ -270,7 +270,7 @@
 /// priority nor limit, and one with large tasks gets a machine of its own to wait for.
 #[test]
 fn ageing() {
-    let urgent = |s: &mut JobSpec| s.rank = PriorityClass::Urgent;
+    let urgent = |s: &mut JobSpec| s.priority = PriorityClass::Urgent;
     let large = |s: &mut JobSpec| s.cpus = 8.0;
     // Each: tasks of the machine's, jobs with the time they came, and whose tasks are bound first.
     type Case = (&'static str, u32, Vec<(JobSpec, f64)>, Vec<&'static str>);
@@ -279,8 +279,8 @@
             "long without a start: first, though its deadline is over",
             0,
             vec![
-                (with("j-1", 1, |s| s.due_s = Some(30.0)), 99.0),
-                (with("j-2", 1, |s| s.due_s = Some(30.0)), 10.0),
+                (with("j-1", 1, |s| s.deadline_s = Some(30.0)), 99.0),
+                (with("j-2", 1, |s| s.deadline_s = Some(30.0)), 10.0),
             ],
             vec!["j-2", "j-1"],
         ),
@@ -288,8 +288,8 @@
             "a while without a start: those who can be on time first",
             0,
             vec![
-                (with("j-1", 1, |s| s.due_s = Some(30.0)), 99.0),
-                (with("j-2", 1, |s| s.due_s = Some(30.0)), 60.0),
+                (with("j-1", 1, |s| s.deadline_s = Some(30.0)), 99.0),
+                (with("j-2", 1, |s| s.deadline_s = Some(30.0)), 60.0),
             ],
             vec!["j-1", "j-2"],
         ),
@@ -339,8 +339,8 @@
     let replicas = |tasks| {
         let mut job = Job::new(
             with("j-1", tasks, |s| {
-                s.shape = JobKind::Standing;
-                s.rank = PriorityClass::Production;
+                s.kind = JobKind::Service;
+                s.priority = PriorityClass::Production;
                 s.spot = false;
                 s.image_gb = 2.0;
                 s.team = "u".into();
@@ -426,12 +426,12 @@
         ("a task too large", with("j-1", 1, |s| s.cpus = 12.5), false),
         (
             "all replicas together",
-            with("j-1", 7, |s| s.shape = JobKind::Standing),
+            with("j-1", 7, |s| s.kind = JobKind::Service),
             false,
         ),
         (
             "replicas that fit",
-            with("j-1", 6, |s| s.shape = JobKind::Standing),
+            with("j-1", 6, |s| s.kind = JobKind::Service),
             true,
         ),
         (
--- a/tests/soak/state.rs
+++ b/tests/soak/state.rs
@@ -100,26 +100,26 @@
         let stamp = self.revision;
         for write in writes {
             let event = match write {
-                WriteOp::Set { key, value, hold } => {
+                WriteOp::Put { key, value, lease_id: hold } => {
                     let entry = Entry {
                         value: value.clone(),
                         stamp,
                         hold: *hold,
                     };
                     self.keys.insert(key.clone(), entry);
-                    WatchEvent::Set {
+                    WatchEvent::Put {
                         key: key.clone(),
                         value: value.clone(),
-                        stamp,
+                        mod_revision: stamp,
                     }
                 }
-                WriteOp::Remove { key } => {
+                WriteOp::Delete { key } => {
                     if self.keys.remove(key).is_none() {
                         continue;
                     }
-                    WatchEvent::Remove {
+                    WatchEvent::Delete {
                         key: key.clone(),
-                        stamp,
+                        mod_revision: stamp,
                     }
                 }
             };
@@ -134,16 +134,16 @@
 
     fn transact(&mut self, txn: &Txn) -> Reply {
         let no_lease = txn.writes.iter().any(|write| {
-            matches!(write, WriteOp::Set { hold: Some(hold), .. } if !self.holds.contains_key(hold))
+            matches!(write, WriteOp::Put { lease_id: Some(hold), .. } if !self.holds.contains_key(hold))
         });
         if no_lease {
             return refusal(400, "no such lease");
         }
         let stamp_of = |key: &String| self.keys.get(key).map_or(0, |entry| entry.stamp);
         let failed: Vec<String> = txn
-            .when
+            .compares
             .iter()
-            .filter(|condition| stamp_of(&condition.key) != condition.stamp)
+            .filter(|condition| stamp_of(&condition.key) != condition.mod_revision)
             .map(|condition| condition.key.clone())
             .collect();
         if !failed.is_empty() {
@@ -165,7 +165,7 @@
             .keys
             .iter()
             .filter(|(_, entry)| entry.hold == Some(hold))
-            .map(|(key, _)| WriteOp::remove(key.clone()))
+            .map(|(key, _)| WriteOp::delete(key.clone()))
             .collect();
         if !attached.is_empty() {
             self.change(&attached);
@@ -195,7 +195,7 @@
 
     fn changes_since(&self, under: &str, from: u64) -> Vec<WatchEvent> {
         let concerns = |event: &WatchEvent| {
-            let (WatchEvent::Set { key, .. } | WatchEvent::Remove { key, .. }) = event;
+            let (WatchEvent::Put { key, .. } | WatchEvent::Delete { key, .. }) = event;
             key.starts_with(under)
         };
         self.changes
@@ -210,8 +210,8 @@
     KeyValue {
         key: key.to_owned(),
         value: entry.value.clone(),
-        stamp: entry.stamp,
-        hold: entry.hold,
+        mod_revision: entry.stamp,
+        lease_id: entry.hold,
     }
 }
 
--- a/tests/tokens.rs
+++ b/tests/tokens.rs
@@ -122,12 +122,12 @@
         label: "n1".into(),
         epoch,
         leader: Some("n1".into()),
-        state_ok: true,
-        redirected: 0,
+        state_service_ok: true,
+        redirected_workers: 0,
         counts: Vec::new(),
-        suspects: Vec::new(),
+        crash_looping_jobs: Vec::new(),
         changes_per_s: 0.0,
-        ends: TerminationLog::default(),
+        terminations: TerminationLog::default(),
     };
     for (name, epoch, known) in [
         ("one that can be", 7, true),
--- a/tests/world/checks.rs
+++ b/tests/world/checks.rs
@@ -73,9 +73,9 @@
 
     /// Notes a report that comes late.
     pub(super) fn note_copy(&mut self, report: &WorkerHeartbeat) {
-        if let Some(worker) = self.workers.get(&report.host) {
-            self.counts.old_reports += u32::from(report.tick < worker.tick);
-            self.counts.old_sessions += u32::from(report.tenure < worker.tenure);
+        if let Some(worker) = self.workers.get(&report.worker) {
+            self.counts.old_reports += u32::from(report.sequence < worker.tick);
+            self.counts.old_sessions += u32::from(report.incarnation < worker.tenure);
         }
     }
 
--- a/tests/world/cloud.rs
+++ b/tests/world/cloud.rs
@@ -11,27 +11,27 @@
 
     pub(super) fn cloud_call(&mut self, call: &CloudRequest) -> CloudResponse {
         match call {
-            CloudRequest::Types => CloudResponse::Types(vec![InstanceType {
+            CloudRequest::ListInstanceTypes => CloudResponse::InstanceTypes(vec![InstanceType {
                 name: "f".into(),
                 cpus: 8.0,
                 gpus: 0.0,
-                ram: 32.0,
-                cache_gb: 10.0,
-                pull_gb_s: 1.0,
-                hourly: 1.0,
-                market_price: Some(0.3),
-                ready_s: 5.0,
+                ram_gb: 32.0,
+                image_cache_gb: 10.0,
+                image_pull_gb_per_s: 1.0,
+                on_demand_price: 1.0,
+                spot_price: Some(0.3),
+                boot_time_s: 5.0,
                 zones: vec!["a".into(), "b".into()],
             }]),
-            CloudRequest::Rent(rental) => {
-                if let Some(names) = self.rented.get(&rental.bid) {
-                    return CloudResponse::Rented(names.clone());
+            CloudRequest::CreateInstances(rental) => {
+                if let Some(names) = self.rented.get(&rental.idempotency_key) {
+                    return CloudResponse::Created(names.clone());
                 }
                 let alike = |m: &&Instance| m.zone == rental.zone && m.spot == rental.spot;
                 let there = self.machines.values().filter(alike).count() as u32;
                 let count = rental.count.min(self.pool.saturating_sub(there));
                 if count == 0 {
-                    return CloudResponse::NoCapacity;
+                    return CloudResponse::InsufficientCapacity;
                 }
                 let mut names = Vec::new();
                 for _ in 0..count {
@@ -42,7 +42,7 @@
                         Instance {
                             name: name.clone(),
                             endpoint: name.clone(),
-                            flavor: rental.flavor.clone(),
+                            instance_type: rental.instance_type.clone(),
                             zone: rental.zone.clone(),
                             spot: rental.spot,
                             status: InstanceStatus::Starting,
@@ -65,10 +65,10 @@
                     }
                     names.push(name);
                 }
-                self.rented.insert(rental.bid.clone(), names.clone());
-                CloudResponse::Rented(names)
+                self.rented.insert(rental.idempotency_key.clone(), names.clone());
+                CloudResponse::Created(names)
             }
-            CloudRequest::Delete(names) => {
+            CloudRequest::DeleteInstances(names) => {
                 for name in names {
                     let busy = |w: &Worker| w.running().next().is_some();
                     if self.workers.get(name).is_some_and(busy) {
@@ -78,7 +78,7 @@
                 }
                 CloudResponse::Deleted
             }
-            CloudRequest::List(from) => {
+            CloudRequest::ListInstances(from) => {
                 let machines = self
                     .machines
                     .values()
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -389,7 +389,7 @@
             What::Wake(name) => self.wake(&name),
             What::ReportAt(i, name, report) => {
                 self.counts.reports += 1;
-                let back = What::ReportBack(name, report.tenure, report.tick, 0, Vec::new());
+                let back = What::ReportBack(name, report.incarnation, report.sequence, 0, Vec::new());
                 let body = cbor::encode(&*report);
                 self.request(i, back, "POST", "/v1/report", &body);
             }
@@ -493,7 +493,7 @@
                     call,
                     within_s,
                 } => {
-                    let silent = What::StoreBack(i, life, tag, KvResponse::Silent);
+                    let silent = What::StoreBack(i, life, tag, KvResponse::OutcomeUnknown);
                     self.after(within_s, silent);
                     self.count(&call);
                     if self.now < self.alone[i] || self.is_inside(i) {
@@ -506,7 +506,7 @@
                     call,
                     within_s,
                 } => {
-                    let silent = What::CloudBack(i, life, tag, CloudResponse::Silent);
+                    let silent = What::CloudBack(i, life, tag, CloudResponse::OutcomeUnknown);
                     self.after(within_s, silent);
                     if self.is_inside(i) {
                         continue;
@@ -519,7 +519,7 @@
                     call,
                     within_s,
                 } => {
-                    let silent = What::WorkerBack(i, life, tag, WorkerResponse::Silent);
+                    let silent = What::WorkerBack(i, life, tag, WorkerResponse::OutcomeUnknown);
                     self.after(within_s, silent);
                     self.counts.worker_calls += 1;
                     let open = self.calls.entry((i, life)).or_default();
--- a/tests/world/recorder.rs
+++ b/tests/world/recorder.rs
@@ -65,11 +65,11 @@
             }
             Action::Store { call, within_s, .. } => {
                 self.begin(Kind::ToStateService, now, controller);
-                self.request(call.request(), *within_s);
+                self.request(call.http_request(), *within_s);
             }
             Action::Cloud { call, within_s, .. } => {
                 self.begin(Kind::ToCloud, now, controller);
-                self.request(call.request(), *within_s);
+                self.request(call.http_request(), *within_s);
             }
             Action::Worker {
                 endpoint,
@@ -79,7 +79,7 @@
             } => {
                 self.begin(Kind::ToWorker, now, controller);
                 self.bytes(endpoint.as_bytes());
-                self.request(call.request(), *within_s);
+                self.request(call.http_request(), *within_s);
             }
             Action::Heartbeat(heartbeat) => {
                 self.begin(Kind::PeerHeartbeat, now, controller);
--- a/tests/world/store.rs
+++ b/tests/world/store.rs
@@ -20,22 +20,22 @@
         let stamp = self.revision;
         for write in writes {
             match write {
-                WriteOp::Set { key, value, hold } => {
+                WriteOp::Put { key, value, lease_id: hold } => {
                     self.keys.insert(key.clone(), (value.clone(), stamp, *hold));
-                    let event = WatchEvent::Set {
+                    let event = WatchEvent::Put {
                         key: key.clone(),
                         value: value.clone(),
-                        stamp,
+                        mod_revision: stamp,
                     };
                     self.log.push((stamp, event));
                 }
-                WriteOp::Remove { key } => {
+                WriteOp::Delete { key } => {
                     if self.keys.remove(key).is_some() {
                         self.log.push((
                             stamp,
-                            WatchEvent::Remove {
+                            WatchEvent::Delete {
                                 key: key.clone(),
-                                stamp,
+                                mod_revision: stamp,
                             },
                         ));
                     }
@@ -47,23 +47,23 @@
 
     pub(super) fn txn(&mut self, txn: &Txn) -> KvResponse {
         for write in &txn.writes {
-            if let WriteOp::Set {
-                hold: Some(hold), ..
+            if let WriteOp::Put {
+                lease_id: Some(hold), ..
             } = write
                 && !self.holds.contains_key(hold)
             {
-                return KvResponse::Bad;
+                return KvResponse::InvalidRequest;
             }
         }
         let stamp_of = |key: &String| self.keys.get(key).map_or(0, |(_, stamp, _)| *stamp);
         let failed: Vec<String> = txn
-            .when
+            .compares
             .iter()
-            .filter(|c| stamp_of(&c.key) != c.stamp)
+            .filter(|c| stamp_of(&c.key) != c.mod_revision)
             .map(|c| c.key.clone())
             .collect();
         if !failed.is_empty() {
-            return KvResponse::Conflict(failed);
+            return KvResponse::CompareFailed(failed);
         }
         if txn.writes.is_empty() {
             return KvResponse::Committed(self.revision);
@@ -77,7 +77,7 @@
             .keys
             .iter()
             .filter(|(_, (_, _, h))| *h == Some(hold))
-            .map(|(key, _)| WriteOp::remove(key.clone()))
+            .map(|(key, _)| WriteOp::delete(key.clone()))
             .collect();
         if !keys.is_empty() {
             self.change(&keys);
@@ -102,7 +102,7 @@
     /// How often a key was put.
     pub(super) fn puts_of(&self, wanted: &str) -> usize {
         let put =
-            |event: &WatchEvent| matches!(event, WatchEvent::Set { key, .. } if key == wanted);
+            |event: &WatchEvent| matches!(event, WatchEvent::Put { key, .. } if key == wanted);
         self.log.iter().filter(|(_, event)| put(event)).count()
     }
 
@@ -110,7 +110,7 @@
         self.log
             .iter()
             .filter(|(stamp, event)| {
-                let (WatchEvent::Set { key, .. } | WatchEvent::Remove { key, .. }) = event;
+                let (WatchEvent::Put { key, .. } | WatchEvent::Delete { key, .. }) = event;
                 *stamp > from && key.starts_with(under)
             })
             .map(|(_, event)| event.clone())
@@ -119,19 +119,19 @@
 
     pub(super) fn call(&mut self, call: &KvRequest, now: f64) -> KvResponse {
         if self.out {
-            return KvResponse::Refused;
+            return KvResponse::Unavailable;
         }
         match call {
             KvRequest::Get(key) => match self.keys.get(key) {
-                Some((value, stamp, hold)) => KvResponse::Found(KeyValue {
+                Some((value, stamp, hold)) => KvResponse::Value(KeyValue {
                     key: key.clone(),
                     value: value.clone(),
-                    stamp: *stamp,
-                    hold: *hold,
+                    mod_revision: *stamp,
+                    lease_id: *hold,
                 }),
-                None => KvResponse::Missing,
+                None => KvResponse::NotFound,
             },
-            KvRequest::List { under, from } => {
+            KvRequest::List { prefix: under, after: from } => {
                 // Pages of three, so that paging is used.
                 let mut items: Vec<KeyValue> = self
                     .keys
@@ -142,8 +142,8 @@
                     .map(|(key, (value, stamp, hold))| KeyValue {
                         key: key.clone(),
                         value: value.clone(),
-                        stamp: *stamp,
-                        hold: *hold,
+                        mod_revision: *stamp,
+                        lease_id: *hold,
                     })
                     .collect();
                 let more = items.len() > 3;
@@ -151,24 +151,24 @@
                 KvResponse::Page(items, more, self.revision)
             }
             KvRequest::Txn(txn) => self.txn(txn),
-            KvRequest::Grant(life_ms) => {
+            KvRequest::GrantLease(life_ms) => {
                 self.next_hold += 1;
                 let life_s = *life_ms as f64 / 1000.0;
                 self.holds.insert(self.next_hold, (now + life_s, life_s));
-                KvResponse::Granted(self.next_hold)
+                KvResponse::LeaseGranted(self.next_hold)
             }
-            KvRequest::Renew(hold) => match self.holds.get_mut(hold) {
+            KvRequest::KeepAlive(hold) => match self.holds.get_mut(hold) {
                 Some((until, life_s)) => {
                     *until = now + *life_s;
-                    KvResponse::Ok
+                    KvResponse::LeaseOk
                 }
-                None => KvResponse::Gone,
+                None => KvResponse::LeaseExpired,
             },
-            KvRequest::Drop(hold) => {
+            KvRequest::RevokeLease(hold) => {
                 self.end_hold(*hold);
-                KvResponse::Ok
+                KvResponse::LeaseOk
             }
-            KvRequest::Follow { .. } => unreachable!("follows are held by the world"),
+            KvRequest::Watch { .. } => unreachable!("follows are held by the world"),
         }
     }
 }
@@ -176,12 +176,12 @@
 impl World {
     pub(super) fn store_call(&mut self, i: usize, life: u64, tag: u64, call: KvRequest) {
         if self.now < self.refused[i] {
-            self.after(0.003, What::StoreBack(i, life, tag, KvResponse::Refused));
+            self.after(0.003, What::StoreBack(i, life, tag, KvResponse::Unavailable));
             return;
         }
-        if let KvRequest::Follow {
-            under,
-            from,
+        if let KvRequest::Watch {
+            prefix: under,
+            after: from,
             wait_ms,
         } = call
         {
--- a/tests/world/troubles.rs
+++ b/tests/world/troubles.rs
@@ -128,9 +128,9 @@
     pub(super) fn holds_command(&mut self, call: &WorkerRequest) -> Option<f64> {
         let WorkerRequest::Commands(commands) = call;
         let starts = commands
-            .orders
+            .commands
             .iter()
-            .any(|order| order.verb == CommandKind::Start);
+            .any(|order| order.kind == CommandKind::Start);
         if !starts || self.now >= self.held_commands.until {
             return None;
         }
@@ -144,17 +144,17 @@
         let Some(worker) = self.workers.get(host) else {
             return;
         };
-        let same_session = commands.tenure == Some(worker.tenure);
+        let same_session = commands.incarnation == Some(worker.tenure);
         let too_late = |step: &str| {
             let user = self.users.iter().find(|u| u.id == job_of(step));
             let told = user.and_then(|u| u.told_cancelled);
             told.is_some_and(|at| self.now > at + CANCEL_S)
         };
         let starts = commands
-            .orders
+            .commands
             .iter()
-            .filter(|o| o.verb == CommandKind::Start);
-        let late = starts.filter(|order| too_late(&order.step)).count() as u32;
+            .filter(|o| o.kind == CommandKind::Start);
+        let late = starts.filter(|order| too_late(&order.task)).count() as u32;
         self.counts.starts_past_cancellation += late;
         self.counts.starts_past_in_session += if same_session { late } else { 0 };
     }
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -71,24 +71,24 @@
     pub(super) fn report(&mut self) -> WorkerHeartbeat {
         self.tick += 1;
         WorkerHeartbeat {
-            host: self.name.clone(),
+            worker: self.name.clone(),
             endpoint: self.name.clone(),
-            flavor: "f".into(),
+            instance_type: "f".into(),
             zone: self.zone.clone(),
             spot: self.spot,
-            tenure: self.tenure,
-            tick: self.tick,
+            incarnation: self.tenure,
+            sequence: self.tick,
             token: self.token,
-            warning_s: None,
-            steps: self
+            reclaim_in_s: None,
+            tasks: self
                 .tasks
                 .iter()
                 .flat_map(|(step, tasks)| {
                     tasks.iter().map(|t| TaskStatus {
-                        step: step.clone(),
+                        task: step.clone(),
                         attempt: t.attempt,
-                        status: t.status,
-                        cause: t.cause,
+                        state: t.status,
+                        exit_reason: t.cause,
                     })
                 })
                 .collect(),
@@ -141,14 +141,14 @@
             for task in tasks.iter_mut() {
                 if task.status == TaskState::Running && now >= task.until {
                     task.status = TaskState::Exited;
-                    task.cause = Some(ExitReason::Done);
+                    task.cause = Some(ExitReason::Completed);
                     worker.next_report = now;
                 }
             }
         }
         let mut ended = BTreeSet::new();
         for (step, tasks) in &worker.tasks {
-            if tasks.iter().any(|t| t.cause == Some(ExitReason::Done))
+            if tasks.iter().any(|t| t.cause == Some(ExitReason::Completed))
                 && self.done.insert(step.clone())
             {
                 ended.insert(job_of(step).to_owned());
@@ -167,7 +167,7 @@
         }
         if worker.sent.is_none() && now >= worker.next_report {
             let report = worker.report();
-            worker.sent = Some((report.tick, now));
+            worker.sent = Some((report.sequence, now));
             let (at, deaf) = (worker.at, now < worker.deaf_until.max(worker.muted_until));
             if !deaf {
                 if self.rng.random::<f64>() < self.weather.copies {
@@ -233,7 +233,7 @@
             421 => {
                 let redirect: NotLeader = cbor::decode(body).expect("a redirect");
                 match redirect
-                    .foreman
+                    .leader_hint
                     .as_deref()
                     .map(|label| label[1..].parse::<usize>())
                 {
@@ -288,8 +288,8 @@
         }
         let reply = match call {
             WorkerRequest::Commands(commands) => {
-                if commands.token < worker.token || commands.tenure != Some(worker.tenure) {
-                    WorkerResponse::Mismatch(Box::new(worker.report()))
+                if commands.token < worker.token || commands.incarnation != Some(worker.tenure) {
+                    WorkerResponse::Rejected(Box::new(worker.report()))
                 } else {
                     if commands.token > worker.token {
                         worker.next_report = now;
@@ -298,7 +298,7 @@
                     let commands = commands.clone();
                     self.execute(host, &commands);
                     let worker = self.workers.get_mut(host).expect("still there");
-                    WorkerResponse::Done(Box::new(worker.report()))
+                    WorkerResponse::Executed(Box::new(worker.report()))
                 }
             }
         };
@@ -306,12 +306,12 @@
     }
 
     pub(super) fn execute(&mut self, name: &str, commands: &CommandBatch) {
-        for order in &commands.orders {
-            match order.verb {
-                CommandKind::Start => self.start(name, &order.step, order.attempt),
-                CommandKind::Halt => {
+        for order in &commands.commands {
+            match order.kind {
+                CommandKind::Start => self.start(name, &order.task, order.attempt),
+                CommandKind::Stop => {
                     let worker = self.workers.get_mut(name).expect("a worker");
-                    for task in worker.tasks.get_mut(&order.step).into_iter().flatten() {
+                    for task in worker.tasks.get_mut(&order.task).into_iter().flatten() {
                         if task.attempt == order.attempt && task.status == TaskState::Running {
                             task.status = TaskState::Exited;
                             task.cause = Some(ExitReason::Stopped);
@@ -320,12 +320,12 @@
                 }
                 CommandKind::Clear => {
                     let worker = self.workers.get_mut(name).expect("a worker");
-                    if let Some(tasks) = worker.tasks.get_mut(&order.step) {
+                    if let Some(tasks) = worker.tasks.get_mut(&order.task) {
                         tasks.retain(|t| {
                             t.attempt != order.attempt || t.status != TaskState::Exited
                         });
                         if tasks.is_empty() {
-                            worker.tasks.remove(&order.step);
+                            worker.tasks.remove(&order.task);
                         }
                     }
                 }
@@ -365,17 +365,17 @@
         let zone = worker.zone.clone();
         let refused = if self.done.contains(step) {
             // Its result is kept: it exits at once.
-            Some(ExitReason::Done)
+            Some(ExitReason::Completed)
         } else if busy {
-            Some(ExitReason::Busy)
+            Some(ExitReason::AttemptConflict)
         } else if full {
-            Some(ExitReason::Full)
+            Some(ExitReason::InsufficientResources)
         } else if broken || worker.faulty {
-            Some(ExitReason::Error)
+            Some(ExitReason::Failed)
         } else {
             None
         };
-        if refused == Some(ExitReason::Error) {
+        if refused == Some(ExitReason::Failed) {
             *self.counts.failures.entry(job.clone()).or_default() += 1;
             let on = self.counts.failures_on.entry(name.to_owned());
             *on.or_default() += 1;
