--- a/src/bookkeeping/failures.rs
+++ b/src/bookkeeping/failure_attribution.rs
@@ -8,9 +8,9 @@
 use std::collections::BTreeMap;
 
 /// Machines on which a job fails without a success in between before it is suspect.
-const SUSPECT_HOSTS: usize = 3;
+const CRASH_LOOP_WORKERS: usize = 3;
 /// Failures that make a machine faulty.
-const FAULTY_FAILURES: u32 = 3;
+const QUARANTINE_FAILURES: u32 = 3;
 /// Failures that a job counts for at most as long as it has succeeded nowhere: fewer than it takes,
 /// so that one job alone never makes a machine suspect.
 const UNPROVEN_FAILURES: u32 = 2;
@@ -24,17 +24,17 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct JobFailures {
     /// Hosts on which tasks failed, and when they first did.
-    hosts: BTreeMap<String, f64>,
+    workers: BTreeMap<String, f64>,
     succeeded: bool,
-    suspect: bool,
+    crash_looping: bool,
     failed_probes: u32,
 }
 
 impl JobFailures {
     /// Whether the job itself is thought to be at fault. Only one of its tasks at a time is then
     /// started, as a probe.
-    pub fn is_suspect(&self) -> bool {
-        self.suspect
+    pub fn is_crash_looping(&self) -> bool {
+        self.crash_looping
     }
 
     /// Whether a task of the job has ever succeeded.
@@ -44,39 +44,39 @@
 
     /// Whether a task of the job has failed on a host since the last success.
     pub fn has_failed_on(&self, host: &str) -> bool {
-        self.hosts.contains_key(host)
+        self.workers.contains_key(host)
     }
 
     /// Whether further tasks of the job should go to other hosts than this one. After `avoid_s` the
     /// host is tried again: there may be no other.
     pub fn avoids(&self, host: &str, avoid_s: f64, now: f64) -> bool {
-        !self.suspect && self.hosts.get(host).is_some_and(|at| now - at < avoid_s)
+        !self.crash_looping && self.workers.get(host).is_some_and(|at| now - at < avoid_s)
     }
 
     /// The hosts on which tasks failed.
-    pub fn hosts(&self) -> impl Iterator<Item = &str> {
-        self.hosts.keys().map(String::as_str)
+    pub fn workers(&self) -> impl Iterator<Item = &str> {
+        self.workers.keys().map(String::as_str)
     }
 
     /// Notes a failure. The job becomes suspect when it has failed on several hosts, or again on one
     /// that it had avoided for `avoid_s`. Returns whether it has just become suspect.
-    pub fn note_failure(&mut self, host: &str, avoid_s: f64, now: f64) -> bool {
-        let again = self.hosts.get(host).is_some_and(|at| now - at >= avoid_s);
-        if self.hosts.len() < MAX_REMEMBERED {
-            self.hosts.entry(host.to_owned()).or_insert(now);
+    pub fn record_failure(&mut self, host: &str, avoid_s: f64, now: f64) -> bool {
+        let again = self.workers.get(host).is_some_and(|at| now - at >= avoid_s);
+        if self.workers.len() < MAX_REMEMBERED {
+            self.workers.entry(host.to_owned()).or_insert(now);
         }
-        let before = self.suspect;
-        self.suspect |= again || self.hosts.len() >= SUSPECT_HOSTS;
-        self.suspect && !before
+        let before = self.crash_looping;
+        self.crash_looping |= again || self.workers.len() >= CRASH_LOOP_WORKERS;
+        self.crash_looping && !before
     }
 
     /// Takes over an earlier leader's suspicion.
-    pub fn inherit_suspicion(&mut self) {
-        self.suspect = true;
+    pub fn inherit_crash_loop(&mut self) {
+        self.crash_looping = true;
     }
 
     /// Notes a success: the job is trusted again.
-    pub fn note_success(&mut self) {
+    pub fn record_success(&mut self) {
         *self = JobFailures {
             succeeded: true,
             ..JobFailures::default()
@@ -92,60 +92,60 @@
 }
 
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-struct Evidence {
+struct AttributedFailures {
     failures: u32,
     /// The job has succeeded elsewhere.
-    proven: bool,
+    job_works_elsewhere: bool,
 }
 
 /// The failures on a host since the last task that completed there, by job.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct HostFailures {
-    jobs: BTreeMap<String, Evidence>,
+pub struct WorkerFailures {
+    jobs: BTreeMap<String, AttributedFailures>,
 }
 
-impl HostFailures {
+impl WorkerFailures {
     /// Notes that a task of a job failed here. `proven`: the job has succeeded elsewhere.
-    pub fn note_failure(&mut self, job: &str, proven: bool) {
+    pub fn record_failure(&mut self, job: &str, proven: bool) {
         if self.jobs.len() >= MAX_REMEMBERED && !self.jobs.contains_key(job) {
             return;
         }
         let evidence = self.jobs.entry(job.to_owned()).or_default();
         evidence.failures = evidence.failures.saturating_add(1);
-        evidence.proven |= proven;
+        evidence.job_works_elsewhere |= proven;
     }
 
     /// Notes that a job whose tasks failed here has succeeded elsewhere.
-    pub fn note_proven(&mut self, job: &str) {
+    pub fn attribute_to_worker(&mut self, job: &str) {
         if let Some(evidence) = self.jobs.get_mut(job) {
-            evidence.proven = true;
+            evidence.job_works_elsewhere = true;
         }
     }
 
     /// Withdraws what a job's failures told, since the job itself is at fault, or may be.
-    pub fn withdraw(&mut self, job: &str) {
+    pub fn attribute_to_job(&mut self, job: &str) {
         self.jobs.remove(job);
     }
 
     /// Notes that a task completed here: the machine works.
-    pub fn note_success(&mut self) {
+    pub fn record_success(&mut self) {
         self.jobs.clear();
     }
 
     /// Whether the machine may be faulty: it gets no more work until it is known which of the jobs
     /// that failed here work elsewhere.
-    pub fn is_suspect(&self) -> bool {
-        self.weight(UNPROVEN_FAILURES) >= FAULTY_FAILURES
+    pub fn is_cordoned(&self) -> bool {
+        self.weight(UNPROVEN_FAILURES) >= QUARANTINE_FAILURES
     }
 
     /// Whether the machine is faulty: what failed here works elsewhere.
-    pub fn is_faulty(&self) -> bool {
-        self.weight(0) >= FAULTY_FAILURES
+    pub fn is_quarantined(&self) -> bool {
+        self.weight(0) >= QUARANTINE_FAILURES
     }
 
     /// The failures here, of each job that has succeeded nowhere at most so many.
     fn weight(&self, unproven_most: u32) -> u32 {
-        let count = |evidence: &Evidence| match evidence.proven {
+        let count = |evidence: &AttributedFailures| match evidence.job_works_elsewhere {
             true => evidence.failures,
             false => evidence.failures.min(unproven_most),
         };
--- a/src/bookkeeping/invariants.rs
+++ b/src/bookkeeping/invariants.rs
@@ -11,13 +11,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Invariant {
     /// No start of a task goes out after a cancellation that this node knows of.
-    NoStartOfClosedJob,
+    NoStartOfEndedJob,
     /// No attempt is cleared while a start of it may arrive and run it again.
     NoClearWhileStartMayArrive,
     /// Nobody is told that a job is aborted before that is written.
     NoAbortedWithoutCommit,
     /// No lease of a worker is renewed beyond the hold-over.
-    NoRenewalBeyondHoldOver,
+    NoRenewalBeyondLeaseGrace,
     /// No binding is dropped whose start may still run.
     NoUnbindWhileStartMayArrive,
 }
--- a/src/bookkeeping/jobs.rs
+++ b/src/bookkeeping/jobs.rs
@@ -1,6 +1,6 @@
 //! Open jobs and their tasks.
 
-use crate::bookkeeping::failures::JobFailures;
+use crate::bookkeeping::failure_attribution::JobFailures;
 use crate::protocol::job::{JobKind, JobSpec};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -54,35 +54,35 @@
     /// As submitted.
     pub spec: JobSpec,
     /// Version of its key.
-    pub stamp: u64,
+    pub mod_revision: u64,
     /// When it came, on this node's steady clock.
-    pub since: f64,
+    pub submitted_at: f64,
     /// When it should be complete: its deadline, or its class's objective.
-    pub due: Option<f64>,
+    pub deadline: Option<f64>,
     /// Its tasks should start within so long.
-    pub prompt_s: Option<f64>,
+    pub start_objective_s: Option<f64>,
     /// It can wait until then, rather than stop other work.
-    pub patient_until: f64,
+    pub latest_unhurried_start: f64,
     /// Completed tasks, written down or about to be.
-    pub done: TaskSet,
+    pub completed: TaskSet,
     /// Where tasks are bound; a task may show up on several hosts after failures.
-    pub bound: BTreeMap<u32, Vec<String>>,
+    pub bound_workers: BTreeMap<u32, Vec<String>>,
     /// Hosts where its tasks have completed while copies of their starts may still arrive.
-    pub copies_on: BTreeSet<String>,
+    pub workers_with_start_copies: BTreeSet<String>,
     /// Tasks bound in each zone.
-    pub zones: HashMap<String, u32>,
+    pub bound_per_zone: HashMap<String, u32>,
     /// Bound tasks that are complete already.
-    bound_done: u32,
+    bound_completed: u32,
     /// Bound tasks that have been seen running.
-    pub running: u32,
+    pub running_tasks: u32,
     /// Its ending is on the way.
-    pub ending: bool,
+    pub finishing: bool,
     /// What its failed tasks tell about it.
     pub failures: JobFailures,
     /// The latest attempt, which the tasks of a group share.
-    pub group_attempt: Option<u64>,
+    pub gang_attempt: Option<u64>,
     /// No starts before this time.
-    pub not_before: f64,
+    pub eligible_at: f64,
     /// Since when some task has waited, for the oldest age.
     pub waiting_since: f64,
 }
@@ -93,28 +93,28 @@
         let tasks = spec.tasks;
         let due = spec.deadline_s.map(|due| since + due);
         Job {
-            due,
-            prompt_s: None,
-            patient_until: since,
+            deadline: due,
+            start_objective_s: None,
+            latest_unhurried_start: since,
             spec,
-            stamp,
-            since,
-            done: TaskSet::new(tasks),
-            bound: BTreeMap::new(),
-            copies_on: BTreeSet::new(),
-            zones: HashMap::new(),
-            bound_done: 0,
-            running: 0,
-            ending: false,
+            mod_revision: stamp,
+            submitted_at: since,
+            completed: TaskSet::new(tasks),
+            bound_workers: BTreeMap::new(),
+            workers_with_start_copies: BTreeSet::new(),
+            bound_per_zone: HashMap::new(),
+            bound_completed: 0,
+            running_tasks: 0,
+            finishing: false,
             failures: JobFailures::default(),
-            group_attempt: None,
-            not_before: 0.0,
+            gang_attempt: None,
+            eligible_at: 0.0,
             waiting_since: since,
         }
     }
 
     /// Whether the tasks run until the job is cancelled.
-    pub fn standing(&self) -> bool {
+    pub fn is_service(&self) -> bool {
         self.spec.kind == JobKind::Service
     }
 
@@ -124,31 +124,31 @@
     }
 
     fn waits(&self, index: u32) -> bool {
-        !self.done.contains(index) && !self.bound.contains_key(&index)
+        !self.completed.contains(index) && !self.bound_workers.contains_key(&index)
     }
 
     /// Number of tasks that wait.
-    pub fn waiting(&self) -> u32 {
-        if self.ending {
+    pub fn waiting_count(&self) -> u32 {
+        if self.finishing {
             return 0;
         }
-        let bound = self.bound.len() as u32 - self.bound_done;
-        self.spec.tasks.saturating_sub(self.done.len() + bound)
+        let bound = self.bound_workers.len() as u32 - self.bound_completed;
+        self.spec.tasks.saturating_sub(self.completed.len() + bound)
     }
 
     /// Whether replicas of this job have failed since the last one that ran for a while.
     pub fn is_failing_service(&self) -> bool {
-        self.standing() && self.failures.hosts().next().is_some()
+        self.is_service() && self.failures.workers().next().is_some()
     }
 
     /// Number of tasks that may be placed now: all that wait, but of a suspect job only one at a
     /// time, as a probe.
-    pub fn startable(&self) -> u32 {
-        let waiting = self.waiting();
-        if !self.failures.is_suspect() {
+    pub fn startable_count(&self) -> u32 {
+        let waiting = self.waiting_count();
+        if !self.failures.is_crash_looping() {
             return waiting;
         }
-        let probing = self.bound.len() as u32 > self.bound_done;
+        let probing = self.bound_workers.len() as u32 > self.bound_completed;
         match self.spec.kind {
             _ if probing => 0,
             JobKind::Gang => waiting,
@@ -157,51 +157,51 @@
     }
 
     /// Whether any task has been placed or completed.
-    pub fn begun(&self) -> bool {
-        !self.done.is_empty() || !self.bound.is_empty()
+    pub fn has_started(&self) -> bool {
+        !self.completed.is_empty() || !self.bound_workers.is_empty()
     }
 
     /// Notes that a task is complete. False: it was known.
     pub fn complete(&mut self, index: u32) -> bool {
-        let new = self.done.insert(index);
-        if new && self.bound.contains_key(&index) {
-            self.bound_done += 1;
+        let new = self.completed.insert(index);
+        if new && self.bound_workers.contains_key(&index) {
+            self.bound_completed += 1;
         }
         new
     }
 
     /// Notes that a task was bound to a host in a zone.
     pub fn bind(&mut self, index: u32, host: &str, zone: &str) {
-        let hosts = self.bound.entry(index).or_default();
-        if hosts.is_empty() && self.done.contains(index) {
-            self.bound_done += 1;
+        let hosts = self.bound_workers.entry(index).or_default();
+        if hosts.is_empty() && self.completed.contains(index) {
+            self.bound_completed += 1;
         }
         if !hosts.iter().any(|name| name == host) {
             hosts.push(host.to_owned());
-            *self.zones.entry(zone.to_owned()).or_default() += 1;
+            *self.bound_per_zone.entry(zone.to_owned()).or_default() += 1;
         }
     }
 
     /// Notes that a binding has ended.
     pub fn unbind(&mut self, index: u32, host: &str, zone: &str, now: f64) {
-        let Some(hosts) = self.bound.get_mut(&index) else {
+        let Some(hosts) = self.bound_workers.get_mut(&index) else {
             return;
         };
         let before = hosts.len();
         hosts.retain(|name| name != host);
         if hosts.len() < before
-            && let Some(count) = self.zones.get_mut(zone)
+            && let Some(count) = self.bound_per_zone.get_mut(zone)
         {
             *count -= 1;
             if *count == 0 {
-                self.zones.remove(zone);
+                self.bound_per_zone.remove(zone);
             }
         }
         if hosts.is_empty() {
-            self.bound.remove(&index);
-            if self.done.contains(index) {
-                self.bound_done -= 1;
-            } else if self.waiting() == 1 {
+            self.bound_workers.remove(&index);
+            if self.completed.contains(index) {
+                self.bound_completed -= 1;
+            } else if self.waiting_count() == 1 {
                 self.waiting_since = now;
             }
         }
--- a/src/bookkeeping/pending_starts.rs
+++ b/src/bookkeeping/pending_starts.rs
@@ -16,7 +16,7 @@
 
 /// What became of a direct call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CallFate {
+pub enum CallOutcome {
     /// The worker has answered; copies may follow.
     Answered,
     /// No answer: it may be executed at any later time.
@@ -29,18 +29,18 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 struct PendingStart {
     /// Fence of the latest direct command that carried it and may still be executed.
-    direct: Option<u32>,
+    delivered_under: Option<u32>,
     /// One of these commands got no answer.
     unanswered: bool,
     /// Fence of the direct command that carries it and is on its way now.
-    in_call: Option<u32>,
+    in_flight_under: Option<u32>,
     /// Report in whose answer it was sent; settled by the next report.
-    in_answer: Option<u64>,
+    in_response: Option<u64>,
 }
 
 impl PendingStart {
     fn is_settled(&self) -> bool {
-        self.direct.is_none() && self.in_call.is_none() && self.in_answer.is_none()
+        self.delivered_under.is_none() && self.in_flight_under.is_none() && self.in_response.is_none()
     }
 }
 
@@ -50,7 +50,7 @@
     /// Goes out with every message to the worker.
     fence: u32,
     /// The highest fence that the worker has shown.
-    shown: u32,
+    observed_fence: u32,
     starts: BTreeMap<(TaskId, u64), PendingStart>,
 }
 
@@ -62,7 +62,7 @@
 
     /// Whether the worker has not shown its present fence yet.
     pub fn awaits_fence(&self) -> bool {
-        self.shown < self.fence
+        self.observed_fence < self.fence
     }
 
     /// How many starts may still arrive.
@@ -81,27 +81,27 @@
     }
 
     /// A start goes out in a direct command.
-    pub fn send_directly(&mut self, task: TaskId, attempt: u64) {
-        self.starts.entry((task, attempt)).or_default().in_call = Some(self.fence);
+    pub fn record_direct_call(&mut self, task: TaskId, attempt: u64) {
+        self.starts.entry((task, attempt)).or_default().in_flight_under = Some(self.fence);
     }
 
     /// A start goes out in the answer to a report.
-    pub fn send_in_answer(&mut self, task: TaskId, attempt: u64, tick: u64) {
-        self.starts.entry((task, attempt)).or_default().in_answer = Some(tick);
+    pub fn record_heartbeat_response(&mut self, task: TaskId, attempt: u64, tick: u64) {
+        self.starts.entry((task, attempt)).or_default().in_response = Some(tick);
     }
 
     /// Takes what became of the direct command that carried a start.
-    pub fn settle_call(&mut self, task: &TaskId, attempt: u64, fate: CallFate) {
+    pub fn record_call_outcome(&mut self, task: &TaskId, attempt: u64, fate: CallOutcome) {
         let key = (task.clone(), attempt);
         let Some(start) = self.starts.get_mut(&key) else {
             return;
         };
-        let sent = start.in_call.take();
+        let sent = start.in_flight_under.take();
         match fate {
-            CallFate::NotSent => {}
-            CallFate::Answered => start.direct = start.direct.max(sent),
-            CallFate::Unanswered => {
-                start.direct = start.direct.max(sent);
+            CallOutcome::NotSent => {}
+            CallOutcome::Answered => start.delivered_under = start.delivered_under.max(sent),
+            CallOutcome::Unanswered => {
+                start.delivered_under = start.delivered_under.max(sent);
                 start.unanswered = true;
             }
         }
@@ -112,25 +112,25 @@
 
     /// A report that the worker sent by itself, the next one after those in whose answers starts went out:
     /// these have been executed or dropped.
-    pub fn settle_answers(&mut self, tick: u64) {
+    pub fn settle_responses(&mut self, tick: u64) {
         for start in self.starts.values_mut() {
-            if start.in_answer.is_some_and(|sent| sent < tick) {
-                start.in_answer = None;
+            if start.in_response.is_some_and(|sent| sent < tick) {
+                start.in_response = None;
             }
         }
         self.starts.retain(|_, start| !start.is_settled());
     }
 
     /// The worker shows a fence of this leader: nothing that was sent under a lower one is executed any more.
-    pub fn note_shown(&mut self, fence: u32) {
-        self.shown = self.shown.max(fence);
+    pub fn observe_fence(&mut self, fence: u32) {
+        self.observed_fence = self.observed_fence.max(fence);
         self.fence = self.fence.max(fence);
-        let shown = self.shown;
+        let shown = self.observed_fence;
         let over = |sent: Option<u32>| sent.filter(|fence| *fence >= shown);
         for start in self.starts.values_mut() {
-            start.direct = over(start.direct);
-            start.in_call = over(start.in_call);
-            start.unanswered &= start.direct.is_some();
+            start.delivered_under = over(start.delivered_under);
+            start.in_flight_under = over(start.in_flight_under);
+            start.unanswered &= start.delivered_under.is_some();
         }
         self.starts.retain(|_, start| !start.is_settled());
     }
@@ -146,16 +146,16 @@
     }
 
     /// Whether all that may still arrive of it are copies of commands that were answered.
-    pub fn only_copies(&self, task: &TaskId, attempt: u64) -> bool {
+    pub fn only_answered_copies(&self, task: &TaskId, attempt: u64) -> bool {
         self.get(task, attempt).is_some_and(|start| {
-            start.in_call.is_none() && start.in_answer.is_none() && !start.unanswered
+            start.in_flight_under.is_none() && start.in_response.is_none() && !start.unanswered
         })
     }
 
     /// Whether it takes a higher fence than the present one to revoke a start.
     pub fn needs_fence(&self, task: &TaskId, attempt: u64) -> bool {
         self.get(task, attempt)
-            .is_some_and(|start| start.direct.max(start.in_call) == Some(self.fence))
+            .is_some_and(|start| start.delivered_under.max(start.in_flight_under) == Some(self.fence))
     }
 
     /// Raises the fence. False: it can't be raised any further under this leader.
--- a/src/bookkeeping/permits.rs
+++ b/src/bookkeeping/permits.rs
@@ -4,66 +4,66 @@
 //! decision rests on is part of it, and the reason for each denial is a type. The module knows no clocks:
 //! ages are worked out by who asks.
 
-use super::hosts::{Binding, Host, RevocationReason};
+use super::workers::{Binding, RevocationReason, Worker};
 use crate::protocol::worker::{ExitReason, TaskId, TaskState, TaskStatus};
 use std::collections::BTreeMap;
 
 /// What is asked for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Action {
+pub enum PermitKind {
     /// Orders to start tasks go out.
-    Start,
+    StartTasks,
     /// A worker's lease is renewed.
-    Renew,
+    RenewLease,
 }
 
 /// Why something may not be done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Denial {
     /// This node does not lead.
-    NotLeading,
+    NotLeader,
     /// The leader's lease in the state service may have run out.
     LeaseNotHeld,
     /// The state service has refused a call, or left one unanswered, since the open jobs were last seen.
-    StateServiceInDoubt,
+    StateServiceUncertain,
     /// The view of the open jobs is too old.
-    ViewTooOld,
+    ViewStale,
     /// The binding, or its end, is not written yet.
-    NotWritten,
+    NotCommitted,
     /// An earlier leader bound the task, which may or may not have sent its start.
     Inherited,
     /// The task is to leave the machine, or its job is over.
-    Halted,
+    Evicted,
     /// The task is bound to the machine and wanted there.
-    Bound,
+    StillWanted,
     /// The task was bound for another session of the worker.
-    OtherSession,
+    IncarnationMismatch,
     /// The worker shows the attempt already.
-    AlreadyShown,
+    AlreadyObserved,
     /// The task has not exited.
     NotExited,
     /// The machine is being given back.
-    Returning,
+    Terminating,
     /// A start of the attempt may still arrive at the worker.
     StartMayArrive,
     /// Jobs may have been cancelled long enough ago that their tasks must be gone by the end of a lease.
-    HoldOverEnded,
+    LeaseGraceExpired,
 }
 
 /// How old a node's knowledge may be.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Limits {
+pub struct FreshnessLimits {
     /// For how long leases are renewed after the lease and the view were last confirmed.
-    pub hold_over_s: f64,
+    pub lease_grace_s: f64,
     /// The oldest view of the open jobs that allows starts.
-    pub start_view_s: f64,
+    pub max_start_view_age_s: f64,
 }
 
 /// What a node knows, and how old that is.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Knowledge {
+pub struct ViewFreshness {
     /// This node leads, as far as it knows.
-    pub leads: bool,
+    pub is_leader: bool,
     /// It certainly holds the leader's lease.
     pub lease_held: bool,
     /// Seconds since that lease was last renewed.
@@ -71,100 +71,100 @@
     /// Seconds since the view of the open jobs was certainly current.
     pub view_age_s: f64,
     /// Seconds since the state service last refused a call or left one unanswered.
-    pub doubt_age_s: f64,
+    pub state_failure_age_s: f64,
     /// How old these may be.
-    pub limits: Limits,
+    pub limits: FreshnessLimits,
 }
 
-impl Knowledge {
+impl ViewFreshness {
     /// Whether orders to start tasks may go out. After an outage a lease has its full time again, while
     /// jobs may have been cancelled before of which this node hasn't heard yet.
     pub fn may_start(&self) -> Result<(), Denial> {
-        if !self.leads {
-            return Err(Denial::NotLeading);
+        if !self.is_leader {
+            return Err(Denial::NotLeader);
         }
         if !self.lease_held {
             return Err(Denial::LeaseNotHeld);
         }
-        if self.doubt_age_s <= self.view_age_s {
-            return Err(Denial::StateServiceInDoubt);
+        if self.state_failure_age_s <= self.view_age_s {
+            return Err(Denial::StateServiceUncertain);
         }
-        if self.view_age_s >= self.limits.start_view_s {
-            return Err(Denial::ViewTooOld);
+        if self.view_age_s >= self.limits.max_start_view_age_s {
+            return Err(Denial::ViewStale);
         }
         Ok(())
     }
 
     /// Whether workers' leases may be renewed: only by who knows of every cancellation that could be due.
     pub fn may_renew(&self) -> Result<(), Denial> {
-        if !self.leads {
-            return Err(Denial::NotLeading);
+        if !self.is_leader {
+            return Err(Denial::NotLeader);
         }
-        if self.lease_age_s.max(self.view_age_s) > self.limits.hold_over_s {
-            return Err(Denial::HoldOverEnded);
+        if self.lease_age_s.max(self.view_age_s) > self.limits.lease_grace_s {
+            return Err(Denial::LeaseGraceExpired);
         }
         Ok(())
     }
 }
 
 /// Whether a bound task may be started on its machine, by a leader that may start tasks at all.
-pub fn start(host: &Host, task: &TaskId, binding: &Binding) -> Result<(), Denial> {
-    if host.returning {
-        return Err(Denial::Returning);
+pub fn may_start_task(host: &Worker, task: &TaskId, binding: &Binding) -> Result<(), Denial> {
+    if host.terminating {
+        return Err(Denial::Terminating);
     }
-    if !binding.durable || binding.ending {
-        return Err(Denial::NotWritten);
+    if !binding.durable || binding.unbinding {
+        return Err(Denial::NotCommitted);
     }
     if binding.inherited {
         return Err(Denial::Inherited);
     }
-    if binding.halt.is_some() {
-        return Err(Denial::Halted);
+    if binding.eviction.is_some() {
+        return Err(Denial::Evicted);
     }
-    if binding.tenure != host.tenure {
-        return Err(Denial::OtherSession);
+    if binding.incarnation != host.incarnation {
+        return Err(Denial::IncarnationMismatch);
     }
-    if host.step(task, binding.attempt).is_some() {
-        return Err(Denial::AlreadyShown);
+    if host.observed_task(task, binding.attempt).is_some() {
+        return Err(Denial::AlreadyObserved);
     }
     Ok(())
 }
 
 /// Whether an attempt that a worker shows may be cleared. After that a start that arrives late, or once
 /// more, would run it again; copies do no harm to a task that is done, whose result is kept.
-pub fn clear(host: &Host, task: &TaskId, step: &TaskStatus) -> Result<(), Denial> {
+pub fn may_clear(host: &Worker, task: &TaskId, step: &TaskStatus) -> Result<(), Denial> {
     if step.state != TaskState::Exited {
         return Err(Denial::NotExited);
     }
     let bound = host.bindings.get(task);
     if bound.is_some_and(|binding| binding.attempt == step.attempt) {
-        return Err(Denial::NotWritten);
+        return Err(Denial::NotCommitted);
     }
-    let harmless =
-        step.exit_reason == Some(ExitReason::Completed) && host.pending.only_copies(task, step.attempt);
-    if host.pending.may_arrive(task, step.attempt) && !harmless {
+    let harmless = step.exit_reason == Some(ExitReason::Completed)
+        && host.pending_starts.only_answered_copies(task, step.attempt);
+    if host.pending_starts.may_arrive(task, step.attempt) && !harmless {
         return Err(Denial::StartMayArrive);
     }
     Ok(())
 }
 
 /// Whether a binding may end whose task the worker does not show: it is not there and won't be.
-pub fn unbind_absent(host: &Host, task: &TaskId, binding: &Binding) -> Result<(), Denial> {
-    if !binding.durable || binding.ending {
-        return Err(Denial::NotWritten);
+pub fn may_unbind_absent(host: &Worker, task: &TaskId, binding: &Binding) -> Result<(), Denial> {
+    if !binding.durable || binding.unbinding {
+        return Err(Denial::NotCommitted);
     }
     if binding.inherited {
         // Once the worker has this leader's epoch, no start of an earlier one can reach it any more.
-        return if host.acked {
+        return if host.token_acknowledged {
             Ok(())
         } else {
             Err(Denial::StartMayArrive)
         };
     }
-    if binding.halt.is_none() {
-        return Err(Denial::Bound);
+    if binding.eviction.is_none() {
+        return Err(Denial::StillWanted);
     }
-    if host.pending.may_arrive(task, binding.attempt) {
+    if host.pending_starts.may_arrive(task, binding.attempt) {
         return Err(Denial::StartMayArrive);
     }
     Ok(())
@@ -172,24 +172,24 @@
 
 /// Whether the cloud may be asked to delete a machine: its mark is written, so every later leader deletes it
 /// too, however late the request is carried out.
-pub fn delete(host: &Host) -> Result<(), Denial> {
-    if host.marked {
+pub fn may_delete(host: &Worker) -> Result<(), Denial> {
+    if host.termination_recorded {
         Ok(())
     } else {
-        Err(Denial::NotWritten)
+        Err(Denial::NotCommitted)
     }
 }
 
 /// How often actions were allowed and denied, and why.
 #[derive(Debug, Default)]
-pub struct Tally {
-    counts: BTreeMap<(Action, Option<Denial>), u64>,
+pub struct DecisionCounters {
+    counts: BTreeMap<(PermitKind, Option<Denial>), u64>,
     revocations: BTreeMap<RevocationReason, u64>,
 }
 
-impl Tally {
+impl DecisionCounters {
     /// Counts a decision.
-    pub fn count(&mut self, action: Action, decision: Result<(), Denial>) {
+    pub fn count(&mut self, action: PermitKind, decision: Result<(), Denial>) {
         *self.counts.entry((action, decision.err())).or_default() += 1;
     }
 
--- a/src/bookkeeping/quotas.rs
+++ b/src/bookkeeping/quotas.rs
@@ -9,7 +9,7 @@
 
 /// CPUs and GPUs.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Use {
+pub struct ResourceUsage {
     /// CPUs.
     pub cpus: f64,
     /// GPUs.
@@ -19,7 +19,7 @@
 /// Teams with what their bound tasks use.
 #[derive(Debug, Clone, Default)]
 pub struct Quotas {
-    teams: HashMap<String, (Team, Use)>,
+    teams: HashMap<String, (Team, ResourceUsage)>,
 }
 
 impl Quotas {
@@ -28,19 +28,19 @@
         Quotas {
             teams: teams
                 .iter()
-                .map(|team| (team.name.clone(), (team.clone(), Use::default())))
+                .map(|team| (team.name.clone(), (team.clone(), ResourceUsage::default())))
                 .collect(),
         }
     }
 
     /// Whether the team exists.
-    pub fn knows(&self, team: &str) -> bool {
+    pub fn contains_team(&self, team: &str) -> bool {
         self.teams.contains_key(team)
     }
 
     /// Whether the job's team may ever run it: one task of an array, all tasks of
     /// a service or a group.
-    pub fn could_run(&self, spec: &JobSpec) -> bool {
+    pub fn can_ever_run(&self, spec: &JobSpec) -> bool {
         let Some((team, _)) = self.teams.get(&spec.team) else {
             return false;
         };
@@ -53,7 +53,7 @@
     }
 
     /// Whether one more task fits under the team's limit.
-    pub fn fits(&self, team: &str, cpus: f64, gpus: f64) -> bool {
+    pub fn has_capacity(&self, team: &str, cpus: f64, gpus: f64) -> bool {
         let Some((team, used)) = self.teams.get(team) else {
             return false;
         };
@@ -62,7 +62,7 @@
     }
 
     /// How many more such tasks fit under the team's limit.
-    pub fn room(&self, team: &str, cpus: f64, gpus: f64) -> u32 {
+    pub fn remaining_tasks(&self, team: &str, cpus: f64, gpus: f64) -> u32 {
         let Some((team, used)) = self.teams.get(team) else {
             return 0;
         };
@@ -77,7 +77,7 @@
     }
 
     /// Whether so much is within the team's guarantee.
-    pub fn guarantees(&self, team: &str, cpus: f64, gpus: f64) -> bool {
+    pub fn is_within_quota(&self, team: &str, cpus: f64, gpus: f64) -> bool {
         let Some((team, _)) = self.teams.get(team) else {
             return false;
         };
@@ -86,7 +86,7 @@
     }
 
     /// Whether the team uses more than its guarantee even without this.
-    pub fn beyond_without(&self, team: &str, cpus: f64, gpus: f64) -> bool {
+    pub fn exceeds_quota_without(&self, team: &str, cpus: f64, gpus: f64) -> bool {
         let Some((team, used)) = self.teams.get(team) else {
             return true;
         };
@@ -95,7 +95,7 @@
     }
 
     /// Counts a bound task.
-    pub fn take(&mut self, team: &str, cpus: f64, gpus: f64) {
+    pub fn charge(&mut self, team: &str, cpus: f64, gpus: f64) {
         if let Some((_, used)) = self.teams.get_mut(team) {
             used.cpus += cpus;
             used.gpus += gpus;
@@ -103,12 +103,12 @@
     }
 
     /// Takes a bound task off.
-    pub fn give(&mut self, team: &str, cpus: f64, gpus: f64) {
-        self.take(team, -cpus, -gpus);
+    pub fn release(&mut self, team: &str, cpus: f64, gpus: f64) {
+        self.charge(team, -cpus, -gpus);
     }
 
     /// What a team uses.
-    pub fn used(&self, team: &str) -> Use {
+    pub fn usage(&self, team: &str) -> ResourceUsage {
         self.teams
             .get(team)
             .map(|(_, used)| *used)
--- a/src/bookkeeping/records.rs
+++ b/src/bookkeeping/records.rs
@@ -3,33 +3,33 @@
 use serde::{Deserialize, Serialize};
 
 /// Who leads.
-pub const LEADER: &str = "leader";
+pub const LEADER_KEY: &str = "leader";
 /// The catalogue, kept for nodes that start while the cloud is out.
-pub const CATALOGUE: &str = "catalogue";
+pub const INSTANCE_CATALOG_KEY: &str = "catalogue";
 /// Prefix of open jobs.
-pub const OPEN: &str = "open/";
+pub const OPEN_PREFIX: &str = "open/";
 /// Prefix of finished jobs.
-pub const OVER: &str = "over/";
+pub const FINISHED_PREFIX: &str = "over/";
 /// Prefix of the log's segments.
-pub const LOG: &str = "log/";
+pub const LOG_PREFIX: &str = "log/";
 /// Prefix of rentals.
-pub const RENTAL: &str = "rental/";
+pub const PROVISIONING_PREFIX: &str = "rental/";
 
 /// Key of an open job.
-pub fn open(id: &str) -> String {
-    format!("{OPEN}{id}")
+pub fn open_key(id: &str) -> String {
+    format!("{OPEN_PREFIX}{id}")
 }
 /// Key of a finished job.
-pub fn over(id: &str) -> String {
-    format!("{OVER}{id}")
+pub fn finished_key(id: &str) -> String {
+    format!("{FINISHED_PREFIX}{id}")
 }
 /// Key of a slot of the log.
-pub fn log(slot: u32) -> String {
-    format!("{LOG}{slot:05}")
+pub fn log_key(slot: u32) -> String {
+    format!("{LOG_PREFIX}{slot:05}")
 }
 /// Key of a rental.
-pub fn rental(bid: &str) -> String {
-    format!("{RENTAL}{bid}")
+pub fn provisioning_key(bid: &str) -> String {
+    format!("{PROVISIONING_PREFIX}{bid}")
 }
 
 /// Value of `leader`.
@@ -40,13 +40,13 @@
     pub label: String,
     /// Tells one life of the node's process from another.
     #[serde(rename = "Life")]
-    pub life: u64,
+    pub process_incarnation: u64,
 }
 
 /// How a job ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ending {
+pub enum JobOutcome {
     /// All tasks are done.
     Done,
     /// Cancelled.
@@ -55,21 +55,21 @@
 
 /// Value of `over/<id>`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OverRecord {
+pub struct FinishedRecord {
     /// How it ended.
     #[serde(rename = "Status")]
-    pub ending: Ending,
+    pub outcome: JobOutcome,
     /// Completed tasks, for display.
     #[serde(rename = "Done", default)]
-    pub done: u32,
+    pub completed_tasks: u32,
 }
 
 /// Value of `rental/<bid>`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct RentalRecord {
+pub struct ProvisioningRecord {
     /// Machine type.
     #[serde(rename = "Flavor")]
-    pub flavor: String,
+    pub instance_type: String,
     /// Zone.
     #[serde(rename = "Grove")]
     pub zone: String,
--- a/src/bookkeeping/ring.rs
+++ b/src/bookkeeping/ring.rs
@@ -14,13 +14,13 @@
 
 /// Something that the log must keep until it is over.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Item {
+pub enum LiveEntry {
     /// What a host is, and whether it returns.
-    Kind(String),
+    Worker(String),
     /// A binding.
-    Bound(String, TaskId),
+    Binding(String, TaskId),
     /// Completed tasks of a chunk of a job.
-    Done(String, u32),
+    Completed(String, u32),
 }
 
 /// A slot of the ring with the segment that it holds.
@@ -29,64 +29,64 @@
     /// Number of its key.
     pub number: u32,
     /// Version of its key.
-    pub stamp: u64,
+    pub mod_revision: u64,
     /// What stands here and nowhere else.
-    pub items: BTreeSet<Item>,
+    pub live_entries: BTreeSet<LiveEntry>,
 }
 
 /// The log's slots in the order of their segments.
 #[derive(Debug, Default)]
-pub struct Ring {
+pub struct SegmentRing {
     /// By the number of the segment.
     pub slots: BTreeMap<u64, Slot>,
     /// In which segment an item stands.
-    pub place: BTreeMap<Item, u64>,
+    pub location: BTreeMap<LiveEntry, u64>,
     /// Number of the next segment.
     pub next_seq: u64,
 }
 
-impl Ring {
+impl SegmentRing {
     /// An item now stands in this segment and in no other.
-    pub fn put(&mut self, item: Item, seq: u64) {
-        self.drop(&item);
+    pub fn insert(&mut self, item: LiveEntry, seq: u64) {
+        self.remove(&item);
         if let Some(slot) = self.slots.get_mut(&seq) {
-            slot.items.insert(item.clone());
-            self.place.insert(item, seq);
+            slot.live_entries.insert(item.clone());
+            self.location.insert(item, seq);
         }
     }
 
     /// An item is over.
-    pub fn drop(&mut self, item: &Item) {
-        if let Some(seq) = self.place.remove(item)
+    pub fn remove(&mut self, item: &LiveEntry) {
+        if let Some(seq) = self.location.remove(item)
             && let Some(slot) = self.slots.get_mut(&seq)
         {
-            slot.items.remove(item);
+            slot.live_entries.remove(item);
         }
     }
 
-    fn drop_all(&mut self, from: Item, belongs: impl Fn(&Item) -> bool) {
-        let over: Vec<Item> = self
-            .place
+    fn remove_all(&mut self, from: LiveEntry, belongs: impl Fn(&LiveEntry) -> bool) {
+        let over: Vec<LiveEntry> = self
+            .location
             .range(from..)
             .map(|(item, _)| item)
             .take_while(|item| belongs(item))
             .cloned()
             .collect();
         for item in over {
-            self.drop(&item);
+            self.remove(&item);
         }
     }
 
     /// Whether the oldest slot may be used again, rather than a new one.
     pub fn is_large_enough(&self, value_bytes: usize) -> bool {
-        let filled = (self.place.len() * ITEM_BYTES).div_ceil(value_bytes);
+        let filled = (self.location.len() * ITEM_BYTES).div_ceil(value_bytes);
         self.slots.len() >= (SPARE * filled).max(MIN_SLOTS)
     }
 
     /// Takes over a segment that an earlier leader wrote; they come in the log's order.
-    pub fn inherit(&mut self, key: &str, stamp: u64, segment: &Segment) {
+    pub fn replay_segment(&mut self, key: &str, stamp: u64, segment: &Segment) {
         let Some(number) = key
-            .strip_prefix(records::LOG)
+            .strip_prefix(records::LOG_PREFIX)
             .and_then(|slot| slot.parse().ok())
         else {
             return;
@@ -96,47 +96,53 @@
         let items = BTreeSet::new();
         let slot = Slot {
             number,
-            stamp,
-            items,
+            mod_revision: stamp,
+            live_entries: items,
         };
         self.slots.insert(seq, slot);
-        let host = |number: u32| segment.host(number).unwrap_or_default().to_owned();
+        let host = |number: u32| segment.worker_name(number).unwrap_or_default().to_owned();
         let task = |number: u32, index: u32| TaskId {
             job: segment.job(number).map_or(String::new(), |j| j.0.clone()),
             index,
         };
-        for kind in &segment.kinds {
-            self.put(Item::Kind(host(kind.0)), seq);
+        for kind in &segment.workers {
+            self.insert(LiveEntry::Worker(host(kind.0)), seq);
         }
-        for bind in &segment.binds {
-            self.put(Item::Bound(host(bind.0), task(bind.1, bind.2)), seq);
+        for bind in &segment.bindings {
+            self.insert(LiveEntry::Binding(host(bind.0), task(bind.1, bind.2)), seq);
         }
-        for end in &segment.ends {
-            self.drop(&Item::Bound(host(end.0), task(end.1, end.2)));
+        for end in &segment.ended_bindings {
+            self.remove(&LiveEntry::Binding(host(end.0), task(end.1, end.2)));
         }
-        for gone in &segment.gone {
-            self.host_gone(&host(*gone));
+        for gone in &segment.removed_workers {
+            self.remove_worker(&host(*gone));
         }
-        for (job, chunk, _) in &segment.done {
+        for (job, chunk, _) in &segment.completed {
             let job = task(*job, 0).job;
-            self.put(Item::Done(job, *chunk), seq);
+            self.insert(LiveEntry::Completed(job, *chunk), seq);
         }
     }
 
     /// A host is gone, with all that was bound to it.
-    pub fn host_gone(&mut self, host: &str) {
-        self.drop(&Item::Kind(host.to_owned()));
+    pub fn remove_worker(&mut self, host: &str) {
+        self.remove(&LiveEntry::Worker(host.to_owned()));
         let first = TaskId {
             job: String::new(),
             index: 0,
         };
-        let from = Item::Bound(host.to_owned(), first);
-        self.drop_all(from, |item| matches!(item, Item::Bound(h, _) if h == host));
+        let from = LiveEntry::Binding(host.to_owned(), first);
+        self.remove_all(
+            from,
+            |item| matches!(item, LiveEntry::Binding(h, _) if h == host),
+        );
     }
 
     /// A job is over: its completed tasks need not be kept.
-    pub fn job_over(&mut self, job: &str) {
-        let from = Item::Done(job.to_owned(), 0);
-        self.drop_all(from, |item| matches!(item, Item::Done(j, _) if j == job));
+    pub fn remove_job(&mut self, job: &str) {
+        let from = LiveEntry::Completed(job.to_owned(), 0);
+        self.remove_all(
+            from,
+            |item| matches!(item, LiveEntry::Completed(j, _) if j == job),
+        );
     }
 }
--- a/src/bookkeeping/segment.rs
+++ b/src/bookkeeping/segment.rs
@@ -4,14 +4,14 @@
 //! Names stand once, in tables at the head; entries refer to them by number, and all are lists, to
 //! fit many into a value.
 
-use super::hosts::{Host, Room};
 use super::jobs::TaskSet;
+use super::workers::{Resources, Worker};
 use crate::protocol::cbor;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
 /// Tasks in a chunk of a job's completed tasks.
-pub const CHUNK: u32 = 256;
+pub const TASKS_PER_CHUNK: u32 = 256;
 
 /// A number that may have been written as an integer.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
@@ -20,13 +20,13 @@
 /// A job: id, team and what a task takes, so that it can be counted even after the job is over.
 pub type JobEntry = (String, String, Amount, Amount, Amount);
 /// What a host is: number of the name, type, zone, spot, worker's address, returning.
-pub type KindEntry = (u32, String, String, bool, String, bool);
+pub type WorkerEntry = (u32, String, String, bool, String, bool);
 /// A binding: numbers of host and job, task, attempt, session.
-pub type BindEntry = (u32, u32, u32, u64, u64);
+pub type BindingEntry = (u32, u32, u32, u64, u64);
 /// The end of a binding: numbers of host and job, task, attempt.
-pub type EndEntry = (u32, u32, u32, u64);
+pub type EndedBindingEntry = (u32, u32, u32, u64);
 /// Completed tasks: number of the job, of the chunk, and a bitmap in hexadecimal.
-pub type DoneEntry = (u32, u32, String);
+pub type CompletedEntry = (u32, u32, String);
 
 /// Value of `log/<slot>`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
@@ -39,31 +39,31 @@
     pub epoch: u64,
     /// Names of hosts.
     #[serde(rename = "H", default)]
-    pub hosts: Vec<String>,
+    pub worker_names: Vec<String>,
     /// Jobs.
     #[serde(rename = "J", default)]
     pub jobs: Vec<JobEntry>,
     /// What hosts are.
     #[serde(rename = "K", default)]
-    pub kinds: Vec<KindEntry>,
+    pub workers: Vec<WorkerEntry>,
     /// Bindings.
     #[serde(rename = "B", default)]
-    pub binds: Vec<BindEntry>,
+    pub bindings: Vec<BindingEntry>,
     /// Ends of bindings.
     #[serde(rename = "E", default)]
-    pub ends: Vec<EndEntry>,
+    pub ended_bindings: Vec<EndedBindingEntry>,
     /// Hosts that are gone, with all bindings.
     #[serde(rename = "G", default)]
-    pub gone: Vec<u32>,
+    pub removed_workers: Vec<u32>,
     /// Completed tasks.
     #[serde(rename = "D", default)]
-    pub done: Vec<DoneEntry>,
+    pub completed: Vec<CompletedEntry>,
 }
 
 impl Segment {
     /// Whether a host's or job's number, if the entry has one, names something.
-    pub fn host(&self, number: u32) -> Option<&str> {
-        self.hosts.get(number as usize).map(String::as_str)
+    pub fn worker_name(&self, number: u32) -> Option<&str> {
+        self.worker_names.get(number as usize).map(String::as_str)
     }
     /// The job with a number.
     pub fn job(&self, number: u32) -> Option<&JobEntry> {
@@ -73,8 +73,8 @@
 
 /// Completed tasks of a chunk: four tasks a digit, the lowest bit first.
 pub fn encode_chunk(done: &TaskSet, chunk: u32, tasks: u32) -> String {
-    let first = chunk * CHUNK;
-    let last = (first + CHUNK).min(tasks);
+    let first = chunk * TASKS_PER_CHUNK;
+    let last = (first + TASKS_PER_CHUNK).min(tasks);
     (first..last)
         .step_by(4)
         .filter_map(|four| {
@@ -89,11 +89,13 @@
 /// Numbers of the completed tasks of a chunk.
 pub fn decode_chunk(chunk: u32, bits: &str) -> impl Iterator<Item = u32> + '_ {
     bits.chars()
-        .take(CHUNK as usize / 4)
+        .take(TASKS_PER_CHUNK as usize / 4)
         .enumerate()
         .flat_map(move |(i, digit)| {
             let digit = digit.to_digit(16).unwrap_or(0);
-            let four = chunk.saturating_mul(CHUNK).saturating_add(i as u32 * 4);
+            let four = chunk
+                .saturating_mul(TASKS_PER_CHUNK)
+                .saturating_add(i as u32 * 4);
             (0..4)
                 .filter(move |bit| digit & (1 << bit) != 0)
                 .map(move |bit| four + bit)
@@ -111,24 +113,24 @@
 
 /// Builds a segment and counts its size as JSON, never too low.
 #[derive(Debug, Default)]
-pub struct Builder {
+pub struct SegmentBuilder {
     segment: Segment,
-    host_numbers: HashMap<String, u32>,
+    worker_numbers: HashMap<String, u32>,
     job_numbers: HashMap<String, u32>,
     bytes: usize,
 }
 
-impl Builder {
+impl SegmentBuilder {
     /// An empty segment.
-    pub fn new(epoch: u64, seq: u64) -> Builder {
-        Builder {
+    pub fn new(epoch: u64, seq: u64) -> SegmentBuilder {
+        SegmentBuilder {
             segment: Segment {
                 seq,
                 epoch,
                 ..Segment::default()
             },
             bytes: EMPTY,
-            ..Builder::default()
+            ..SegmentBuilder::default()
         }
     }
 
@@ -138,10 +140,10 @@
     }
 
     /// What any one entry with its names may add, apart from a bitmap.
-    pub fn entry_bytes(host: &Host, job: &str, team: &str) -> usize {
+    pub fn entry_bytes(host: &Worker, job: &str, team: &str) -> usize {
         4 * FRAME
             + 2 * host.name.len()
-            + host.flavor.len()
+            + host.instance_type.len()
             + host.zone.len()
             + host.endpoint.len()
             + job.len()
@@ -151,19 +153,19 @@
             + 3 * 10
     }
 
-    fn host_number(&mut self, name: &str) -> u32 {
-        if let Some(number) = self.host_numbers.get(name) {
+    fn worker_number(&mut self, name: &str) -> u32 {
+        if let Some(number) = self.worker_numbers.get(name) {
             return *number;
         }
-        let number = self.segment.hosts.len() as u32;
+        let number = self.segment.worker_names.len() as u32;
         self.bytes += name.len() + FRAME;
-        self.host_numbers.insert(name.to_owned(), number);
-        self.segment.hosts.push(name.to_owned());
+        self.worker_numbers.insert(name.to_owned(), number);
+        self.segment.worker_names.push(name.to_owned());
         number
     }
 
     /// `need` is left out where only the job's name matters.
-    fn job_number(&mut self, id: &str, need: Option<(&str, Room)>) -> u32 {
+    fn job_number(&mut self, id: &str, need: Option<(&str, Resources)>) -> u32 {
         let number = match self.job_numbers.get(id) {
             Some(number) => *number,
             None => {
@@ -181,7 +183,7 @@
             && let Some(entry) = self.segment.jobs.get_mut(number as usize)
             && entry.1.is_empty()
         {
-            let amounts = [need.cpus, need.gpus, need.ram];
+            let amounts = [need.cpus, need.gpus, need.ram_gb];
             self.bytes += team.len()
                 + amounts
                     .map(|a| format!("{a:?}").len())
@@ -194,14 +196,14 @@
     }
 
     /// Says what a host is.
-    pub fn kind(&mut self, host: &Host, returning: bool) {
-        let number = self.host_number(&host.name);
-        self.segment.kinds.retain(|kind| kind.0 != number);
+    pub fn describe_worker(&mut self, host: &Worker, returning: bool) {
+        let number = self.worker_number(&host.name);
+        self.segment.workers.retain(|kind| kind.0 != number);
         self.bytes +=
-            3 * FRAME + 4 + host.flavor.len() + host.zone.len() + host.endpoint.len() + 12;
-        self.segment.kinds.push((
+            3 * FRAME + 4 + host.instance_type.len() + host.zone.len() + host.endpoint.len() + 12;
+        self.segment.workers.push((
             number,
-            host.flavor.clone(),
+            host.instance_type.clone(),
             host.zone.clone(),
             host.spot,
             host.endpoint.clone(),
@@ -214,10 +216,10 @@
         &mut self,
         host: &str,
         (job, index): (&str, u32),
-        (team, need): (&str, Room),
+        (team, need): (&str, Resources),
         (attempt, tenure): (u64, u64),
     ) {
-        let host = self.host_number(host);
+        let host = self.worker_number(host);
         let job = self.job_number(job, Some((team, need)));
         self.bytes += FRAME
             + [host, job, index]
@@ -226,12 +228,12 @@
                 .sum::<usize>()
             + digits(attempt)
             + digits(tenure);
-        self.segment.binds.push((host, job, index, attempt, tenure));
+        self.segment.bindings.push((host, job, index, attempt, tenure));
     }
 
     /// Adds the end of a binding.
-    pub fn end(&mut self, host: &str, job: &str, index: u32, attempt: u64) {
-        let host = self.host_number(host);
+    pub fn end_binding(&mut self, host: &str, job: &str, index: u32, attempt: u64) {
+        let host = self.worker_number(host);
         let job = self.job_number(job, None);
         self.bytes += FRAME
             + [host, job, index]
@@ -239,21 +241,21 @@
                 .iter()
                 .sum::<usize>()
             + digits(attempt);
-        self.segment.ends.push((host, job, index, attempt));
+        self.segment.ended_bindings.push((host, job, index, attempt));
     }
 
     /// Adds a host that is gone.
-    pub fn gone(&mut self, host: &str) {
-        let host = self.host_number(host);
+    pub fn remove_worker(&mut self, host: &str) {
+        let host = self.worker_number(host);
         self.bytes += digits(host.into()) + 1;
-        self.segment.gone.push(host);
+        self.segment.removed_workers.push(host);
     }
 
     /// Adds the completed tasks of a chunk.
-    pub fn done(&mut self, job: &str, chunk: u32, bits: String) {
+    pub fn complete(&mut self, job: &str, chunk: u32, bits: String) {
         let job = self.job_number(job, None);
         self.bytes += FRAME + digits(job.into()) + digits(chunk.into()) + bits.len();
-        self.segment.done.push((job, chunk, bits));
+        self.segment.completed.push((job, chunk, bits));
     }
 
     /// The segment.
--- a/src/bookkeeping/hosts.rs
+++ b/src/bookkeeping/workers.rs
@@ -1,8 +1,8 @@
 //! Hosts, the tasks bound to them and what their workers say.
 
-use crate::bookkeeping::failures::HostFailures;
-use crate::bookkeeping::pending_starts::{CallFate, PendingStarts};
-use crate::bookkeeping::permits::{self, Denial, Knowledge};
+use crate::bookkeeping::failure_attribution::WorkerFailures;
+use crate::bookkeeping::pending_starts::{CallOutcome, PendingStarts};
+use crate::bookkeeping::permits::{self, Denial, ViewFreshness};
 use crate::protocol::cloud::InstanceType;
 use crate::protocol::worker::{
     Command, CommandKind, TaskId, TaskState, TaskStatus, WorkerHeartbeat,
@@ -11,59 +11,59 @@
 
 /// Resources of a machine or a task.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Room {
+pub struct Resources {
     /// CPUs.
     pub cpus: f64,
     /// GPUs.
     pub gpus: f64,
     /// Memory.
-    pub ram: f64,
+    pub ram_gb: f64,
 }
 
 /// Sums of decimals may be off by rounding; so much is let pass.
 const ROUNDING: f64 = 1e-6;
 
-impl Room {
+impl Resources {
     /// What a machine of a type has.
-    pub fn of_flavor(flavor: &InstanceType) -> Room {
-        Room {
+    pub fn of_instance_type(flavor: &InstanceType) -> Resources {
+        Resources {
             cpus: flavor.cpus,
             gpus: flavor.gpus,
-            ram: flavor.ram_gb,
+            ram_gb: flavor.ram_gb,
         }
     }
     /// Whether `need` fits.
-    pub fn fits(&self, need: &Room) -> bool {
+    pub fn fits(&self, need: &Resources) -> bool {
         need.cpus <= self.cpus + ROUNDING
             && need.gpus <= self.gpus + ROUNDING
-            && need.ram <= self.ram + ROUNDING
+            && need.ram_gb <= self.ram_gb + ROUNDING
     }
     /// Less.
-    pub fn minus(&self, other: &Room) -> Room {
-        Room {
+    pub fn minus(&self, other: &Resources) -> Resources {
+        Resources {
             cpus: self.cpus - other.cpus,
             gpus: self.gpus - other.gpus,
-            ram: self.ram - other.ram,
+            ram_gb: self.ram_gb - other.ram_gb,
         }
     }
     /// More.
-    pub fn plus(&self, other: &Room) -> Room {
-        Room {
+    pub fn plus(&self, other: &Resources) -> Resources {
+        Resources {
             cpus: self.cpus + other.cpus,
             gpus: self.gpus + other.gpus,
-            ram: self.ram + other.ram,
+            ram_gb: self.ram_gb + other.ram_gb,
         }
     }
     /// So many times as much.
-    pub fn times(&self, factor: f64) -> Room {
-        Room {
+    pub fn times(&self, factor: f64) -> Resources {
+        Resources {
             cpus: self.cpus * factor,
             gpus: self.gpus * factor,
-            ram: self.ram * factor,
+            ram_gb: self.ram_gb * factor,
         }
     }
     /// How many of `need` fit.
-    pub fn count(&self, need: &Room) -> u32 {
+    pub fn count_fitting(&self, need: &Resources) -> u32 {
         let of = |have: f64, need: f64| {
             if need > 0.0 {
                 ((have + ROUNDING) / need).floor().max(0.0)
@@ -73,7 +73,7 @@
         };
         let count = of(self.cpus, need.cpus)
             .min(of(self.gpus, need.gpus))
-            .min(of(self.ram, need.ram));
+            .min(of(self.ram_gb, need.ram_gb));
         if count.is_finite() {
             count as u32
         } else {
@@ -81,19 +81,19 @@
         }
     }
     /// The largest share of `whole` that any resource takes.
-    pub fn share_of(&self, whole: &Room) -> f64 {
+    pub fn dominant_share(&self, whole: &Resources) -> f64 {
         let of = |part: f64, whole: f64| if whole > 0.0 { part / whole } else { 0.0 };
         of(self.cpus, whole.cpus)
             .max(of(self.gpus, whole.gpus))
-            .max(of(self.ram, whole.ram))
+            .max(of(self.ram_gb, whole.ram_gb))
     }
 }
 
 /// Why a task is to leave its host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum HaltReason {
+pub enum EvictionReason {
     /// Its job is over.
-    Over,
+    JobEnded,
     /// Its room is needed by work that goes first.
     Preempted,
     /// The host goes away.
@@ -106,9 +106,9 @@
     /// Attempt.
     pub attempt: u64,
     /// Session of the worker for which it was bound.
-    pub tenure: u64,
+    pub incarnation: u64,
     /// What it takes.
-    pub need: Room,
+    pub request: Resources,
     /// Team that it counts for.
     pub team: String,
     /// The state service has it.
@@ -116,49 +116,49 @@
     /// Bound by an earlier leader, which may or may not have sent the start.
     pub inherited: bool,
     /// Its end is being written down.
-    pub ending: bool,
+    pub unbinding: bool,
     /// It is to be stopped, with this time to save.
-    pub halt: Option<(f64, HaltReason)>,
+    pub eviction: Option<(f64, EvictionReason)>,
     /// When it was first seen running.
-    pub running: Option<f64>,
+    pub running_since: Option<f64>,
 }
 
 /// Why starts that may still arrive at a worker are revoked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RevocationReason {
     /// Their job is over.
-    JobOver,
+    JobEnded,
     /// A task that the worker doesn't show is to leave it.
-    Halted,
+    Evicted,
     /// An attempt that has exited can't be cleared before.
     Clear,
     /// Too many are kept.
-    Crowded,
+    TooManyPending,
 }
 
 impl RevocationReason {
     /// Whether the worker is told at once, rather than with the answer to its next report.
     pub fn is_urgent(self) -> bool {
-        matches!(self, RevocationReason::JobOver | RevocationReason::Halted)
+        matches!(self, RevocationReason::JobEnded | RevocationReason::Evicted)
     }
 }
 
 /// The way on which orders go to a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum DeliveryPath {
     /// In a direct command.
-    Direct,
+    DirectCall,
     /// In the answer to the report with this tick.
-    Answer(u64),
+    HeartbeatResponse(u64),
 }
 
 /// A machine and its worker.
 #[derive(Debug, Clone)]
-pub struct Host {
+pub struct Worker {
     /// Name.
     pub name: String,
     /// Machine type.
-    pub flavor: String,
+    pub instance_type: String,
     /// Zone.
     pub zone: String,
     /// Spot machine.
@@ -166,119 +166,119 @@
     /// Worker's address; empty while unknown.
     pub endpoint: String,
     /// Nothing may be placed here any more.
-    pub returning: bool,
+    pub terminating: bool,
     /// Its replicas are being moved elsewhere; nothing is placed here until it is empty.
     pub draining: bool,
     /// Marked in the state service as returning, so that the delete may be sent.
-    pub marked: bool,
+    pub termination_recorded: bool,
     /// Latest session seen; 0: no report so far.
-    pub tenure: u64,
+    pub incarnation: u64,
     /// Latest report seen of that session.
-    pub tick: u64,
+    pub sequence: u64,
     /// The worker has this leader's Epoch.
-    pub acked: bool,
+    pub token_acknowledged: bool,
     /// Tasks in the latest report.
-    pub steps: BTreeMap<TaskId, Vec<TaskStatus>>,
+    pub observed_tasks: BTreeMap<TaskId, Vec<TaskStatus>>,
     /// The worker's lease cannot run beyond this plus `lease_s`.
-    pub lease_from: f64,
+    pub lease_renewed_at: f64,
     /// When its worker was first heard.
-    pub first_heard: Option<f64>,
+    pub first_heartbeat_at: Option<f64>,
     /// When its worker was last heard.
-    pub heard: Option<f64>,
+    pub last_heartbeat_at: Option<f64>,
     /// Since when the latest direct call has had no answer, or a lost session none yet: reports may
     /// arrive from a machine that no answer or command reaches.
-    pub unreached: Option<f64>,
+    pub unreachable_since: Option<f64>,
     /// When the cloud takes it away.
-    pub taken_at: Option<f64>,
+    pub reclaim_at: Option<f64>,
     /// Bound tasks.
     pub bindings: BTreeMap<TaskId, Binding>,
     /// Starts that may still arrive, and the worker's fence.
-    pub pending: PendingStarts,
+    pub pending_starts: PendingStarts,
     /// A job is over of which starts may still arrive, though nothing of it is bound here.
-    pub revoke_closed: bool,
+    pub revoke_ended_jobs: bool,
     /// Images it is believed to have, the latest last.
-    pub images: Vec<String>,
+    pub cached_images: Vec<String>,
     /// When it was first known.
-    pub since: f64,
+    pub first_seen_at: f64,
     /// Since when nothing is bound here.
     pub idle_since: f64,
     /// What tasks that failed here tell about it.
-    pub failures: HostFailures,
+    pub failures: WorkerFailures,
     /// When it was last in the cloud's list.
-    pub listed: Option<f64>,
+    pub last_listed_at: Option<f64>,
     /// The cloud's list has shown it as running.
-    pub listed_up: bool,
+    pub listed_running: bool,
 }
 
 /// Images remembered of each host.
-const IMAGES: usize = 16;
+const MAX_CACHED_IMAGES: usize = 16;
 
-impl Host {
+impl Worker {
     /// A host of which only the name and the kind are known.
-    pub fn new(name: &str, flavor: &str, zone: &str, spot: bool, now: f64) -> Host {
-        Host {
+    pub fn new(name: &str, flavor: &str, zone: &str, spot: bool, now: f64) -> Worker {
+        Worker {
             name: name.to_owned(),
-            flavor: flavor.to_owned(),
+            instance_type: flavor.to_owned(),
             zone: zone.to_owned(),
             spot,
             endpoint: String::new(),
-            returning: false,
+            terminating: false,
             draining: false,
-            marked: false,
-            tenure: 0,
-            tick: 0,
-            acked: false,
-            steps: BTreeMap::new(),
-            lease_from: now,
-            first_heard: None,
-            heard: None,
-            unreached: None,
-            taken_at: None,
+            termination_recorded: false,
+            incarnation: 0,
+            sequence: 0,
+            token_acknowledged: false,
+            observed_tasks: BTreeMap::new(),
+            lease_renewed_at: now,
+            first_heartbeat_at: None,
+            last_heartbeat_at: None,
+            unreachable_since: None,
+            reclaim_at: None,
             bindings: BTreeMap::new(),
-            pending: PendingStarts::default(),
-            revoke_closed: false,
-            images: Vec::new(),
-            since: now,
+            pending_starts: PendingStarts::default(),
+            revoke_ended_jobs: false,
+            cached_images: Vec::new(),
+            first_seen_at: now,
             idle_since: now,
-            failures: HostFailures::default(),
-            listed: None,
-            listed_up: false,
+            failures: WorkerFailures::default(),
+            last_listed_at: None,
+            listed_running: false,
         }
     }
 
     /// What all bindings take.
-    pub fn used(&self) -> Room {
+    pub fn allocated(&self) -> Resources {
         self.bindings
             .values()
-            .fold(Room::default(), |sum, b| sum.plus(&b.need))
+            .fold(Resources::default(), |sum, b| sum.plus(&b.request))
     }
 
     /// What the bindings that are being stopped will give back.
-    pub fn leaving(&self) -> Room {
+    pub fn releasing(&self) -> Resources {
         self.bindings
             .values()
-            .filter(|b| b.halt.is_some() || b.ending)
-            .fold(Room::default(), |sum, b| sum.plus(&b.need))
+            .filter(|b| b.eviction.is_some() || b.unbinding)
+            .fold(Resources::default(), |sum, b| sum.plus(&b.request))
     }
 
     /// Whether tasks may be placed here.
-    pub fn usable(&self) -> bool {
-        self.acked
-            && !self.returning
+    pub fn is_schedulable(&self) -> bool {
+        self.token_acknowledged
+            && !self.terminating
             && !self.draining
-            && self.unreached.is_none()
-            && self.taken_at.is_none()
-            && self.heard.is_some()
+            && self.unreachable_since.is_none()
+            && self.reclaim_at.is_none()
+            && self.last_heartbeat_at.is_some()
     }
 
     /// Whether a report is newer than all seen.
     pub fn is_newer(&self, report: &WorkerHeartbeat) -> bool {
-        (report.incarnation, report.sequence) > (self.tenure, self.tick)
+        (report.incarnation, report.sequence) > (self.incarnation, self.sequence)
     }
 
     /// Whether a binding's attempt is in the latest report, and how.
-    pub fn step(&self, task: &TaskId, attempt: u64) -> Option<&TaskStatus> {
-        self.steps
+    pub fn observed_task(&self, task: &TaskId, attempt: u64) -> Option<&TaskStatus> {
+        self.observed_tasks
             .get(task)?
             .iter()
             .find(|step| step.attempt == attempt)
@@ -286,56 +286,56 @@
 
     /// Whether the latest report shows an attempt as exited.
     pub fn has_exited(&self, task: &TaskId, attempt: u64) -> bool {
-        self.step(task, attempt)
+        self.observed_task(task, attempt)
             .is_some_and(|step| step.state == TaskState::Exited)
     }
 
     /// Remembers that the host has an image.
-    pub fn note_image(&mut self, image: &str) {
-        self.images.retain(|known| known != image);
-        self.images.push(image.to_owned());
-        if self.images.len() > IMAGES {
-            self.images.remove(0);
+    pub fn remember_image(&mut self, image: &str) {
+        self.cached_images.retain(|known| known != image);
+        self.cached_images.push(image.to_owned());
+        if self.cached_images.len() > MAX_CACHED_IMAGES {
+            self.cached_images.remove(0);
         }
     }
 
     /// Whether the starts that may still arrive are to be revoked, and why. Nothing that goes out under the
     /// present fence needs that twice.
-    pub fn revocation(&self) -> Option<RevocationReason> {
+    pub fn pending_revocation(&self) -> Option<RevocationReason> {
         let mut halted = None;
         for (task, binding) in &self.bindings {
-            let Some((_, reason)) = binding.halt else {
+            let Some((_, reason)) = binding.eviction else {
                 continue;
             };
-            if binding.ending || !self.pending.needs_fence(task, binding.attempt) {
+            if binding.unbinding || !self.pending_starts.needs_fence(task, binding.attempt) {
                 continue;
             }
-            if reason == HaltReason::Over {
-                return Some(RevocationReason::JobOver);
+            if reason == EvictionReason::JobEnded {
+                return Some(RevocationReason::JobEnded);
             }
-            if self.step(task, binding.attempt).is_none() {
-                halted = Some(RevocationReason::Halted);
+            if self.observed_task(task, binding.attempt).is_none() {
+                halted = Some(RevocationReason::Evicted);
             }
         }
-        if self.revoke_closed {
-            return Some(RevocationReason::JobOver);
+        if self.revoke_ended_jobs {
+            return Some(RevocationReason::JobEnded);
         }
         if halted.is_some() {
             return halted;
         }
-        if self.keeps_exited() {
+        if self.has_uncleared_exit() {
             return Some(RevocationReason::Clear);
         }
-        let crowded = self.pending.is_crowded() && !self.pending.awaits_fence();
-        crowded.then_some(RevocationReason::Crowded)
+        let crowded = self.pending_starts.is_crowded() && !self.pending_starts.awaits_fence();
+        crowded.then_some(RevocationReason::TooManyPending)
     }
 
     /// Whether an attempt that has exited can't be cleared before the fence is raised.
-    fn keeps_exited(&self) -> bool {
-        self.steps.iter().any(|(task, steps)| {
+    fn has_uncleared_exit(&self) -> bool {
+        self.observed_tasks.iter().any(|(task, steps)| {
             steps.iter().any(|step| {
-                permits::clear(self, task, step) == Err(Denial::StartMayArrive)
-                    && self.pending.needs_fence(task, step.attempt)
+                permits::may_clear(self, task, step) == Err(Denial::StartMayArrive)
+                    && self.pending_starts.needs_fence(task, step.attempt)
             })
         })
     }
@@ -343,9 +343,9 @@
     /// Revokes all starts that went out so far: the worker will execute none once it has the next message.
     /// False: the fence can't be raised any further.
     pub fn revoke_starts(&mut self, reason: RevocationReason) -> bool {
-        let starts = self.pending.len();
-        let raised = self.pending.raise_fence();
-        let fence = self.pending.fence();
+        let starts = self.pending_starts.len();
+        let raised = self.pending_starts.raise_fence();
+        let fence = self.pending_starts.fence();
         tracing::debug!(
             host = self.name,
             ?reason,
@@ -354,36 +354,41 @@
             raised,
             "starts revoked"
         );
-        self.revoke_closed = false;
+        self.revoke_ended_jobs = false;
         raised
     }
 
     /// Whether a task that is to leave waits for the worker to show its present fence.
-    pub fn waits_for_fence(&self) -> bool {
-        self.pending.awaits_fence()
+    pub fn awaits_fence(&self) -> bool {
+        self.pending_starts.awaits_fence()
             && self.bindings.iter().any(|(task, binding)| {
-                binding.halt.is_some()
-                    && !binding.ending
-                    && self.pending.may_arrive(task, binding.attempt)
+                binding.eviction.is_some()
+                    && !binding.unbinding
+                    && self.pending_starts.may_arrive(task, binding.attempt)
             })
     }
 
     /// Notes the fence that the worker shows under this leader.
-    pub fn note_fence(&mut self, fence: u32) {
-        if fence > self.pending.fence() {
+    pub fn observe_fence(&mut self, fence: u32) {
+        if fence > self.pending_starts.fence() {
             tracing::error!(
                 host = self.name,
                 fence,
-                given = self.pending.fence(),
+                given = self.pending_starts.fence(),
                 "Epoch: the worker shows a fence that it was not given; it is taken over. Look for a \
                  second controller with this node's label"
             );
         }
-        self.pending.note_shown(fence);
+        self.pending_starts.observe_fence(fence);
     }
 
     /// Notes orders that go out.
-    pub fn note_sent(&mut self, orders: &[Command], way: Way, knowledge: &Knowledge) {
+    pub fn record_sent(
+        &mut self,
+        orders: &[Command],
+        way: DeliveryPath,
+        knowledge: &ViewFreshness,
+    ) {
         for order in orders {
             tracing::debug!(
                 host = self.name,
@@ -391,8 +396,8 @@
                 attempt = order.attempt,
                 verb = ?order.kind,
                 ?way,
-                tenure = self.tenure,
-                fence = self.pending.fence(),
+                tenure = self.incarnation,
+                fence = self.pending_starts.fence(),
                 view_age_s = knowledge.view_age_s,
                 "order sent"
             );
@@ -403,47 +408,49 @@
                 continue;
             };
             match way {
-                Way::Direct => self.pending.send_directly(task, order.attempt),
-                Way::Answer(tick) => self.pending.send_in_answer(task, order.attempt, tick),
+                DeliveryPath::DirectCall => self.pending_starts.record_direct_call(task, order.attempt),
+                DeliveryPath::HeartbeatResponse(tick) => {
+                    self.pending_starts.record_heartbeat_response(task, order.attempt, tick)
+                }
             }
         }
     }
 
     /// Notes what came of a direct call.
-    pub fn settle_call(&mut self, orders: &[Command], fate: CallFate) {
+    pub fn record_call_outcome(&mut self, orders: &[Command], fate: CallOutcome) {
         for order in orders
             .iter()
             .filter(|order| order.kind == CommandKind::Start)
         {
-            if fate == CallFate::Unanswered {
+            if fate == CallOutcome::Unanswered {
                 tracing::debug!(
                     host = self.name,
                     task = order.task,
                     attempt = order.attempt,
-                    fence = self.pending.fence(),
+                    fence = self.pending_starts.fence(),
                     "start without answer: it may still arrive"
                 );
             }
             if let Some(task) = TaskId::parse(&order.task) {
-                self.pending.settle_call(&task, order.attempt, fate);
+                self.pending_starts.record_call_outcome(&task, order.attempt, fate);
             }
         }
     }
 
     /// The orders that turn what the latest report shows into what is wanted. Starts only where
     /// `may_start`, which needs a confirmed leader.
-    pub fn orders(&self, may_start: bool, limit: usize) -> Vec<Command> {
+    pub fn commands(&self, may_start: bool, limit: usize) -> Vec<Command> {
         let mut orders = Vec::new();
-        for (task, steps) in &self.steps {
+        for (task, steps) in &self.observed_tasks {
             for step in steps {
-                if permits::clear(self, task, step).is_ok() {
+                if permits::may_clear(self, task, step).is_ok() {
                     orders.push(order(
                         CommandKind::Clear,
                         step.task.clone(),
                         step.attempt,
                         None,
                     ));
-                } else if let Some(drain_s) = self.wanted_halt(task, step) {
+                } else if let Some(drain_s) = self.wanted_stop(task, step) {
                     let drain_s = Some(drain_s);
                     orders.push(order(
                         CommandKind::Stop,
@@ -456,7 +463,7 @@
         }
         if may_start {
             for (task, binding) in &self.bindings {
-                if permits::start(self, task, binding).is_ok() {
+                if permits::may_start_task(self, task, binding).is_ok() {
                     orders.push(order(
                         CommandKind::Start,
                         task.to_string(),
@@ -471,7 +478,7 @@
     }
 
     /// The time to save of a task that is to be stopped, or stopped once more.
-    fn wanted_halt(&self, task: &TaskId, step: &TaskStatus) -> Option<f64> {
+    fn wanted_stop(&self, task: &TaskId, step: &TaskStatus) -> Option<f64> {
         if step.state == TaskState::Exited {
             return None;
         }
@@ -479,7 +486,7 @@
         let Some(binding) = bound.filter(|binding| binding.attempt == step.attempt) else {
             return Some(0.0);
         };
-        let (drain_s, _) = binding.halt?;
+        let (drain_s, _) = binding.eviction?;
         let saves = step.state == TaskState::Checkpointing && drain_s > 0.0;
         (!saves).then_some(drain_s)
     }
@@ -496,33 +503,33 @@
 
 /// All hosts.
 #[derive(Debug, Default)]
-pub struct Hosts {
-    hosts: BTreeMap<String, Host>,
+pub struct Workers {
+    hosts: BTreeMap<String, Worker>,
 }
 
-impl Hosts {
+impl Workers {
     /// A host.
-    pub fn get(&self, name: &str) -> Option<&Host> {
+    pub fn get(&self, name: &str) -> Option<&Worker> {
         self.hosts.get(name)
     }
     /// A host, to be changed.
-    pub fn get_mut(&mut self, name: &str) -> Option<&mut Host> {
+    pub fn get_mut(&mut self, name: &str) -> Option<&mut Worker> {
         self.hosts.get_mut(name)
     }
     /// A host, made if it is unknown.
-    pub fn entry(&mut self, name: &str, make: impl FnOnce() -> Host) -> &mut Host {
+    pub fn entry(&mut self, name: &str, make: impl FnOnce() -> Worker) -> &mut Worker {
         self.hosts.entry(name.to_owned()).or_insert_with(make)
     }
     /// Drops a host.
-    pub fn remove(&mut self, name: &str) -> Option<Host> {
+    pub fn remove(&mut self, name: &str) -> Option<Worker> {
         self.hosts.remove(name)
     }
     /// All hosts, by name.
-    pub fn iter(&self) -> impl Iterator<Item = &Host> {
+    pub fn iter(&self) -> impl Iterator<Item = &Worker> {
         self.hosts.values()
     }
     /// All hosts, to be changed.
-    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Host> {
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Worker> {
         self.hosts.values_mut()
     }
     /// How many.
--- a/src/bookkeeping/ledger.rs
+++ b/src/bookkeeping/write_ahead_log.rs
@@ -10,22 +10,22 @@
 //! A condition that has failed once can never hold again, and nothing else is written before the
 //! fate of a transaction is known; so none is ever applied late or twice.
 
-use super::hosts::Hosts;
 use super::jobs::Jobs;
-use super::records::{self, Ending, OverRecord};
-use super::ring::{Item, Ring, Slot};
-use super::segment::{Builder, CHUNK, Segment, encode_chunk};
+use super::records::{self, FinishedRecord, JobOutcome};
+use super::ring::{LiveEntry, SegmentRing, Slot};
+use super::segment::{Segment, SegmentBuilder, TASKS_PER_CHUNK, encode_chunk};
+use super::workers::Workers;
 use crate::protocol::kv::{COMPARES_PER_WRITE, Compare, MAX_TXN_BYTES, Txn, WriteOp};
 use crate::protocol::worker::TaskId;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// One change that is to be written down.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Change {
+pub enum LogEntry {
     /// A task is bound to a host.
     Bind {
         /// Host.
-        host: String,
+        worker: String,
         /// Task.
         task: TaskId,
         /// Attempt.
@@ -34,31 +34,31 @@
     /// A binding has ended; `done` tasks are recorded in the same transaction.
     Unbind {
         /// Host.
-        host: String,
+        worker: String,
         /// Task.
         task: TaskId,
         /// Attempt.
         attempt: u64,
         /// The task is complete.
-        done: bool,
+        completed: bool,
     },
     /// All tasks of a job are done.
-    End {
+    FinishJob {
         /// Job id.
         job: String,
     },
     /// A host is to be given back.
-    Mark {
+    RecordTermination {
         /// Host.
-        host: String,
+        worker: String,
     },
     /// A host is gone, with all bindings.
-    Forget {
+    RemoveWorker {
         /// Host.
-        host: String,
+        worker: String,
     },
     /// Any other key is put or removed.
-    Put {
+    WriteKey {
         /// The write.
         write: WriteOp,
     },
@@ -68,98 +68,98 @@
 #[derive(Debug)]
 struct InFlight {
     txn: Txn,
-    changes: Vec<Change>,
-    items: Vec<Item>,
+    entries: Vec<LogEntry>,
+    live_entries: Vec<LiveEntry>,
     seq: u64,
     epoch: u64,
     slot: u32,
     /// The segment that it overwrites.
-    over: Option<u64>,
+    overwritten_seq: Option<u64>,
     /// It was sent and not answered: it may have been executed, or may yet be.
-    doubtful: bool,
+    outcome_unknown: bool,
 }
 
 /// Limits of a transaction.
 #[derive(Debug, Clone, Copy)]
 pub struct TxnLimits {
     /// Puts and deletes.
-    pub ops: usize,
+    pub max_writes: usize,
     /// Bytes of a value.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
 }
 
 /// The queue and the transaction on its way.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct WriteAheadLog {
     limits: TxnLimits,
-    queue: VecDeque<Change>,
+    queue: VecDeque<LogEntry>,
     in_flight: Option<InFlight>,
-    void: Vec<(String, TaskId, u64)>,
-    ring: Ring,
+    rejected_bindings: Vec<(String, TaskId, u64)>,
+    ring: SegmentRing,
 }
 
 /// Share of the byte limits that a segment or a transaction fills at most.
 const FILL: f64 = 0.9;
 
-struct Draft {
-    builder: Builder,
-    changes: Vec<Change>,
-    items: Vec<Item>,
-    kinds: BTreeSet<String>,
-    open: BTreeSet<String>,
-    ended: BTreeMap<String, u32>,
-    puts: Vec<WriteOp>,
-    put_bytes: usize,
+struct SegmentDraft {
+    builder: SegmentBuilder,
+    entries: Vec<LogEntry>,
+    live_entries: Vec<LiveEntry>,
+    described_workers: BTreeSet<String>,
+    bound_jobs: BTreeSet<String>,
+    finished_jobs: BTreeMap<String, u32>,
+    key_writes: Vec<WriteOp>,
+    key_write_bytes: usize,
 }
 
-impl Draft {
-    fn ops(&self) -> usize {
-        1 + 2 * self.ended.len() + self.puts.len()
+impl SegmentDraft {
+    fn write_count(&self) -> usize {
+        1 + 2 * self.finished_jobs.len() + self.key_writes.len()
     }
-    fn conditions(&self) -> usize {
-        2 + self.open.len() + self.ended.len()
+    fn compare_count(&self) -> usize {
+        2 + self.bound_jobs.len() + self.finished_jobs.len()
     }
 }
 
-impl Ledger {
+impl WriteAheadLog {
     /// An empty queue.
-    pub fn new(limits: TxnLimits) -> Ledger {
-        Ledger {
+    pub fn new(limits: TxnLimits) -> WriteAheadLog {
+        WriteAheadLog {
             limits,
             queue: VecDeque::new(),
             in_flight: None,
-            void: Vec::new(),
-            ring: Ring::default(),
+            rejected_bindings: Vec::new(),
+            ring: SegmentRing::default(),
         }
     }
 
     /// Binds that became void before they were sent: host, task and attempt.
-    pub fn take_void(&mut self) -> Vec<(String, TaskId, u64)> {
-        std::mem::take(&mut self.void)
+    pub fn take_rejected_bindings(&mut self) -> Vec<(String, TaskId, u64)> {
+        std::mem::take(&mut self.rejected_bindings)
     }
 
     /// Takes over a segment that an earlier leader wrote; they come in the log's order.
-    pub fn inherit(&mut self, key: &str, stamp: u64, segment: &Segment) {
-        self.ring.inherit(key, stamp, segment);
+    pub fn replay_segment(&mut self, key: &str, stamp: u64, segment: &Segment) {
+        self.ring.replay_segment(key, stamp, segment);
     }
 
     /// A job is over: its completed tasks need not be kept.
-    pub fn job_over(&mut self, job: &str) {
-        self.ring.job_over(job);
+    pub fn forget_job(&mut self, job: &str) {
+        self.ring.remove_job(job);
     }
 
     /// Adds a change.
-    pub fn push(&mut self, change: Change) {
+    pub fn push(&mut self, change: LogEntry) {
         self.queue.push_back(change);
     }
 
     /// Changes that wait, in flight included.
     pub fn backlog(&self) -> usize {
-        self.queue.len() + self.in_flight.as_ref().map_or(0, |t| t.changes.len())
+        self.queue.len() + self.in_flight.as_ref().map_or(0, |t| t.entries.len())
     }
 
     /// Whether a transaction is on its way, or its fate unknown.
-    pub fn busy(&self) -> bool {
+    pub fn is_busy(&self) -> bool {
         self.in_flight.is_some()
     }
 
@@ -169,16 +169,16 @@
     }
 
     /// The transaction whose fate is unknown, to be sent once more as it was.
-    pub fn again(&self) -> Option<Txn> {
-        let sent = self.in_flight.as_ref().filter(|sent| sent.doubtful)?;
+    pub fn retry_of_unknown(&self) -> Option<Txn> {
+        let sent = self.in_flight.as_ref().filter(|sent| sent.outcome_unknown)?;
         Some(sent.txn.clone())
     }
 
     /// Forms the next transaction of at most `budget` writes, if there is anything to write.
-    pub fn next(
+    pub fn next_transaction(
         &mut self,
         leader_stamp: u64,
-        hosts: &Hosts,
+        hosts: &Workers,
         jobs: &Jobs,
         budget: usize,
     ) -> Option<Txn> {
@@ -186,18 +186,18 @@
             return None;
         }
         let seq = self.ring.next_seq;
-        let mut draft = Draft {
-            builder: Builder::new(leader_stamp, seq),
-            changes: Vec::new(),
-            items: Vec::new(),
-            kinds: BTreeSet::new(),
-            open: BTreeSet::new(),
-            ended: BTreeMap::new(),
-            puts: Vec::new(),
-            put_bytes: 0,
+        let mut draft = SegmentDraft {
+            builder: SegmentBuilder::new(leader_stamp, seq),
+            entries: Vec::new(),
+            live_entries: Vec::new(),
+            described_workers: BTreeSet::new(),
+            bound_jobs: BTreeSet::new(),
+            finished_jobs: BTreeMap::new(),
+            key_writes: Vec::new(),
+            key_write_bytes: 0,
         };
         let (over, slot, stamp) = self.choose_slot(&mut draft, hosts, jobs);
-        let limit = (self.limits.value_bytes as f64 * FILL) as usize;
+        let limit = (self.limits.max_value_bytes as f64 * FILL) as usize;
         while let Some(change) = self.queue.front() {
             if !self.fits(&draft, change, hosts, jobs, budget, limit) {
                 break;
@@ -206,50 +206,53 @@
                 break;
             };
             if add(&mut draft, &self.ring, &change, hosts, jobs) {
-                draft.changes.push(change);
-            } else if let Change::Bind {
-                host,
+                draft.entries.push(change);
+            } else if let LogEntry::Bind {
+                worker: host,
                 task,
                 attempt,
             } = change
             {
-                self.void.push((host, task, attempt));
+                self.rejected_bindings.push((host, task, attempt));
             }
         }
-        if draft.changes.is_empty() && draft.items.is_empty() {
+        if draft.entries.is_empty() && draft.live_entries.is_empty() {
             return None;
         }
         self.ring.next_seq = seq + 1;
         let mut when = vec![
-            Compare::new(records::LEADER, leader_stamp),
-            Compare::new(records::log(slot), stamp),
+            Compare::new(records::LEADER_KEY, leader_stamp),
+            Compare::new(records::log_key(slot), stamp),
         ];
-        for job in &draft.open {
-            let stamp = jobs.get(job).map_or(0, |known| known.stamp);
-            when.push(Compare::new(records::open(job), stamp));
+        for job in &draft.bound_jobs {
+            let stamp = jobs.get(job).map_or(0, |known| known.mod_revision);
+            when.push(Compare::new(records::open_key(job), stamp));
         }
         let segment = draft.builder.finish();
-        let mut writes = vec![WriteOp::put(records::log(slot), &segment)];
-        for (id, done) in &draft.ended {
-            when.push(Compare::new(records::over(id), 0));
-            writes.push(WriteOp::delete(records::open(id)));
-            let record = OverRecord {
-                ending: Ending::Done,
-                done: *done,
+        let mut writes = vec![WriteOp::put(records::log_key(slot), &segment)];
+        for (id, done) in &draft.finished_jobs {
+            when.push(Compare::new(records::finished_key(id), 0));
+            writes.push(WriteOp::delete(records::open_key(id)));
+            let record = FinishedRecord {
+                outcome: JobOutcome::Done,
+                completed_tasks: *done,
             };
-            writes.push(WriteOp::put(records::over(id), &record));
+            writes.push(WriteOp::put(records::finished_key(id), &record));
         }
-        writes.append(&mut draft.puts);
-        let txn = Txn { compares: when, writes };
+        writes.append(&mut draft.key_writes);
+        let txn = Txn {
+            compares: when,
+            writes,
+        };
         self.in_flight = Some(InFlight {
             txn: txn.clone(),
-            changes: draft.changes,
-            items: draft.items,
+            entries: draft.entries,
+            live_entries: draft.live_entries,
             seq,
             epoch: leader_stamp,
             slot,
-            over,
-            doubtful: false,
+            overwritten_seq: over,
+            outcome_unknown: false,
         });
         Some(txn)
     }
@@ -259,28 +262,28 @@
     /// and its version.
     fn choose_slot(
         &self,
-        draft: &mut Draft,
-        hosts: &Hosts,
+        draft: &mut SegmentDraft,
+        hosts: &Workers,
         jobs: &Jobs,
     ) -> (Option<u64>, u32, u64) {
         let oldest = self.ring.slots.iter().next();
-        let large_enough = self.ring.is_large_enough(self.limits.value_bytes);
+        let large_enough = self.ring.is_large_enough(self.limits.max_value_bytes);
         let Some((seq, oldest)) = oldest.filter(|_| large_enough) else {
             // Slots are numbered without gaps and never removed.
             return (None, self.ring.slots.len() as u32, 0);
         };
-        for item in &oldest.items {
+        for item in &oldest.live_entries {
             carry(draft, item, hosts, jobs);
         }
-        (Some(*seq), oldest.number, oldest.stamp)
+        (Some(*seq), oldest.number, oldest.mod_revision)
     }
 
     /// Whether one more change fits into a draft.
     fn fits(
         &self,
-        draft: &Draft,
-        change: &Change,
-        hosts: &Hosts,
+        draft: &SegmentDraft,
+        change: &LogEntry,
+        hosts: &Workers,
         jobs: &Jobs,
         budget: usize,
         limit: usize,
@@ -290,81 +293,82 @@
             hosts
                 .get(host)
                 .map_or(2 * host.len() + job.len() + 128, |known| {
-                    Builder::entry_bytes(known, job, team(job))
+                    SegmentBuilder::entry_bytes(known, job, team(job))
                 })
         };
         let (ops, bytes, put_bytes) = match change {
-            Change::Bind { host, task, .. } => (0, entry(host, &task.job), 0),
-            Change::Unbind { host, task, .. } => {
-                (0, entry(host, &task.job) + CHUNK as usize / 4, 0)
+            LogEntry::Bind { worker: host, task, .. } => (0, entry(host, &task.job), 0),
+            LogEntry::Unbind { worker: host, task, .. } => {
+                (0, entry(host, &task.job) + TASKS_PER_CHUNK as usize / 4, 0)
             }
-            Change::Mark { host } | Change::Forget { host } => (0, entry(host, ""), 0),
-            Change::End { job } => (2, 0, 2 * job.len() + 256),
-            Change::Put { write } => (1, 0, write.json_size()),
+            LogEntry::RecordTermination { worker: host } | LogEntry::RemoveWorker { worker: host } => (0, entry(host, ""), 0),
+            LogEntry::FinishJob { job } => (2, 0, 2 * job.len() + 256),
+            LogEntry::WriteKey { write } => (1, 0, write.json_size()),
         };
         let txn_limit = (MAX_TXN_BYTES as f64 * FILL) as usize;
-        let conditions = COMPARES_PER_WRITE * self.limits.ops;
+        let conditions = COMPARES_PER_WRITE * self.limits.max_writes;
         // A first change always goes in where there is room at all, so that nothing is stuck.
-        draft.ops() + ops <= self.limits.ops.min(budget.max(3))
-            && draft.conditions() + 2 <= conditions
+        draft.write_count() + ops <= self.limits.max_writes.min(budget.max(3))
+            && draft.compare_count() + 2 <= conditions
             && draft.builder.bytes() + bytes <= limit
-            && self.limits.value_bytes + 64 * draft.conditions() + draft.put_bytes + put_bytes
+            && self.limits.max_value_bytes + 64 * draft.compare_count() + draft.key_write_bytes + put_bytes
                 <= txn_limit
     }
 
     /// The transaction was committed: returns its changes.
-    pub fn committed(&mut self, stamp: u64) -> Vec<Change> {
+    pub fn complete_in_flight(&mut self, stamp: u64) -> Vec<LogEntry> {
         let Some(sent) = self.in_flight.take() else {
             return Vec::new();
         };
         let slot = Slot {
             number: sent.slot,
-            stamp,
-            items: BTreeSet::new(),
+            mod_revision: stamp,
+            live_entries: BTreeSet::new(),
         };
         self.ring.slots.insert(sent.seq, slot);
-        for item in sent.items {
-            self.ring.put(item, sent.seq);
+        for item in sent.live_entries {
+            self.ring.insert(item, sent.seq);
         }
-        if let Some(over) = sent.over
+        if let Some(over) = sent.overwritten_seq
             && let Some(old) = self.ring.slots.remove(&over)
         {
-            for item in old.items {
-                self.ring.place.remove(&item);
+            for item in old.live_entries {
+                self.ring.location.remove(&item);
             }
         }
-        for change in &sent.changes {
+        for change in &sent.entries {
             match change {
-                Change::Unbind { host, task, .. } => {
-                    self.ring.drop(&Item::Bound(host.clone(), task.clone()));
+                LogEntry::Unbind { worker: host, task, .. } => {
+                    self.ring
+                        .remove(&LiveEntry::Binding(host.clone(), task.clone()));
                 }
-                Change::Forget { host } => self.ring.host_gone(host),
-                Change::End { job } => self.ring.job_over(job),
+                LogEntry::RemoveWorker { worker: host } => self.ring.remove_worker(host),
+                LogEntry::FinishJob { job } => self.ring.remove_job(job),
                 _ => {}
             }
         }
-        sent.changes
+        sent.entries
     }
 
     /// The transaction was not answered: it may have been executed, or may yet be.
-    pub fn unanswered(&mut self) {
+    pub fn mark_outcome_unknown(&mut self) {
         if let Some(sent) = &mut self.in_flight {
-            sent.doubtful = true;
+            sent.outcome_unknown = true;
         }
     }
 
     /// Whether the transaction on its way has been sent before without an answer.
-    pub fn doubtful(&self) -> bool {
-        self.in_flight.as_ref().is_some_and(|sent| sent.doubtful)
+    pub fn is_outcome_unknown(&self) -> bool {
+        self.in_flight.as_ref().is_some_and(|sent| sent.outcome_unknown)
     }
 
     /// The key that tells whether a transaction of unknown fate was executed.
-    pub fn witness(&self) -> Option<String> {
-        Some(records::log(self.in_flight.as_ref()?.slot))
+    pub fn read_back_key(&self) -> Option<String> {
+        Some(records::log_key(self.in_flight.as_ref()?.slot))
     }
 
     /// Whether this value of the witness is that of the transaction on its way.
-    pub fn is_witness(&self, segment: &Segment) -> bool {
+    pub fn is_own_segment(&self, segment: &Segment) -> bool {
         self.in_flight
             .as_ref()
             .is_some_and(|sent| (sent.epoch, sent.seq) == (segment.epoch, segment.seq))
@@ -372,9 +376,9 @@
 
     /// The transaction was certainly not executed and never will be: its changes go back to the
     /// head of the queue.
-    pub fn not_executed(&mut self) {
+    pub fn requeue_in_flight(&mut self) {
         if let Some(sent) = self.in_flight.take() {
-            for change in sent.changes.into_iter().rev() {
+            for change in sent.entries.into_iter().rev() {
                 self.queue.push_front(change);
             }
         }
@@ -382,37 +386,43 @@
 }
 
 /// Copies what still counts of an old segment into a draft.
-fn carry(draft: &mut Draft, item: &Item, hosts: &Hosts, jobs: &Jobs) {
+fn carry(draft: &mut SegmentDraft, item: &LiveEntry, hosts: &Workers, jobs: &Jobs) {
     match item {
-        Item::Kind(name) => {
+        LiveEntry::Worker(name) => {
             let Some(host) = hosts.get(name) else { return };
-            draft.builder.kind(host, host.marked);
-            draft.kinds.insert(name.clone());
+            draft.builder.describe_worker(host, host.termination_recorded);
+            draft.described_workers.insert(name.clone());
         }
-        Item::Bound(name, task) => {
+        LiveEntry::Binding(name, task) => {
             let known = hosts.get(name).and_then(|host| host.bindings.get(task));
             let Some(b) = known else { return };
             draft.builder.bind(
                 name,
                 (&task.job, task.index),
-                (&b.team, b.need),
-                (b.attempt, b.tenure),
+                (&b.team, b.request),
+                (b.attempt, b.incarnation),
             );
         }
-        Item::Done(id, chunk) => {
+        LiveEntry::Completed(id, chunk) => {
             let Some(job) = jobs.get(id) else { return };
-            let bits = encode_chunk(&job.done, *chunk, job.spec.tasks);
-            draft.builder.done(id, *chunk, bits);
+            let bits = encode_chunk(&job.completed, *chunk, job.spec.tasks);
+            draft.builder.complete(id, *chunk, bits);
         }
     }
-    draft.items.push(item.clone());
+    draft.live_entries.push(item.clone());
 }
 
 /// Adds a change to a draft. False: it has become void.
-fn add(draft: &mut Draft, ring: &Ring, change: &Change, hosts: &Hosts, jobs: &Jobs) -> bool {
+fn add(
+    draft: &mut SegmentDraft,
+    ring: &SegmentRing,
+    change: &LogEntry,
+    hosts: &Workers,
+    jobs: &Jobs,
+) -> bool {
     match change {
-        Change::Bind {
-            host: name,
+        LogEntry::Bind {
+            worker: name,
             task,
             attempt,
         } => {
@@ -425,57 +435,59 @@
             if jobs.get(&task.job).is_none() || b.attempt != *attempt {
                 return false;
             }
-            let kind = Item::Kind(name.clone());
-            if !ring.place.contains_key(&kind) && draft.kinds.insert(name.clone()) {
-                draft.builder.kind(host, false);
-                draft.items.push(kind);
+            let kind = LiveEntry::Worker(name.clone());
+            if !ring.location.contains_key(&kind) && draft.described_workers.insert(name.clone()) {
+                draft.builder.describe_worker(host, false);
+                draft.live_entries.push(kind);
             }
             draft.builder.bind(
                 name,
                 (&task.job, task.index),
-                (&b.team, b.need),
-                (b.attempt, b.tenure),
+                (&b.team, b.request),
+                (b.attempt, b.incarnation),
             );
-            draft.items.push(Item::Bound(name.clone(), task.clone()));
-            draft.open.insert(task.job.clone());
+            draft
+                .live_entries
+                .push(LiveEntry::Binding(name.clone(), task.clone()));
+            draft.bound_jobs.insert(task.job.clone());
         }
-        Change::Unbind {
-            host,
+        LogEntry::Unbind {
+            worker: host,
             task,
             attempt,
-            done,
+            completed: done,
         } => {
-            draft.builder.end(host, &task.job, task.index, *attempt);
-            let chunk = task.index / CHUNK;
-            let item = Item::Done(task.job.clone(), chunk);
+            draft.builder.end_binding(host, &task.job, task.index, *attempt);
+            let chunk = task.index / TASKS_PER_CHUNK;
+            let item = LiveEntry::Completed(task.job.clone(), chunk);
             if *done
                 && let Some(job) = jobs.get(&task.job)
-                && !job.ending
-                && !draft.items.contains(&item)
+                && !job.finishing
+                && !draft.live_entries.contains(&item)
             {
-                let bits = encode_chunk(&job.done, chunk, job.spec.tasks);
-                draft.builder.done(&task.job, chunk, bits);
-                draft.items.push(item);
+                let bits = encode_chunk(&job.completed, chunk, job.spec.tasks);
+                draft.builder.complete(&task.job, chunk, bits);
+                draft.live_entries.push(item);
             }
         }
-        Change::End { job } => {
+        LogEntry::FinishJob { job } => {
             let Some(known) = jobs.get(job) else {
                 return false;
             };
-            draft.open.insert(job.clone());
-            draft.ended.insert(job.clone(), known.done.len());
+            draft.bound_jobs.insert(job.clone());
+            draft.finished_jobs.insert(job.clone(), known.completed.len());
         }
-        Change::Mark { host: name } => {
+        LogEntry::RecordTermination { worker: name } => {
             if let Some(host) = hosts.get(name) {
-                draft.builder.kind(host, true);
-                draft.kinds.insert(name.clone());
-                draft.items.push(Item::Kind(name.clone()));
+                draft.builder.describe_worker(host, true);
+                draft.described_workers.insert(name.clone());
+                draft.live_entries.push(LiveEntry::Worker(name.clone()));
             }
         }
-        Change::Forget { host } => draft.builder.gone(host),
-        Change::Put { write } => {
-            draft.put_bytes += write.json_size();
-            draft.puts.push(write.clone());
+        LogEntry::RemoveWorker { worker: host } => draft.builder.remove_worker(host),
+        LogEntry::WriteKey { write } => {
+            draft.key_write_bytes += write.json_size();
+            draft.key_writes.push(write.clone());
         }
     }
     true
--- a/src/coordination/catalogue.rs
+++ b/src/coordination/catalogue.rs
@@ -53,7 +53,7 @@
         let within_s = self.report_s * PATIENCE_REPORTS;
         out.cloud(CloudAsk::Types, CloudRequest::ListInstanceTypes, within_s);
         if !self.read {
-            let call = KvRequest::Get(records::CATALOGUE.to_owned());
+            let call = KvRequest::Get(records::INSTANCE_CATALOG_KEY.to_owned());
             out.store(StoreAsk::Catalogue, call, within_s, now);
         } else if leads {
             self.keep(within_s, out, now);
@@ -71,7 +71,10 @@
         }
         let txn = Txn {
             compares: Vec::new(),
-            writes: vec![WriteOp::put(records::CATALOGUE, flavors.as_ref())],
+            writes: vec![WriteOp::put(
+                records::INSTANCE_CATALOG_KEY,
+                flavors.as_ref(),
+            )],
         };
         self.stored = Some(flavors.clone());
         out.store(StoreAsk::Ignored, KvRequest::Txn(txn), within_s, now);
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -9,12 +9,12 @@
 use super::routes::Route;
 use super::terminations::TerminationQueue;
 use super::watch::{Watch, WatchUpdate};
-use crate::bookkeeping::budget;
-use crate::bookkeeping::hosts::Room;
 use crate::bookkeeping::invariants::{self, Invariant};
-use crate::bookkeeping::permits::Knowledge;
+use crate::bookkeeping::permits::ViewFreshness;
 use crate::bookkeeping::quotas::Quotas;
+use crate::bookkeeping::rate_limit;
 use crate::bookkeeping::records::{self, LeaderRecord};
+use crate::bookkeeping::workers::Resources;
 use crate::policy::Policy;
 use crate::protocol::cloud::{CloudResponse, InstanceType};
 use crate::protocol::job::{self, JobSpec};
@@ -86,13 +86,13 @@
             out: Outbox::default(),
             frontend: Frontend::new(&settings.deployment.state, share, patience_s),
             jobs_watch: Watch::new(
-                records::OPEN,
+                records::OPEN_PREFIX,
                 StoreAsk::Mirror,
                 workers.report_s / WATCHES_PER_REPORT,
                 patience_s,
             ),
             leader_watch: Watch::new(
-                records::LEADER,
+                records::LEADER_KEY,
                 StoreAsk::LeaderWatch,
                 workers.lease_s,
                 patience_s,
@@ -170,15 +170,15 @@
     }
 
     fn could_run(&self, spec: &JobSpec, flavors: &[InstanceType]) -> Result<(), &'static str> {
-        if !self.quotas.knows(&spec.team) {
+        if !self.quotas.contains_team(&spec.team) {
             return Err("unknown team");
         }
-        if !self.quotas.could_run(spec) {
+        if !self.quotas.can_ever_run(spec) {
             return Err("more than the team's limit");
         }
         let need = super::scheduler::need(spec);
         let fits = flavors.iter().any(|flavor| {
-            Room::of_flavor(flavor).fits(&need)
+            Resources::of_instance_type(flavor).fits(&need)
                 && flavor.zones.iter().any(|zone| {
                     spec.allows(&flavor.name, zone, false)
                         || (spec.spot && spec.allows(&flavor.name, zone, true))
@@ -237,11 +237,17 @@
             self.redirected.insert(report.worker, now);
         }
         let foreman = self.foreman(now);
-        self.out.answer(to, 421, &NotLeader { leader_hint: foreman });
+        self.out.answer(
+            to,
+            421,
+            &NotLeader {
+                leader_hint: foreman,
+            },
+        );
     }
 
     /// What this node knows, and how old that is.
-    fn knowledge(&self, now: f64) -> Knowledge {
+    fn knowledge(&self, now: f64) -> ViewFreshness {
         let view_at = self.jobs_watch.current_at();
         self.election.knowledge(view_at, self.doubt_at, now)
     }
@@ -429,7 +435,7 @@
                 let listed: BTreeMap<String, kv::KeyValue> = items
                     .into_iter()
                     .filter_map(|item| {
-                        let id = item.key.strip_prefix(records::OPEN)?.to_owned();
+                        let id = item.key.strip_prefix(records::OPEN_PREFIX)?.to_owned();
                         Some((id, item))
                     })
                     .collect();
@@ -451,12 +457,12 @@
                 }
             }
             WatchUpdate::Set(key, value, stamp) => {
-                if let Some(id) = key.strip_prefix(records::OPEN) {
+                if let Some(id) = key.strip_prefix(records::OPEN_PREFIX) {
                     self.job_opened(id, stamp, &value, now);
                 }
             }
             WatchUpdate::Removed(key) => {
-                if let Some(id) = key.strip_prefix(records::OPEN) {
+                if let Some(id) = key.strip_prefix(records::OPEN_PREFIX) {
                     self.job_closed(id);
                 }
             }
@@ -488,17 +494,17 @@
             WatchUpdate::Reset(items, _) => {
                 let known = items
                     .iter()
-                    .find(|item| item.key == records::LEADER)
+                    .find(|item| item.key == records::LEADER_KEY)
                     .and_then(|item| Some((read_leader(&item.value)?, item.mod_revision)));
                 self.election.observe(known, jitter, now)
             }
-            WatchUpdate::Set(key, value, stamp) if key == records::LEADER => {
+            WatchUpdate::Set(key, value, stamp) if key == records::LEADER_KEY => {
                 match read_leader(&value) {
                     Some(record) => self.election.observe(Some((record, stamp)), jitter, now),
                     None => Outcome::Same,
                 }
             }
-            WatchUpdate::Removed(key) if key == records::LEADER => {
+            WatchUpdate::Removed(key) if key == records::LEADER_KEY => {
                 self.election.removed(jitter, now)
             }
             _ => Outcome::Same,
@@ -626,7 +632,7 @@
             .collect();
         let budget = self.settings.deployment.state.write_rps * (1.0 - STATE_SHARE);
         self.frontend
-            .set_changes_rate(budget::shared_rate(budget, &others), now);
+            .set_changes_rate(rate_limit::fair_share_rate(budget, &others), now);
         let since_s = (now - self.shared_at).max(f64::EPSILON);
         self.shared_at = now;
         self.frontend.take_changes_made() / since_s
@@ -667,11 +673,11 @@
 }
 
 /// Whether an answer that renews a worker's lease may leave, by other means than those that allowed it.
-fn is_within_hold_over(knowledge: &Knowledge, report: &WorkerHeartbeat) -> bool {
+fn is_within_hold_over(knowledge: &ViewFreshness, report: &WorkerHeartbeat) -> bool {
     let age_s = knowledge.lease_age_s.max(knowledge.view_age_s);
-    let within = age_s <= knowledge.limits.hold_over_s;
+    let within = age_s <= knowledge.limits.lease_grace_s;
     let details = format_args!("host {}, after {age_s} s", report.worker);
-    invariants::uphold(Invariant::NoRenewalBeyondHoldOver, within, details)
+    invariants::uphold(Invariant::NoRenewalBeyondLeaseGrace, within, details)
 }
 
 fn read_leader(value: &ciborium::Value) -> Option<LeaderRecord> {
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -1,7 +1,7 @@
 //! Who leads: `leader` in the state service, attached to a lease.
 
 use super::outbox::{Outbox, StoreAsk};
-use crate::bookkeeping::permits::{Knowledge, Limits};
+use crate::bookkeeping::permits::{FreshnessLimits, ViewFreshness};
 use crate::bookkeeping::records::{self, LeaderRecord};
 use crate::protocol::cbor;
 use crate::protocol::kv::{Compare, KvRequest, KvResponse, Txn, WriteOp};
@@ -92,7 +92,7 @@
         Election {
             me: LeaderRecord {
                 label: label.to_owned(),
-                life,
+                process_incarnation: life,
             },
             times,
             phase: Phase::Following,
@@ -121,16 +121,16 @@
 
     /// What this node knows, with a view of the open jobs that was current at `view_at` and a state
     /// service that last refused a call, or left one unanswered, at `doubt_at`.
-    pub fn knowledge(&self, view_at: f64, doubt_at: f64, now: f64) -> Knowledge {
-        Knowledge {
-            leads: self.epoch().is_some(),
+    pub fn knowledge(&self, view_at: f64, doubt_at: f64, now: f64) -> ViewFreshness {
+        ViewFreshness {
+            is_leader: self.epoch().is_some(),
             lease_held: self.confirmed(now),
             lease_age_s: now - self.renewed_at,
             view_age_s: now - view_at,
-            doubt_age_s: now - doubt_at,
-            limits: Limits {
-                hold_over_s: self.times.hold_over_s,
-                start_view_s: self.times.start_view_s,
+            state_failure_age_s: now - doubt_at,
+            limits: FreshnessLimits {
+                lease_grace_s: self.times.hold_over_s,
+                max_start_view_age_s: self.times.start_view_s,
             },
         }
     }
@@ -213,7 +213,12 @@
         let Phase::Leading { hold, .. } = self.phase else {
             return Outcome::Same;
         };
-        out.store(StoreAsk::Drop, KvRequest::RevokeLease(hold), self.patience(), now);
+        out.store(
+            StoreAsk::Drop,
+            KvRequest::RevokeLease(hold),
+            self.patience(),
+            now,
+        );
         self.campaign_at = now + self.times.quiet_s;
         self.step_down()
     }
@@ -289,14 +294,19 @@
                 };
                 // Another may have taken the lead while the lease was on its way.
                 let Some(stamp) = self.claim() else {
-                    out.store(StoreAsk::Drop, KvRequest::RevokeLease(hold), self.patience(), now);
+                    out.store(
+                        StoreAsk::Drop,
+                        KvRequest::RevokeLease(hold),
+                        self.patience(),
+                        now,
+                    );
                     self.phase = Phase::Following;
                     return Outcome::Same;
                 };
                 let txn = Txn {
-                    compares: vec![Compare::new(records::LEADER, stamp)],
+                    compares: vec![Compare::new(records::LEADER_KEY, stamp)],
                     writes: vec![WriteOp::Put {
-                        key: records::LEADER.to_owned(),
+                        key: records::LEADER_KEY.to_owned(),
                         value: cbor::to_value(&self.me),
                         lease_id: Some(hold),
                     }],
@@ -320,7 +330,12 @@
                     return Outcome::Won(epoch);
                 }
                 // An unanswered take may still be applied; without its lease it cannot.
-                out.store(StoreAsk::Drop, KvRequest::RevokeLease(hold), self.patience(), now);
+                out.store(
+                    StoreAsk::Drop,
+                    KvRequest::RevokeLease(hold),
+                    self.patience(),
+                    now,
+                );
                 self.back_off(now);
                 Outcome::Same
             }
--- a/src/coordination/frontend/finals.rs
+++ b/src/coordination/frontend/finals.rs
@@ -1,6 +1,6 @@
 //! How jobs have ended, as this node has learnt. An end is for ever.
 
-use crate::bookkeeping::records::{Ending, OverRecord};
+use crate::bookkeeping::records::{FinishedRecord, JobOutcome};
 use crate::protocol::peer::{MAX_TERMINATIONS, Termination};
 use std::collections::{HashMap, VecDeque};
 
@@ -10,7 +10,7 @@
 /// Final states, the latest ones.
 #[derive(Debug, Default)]
 pub(super) struct Finals {
-    records: HashMap<String, OverRecord>,
+    records: HashMap<String, FinishedRecord>,
     order: VecDeque<String>,
     /// Jobs that have ended by this node's doing, for its next word to the peers.
     news: Vec<Termination>,
@@ -20,12 +20,12 @@
 
 impl Finals {
     /// How a job has ended, if that is known.
-    pub(super) fn get(&self, id: &str) -> Option<OverRecord> {
+    pub(super) fn get(&self, id: &str) -> Option<FinishedRecord> {
         self.records.get(id).copied()
     }
 
     /// Notes how a job has ended.
-    pub(super) fn note(&mut self, id: &str, record: OverRecord) {
+    pub(super) fn note(&mut self, id: &str, record: FinishedRecord) {
         if self.records.insert(id.to_owned(), record).is_some() {
             return;
         }
@@ -39,12 +39,12 @@
     }
 
     /// Notes for the peers that a job has ended by this node's doing.
-    pub(super) fn announce(&mut self, id: &str, record: OverRecord) {
+    pub(super) fn announce(&mut self, id: &str, record: FinishedRecord) {
         if self.news.len() < MAX_TERMINATIONS {
             self.news.push(Termination {
                 job: id.to_owned(),
-                aborted: record.ending == Ending::Aborted,
-                done: record.done,
+                aborted: record.outcome == JobOutcome::Aborted,
+                done: record.completed_tasks,
             });
         }
     }
--- a/src/coordination/frontend/mod.rs
+++ b/src/coordination/frontend/mod.rs
@@ -9,9 +9,9 @@
 mod request;
 
 use super::outbox::{Outbox, StoreAsk};
-use crate::bookkeeping::budget::Bucket;
 use crate::bookkeeping::invariants::{self, Invariant};
-use crate::bookkeeping::records::{self, Ending, OverRecord};
+use crate::bookkeeping::rate_limit::TokenBucket;
+use crate::bookkeeping::records::{self, FinishedRecord, JobOutcome};
 use crate::protocol::cbor;
 use crate::protocol::job::{JobSpec, JobStatus, JobView};
 use crate::protocol::kv::{COMPARES_PER_WRITE, Compare, KvRequest, KvResponse, Txn, WriteOp};
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone)]
 enum KeyState {
     Open(u64, Rc<JobSpec>),
-    Over(OverRecord),
+    Over(FinishedRecord),
     Never,
 }
 
@@ -77,8 +77,8 @@
     looking: usize,
     checking: Calls,
     writing: Calls,
-    requests: Bucket,
-    changes: Bucket,
+    requests: TokenBucket,
+    changes: TokenBucket,
     /// Changes made since `take_changes_made` was last called.
     changes_made: f64,
     limits: StateLimits,
@@ -96,7 +96,7 @@
 impl Frontend {
     /// A frontend that may use this share of the state service's limits.
     pub fn new(limits: &StateLimits, share: f64, patience_s: f64) -> Frontend {
-        let rate = |all: f64| Bucket::new(all * share, burst_of(all * share));
+        let rate = |all: f64| TokenBucket::new(all * share, burst_of(all * share));
         Frontend {
             open: BTreeMap::new(),
             finals: Finals::default(),
@@ -136,14 +136,14 @@
     }
 
     /// Notes how a job ended.
-    pub fn note_over(&mut self, id: &str, record: OverRecord) {
+    pub fn note_over(&mut self, id: &str, record: FinishedRecord) {
         self.open.remove(id);
         self.counts.remove(id);
         self.finals.note(id, record);
     }
 
     /// Notes how a job ended by this node's doing, which is written down.
-    pub fn announce_over(&mut self, id: &str, record: OverRecord) {
+    pub fn announce_over(&mut self, id: &str, record: FinishedRecord) {
         self.finals.announce(id, record);
         self.note_over(id, record);
     }
@@ -162,12 +162,12 @@
     pub fn note_ended(&mut self, ended: &[Termination]) {
         for e in ended {
             let ending = if e.aborted {
-                Ending::Aborted
+                JobOutcome::Aborted
             } else {
-                Ending::Done
+                JobOutcome::Done
             };
             let done = e.done;
-            self.note_over(&e.job, OverRecord { ending, done });
+            self.note_over(&e.job, FinishedRecord { outcome: ending, completed_tasks: done });
         }
     }
 
@@ -280,8 +280,8 @@
             look.stage = stage;
         }
         let key = match stage {
-            Stage::Over => records::over(id),
-            _ => records::open(id),
+            Stage::Over => records::finished_key(id),
+            _ => records::open_key(id),
         };
         let ask = StoreAsk::Look(id.to_owned());
         out.store(ask, KvRequest::Get(key), self.patience_s / 2.0, now);
@@ -338,10 +338,12 @@
             pending.compared_open = self.open.contains_key(&pending.id);
             if ids.insert(pending.id.clone()) {
                 match self.open.get(&pending.id) {
-                    Some((stamp, _)) => when.push(Compare::new(records::open(&pending.id), *stamp)),
+                    Some((stamp, _)) => {
+                        when.push(Compare::new(records::open_key(&pending.id), *stamp))
+                    }
                     None => {
-                        when.push(Compare::new(records::open(&pending.id), 0));
-                        when.push(Compare::new(records::over(&pending.id), 0));
+                        when.push(Compare::new(records::open_key(&pending.id), 0));
+                        when.push(Compare::new(records::finished_key(&pending.id), 0));
                     }
                 }
             }
@@ -358,7 +360,7 @@
         if self.writes.is_empty() || !self.writing.may_call(self.patience_s, now) {
             return;
         }
-        let level = self.changes.level(now).min(self.limits.txn_ops as f64);
+        let level = self.changes.available(now).min(self.limits.txn_ops as f64);
         let mut txn = Txn::default();
         let mut batch: Vec<PendingRequest> = Vec::new();
         let mut later = VecDeque::new();
@@ -369,8 +371,8 @@
                 later.push_back(pending);
                 continue;
             }
-            let open = records::open(&pending.id);
-            let over = records::over(&pending.id);
+            let open = records::open_key(&pending.id);
+            let over = records::finished_key(&pending.id);
             let (stamp, writes) = match &pending.kind {
                 RequestKind::Submit(spec) => (0, vec![WriteOp::put(open.clone(), spec.as_ref())]),
                 _ => {
@@ -379,9 +381,9 @@
                         continue;
                     };
                     let done = self.counts.get(&pending.id).map_or(0, |(done, _)| *done);
-                    let record = OverRecord {
-                        ending: Ending::Aborted,
-                        done,
+                    let record = FinishedRecord {
+                        outcome: JobOutcome::Aborted,
+                        completed_tasks: done,
                     };
                     let writes = vec![
                         WriteOp::delete(open.clone()),
@@ -409,9 +411,9 @@
         if batch.is_empty() {
             return;
         }
-        self.changes.force(txn.writes.len() as f64, now);
+        self.changes.take_with_debt(txn.writes.len() as f64, now);
         self.changes_made += txn.writes.len() as f64;
-        self.requests.force(1.0, now);
+        self.requests.take_with_debt(1.0, now);
         let ask = StoreAsk::Write(self.writing.add(batch, now));
         out.store(ask, KvRequest::Txn(txn), self.patience_s, now);
     }
@@ -460,11 +462,11 @@
         request: u64,
         id: &str,
         kind: &RequestKind,
-        record: OverRecord,
+        record: FinishedRecord,
         out: &mut Outbox,
     ) {
-        let written = self.finals.get(id).map(|known| known.ending) == Some(record.ending);
-        let details = format_args!("job {id}, {:?}", record.ending);
+        let written = self.finals.get(id).map(|known| known.outcome) == Some(record.outcome);
+        let details = format_args!("job {id}, {:?}", record.outcome);
         if !invariants::uphold(Invariant::NoAbortedWithoutCommit, written, details) {
             refuse_late(request, out);
             return;
@@ -517,9 +519,9 @@
                     }
                     _ => {
                         let done = self.counts.get(&pending.id).map_or(0, |(done, _)| *done);
-                        let record = OverRecord {
-                            ending: Ending::Aborted,
-                            done,
+                        let record = FinishedRecord {
+                            outcome: JobOutcome::Aborted,
+                            completed_tasks: done,
                         };
                         tracing::debug!(job = pending.id, "cancelled");
                         self.announce_over(&pending.id, record);
@@ -549,7 +551,7 @@
         self.note_reply(&reply, now);
         let stage = self.looks.get(id).map_or(Stage::Queued, |look| look.stage);
         let state = match reply {
-            KvResponse::Value(item) if item.key == records::open(id) => {
+            KvResponse::Value(item) if item.key == records::open_key(id) => {
                 match cbor::from_value::<JobSpec>(&item.value) {
                     Ok(spec) => Some(KeyState::Open(item.mod_revision, Rc::new(spec))),
                     Err(_) => None,
@@ -644,18 +646,18 @@
     out.refuse(request, 503, why, Some(RETRY_AFTER_S));
 }
 
-fn over_status(record: &OverRecord) -> JobStatus {
-    match record.ending {
-        Ending::Done => JobStatus::Done,
-        Ending::Aborted => JobStatus::Aborted,
+fn over_status(record: &FinishedRecord) -> JobStatus {
+    match record.outcome {
+        JobOutcome::Done => JobStatus::Done,
+        JobOutcome::Aborted => JobStatus::Aborted,
     }
 }
 
-fn over_view(id: &str, record: &OverRecord) -> JobView {
+fn over_view(id: &str, record: &FinishedRecord) -> JobView {
     JobView {
         id: id.to_owned(),
         status: over_status(record),
-        done: record.done,
+        done: record.completed_tasks,
         running: 0,
     }
 }
--- a/src/coordination/frontend/request.rs
+++ b/src/coordination/frontend/request.rs
@@ -28,7 +28,7 @@
     /// Whether a failed comparison may be about this job.
     pub(super) fn concerned(&self, failed: &[String]) -> bool {
         failed.is_empty()
-            || failed.contains(&records::open(&self.id))
-            || failed.contains(&records::over(&self.id))
+            || failed.contains(&records::open_key(&self.id))
+            || failed.contains(&records::finished_key(&self.id))
     }
 }
--- a/src/coordination/leader/direct.rs
+++ b/src/coordination/leader/direct.rs
@@ -2,9 +2,9 @@
 
 use super::reports::MAX_ORDERS;
 use super::{Leader, Notice};
-use crate::bookkeeping::hosts::{Host, Way};
-use crate::bookkeeping::pending_starts::CallFate;
-use crate::bookkeeping::permits::Knowledge;
+use crate::bookkeeping::pending_starts::CallOutcome;
+use crate::bookkeeping::permits::ViewFreshness;
+use crate::bookkeeping::workers::{DeliveryPath, Worker};
 use crate::coordination::outbox::{Outbox, WorkerAsk};
 use crate::protocol::worker::{Command, CommandKind, WorkerRequest, WorkerResponse};
 
@@ -28,7 +28,7 @@
     /// Sends direct commands where the workers don't yet do what is wanted, and this leader's Epoch
     /// where it is not known yet. Calls at a time are bounded, and workers that may not answer get a
     /// part of them only: a zone that is cut off must not keep commands from the others.
-    pub(super) fn drive_pushes(&mut self, knowledge: &Knowledge, out: &mut Outbox, now: f64) {
+    pub(super) fn drive_pushes(&mut self, knowledge: &ViewFreshness, out: &mut Outbox, now: f64) {
         let limit = self.settings.deployment.quota.direct_sockets();
         self.note_missed(now);
         let due: Vec<String> = self.push_due.iter().cloned().collect();
@@ -61,10 +61,10 @@
     }
 
     /// Whether a worker has missed its latest report, or could not be reached.
-    fn has_missed(&self, host: &Host, now: f64) -> bool {
+    fn has_missed(&self, host: &Worker, now: f64) -> bool {
         let report_s = self.settings.deployment.workers.report_s;
         let late = |at| now - at > PROBE_AFTER * report_s;
-        host.unreached.is_some() || host.heard.is_some_and(late)
+        host.unreachable_since.is_some() || host.last_heartbeat_at.is_some_and(late)
     }
 
     /// Workers that have missed their latest report are asked directly.
@@ -75,22 +75,22 @@
     }
 
     /// What a worker is to be called for, if it is.
-    fn wanted_call(&self, name: &str, knowledge: &Knowledge, now: f64) -> Option<WantedCall> {
+    fn wanted_call(&self, name: &str, knowledge: &ViewFreshness, now: f64) -> Option<WantedCall> {
         let host = self.hosts.get(name)?;
         let missed = self.has_missed(host, now);
         let may_start = knowledge.may_start().is_ok();
-        let orders = match host.acked {
-            true => host.orders(may_start, MAX_ORDERS),
+        let orders = match host.token_acknowledged {
+            true => host.commands(may_start, MAX_ORDERS),
             false => Vec::new(),
         };
-        let revocation = host.revocation().filter(|_| host.acked);
+        let revocation = host.pending_revocation().filter(|_| host.token_acknowledged);
         let revokes = revocation.is_some_and(|reason| reason.is_urgent());
-        let waits = host.acked && host.waits_for_fence();
+        let waits = host.token_acknowledged && host.awaits_fence();
         // It is asked before it is thought silent: a report may only be on its way from a node that does
         // not answer it.
-        let probe = host.acked && !host.marked && missed;
-        let up = host.heard.is_some() || host.listed_up || !host.bindings.is_empty();
-        let greet = !host.acked && !host.marked && up;
+        let probe = host.token_acknowledged && !host.termination_recorded && missed;
+        let up = host.last_heartbeat_at.is_some() || host.listed_running || !host.bindings.is_empty();
+        let greet = !host.token_acknowledged && !host.termination_recorded && up;
         // Clears can wait for the next report.
         let pressing = orders.iter().any(|order| order.kind != CommandKind::Clear);
         let wanted = pressing || revokes || waits || probe || greet;
@@ -102,7 +102,7 @@
             host: name.to_owned(),
             orders,
             revokes,
-            doubtful: !host.acked || missed,
+            doubtful: !host.token_acknowledged || missed,
             last_at: last.map_or(f64::NEG_INFINITY, |(_, at)| *at),
         })
     }
@@ -113,16 +113,16 @@
         last.is_some_and(|(sent, at)| *sent == call.orders && now - at < half_s)
     }
 
-    fn push(&mut self, call: WantedCall, knowledge: &Knowledge, out: &mut Outbox, now: f64) {
+    fn push(&mut self, call: WantedCall, knowledge: &ViewFreshness, out: &mut Outbox, now: f64) {
         let name = call.host;
         let Some(host) = self.hosts.get(&name) else {
             return;
         };
         let endpoint = host.endpoint.clone();
-        if host.acked {
+        if host.token_acknowledged {
             self.revoke_where_due(&name);
         }
-        let commands = self.send_off(&name, call.orders, Way::Direct, knowledge);
+        let commands = self.send_off(&name, call.orders, DeliveryPath::DirectCall, knowledge);
         self.push_due.remove(&name);
         self.pushing.insert(name.clone(), call.doubtful);
         self.pushed_at
@@ -141,11 +141,11 @@
         self.pushing.remove(&ask.host);
         self.push_due.insert(ask.host.clone());
         if let Some(host) = self.hosts.get_mut(&ask.host) {
-            host.settle_call(&ask.orders, fate_of(&reply));
+            host.record_call_outcome(&ask.orders, fate_of(&reply));
             match reply {
-                WorkerResponse::Executed(_) | WorkerResponse::Rejected(_) => host.unreached = None,
+                WorkerResponse::Executed(_) | WorkerResponse::Rejected(_) => host.unreachable_since = None,
                 WorkerResponse::OutcomeUnknown | WorkerResponse::Unreachable => {
-                    host.unreached.get_or_insert(now);
+                    host.unreachable_since.get_or_insert(now);
                 }
                 WorkerResponse::NotSent => {}
             }
@@ -158,7 +158,9 @@
                 self.pushed_at.remove(&ask.host);
                 report
             }
-            WorkerResponse::NotSent | WorkerResponse::Unreachable | WorkerResponse::OutcomeUnknown => return,
+            WorkerResponse::NotSent
+            | WorkerResponse::Unreachable
+            | WorkerResponse::OutcomeUnknown => return,
         };
         if report.worker != ask.host {
             tracing::warn!(host = ask.host, "another worker answers at its address");
@@ -177,10 +179,10 @@
 }
 
 /// What became of a direct call, as its outcome tells.
-fn fate_of(reply: &WorkerResponse) -> CallFate {
+fn fate_of(reply: &WorkerResponse) -> CallOutcome {
     match reply {
-        WorkerResponse::Executed(_) | WorkerResponse::Rejected(_) => CallFate::Answered,
-        WorkerResponse::OutcomeUnknown => CallFate::Unanswered,
-        WorkerResponse::NotSent | WorkerResponse::Unreachable => CallFate::NotSent,
+        WorkerResponse::Executed(_) | WorkerResponse::Rejected(_) => CallOutcome::Answered,
+        WorkerResponse::OutcomeUnknown => CallOutcome::Unanswered,
+        WorkerResponse::NotSent | WorkerResponse::Unreachable => CallOutcome::NotSent,
     }
 }
--- a/src/coordination/leader/exits.rs
+++ b/src/coordination/leader/exits.rs
@@ -1,11 +1,11 @@
 //! Compares bindings with what a worker reports: tasks that run, that have exited, and that must move.
 
 use super::Leader;
-use crate::bookkeeping::hosts::{Binding, HaltReason, Host};
 use crate::bookkeeping::invariants::{self, Invariant};
 use crate::bookkeeping::jobs::{Job, Jobs};
-use crate::bookkeeping::ledger::Change;
 use crate::bookkeeping::permits;
+use crate::bookkeeping::workers::{Binding, EvictionReason, Worker};
+use crate::bookkeeping::write_ahead_log::LogEntry;
 use crate::protocol::worker::{ExitReason, TaskId, TaskState};
 
 /// What a report tells of a bound task.
@@ -22,20 +22,20 @@
 
 /// What the latest report of a host tells of a task that is bound there.
 fn finding(
-    host: &Host,
+    host: &Worker,
     task: &TaskId,
     binding: &Binding,
     jobs: &Jobs,
     now: f64,
 ) -> Option<Finding> {
-    if binding.ending || !binding.durable {
+    if binding.unbinding || !binding.durable {
         return None;
     }
-    let Some(step) = host.step(task, binding.attempt) else {
-        let absent = permits::unbind_absent(host, task, binding).is_ok();
+    let Some(step) = host.observed_task(task, binding.attempt) else {
+        let absent = permits::may_unbind_absent(host, task, binding).is_ok();
         return absent.then_some(Finding::Absent);
     };
-    match (step.state, binding.running) {
+    match (step.state, binding.running_since) {
         (TaskState::Exited, ran) => {
             let cause = step.exit_reason.unwrap_or(ExitReason::Unknown);
             Some(Finding::Exited(cause, ran.is_some()))
@@ -80,11 +80,11 @@
             return;
         };
         if let Some(binding) = host.bindings.get_mut(task) {
-            binding.running = Some(now);
+            binding.running_since = Some(now);
         }
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.running += 1;
-            host.note_image(&job.spec.image);
+            job.running_tasks += 1;
+            host.remember_image(&job.spec.image);
         }
     }
 
@@ -94,22 +94,22 @@
             return;
         };
         let exited = host.has_exited(task, attempt);
-        let gone = exited || !host.pending.may_arrive(task, attempt);
+        let gone = exited || !host.pending_starts.may_arrive(task, attempt);
         let details = format_args!("host {name}, task {task}, attempt {attempt}");
         if !invariants::uphold(Invariant::NoUnbindWhileStartMayArrive, gone, details) {
             return;
         }
         if let Some(binding) = host.bindings.get_mut(task)
             && binding.attempt == attempt
-            && !binding.ending
+            && !binding.unbinding
         {
-            binding.ending = true;
+            binding.unbinding = true;
             tracing::debug!(host = name, %task, attempt, exited, "binding ends");
-            self.ledger.push(Change::Unbind {
-                host: name.to_owned(),
+            self.ledger.push(LogEntry::Unbind {
+                worker: name.to_owned(),
                 task: task.clone(),
                 attempt,
-                done,
+                completed: done,
             });
         }
     }
@@ -131,10 +131,10 @@
                     self.note_finish(name, task, now);
                 }
                 let host = self.hosts.get(name);
-                let copies = host.is_some_and(|host| host.pending.may_arrive(task, attempt));
-                if let Some(job) = self.jobs.get_mut(&task.job).filter(|job| !job.standing()) {
+                let copies = host.is_some_and(|host| host.pending_starts.may_arrive(task, attempt));
+                if let Some(job) = self.jobs.get_mut(&task.job).filter(|job| !job.is_service()) {
                     if copies {
-                        job.copies_on.insert(name.to_owned());
+                        job.workers_with_start_copies.insert(name.to_owned());
                     }
                     done = job.complete(task.index);
                 }
@@ -143,7 +143,9 @@
             ExitReason::Failed | ExitReason::UnknownTask | ExitReason::Unknown => {
                 self.note_failure(name, task, cause, now);
             }
-            ExitReason::Stopped | ExitReason::InsufficientResources | ExitReason::AttemptConflict => {}
+            ExitReason::Stopped
+            | ExitReason::InsufficientResources
+            | ExitReason::AttemptConflict => {}
         }
         // The end of the job goes first: should only it be written, the binding still is in the
         // records and ends by the worker's next report.
@@ -158,18 +160,18 @@
         let Some(host) = self.hosts.get_mut(name) else {
             return;
         };
-        let left_s = host.taken_at.map_or(0.0, |at| at - now);
+        let left_s = host.reclaim_at.map_or(0.0, |at| at - now);
         for (task, binding) in &mut host.bindings {
-            if binding.halt.is_some() || binding.ending {
+            if binding.eviction.is_some() || binding.unbinding {
                 continue;
             }
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
             let spec = &job.spec;
-            let ran_s = binding.running.map_or(0.0, |since| now - since);
-            let finishes = !job.standing()
-                && binding.running.is_some()
+            let ran_s = binding.running_since.map_or(0.0, |since| now - since);
+            let finishes = !job.is_service()
+                && binding.running_since.is_some()
                 && (spec.expected_runtime_s - ran_s).max(0.0) < left_s;
             if !finishes {
                 tracing::debug!(host = name, %task, "drained: the machine is about to be taken");
@@ -178,7 +180,7 @@
                 } else {
                     0.0
                 };
-                binding.halt = Some((drain_s, HaltReason::Drained));
+                binding.eviction = Some((drain_s, EvictionReason::Drained));
             }
         }
     }
--- a/src/coordination/leader/failure_detection.rs
+++ b/src/coordination/leader/failure_detection.rs
@@ -2,7 +2,7 @@
 
 use super::Leader;
 use super::fleet::GiveBackReason;
-use crate::bookkeeping::hosts::Host;
+use crate::bookkeeping::workers::Worker;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Usual boot times after which a machine that is not up is given back.
@@ -25,20 +25,20 @@
 
 impl Leader {
     /// Since when a machine that should report has not; `None`: it may still be booting.
-    fn quiet_since(&self, host: &Host) -> Option<f64> {
+    fn quiet_since(&self, host: &Worker) -> Option<f64> {
         // Who has tasks and was never heard had them under an earlier leader.
         let inherited = (!host.bindings.is_empty()).then_some(self.since);
-        Some(host.heard.or(inherited)?.max(self.awake_since))
+        Some(host.last_heartbeat_at.or(inherited)?.max(self.awake_since))
     }
 
     /// Whether a machine has missed its latest reports and leaves direct calls unanswered, or has
     /// been quiet for so long that this is not needed.
-    fn silent(&self, host: &Host, now: f64) -> bool {
+    fn silent(&self, host: &Worker, now: f64) -> bool {
         let workers = &self.settings.deployment.workers;
         self.quiet_since(host).is_some_and(|since| {
             let quiet_s = now - since;
-            let asked = host.unreached.is_some_and(|at| at >= since);
-            let long_s = match host.heard {
+            let asked = host.unreachable_since.is_some_and(|at| at >= since);
+            let long_s = match host.last_heartbeat_at {
                 Some(_) => workers.lease_s / 2.0,
                 None => workers.lease_s,
             };
@@ -54,7 +54,7 @@
     fn cut_zones(&self, now: f64) -> (BTreeSet<String>, bool) {
         let late_s = LATE_REPORTS * self.settings.deployment.workers.report_s;
         let mut zones: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        for host in self.hosts.iter().filter(|host| !host.returning) {
+        for host in self.hosts.iter().filter(|host| !host.terminating) {
             if let Some(since) = self.quiet_since(host) {
                 let (there, late) = zones.entry(&host.zone).or_default();
                 *there += 1;
@@ -93,19 +93,19 @@
     /// Gives back machines that are of no use: silent, faulty, taken, or never up.
     pub(super) fn retire(&mut self, now: f64) {
         let lease_s = self.settings.deployment.workers.lease_s;
-        let up = self.hosts.iter().filter(|h| h.heard.is_some()).count();
+        let up = self.hosts.iter().filter(|h| h.last_heartbeat_at.is_some()).count();
         // When most have missed their latest reports it is this node that is cut off. Counting only
         // those past the longer limit would give back the first few that pass it.
         let missed_s = MISSED_REPORTS * self.fleet.report_s;
         let unheard = self
             .hosts
             .iter()
-            .filter(|host| host.heard.is_some_and(|at| now - at > missed_s))
+            .filter(|host| host.last_heartbeat_at.is_some_and(|at| now - at > missed_s))
             .count();
         // So it may be when nobody at all is heard; should this last, the lead is given up.
         let quiet_s = self.last_report.map_or(0.0, |at| now - at);
         let nobody = quiet_s > QUIET_REPORTS * self.fleet.report_s && quiet_s < lease_s;
-        let unreached = self.hosts.iter().filter(|h| h.unreached.is_some()).count();
+        let unreached = self.hosts.iter().filter(|h| h.unreachable_since.is_some()).count();
         self.note_cut_zones(now);
         // Zones that fall silent together are no failure of each: this shows before most machines have
         // missed enough. Should it last, and this node still lead, the machines are dead.
@@ -116,7 +116,7 @@
         let cut_off = 2 * unheard > up || 2 * unreached > up || nobody || all_cut;
         // A zone that stays away for long is given up: its machines cost more by then than their boots.
         // Once it is back, all its workers get the time to come again.
-        let waits = |host: &Host| {
+        let waits = |host: &Worker| {
             !host.spot
                 && self.fleet.was_cut(&host.zone)
                 && self
@@ -124,35 +124,35 @@
                     .is_some_and(|since| now - since < CUT_LEASES * lease_s)
         };
         let mut back = Vec::new();
-        for host in self.hosts.iter().filter(|host| !host.returning) {
+        for host in self.hosts.iter().filter(|host| !host.terminating) {
             let ready_s = self
                 .flavors
                 .iter()
-                .find(|f| f.name == host.flavor)
+                .find(|f| f.name == host.instance_type)
                 .map_or(self.fleet.report_s, |f| f.boot_time_s);
             let lost_s = 4.0 * self.fleet.list_lag_s + ready_s;
             let taken = host
-                .taken_at
+                .reclaim_at
                 .is_some_and(|at| now > at + self.fleet.report_s || host.bindings.is_empty());
-            let never_up = host.heard.is_none()
+            let never_up = host.last_heartbeat_at.is_none()
                 && host.bindings.is_empty()
-                && now - host.since > BOOT_PATIENCE * ready_s
-                && (!host.listed_up || now - self.since > lease_s);
+                && now - host.first_seen_at > BOOT_PATIENCE * ready_s
+                && (!host.listed_running || now - self.since > lease_s);
             let reason = if taken {
                 GiveBackReason::TakenByCloud
             } else if never_up {
                 GiveBackReason::NeverUp
             } else if self.silent(host, now) && !cut_off && !waits(host) {
                 GiveBackReason::Silent
-            } else if host.unreached.is_some_and(|at| now - at > lease_s)
+            } else if host.unreachable_since.is_some_and(|at| now - at > lease_s)
                 && !cut_off
                 && !waits(host)
             {
                 GiveBackReason::Unreached
-            } else if host.failures.is_faulty() {
+            } else if host.failures.is_quarantined() {
                 GiveBackReason::FailsTasks
-            } else if host.heard.is_none()
-                && host.listed.is_some_and(|at| now - at > lost_s)
+            } else if host.last_heartbeat_at.is_none()
+                && host.last_listed_at.is_some_and(|at| now - at > lost_s)
                 && host.bindings.is_empty()
             {
                 GiveBackReason::NotListed
--- a/src/coordination/leader/fleet.rs
+++ b/src/coordination/leader/fleet.rs
@@ -1,11 +1,11 @@
 //! The fleet: what is rented, what is given back, and the cloud's list.
 
 use super::Leader;
-use crate::bookkeeping::budget::Bucket;
-use crate::bookkeeping::hosts::Host;
-use crate::bookkeeping::ledger::Change;
 use crate::bookkeeping::permits;
-use crate::bookkeeping::records::{self, RentalRecord};
+use crate::bookkeeping::rate_limit::TokenBucket;
+use crate::bookkeeping::records::{self, ProvisioningRecord};
+use crate::bookkeeping::workers::Worker;
+use crate::bookkeeping::write_ahead_log::LogEntry;
 use crate::coordination::autoscaler::{self, Meter};
 use crate::coordination::outbox::{CloudAsk, Outbox};
 use crate::protocol::cloud::{
@@ -75,7 +75,7 @@
 
 #[derive(Debug, Clone)]
 struct Renting {
-    record: RentalRecord,
+    record: ProvisioningRecord,
     stage: Stage,
     /// The most urgent work that it is for, and the order within that.
     turn: (PriorityClass, u64),
@@ -86,7 +86,7 @@
 impl Renting {
     fn pool(&self) -> PoolKey {
         PoolKey {
-            flavor: self.record.flavor.clone(),
+            flavor: self.record.instance_type.clone(),
             zone: self.record.zone.clone(),
             spot: self.record.spot,
         }
@@ -134,7 +134,7 @@
     pub(super) bias: f64,
     /// Machines whose deletion was confirmed, and when.
     gone: HashMap<String, f64>,
-    calls: Bucket,
+    calls: TokenBucket,
     listing: Vec<Instance>,
     list_busy: bool,
     list_at: f64,
@@ -181,7 +181,7 @@
             pools: BTreeMap::new(),
             bias: 1.0,
             gone: HashMap::new(),
-            calls: Bucket::new(
+            calls: TokenBucket::new(
                 cloud.rps * CLOUD_SHARE,
                 (cloud.rps * CLOUD_SHARE * CLOUD_BURST_S).max(1.0),
             ),
@@ -207,7 +207,7 @@
     }
 
     /// Takes over a rental that an earlier leader wrote down.
-    pub(super) fn inherit_rental(&mut self, bid: &str, record: RentalRecord) {
+    pub(super) fn inherit_rental(&mut self, bid: &str, record: ProvisioningRecord) {
         let renting = Renting {
             record,
             stage: Stage::Ready(0.0),
@@ -221,14 +221,14 @@
     pub(super) fn written(&mut self, write: &WriteOp) {
         match write {
             WriteOp::Put { key, .. } => {
-                if let Some(bid) = key.strip_prefix(records::RENTAL)
+                if let Some(bid) = key.strip_prefix(records::PROVISIONING_PREFIX)
                     && let Some(rental) = self.rentals.get_mut(bid)
                 {
                     rental.stage = Stage::Ready(0.0);
                 }
             }
             WriteOp::Delete { key } => {
-                if let Some(bid) = key.strip_prefix(records::RENTAL) {
+                if let Some(bid) = key.strip_prefix(records::PROVISIONING_PREFIX) {
                     self.rentals.remove(bid);
                 }
             }
@@ -275,11 +275,11 @@
             .sum()
     }
 
-    fn pool_of(&mut self, host: &Host) -> &mut Pool {
+    fn pool_of(&mut self, host: &Worker) -> &mut Pool {
         self.pools.entry(key_of(host)).or_default()
     }
 
-    pub(super) fn note_start(&mut self, host: &Host, share: Option<f64>, now: f64) {
+    pub(super) fn note_start(&mut self, host: &Worker, share: Option<f64>, now: f64) {
         let pool = self.pool_of(host);
         if let Some(share) = share {
             pool.starts.add(1.0, now);
@@ -287,7 +287,7 @@
         }
     }
 
-    pub(super) fn note_finish(&mut self, host: &Host, ran_s: f64, expect_s: f64, now: f64) {
+    pub(super) fn note_finish(&mut self, host: &Worker, ran_s: f64, expect_s: f64, now: f64) {
         if expect_s > 0.0 {
             let (least, most) = BIAS_RANGE;
             let bias = (ran_s / expect_s).clamp(least, most);
@@ -307,16 +307,16 @@
     }
 }
 
-fn key_of(host: &Host) -> PoolKey {
+fn key_of(host: &Worker) -> PoolKey {
     PoolKey {
-        flavor: host.flavor.clone(),
+        flavor: host.instance_type.clone(),
         zone: host.zone.clone(),
         spot: host.spot,
     }
 }
 
-pub(super) fn is_in(host: &Host, pool: &PoolKey) -> bool {
-    host.spot == pool.spot && host.zone == pool.zone && host.flavor == pool.flavor
+pub(super) fn is_in(host: &Worker, pool: &PoolKey) -> bool {
+    host.spot == pool.spot && host.zone == pool.zone && host.instance_type == pool.flavor
 }
 
 impl Leader {
@@ -367,7 +367,7 @@
         let names: Vec<String> = self
             .hosts
             .iter()
-            .filter(|host| permits::delete(host).is_ok() && !self.fleet.is_gone(&host.name))
+            .filter(|host| permits::may_delete(host).is_ok() && !self.fleet.is_gone(&host.name))
             .map(|host| host.name.clone())
             .take(MAX_INSTANCES_PER_DELETE)
             .collect();
@@ -377,7 +377,11 @@
         self.fleet.delete_busy = true;
         tracing::debug!(hosts = ?names, "deletion sent");
         let ask = CloudAsk::Delete(self.epoch, names.clone());
-        out.cloud(ask, CloudRequest::DeleteInstances(names), 2.0 * self.fleet.report_s);
+        out.cloud(
+            ask,
+            CloudRequest::DeleteInstances(names),
+            2.0 * self.fleet.report_s,
+        );
     }
 
     fn drive_rentals(&mut self, out: &mut Outbox, now: f64) {
@@ -395,8 +399,8 @@
         if !rental.sent && fleet.pools.get(&rental.pool()).is_some_and(blocked) {
             // The pool has turned out to be sold out; the next round asks elsewhere.
             rental.stage = Stage::Settling;
-            self.ledger.push(Change::Put {
-                write: WriteOp::delete(records::rental(bid)),
+            self.ledger.push(LogEntry::WriteKey {
+                write: WriteOp::delete(records::provisioning_key(bid)),
             });
             return;
         }
@@ -409,7 +413,7 @@
         fleet.rent_busy = true;
         let call = CloudRequest::CreateInstances(CreateInstances {
             idempotency_key: bid.clone(),
-            instance_type: rental.record.flavor.clone(),
+            instance_type: rental.record.instance_type.clone(),
             zone: rental.record.zone.clone(),
             spot: rental.record.spot,
             count: rental.record.count,
@@ -448,26 +452,26 @@
         }
         let lease_from = self.others_until;
         let host = self.hosts.entry(&machine.name, || {
-            let mut host = Host::new(
+            let mut host = Worker::new(
                 &machine.name,
                 &machine.instance_type,
                 &machine.zone,
                 machine.spot,
                 now - machine.age_s,
             );
-            host.lease_from = lease_from;
+            host.lease_renewed_at = lease_from;
             host
         });
         if host.endpoint.is_empty() {
             host.endpoint.clone_from(&machine.endpoint);
         }
-        host.listed = Some(now);
+        host.last_listed_at = Some(now);
         match machine.status {
-            InstanceStatus::Running if !host.listed_up => {
-                host.listed_up = true;
+            InstanceStatus::Running if !host.listed_running => {
+                host.listed_running = true;
                 self.push_due.insert(machine.name.clone());
             }
-            InstanceStatus::Failed if !host.returning => {
+            InstanceStatus::Failed if !host.terminating => {
                 self.give_back(&machine.name, GiveBackReason::Failed);
             }
             _ => {}
@@ -483,12 +487,12 @@
             let seen = names.iter().all(|name| {
                 self.hosts
                     .get(name)
-                    .is_none_or(|host| host.listed.is_some() || host.heard.is_some())
+                    .is_none_or(|host| host.last_listed_at.is_some() || host.last_heartbeat_at.is_some())
             });
             if seen {
                 rental.stage = Stage::Settling;
-                self.ledger.push(Change::Put {
-                    write: WriteOp::delete(records::rental(bid)),
+                self.ledger.push(LogEntry::WriteKey {
+                    write: WriteOp::delete(records::provisioning_key(bid)),
                 });
             }
         }
@@ -518,7 +522,7 @@
                 for name in &names {
                     if !self.fleet.is_gone(name) {
                         self.hosts.entry(name, || {
-                            Host::new(name, &key.flavor, &key.zone, key.spot, now)
+                            Worker::new(name, &key.flavor, &key.zone, key.spot, now)
                         });
                     }
                 }
@@ -531,8 +535,8 @@
                 tracing::info!(bid, pool = %key, wanted, "rental refused");
                 rental.stage = Stage::Settling;
                 self.fleet.block(&key, ready_s, now);
-                self.ledger.push(Change::Put {
-                    write: WriteOp::delete(records::rental(bid)),
+                self.ledger.push(LogEntry::WriteKey {
+                    write: WriteOp::delete(records::provisioning_key(bid)),
                 });
             }
             // It may have been carried out: the same name is asked again until there is an answer.
@@ -554,19 +558,19 @@
             }
             self.drop_all_bindings(name, now);
             tracing::info!(host = name, "machine deleted");
-            self.ledger.push(Change::Forget { host: name.clone() });
+            self.ledger.push(LogEntry::RemoveWorker { worker: name.clone() });
         }
     }
 
     /// Marks a host as returning; it is deleted once the mark is written.
     pub(super) fn give_back(&mut self, name: &str, reason: GiveBackReason) {
         if let Some(host) = self.hosts.get_mut(name)
-            && !host.returning
+            && !host.terminating
         {
             tracing::info!(host = name, ?reason, "giving back a machine");
-            host.returning = true;
-            self.ledger.push(Change::Mark {
-                host: name.to_owned(),
+            host.terminating = true;
+            self.ledger.push(LogEntry::RecordTermination {
+                worker: name.to_owned(),
             });
         }
     }
@@ -576,15 +580,15 @@
         while left > 0 {
             self.fleet.bids += 1;
             let bid = format!("r-{}-{}", self.epoch, self.fleet.bids);
-            let record = RentalRecord {
-                flavor: key.flavor.clone(),
+            let record = ProvisioningRecord {
+                instance_type: key.flavor.clone(),
                 zone: key.zone.clone(),
                 spot: key.spot,
                 count: left.min(MAX_INSTANCES_PER_CREATE),
             };
             left -= record.count;
-            self.ledger.push(Change::Put {
-                write: WriteOp::put(records::rental(&bid), &record),
+            self.ledger.push(LogEntry::WriteKey {
+                write: WriteOp::put(records::provisioning_key(&bid), &record),
             });
             let renting = Renting {
                 record,
--- a/src/coordination/leader/load.rs
+++ b/src/coordination/leader/load.rs
@@ -1,9 +1,9 @@
 //! Reading the records after a takeover: open jobs, the log, and rentals.
 
 use super::{Leader, Notice};
-use crate::bookkeeping::hosts::{Binding, Host, Room};
-use crate::bookkeeping::records::{self, RentalRecord};
+use crate::bookkeeping::records::{self, ProvisioningRecord};
 use crate::bookkeeping::segment::{Segment, decode_chunk};
+use crate::bookkeeping::workers::{Binding, Resources, Worker};
 use crate::coordination::outbox::{Outbox, StoreAsk};
 use crate::protocol::cbor;
 use crate::protocol::job::JobSpec;
@@ -25,7 +25,11 @@
     pub fn everything() -> Loading {
         Loading {
             // The last goes first.
-            prefixes: vec![records::RENTAL, records::LOG, records::OPEN],
+            prefixes: vec![
+                records::PROVISIONING_PREFIX,
+                records::LOG_PREFIX,
+                records::OPEN_PREFIX,
+            ],
             items: Vec::new(),
             from: None,
             in_flight: false,
@@ -51,7 +55,7 @@
             prefix: (*prefix).to_owned(),
             after: loading.from.clone(),
         };
-        self.requests.force(1.0, now);
+        self.requests.take_with_debt(1.0, now);
         out.store(StoreAsk::Load(self.epoch), call, patience_s, now);
     }
 
@@ -83,13 +87,13 @@
         };
         let mut segments = Vec::new();
         for item in &loading.items {
-            if item.key.starts_with(records::OPEN) {
+            if item.key.starts_with(records::OPEN_PREFIX) {
                 if let Ok(spec) = cbor::from_value::<JobSpec>(&item.value)
                     && !self.closed_early.contains(&spec.id)
                 {
                     self.opened(item.mod_revision, &spec, now, wall);
                 }
-            } else if item.key.starts_with(records::LOG) {
+            } else if item.key.starts_with(records::LOG_PREFIX) {
                 match cbor::from_value::<Segment>(&item.value) {
                     Ok(segment) => {
                         if segment.epoch > self.epoch {
@@ -105,8 +109,8 @@
                     }
                     Err(error) => tracing::error!(key = item.key, %error, "unreadable segment"),
                 }
-            } else if let Some(bid) = item.key.strip_prefix(records::RENTAL)
-                && let Ok(record) = cbor::from_value::<RentalRecord>(&item.value)
+            } else if let Some(bid) = item.key.strip_prefix(records::PROVISIONING_PREFIX)
+                && let Ok(record) = cbor::from_value::<ProvisioningRecord>(&item.value)
             {
                 self.fleet.inherit_rental(bid, record);
             }
@@ -118,7 +122,7 @@
             self.replay_kinds(segment, now);
         }
         for (item, segment) in &segments {
-            self.ledger.inherit(&item.key, item.mod_revision, segment);
+            self.ledger.replay_segment(&item.key, item.mod_revision, segment);
             self.replay(segment);
         }
         self.count_inherited();
@@ -147,18 +151,18 @@
     fn replay_kinds(&mut self, segment: &Segment, now: f64) {
         // An earlier leader may have answered reports until its hold-over ended.
         let lease_from = self.others_until;
-        for (number, flavor, zone, spot, endpoint, returning) in &segment.kinds {
-            let Some(name) = segment.host(*number) else {
+        for (number, flavor, zone, spot, endpoint, returning) in &segment.workers {
+            let Some(name) = segment.worker_name(*number) else {
                 continue;
             };
             let host = self.hosts.entry(name, || {
-                let mut host = Host::new(name, flavor, zone, *spot, now);
-                host.lease_from = lease_from;
+                let mut host = Worker::new(name, flavor, zone, *spot, now);
+                host.lease_renewed_at = lease_from;
                 host
             });
             host.endpoint.clone_from(endpoint);
-            host.returning |= returning;
-            host.marked |= returning;
+            host.terminating |= returning;
+            host.termination_recorded |= returning;
         }
     }
 
@@ -168,8 +172,8 @@
             let job = segment.job(job)?.0.clone();
             Some(TaskId { job, index })
         };
-        for (number, job, index, attempt, tenure) in &segment.binds {
-            let (Some(name), Some(entry)) = (segment.host(*number), segment.job(*job)) else {
+        for (number, job, index, attempt, tenure) in &segment.bindings {
+            let (Some(name), Some(entry)) = (segment.worker_name(*number), segment.job(*job)) else {
                 continue;
             };
             let (Some(host), Some(task)) = (self.hosts.get_mut(name), task(*job, *index)) else {
@@ -177,23 +181,23 @@
             };
             let binding = Binding {
                 attempt: *attempt,
-                tenure: *tenure,
-                need: Room {
+                incarnation: *tenure,
+                request: Resources {
                     cpus: entry.2.0,
                     gpus: entry.3.0,
-                    ram: entry.4.0,
+                    ram_gb: entry.4.0,
                 },
                 team: entry.1.clone(),
                 durable: true,
                 inherited: true,
-                ending: false,
-                halt: None,
-                running: None,
+                unbinding: false,
+                eviction: None,
+                running_since: None,
             };
             host.bindings.insert(task, binding);
         }
-        for (number, job, index, attempt) in &segment.ends {
-            let host = segment.host(*number).and_then(|n| self.hosts.get_mut(n));
+        for (number, job, index, attempt) in &segment.ended_bindings {
+            let host = segment.worker_name(*number).and_then(|n| self.hosts.get_mut(n));
             if let (Some(host), Some(task)) = (host, task(*job, *index))
                 && host
                     .bindings
@@ -203,12 +207,12 @@
                 host.bindings.remove(&task);
             }
         }
-        for number in &segment.gone {
-            if let Some(name) = segment.host(*number) {
+        for number in &segment.removed_workers {
+            if let Some(name) = segment.worker_name(*number) {
                 self.hosts.remove(name);
             }
         }
-        for (job, chunk, bits) in &segment.done {
+        for (job, chunk, bits) in &segment.completed {
             let job = segment
                 .job(*job)
                 .and_then(|entry| self.jobs.get_mut(&entry.0));
@@ -224,8 +228,8 @@
     fn count_inherited(&mut self) {
         for host in self.hosts.iter() {
             for (task, binding) in &host.bindings {
-                let need = binding.need;
-                self.quotas.take(&binding.team, need.cpus, need.gpus);
+                let need = binding.request;
+                self.quotas.charge(&binding.team, need.cpus, need.gpus);
                 if let Some(job) = self.jobs.get_mut(&task.job) {
                     job.bind(task.index, &host.name, &host.zone);
                 }
@@ -239,7 +243,7 @@
         let complete: Vec<String> = self
             .jobs
             .iter()
-            .filter(|job| job.done.len() == job.spec.tasks && !job.ending)
+            .filter(|job| job.completed.len() == job.spec.tasks && !job.finishing)
             .map(|job| job.spec.id.clone())
             .collect();
         for id in complete {
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -15,13 +15,13 @@
 
 use super::outbox::Outbox;
 use super::scheduler::{self, Pass};
-use crate::bookkeeping::budget::Bucket;
-use crate::bookkeeping::hosts::{Binding, HaltReason, Host, Hosts, Room};
 use crate::bookkeeping::jobs::{Job, Jobs};
-use crate::bookkeeping::ledger::{Change, Ledger, TxnLimits};
-use crate::bookkeeping::permits::{Action, Knowledge, Tally};
+use crate::bookkeeping::permits::{DecisionCounters, PermitKind, ViewFreshness};
 use crate::bookkeeping::quotas::Quotas;
-use crate::bookkeeping::records::OverRecord;
+use crate::bookkeeping::rate_limit::TokenBucket;
+use crate::bookkeeping::records::FinishedRecord;
+use crate::bookkeeping::workers::{Binding, EvictionReason, Resources, Worker, Workers};
+use crate::bookkeeping::write_ahead_log::{LogEntry, TxnLimits, WriteAheadLog};
 use crate::policy::Policy;
 use crate::protocol::cloud::InstanceType;
 use crate::protocol::job::{JobKind, JobSpec};
@@ -59,7 +59,7 @@
 #[derive(Debug, PartialEq)]
 pub enum Notice {
     /// A job has ended.
-    Over(String, OverRecord),
+    Over(String, FinishedRecord),
     /// Another leader's Epoch was seen.
     Epoch(u64),
     /// A transaction found the leader's key changed.
@@ -74,9 +74,9 @@
     policy: Rc<Policy>,
     flavors: Rc<Vec<InstanceType>>,
     jobs: Jobs,
-    hosts: Hosts,
+    hosts: Workers,
     quotas: Quotas,
-    ledger: Ledger,
+    ledger: WriteAheadLog,
     loading: Option<Loading>,
     early: BTreeMap<String, WorkerHeartbeat>,
     closed_early: HashSet<String>,
@@ -84,8 +84,8 @@
     inherited_suspects: BTreeSet<String>,
     listed_early: Option<(u64, BTreeSet<String>)>,
     tries: u64,
-    requests: Bucket,
-    changes: Bucket,
+    requests: TokenBucket,
+    changes: TokenBucket,
     /// A transaction, or a look at its fate, is on its way.
     writing: bool,
     /// No transaction before this time.
@@ -114,7 +114,7 @@
     /// as silent for the time in which it did not listen.
     drove_at: f64,
     awake_since: f64,
-    tally: Tally,
+    tally: DecisionCounters,
     tally_at: f64,
     rng: SmallRng,
 }
@@ -132,17 +132,17 @@
     ) -> Leader {
         let state = &settings.deployment.state;
         let limits = TxnLimits {
-            ops: state.txn_ops,
-            value_bytes: (state.value_kb * 1024.0) as usize,
+            max_writes: state.txn_ops,
+            max_value_bytes: (state.value_kb * 1024.0) as usize,
         };
-        let share = |all: f64| Bucket::new(all * STATE_SHARE, all * STATE_SHARE);
+        let share = |all: f64| TokenBucket::new(all * STATE_SHARE, all * STATE_SHARE);
         Leader {
             epoch,
             since: now,
             jobs: Jobs::default(),
-            hosts: Hosts::default(),
+            hosts: Workers::default(),
             quotas: Quotas::new(&settings.deployment.teams),
-            ledger: Ledger::new(limits),
+            ledger: WriteAheadLog::new(limits),
             loading: Some(Loading::everything()),
             early: BTreeMap::new(),
             closed_early: HashSet::new(),
@@ -173,7 +173,7 @@
             last_report: None,
             drove_at: now,
             awake_since: now,
-            tally: Tally::default(),
+            tally: DecisionCounters::default(),
             tally_at: now,
             rng,
             settings,
@@ -198,7 +198,7 @@
         }
         self.others_until = self.others_until.min(now);
         for host in self.hosts.iter_mut() {
-            host.lease_from = host.lease_from.min(now);
+            host.lease_renewed_at = host.lease_renewed_at.min(now);
         }
     }
 
@@ -220,12 +220,12 @@
         }
         let since = now - (wall - spec.submitted_at).clamp(0.0, now.max(0.0) + 1e6);
         let mut job = Job::new(spec.clone(), stamp, since);
-        if job.due.is_none() && !job.standing() {
-            job.due = self.objective("finished", &spec.class).map(|s| since + s);
+        if job.deadline.is_none() && !job.is_service() {
+            job.deadline = self.objective("finished", &spec.class).map(|s| since + s);
         }
-        job.prompt_s = self.objective("wait", &spec.class);
-        if let (Some(due), None) = (job.due, job.prompt_s) {
-            job.patient_until = due - EXPECT_MARGIN * spec.expected_runtime_s;
+        job.start_objective_s = self.objective("wait", &spec.class);
+        if let (Some(due), None) = (job.deadline, job.start_objective_s) {
+            job.latest_unhurried_start = due - EXPECT_MARGIN * spec.expected_runtime_s;
         }
         self.jobs.insert(job);
         self.schedule_due = true;
@@ -252,11 +252,11 @@
         if let Some(job) = self.jobs.remove(id) {
             tracing::debug!(
                 job = id,
-                bound = job.bound.len(),
-                copies_on = job.copies_on.len(),
+                bound = job.bound_workers.len(),
+                copies_on = job.workers_with_start_copies.len(),
                 "job over: its tasks are stopped"
             );
-            self.ledger.job_over(id);
+            self.ledger.forget_job(id);
             self.halt_orphans_of(&job);
             self.revoke_copies_of(&job);
         }
@@ -265,9 +265,9 @@
     /// Revokes copies of starts of a job's completed tasks: of a job that may have been cancelled no task
     /// may be started, not even to exit at once.
     fn revoke_copies_of(&mut self, job: &Job) {
-        for name in &job.copies_on {
+        for name in &job.workers_with_start_copies {
             if let Some(host) = self.hosts.get_mut(name) {
-                host.revoke_closed = true;
+                host.revoke_ended_jobs = true;
                 self.push_due.insert(name.clone());
             }
         }
@@ -275,7 +275,7 @@
 
     /// Orders a stop of a job's bound tasks after its end.
     fn halt_orphans_of(&mut self, job: &Job) {
-        for (index, names) in &job.bound {
+        for (index, names) in &job.bound_workers {
             let task = TaskId {
                 job: job.spec.id.clone(),
                 index: *index,
@@ -283,7 +283,7 @@
             for name in names {
                 let host = self.hosts.get_mut(name);
                 if let Some(binding) = host.and_then(|host| host.bindings.get_mut(&task)) {
-                    binding.halt = Some((0.0, HaltReason::Over));
+                    binding.eviction = Some((0.0, EvictionReason::JobEnded));
                     self.push_due.insert(name.clone());
                 }
             }
@@ -298,7 +298,7 @@
         let closed: Vec<String> = self
             .jobs
             .iter()
-            .filter(|job| job.stamp <= revision && !listed.contains(&job.spec.id))
+            .filter(|job| job.mod_revision <= revision && !listed.contains(&job.spec.id))
             .map(|job| job.spec.id.clone())
             .collect();
         for id in closed {
@@ -314,8 +314,8 @@
         for host in self.hosts.iter_mut() {
             for (task, binding) in &mut host.bindings {
                 let over = self.jobs.get(&task.job).is_none();
-                if over && binding.halt != Some((0.0, HaltReason::Over)) {
-                    binding.halt = Some((0.0, HaltReason::Over));
+                if over && binding.eviction != Some((0.0, EvictionReason::JobEnded)) {
+                    binding.eviction = Some((0.0, EvictionReason::JobEnded));
                     self.push_due.insert(host.name.clone());
                 }
             }
@@ -335,8 +335,8 @@
         let there = self
             .hosts
             .iter()
-            .filter(|host| !host.returning && (host.heard.is_some() || !host.bindings.is_empty()))
-            .map(|host| host.first_heard.unwrap_or(self.since))
+            .filter(|host| !host.terminating && (host.last_heartbeat_at.is_some() || !host.bindings.is_empty()))
+            .map(|host| host.first_heartbeat_at.unwrap_or(self.since))
             .min_by(f64::total_cmp);
         let Some(there) = there.filter(|_| !self.loading()) else {
             return 0.0;
@@ -348,13 +348,13 @@
 
     /// When a session whose worker is silent has certainly ended: its lease has run out since the
     /// last answer that may have renewed it, by the slower of two clocks.
-    fn session_over_at(&self, host: &Host) -> f64 {
+    fn session_over_at(&self, host: &Worker) -> f64 {
         let workers = &self.settings.deployment.workers;
-        host.lease_from + workers.lease_s * (1.0 + 4.0 * DRIFT) + workers.report_s / 5.0
+        host.lease_renewed_at + workers.lease_s * (1.0 + 4.0 * DRIFT) + workers.report_s / 5.0
     }
 
     /// Does all that is due and that `knowledge` allows.
-    pub fn drive(&mut self, knowledge: &Knowledge, out: &mut Outbox, now: f64) {
+    pub fn drive(&mut self, knowledge: &ViewFreshness, out: &mut Outbox, now: f64) {
         if now - self.drove_at > self.settings.deployment.workers.report_s / 4.0 {
             tracing::info!(gap_s = now - self.drove_at, "this node stood still");
             self.awake_since = now;
@@ -371,7 +371,7 @@
         self.drive_writes(out, now);
         self.drive_fleet(knowledge.lease_held, out, now);
         let starts = knowledge.may_start();
-        self.tally.count(Action::Start, starts);
+        self.tally.count(PermitKind::StartTasks, starts);
         let may_start = starts.is_ok();
         if may_start && !self.may_start {
             // Starts that had to wait.
@@ -405,7 +405,7 @@
         let dead: Vec<String> = self
             .hosts
             .iter()
-            .filter(|host| host.bindings.values().any(|binding| !binding.ending))
+            .filter(|host| host.bindings.values().any(|binding| !binding.unbinding))
             .filter(|host| now > self.session_over_at(host))
             .map(|host| host.name.clone())
             .collect();
@@ -415,9 +415,9 @@
                 "session over: silent for longer than its lease"
             );
             if let Some(host) = self.hosts.get_mut(&name) {
-                host.acked = false;
-                host.steps.clear();
-                host.pending.end_session();
+                host.token_acknowledged = false;
+                host.observed_tasks.clear();
+                host.pending_starts.end_session();
             }
             self.lose_bindings(&name, |_| true);
         }
@@ -431,7 +431,7 @@
         let lost: Vec<(TaskId, u64)> = host
             .bindings
             .iter()
-            .filter(|(_, binding)| !binding.ending && is_lost(binding))
+            .filter(|(_, binding)| !binding.unbinding && is_lost(binding))
             .map(|(task, binding)| (task.clone(), binding.attempt))
             .collect();
         for (task, attempt) in lost {
@@ -450,13 +450,13 @@
         }
         if let Some(binding) = host.bindings.remove(task) {
             self.quotas
-                .give(&binding.team, binding.need.cpus, binding.need.gpus);
+                .release(&binding.team, binding.request.cpus, binding.request.gpus);
             if host.bindings.is_empty() {
                 host.idle_since = now;
             }
             if let Some(job) = self.jobs.get_mut(&task.job) {
                 job.unbind(task.index, name, &host.zone, now);
-                job.running -= u32::from(binding.running.is_some());
+                job.running_tasks -= u32::from(binding.running_since.is_some());
             }
             self.schedule_due = true;
             self.push_due.insert(name.to_owned());
@@ -506,8 +506,11 @@
             let host = self.hosts.get_mut(&name);
             if let Some(binding) = host.and_then(|host| host.bindings.get_mut(&task)) {
                 tracing::info!(host = name, %task, "preempted");
-                let flush_s = self.jobs.get(&task.job).map_or(0.0, |job| job.spec.checkpoint_grace_s);
-                binding.halt = Some((flush_s, HaltReason::Preempted));
+                let flush_s = self
+                    .jobs
+                    .get(&task.job)
+                    .map_or(0.0, |job| job.spec.checkpoint_grace_s);
+                binding.eviction = Some((flush_s, EvictionReason::Preempted));
                 self.push_due.insert(name);
             }
         }
@@ -519,12 +522,12 @@
         else {
             return;
         };
-        if host.bindings.contains_key(task) || host.steps.contains_key(task) {
+        if host.bindings.contains_key(task) || host.observed_tasks.contains_key(task) {
             return;
         }
         // The tasks of a group find one another by a common attempt.
-        let mates = match job.group_attempt {
-            Some(attempt) if job.spec.kind == JobKind::Gang && !job.bound.is_empty() => {
+        let mates = match job.gang_attempt {
+            Some(attempt) if job.spec.kind == JobKind::Gang && !job.bound_workers.is_empty() => {
                 Some(attempt)
             }
             _ => None,
@@ -533,35 +536,35 @@
             self.tries += 1;
             (self.epoch << TRIES_BITS) | self.tries
         });
-        job.group_attempt = Some(attempt);
+        job.gang_attempt = Some(attempt);
         let need = scheduler::need(&job.spec);
         let binding = Binding {
             attempt,
-            tenure: host.tenure,
-            need,
+            incarnation: host.incarnation,
+            request: need,
             team: job.spec.team.clone(),
             durable: false,
             inherited: false,
-            ending: false,
-            halt: None,
-            running: None,
+            unbinding: false,
+            eviction: None,
+            running_since: None,
         };
         tracing::debug!(host = name, %task, attempt, "bound");
         host.bindings.insert(task.clone(), binding);
         job.bind(task.index, name, &host.zone);
-        self.quotas.take(&job.spec.team, need.cpus, need.gpus);
+        self.quotas.charge(&job.spec.team, need.cpus, need.gpus);
         // Forecasts are for what belongs in the pool: neither replicas, which stay, nor work that
         // has only spilled over from the spot pools; nor probes of a job that fails everywhere.
         let spilled = job.spec.spot && !host.spot;
-        let share = if job.standing() || spilled || job.failures.is_suspect() {
+        let share = if job.is_service() || spilled || job.failures.is_crash_looping() {
             None
         } else {
-            let flavor = self.flavors.iter().find(|f| f.name == host.flavor);
-            flavor.map(|f| need.share_of(&Room::of_flavor(f)))
+            let flavor = self.flavors.iter().find(|f| f.name == host.instance_type);
+            flavor.map(|f| need.dominant_share(&Resources::of_instance_type(f)))
         };
         self.fleet.note_start(host, share, now);
-        self.ledger.push(Change::Bind {
-            host: name.to_owned(),
+        self.ledger.push(LogEntry::Bind {
+            worker: name.to_owned(),
             task: task.clone(),
             attempt,
         });
@@ -574,8 +577,8 @@
             .take(MAX_JOB_COUNTS)
             .map(|job| JobCounts {
                 job: job.spec.id.clone(),
-                done: job.done.len(),
-                running: job.running,
+                done: job.completed.len(),
+                running: job.running_tasks,
             })
             .collect()
     }
--- a/src/coordination/leader/orders.rs
+++ b/src/coordination/leader/orders.rs
@@ -3,17 +3,17 @@
 
 use super::Leader;
 use super::fleet::GiveBackReason;
-use crate::bookkeeping::hosts::{Host, Way};
 use crate::bookkeeping::invariants::{self, Invariant};
 use crate::bookkeeping::jobs::Jobs;
-use crate::bookkeeping::permits::Knowledge;
+use crate::bookkeeping::permits::ViewFreshness;
+use crate::bookkeeping::workers::{DeliveryPath, Worker};
 use crate::protocol::token::FencingToken;
 use crate::protocol::worker::{Command, CommandBatch, CommandKind, ExitReason, TaskId};
 
 impl Leader {
     /// The token that a worker is given now.
     pub(super) fn token_of(&self, host: &str) -> FencingToken {
-        let fence = self.hosts.get(host).map_or(0, |host| host.pending.fence());
+        let fence = self.hosts.get(host).map_or(0, |host| host.pending_starts.fence());
         FencingToken::new(self.epoch, fence)
     }
 
@@ -24,7 +24,7 @@
         let Some(host) = self.hosts.get_mut(name) else {
             return;
         };
-        let Some(reason) = host.revocation() else {
+        let Some(reason) = host.pending_revocation() else {
             return;
         };
         if in_call && !reason.is_urgent() {
@@ -41,8 +41,8 @@
         &mut self,
         name: &str,
         mut orders: Vec<Command>,
-        way: Way,
-        knowledge: &Knowledge,
+        way: DeliveryPath,
+        knowledge: &ViewFreshness,
     ) -> CommandBatch {
         let token = self.token_of(name);
         let jobs = &self.jobs;
@@ -54,10 +54,10 @@
             };
         };
         orders.retain(|order| is_sound(order, host, jobs));
-        host.note_sent(&orders, way, knowledge);
+        host.record_sent(&orders, way, knowledge);
         let tenure = match way {
-            Way::Direct => Some(session_of(host)),
-            Way::Answer(_) => None,
+            DeliveryPath::DirectCall => Some(session_of(host)),
+            DeliveryPath::HeartbeatResponse(_) => None,
         };
         CommandBatch {
             token,
@@ -68,13 +68,13 @@
 }
 
 /// The session that direct commands are for.
-fn session_of(host: &Host) -> u64 {
-    let bound = host.bindings.values().map(|binding| binding.tenure);
-    host.tenure.max(bound.max().unwrap_or(1)).max(1)
+fn session_of(host: &Worker) -> u64 {
+    let bound = host.bindings.values().map(|binding| binding.incarnation);
+    host.incarnation.max(bound.max().unwrap_or(1)).max(1)
 }
 
 /// Whether an order may go out, by other means than those that made it.
-fn is_sound(order: &Command, host: &Host, jobs: &Jobs) -> bool {
+fn is_sound(order: &Command, host: &Worker, jobs: &Jobs) -> bool {
     let Some(task) = TaskId::parse(&order.task) else {
         // Workers may show what is no task of ours; it is stopped and cleared.
         return order.kind != CommandKind::Start;
@@ -84,12 +84,12 @@
     match order.kind {
         CommandKind::Start => {
             let open = jobs.get(&task.job).is_some();
-            invariants::uphold(Invariant::NoStartOfClosedJob, open, details)
+            invariants::uphold(Invariant::NoStartOfEndedJob, open, details)
         }
         CommandKind::Clear => {
-            let cause = host.step(&task, attempt).and_then(|step| step.exit_reason);
+            let cause = host.observed_task(&task, attempt).and_then(|step| step.exit_reason);
             let harmless =
-                cause == Some(ExitReason::Completed) || !host.pending.may_arrive(&task, attempt);
+                cause == Some(ExitReason::Completed) || !host.pending_starts.may_arrive(&task, attempt);
             invariants::uphold(Invariant::NoClearWhileStartMayArrive, harmless, details)
         }
         CommandKind::Stop => true,
--- a/src/coordination/leader/reports.rs
+++ b/src/coordination/leader/reports.rs
@@ -1,8 +1,8 @@
 //! Reports of workers: what they tell, and the orders that answer them.
 
 use super::{Leader, MAX_EARLY, Notice};
-use crate::bookkeeping::hosts::{Host, Way};
-use crate::bookkeeping::permits::{Action, Knowledge};
+use crate::bookkeeping::permits::{PermitKind, ViewFreshness};
+use crate::bookkeeping::workers::{DeliveryPath, Worker};
 use crate::protocol::worker::{
     Command, CommandBatch, TaskId, TaskState, TaskStatus, WorkerHeartbeat,
 };
@@ -28,7 +28,7 @@
     pub fn report(
         &mut self,
         report: &WorkerHeartbeat,
-        knowledge: &Knowledge,
+        knowledge: &ViewFreshness,
         is_open: impl Fn(&str) -> bool,
         now: f64,
     ) -> ReportAnswer {
@@ -37,7 +37,7 @@
             return ReportAnswer::Superseded;
         }
         let renewal = knowledge.may_renew();
-        self.tally.count(Action::Renew, renewal);
+        self.tally.count(PermitKind::RenewLease, renewal);
         if let Err(reason) = renewal {
             tracing::debug!(
                 host = report.worker,
@@ -71,7 +71,7 @@
             return self.answer(report, Vec::new(), knowledge);
         };
         let may_start = knowledge.may_start().is_ok();
-        let orders = host.orders(may_start, MAX_ORDERS);
+        let orders = host.commands(may_start, MAX_ORDERS);
         if may_start && orders.len() < MAX_ORDERS {
             // The answer carries all; the next report shows what came of it.
             self.push_due.remove(&report.worker);
@@ -85,9 +85,9 @@
         &mut self,
         report: &WorkerHeartbeat,
         orders: Vec<Command>,
-        knowledge: &Knowledge,
+        knowledge: &ViewFreshness,
     ) -> ReportAnswer {
-        let way = Way::Answer(report.sequence);
+        let way = DeliveryPath::HeartbeatResponse(report.sequence);
         ReportAnswer::Orders(self.send_off(&report.worker, orders, way, knowledge))
     }
 
@@ -104,8 +104,14 @@
             return false;
         }
         let host = self.hosts.entry(&report.worker, || {
-            let mut host = Host::new(&report.worker, &report.instance_type, &report.zone, report.spot, now);
-            host.lease_from = since;
+            let mut host = Worker::new(
+                &report.worker,
+                &report.instance_type,
+                &report.zone,
+                report.spot,
+                now,
+            );
+            host.lease_renewed_at = since;
             host
         });
         if !known {
@@ -114,58 +120,58 @@
         if !host.is_newer(report) {
             // A copy, or overtaken by a direct answer. Should the worker still wait for our answer,
             // its lease counts from when it sent this, which was before the newest word we had.
-            if let Some(heard) = host.heard.filter(|_| by_itself) {
-                host.lease_from = host.lease_from.max(heard);
+            if let Some(heard) = host.last_heartbeat_at.filter(|_| by_itself) {
+                host.lease_renewed_at = host.lease_renewed_at.max(heard);
             }
             return false;
         }
         if by_itself {
-            host.lease_from = if host.acked {
+            host.lease_renewed_at = if host.token_acknowledged {
                 now
             } else {
-                host.lease_from.max(now)
+                host.lease_renewed_at.max(now)
             };
         }
         let ours = report.token.epoch() == self.epoch;
-        let new_session = report.incarnation > host.tenure;
+        let new_session = report.incarnation > host.incarnation;
         if new_session {
-            if host.heard.is_some() {
+            if host.last_heartbeat_at.is_some() {
                 // It lost a session although we answered it: perhaps our answers don't arrive.
-                host.unreached = Some(now);
+                host.unreachable_since = Some(now);
             }
-            host.pending.end_session();
+            host.pending_starts.end_session();
             host.idle_since = now;
             // Its lease runs from its beginning, of which a direct answer may be the first word.
-            host.lease_from = host.lease_from.max(now);
+            host.lease_renewed_at = host.lease_renewed_at.max(now);
         } else if by_itself {
-            host.pending.settle_answers(report.sequence);
+            host.pending_starts.settle_responses(report.sequence);
         }
-        if host.heard.is_none() {
+        if host.last_heartbeat_at.is_none() {
             tracing::info!(
                 host = report.worker,
                 flavor = report.instance_type,
                 zone = report.zone,
                 spot = report.spot,
-                after_s = now - host.since,
+                after_s = now - host.first_seen_at,
                 "machine is up"
             );
             host.idle_since = now;
         }
-        host.tenure = report.incarnation;
-        host.tick = report.sequence;
-        host.first_heard.get_or_insert(now);
-        host.heard = Some(now);
+        host.incarnation = report.incarnation;
+        host.sequence = report.sequence;
+        host.first_heartbeat_at.get_or_insert(now);
+        host.last_heartbeat_at = Some(now);
         if ours {
-            host.note_fence(report.token.fence());
+            host.observe_fence(report.token.fence());
             // Only who has our Epoch shows that we are heard, too.
             self.last_report = Some(now);
         }
         host.endpoint.clone_from(&report.endpoint);
-        host.taken_at = report.reclaim_in_s.map(|left| now + left);
-        if ours && !host.acked {
+        host.reclaim_at = report.reclaim_in_s.map(|left| now + left);
+        if ours && !host.token_acknowledged {
             // From here on nobody else's answers renew its lease, or reach it at all.
-            host.acked = true;
-            host.lease_from = now;
+            host.token_acknowledged = true;
+            host.lease_renewed_at = now;
             self.schedule_due = true;
         }
         let mut steps: BTreeMap<TaskId, Vec<TaskStatus>> = BTreeMap::new();
@@ -174,12 +180,12 @@
                 steps.entry(task).or_default().push(step.clone());
             }
         }
-        host.steps = steps;
+        host.observed_tasks = steps;
         let name = report.worker.clone();
         if new_session {
             // A new session has killed and forgotten all tasks of the earlier ones.
             let tenure = report.incarnation;
-            self.lose_bindings(&name, |binding| binding.tenure < tenure);
+            self.lose_bindings(&name, |binding| binding.incarnation < tenure);
             self.schedule_due = true;
         }
         self.settle_bindings(&name, now);
