--- a/src/bookkeeping/pending_starts.rs
+++ b/src/bookkeeping/pending_starts.rs
@@ -40,7 +40,9 @@
 
 impl PendingStart {
     fn is_settled(&self) -> bool {
-        self.delivered_under.is_none() && self.in_flight_under.is_none() && self.in_response.is_none()
+        self.delivered_under.is_none()
+            && self.in_flight_under.is_none()
+            && self.in_response.is_none()
     }
 }
 
@@ -82,7 +84,10 @@
 
     /// A start goes out in a direct command.
     pub fn record_direct_call(&mut self, task: TaskId, attempt: u64) {
-        self.starts.entry((task, attempt)).or_default().in_flight_under = Some(self.fence);
+        self.starts
+            .entry((task, attempt))
+            .or_default()
+            .in_flight_under = Some(self.fence);
     }
 
     /// A start goes out in the answer to a report.
@@ -154,8 +159,9 @@
 
     /// Whether it takes a higher fence than the present one to revoke a start.
     pub fn needs_fence(&self, task: &TaskId, attempt: u64) -> bool {
-        self.get(task, attempt)
-            .is_some_and(|start| start.delivered_under.max(start.in_flight_under) == Some(self.fence))
+        self.get(task, attempt).is_some_and(|start| {
+            start.delivered_under.max(start.in_flight_under) == Some(self.fence)
+        })
     }
 
     /// Raises the fence. False: it can't be raised any further under this leader.
--- a/src/bookkeeping/rate_limit.rs
+++ b/src/bookkeeping/rate_limit.rs
@@ -30,7 +30,8 @@
 
     /// What can be taken now.
     pub fn available(&mut self, now: f64) -> f64 {
-        self.available = (self.available + (now - self.refilled_at).max(0.0) * self.rate).min(self.burst);
+        self.available =
+            (self.available + (now - self.refilled_at).max(0.0) * self.rate).min(self.burst);
         self.refilled_at = now;
         self.available
     }
--- a/src/bookkeeping/segment.rs
+++ b/src/bookkeeping/segment.rs
@@ -228,7 +228,9 @@
                 .sum::<usize>()
             + digits(attempt)
             + digits(tenure);
-        self.segment.bindings.push((host, job, index, attempt, tenure));
+        self.segment
+            .bindings
+            .push((host, job, index, attempt, tenure));
     }
 
     /// Adds the end of a binding.
@@ -241,7 +243,9 @@
                 .iter()
                 .sum::<usize>()
             + digits(attempt);
-        self.segment.ended_bindings.push((host, job, index, attempt));
+        self.segment
+            .ended_bindings
+            .push((host, job, index, attempt));
     }
 
     /// Adds a host that is gone.
--- a/src/bookkeeping/workers.rs
+++ b/src/bookkeeping/workers.rs
@@ -408,10 +408,12 @@
                 continue;
             };
             match way {
-                DeliveryPath::DirectCall => self.pending_starts.record_direct_call(task, order.attempt),
-                DeliveryPath::HeartbeatResponse(tick) => {
-                    self.pending_starts.record_heartbeat_response(task, order.attempt, tick)
+                DeliveryPath::DirectCall => {
+                    self.pending_starts.record_direct_call(task, order.attempt)
                 }
+                DeliveryPath::HeartbeatResponse(tick) => self
+                    .pending_starts
+                    .record_heartbeat_response(task, order.attempt, tick),
             }
         }
     }
@@ -432,7 +434,8 @@
                 );
             }
             if let Some(task) = TaskId::parse(&order.task) {
-                self.pending_starts.record_call_outcome(&task, order.attempt, fate);
+                self.pending_starts
+                    .record_call_outcome(&task, order.attempt, fate);
             }
         }
     }
--- a/src/bookkeeping/write_ahead_log.rs
+++ b/src/bookkeeping/write_ahead_log.rs
@@ -170,7 +170,10 @@
 
     /// The transaction whose fate is unknown, to be sent once more as it was.
     pub fn retry_of_unknown(&self) -> Option<Txn> {
-        let sent = self.in_flight.as_ref().filter(|sent| sent.outcome_unknown)?;
+        let sent = self
+            .in_flight
+            .as_ref()
+            .filter(|sent| sent.outcome_unknown)?;
         Some(sent.txn.clone())
     }
 
@@ -297,11 +300,14 @@
                 })
         };
         let (ops, bytes, put_bytes) = match change {
-            LogEntry::Bind { worker: host, task, .. } => (0, entry(host, &task.job), 0),
-            LogEntry::Unbind { worker: host, task, .. } => {
-                (0, entry(host, &task.job) + TASKS_PER_CHUNK as usize / 4, 0)
-            }
-            LogEntry::RecordTermination { worker: host } | LogEntry::RemoveWorker { worker: host } => (0, entry(host, ""), 0),
+            LogEntry::Bind {
+                worker: host, task, ..
+            } => (0, entry(host, &task.job), 0),
+            LogEntry::Unbind {
+                worker: host, task, ..
+            } => (0, entry(host, &task.job) + TASKS_PER_CHUNK as usize / 4, 0),
+            LogEntry::RecordTermination { worker: host }
+            | LogEntry::RemoveWorker { worker: host } => (0, entry(host, ""), 0),
             LogEntry::FinishJob { job } => (2, 0, 2 * job.len() + 256),
             LogEntry::WriteKey { write } => (1, 0, write.json_size()),
         };
@@ -311,7 +317,10 @@
         draft.write_count() + ops <= self.limits.max_writes.min(budget.max(3))
             && draft.compare_count() + 2 <= conditions
             && draft.builder.bytes() + bytes <= limit
-            && self.limits.max_value_bytes + 64 * draft.compare_count() + draft.key_write_bytes + put_bytes
+            && self.limits.max_value_bytes
+                + 64 * draft.compare_count()
+                + draft.key_write_bytes
+                + put_bytes
                 <= txn_limit
     }
 
@@ -338,7 +347,9 @@
         }
         for change in &sent.entries {
             match change {
-                LogEntry::Unbind { worker: host, task, .. } => {
+                LogEntry::Unbind {
+                    worker: host, task, ..
+                } => {
                     self.ring
                         .remove(&LiveEntry::Binding(host.clone(), task.clone()));
                 }
@@ -359,7 +370,9 @@
 
     /// Whether the transaction on its way has been sent before without an answer.
     pub fn is_outcome_unknown(&self) -> bool {
-        self.in_flight.as_ref().is_some_and(|sent| sent.outcome_unknown)
+        self.in_flight
+            .as_ref()
+            .is_some_and(|sent| sent.outcome_unknown)
     }
 
     /// The key that tells whether a transaction of unknown fate was executed.
@@ -390,7 +403,9 @@
     match item {
         LiveEntry::Worker(name) => {
             let Some(host) = hosts.get(name) else { return };
-            draft.builder.describe_worker(host, host.termination_recorded);
+            draft
+                .builder
+                .describe_worker(host, host.termination_recorded);
             draft.described_workers.insert(name.clone());
         }
         LiveEntry::Binding(name, task) => {
@@ -457,7 +472,9 @@
             attempt,
             completed: done,
         } => {
-            draft.builder.end_binding(host, &task.job, task.index, *attempt);
+            draft
+                .builder
+                .end_binding(host, &task.job, task.index, *attempt);
             let chunk = task.index / TASKS_PER_CHUNK;
             let item = LiveEntry::Completed(task.job.clone(), chunk);
             if *done
@@ -475,7 +492,9 @@
                 return false;
             };
             draft.bound_jobs.insert(job.clone());
-            draft.finished_jobs.insert(job.clone(), known.completed.len());
+            draft
+                .finished_jobs
+                .insert(job.clone(), known.completed.len());
         }
         LogEntry::RecordTermination { worker: name } => {
             if let Some(host) = hosts.get(name) {
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,6 +1,6 @@
 //! The command line: running a node, checking its files, and talking to a running service.
 
-use crate::node;
+use crate::daemon;
 use crate::policy::Policy;
 use crate::protocol::cbor;
 use crate::settings::Settings;
@@ -119,7 +119,7 @@
     let Ok((settings, policy)) = load(args) else {
         return ExitCode::from(USAGE);
     };
-    match node::run(settings, policy) {
+    match daemon::run(settings, policy) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             complain(error);
--- a/src/coordination/autoscaler.rs
+++ b/src/coordination/autoscaler.rs
@@ -8,7 +8,7 @@
 
 /// A pool's load.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Load {
+pub struct PoolLoad {
     /// Tasks that wait for a machine of this pool.
     pub pending: u32,
     /// For how long the oldest of them has waited.
@@ -23,18 +23,18 @@
     pub per_machine: f64,
     /// Machines' worth of replicas, which run until they are cancelled: for them, what Little's law
     /// calls the number in the system is simply what is there.
-    pub standing: f64,
+    pub service_machines: f64,
     /// Machines beyond those with tasks, and those for what waits, kept for replicas to come.
-    pub spare: u32,
+    pub headroom_machines: u32,
     /// Machines with tasks.
     pub busy: u32,
     /// Machines that the requests of the waiting tasks would fill.
-    pub fill: u32,
+    pub machines_to_fill: u32,
 }
 
 /// What set the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reason {
+pub enum TargetReason {
     /// Little's law.
     Little,
     /// The forecast.
@@ -55,7 +55,7 @@
 
 /// A decision with all that led to it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Decision {
+pub struct ScalingDecision {
     /// Machines by Little's law.
     pub little: u32,
     /// Machines by the forecast.
@@ -65,7 +65,7 @@
     /// The target.
     pub target: u32,
     /// What set it.
-    pub reason: Reason,
+    pub reason: TargetReason,
 }
 
 /// Usage of the pickup target above which the drain target gets a margin.
@@ -80,7 +80,7 @@
 }
 
 /// Machines by Little's law: the pending tasks over the pickup target, over the rate of a machine.
-pub fn little(load: &Load, figures: &Figures) -> u32 {
+pub fn little(load: &PoolLoad, figures: &Figures) -> u32 {
     if load.pending == 0 || load.rate <= 0.0 {
         return figures.min;
     }
@@ -92,16 +92,16 @@
 
 /// Machines for the expected arrivals: their rate times the time of a task, over the tasks that a
 /// machine takes, and what replicas fill.
-pub fn trend(load: &Load, figures: &Figures) -> u32 {
+pub fn trend(load: &PoolLoad, figures: &Figures) -> u32 {
     let tasks = load.forecast * load.task_s;
     ceil(
-        tasks / load.per_machine.max(1.0) + load.standing,
+        tasks / load.per_machine.max(1.0) + load.service_machines,
         figures.max,
     )
 }
 
 /// Machines that drain the backlog before the oldest task breaches the pickup target.
-pub fn drain(load: &Load, figures: &Figures) -> u32 {
+pub fn drain(load: &PoolLoad, figures: &Figures) -> u32 {
     if load.pending == 0 {
         return figures.min;
     }
@@ -122,36 +122,36 @@
 
 /// The target of a pool: the largest of the three, with the headroom. What waits is served by the machines that are busy now plus at most those
 /// that its requests would fill.
-pub fn decide(load: &Load, figures: &Figures) -> Decision {
+pub fn decide(load: &PoolLoad, figures: &Figures) -> ScalingDecision {
     let little = little(load, figures);
     let drain = drain(load, figures);
     let trend = trend(load, figures);
-    let filled = load.busy + load.fill;
+    let filled = load.busy + load.machines_to_fill;
     let (mut target, mut reason) = if drain > little {
-        (drain, Reason::Drain)
+        (drain, TargetReason::Drain)
     } else {
-        (little, Reason::Little)
+        (little, TargetReason::Little)
     };
     if target > filled {
-        (target, reason) = (filled, Reason::Fill);
+        (target, reason) = (filled, TargetReason::Fill);
     }
     // Busy machines stay; they are no matter of targets.
     if load.busy > target {
-        (target, reason) = (load.busy, Reason::Busy);
+        (target, reason) = (load.busy, TargetReason::Busy);
     }
-    if load.spare > 0 {
-        (target, reason) = (target.saturating_add(load.spare), Reason::Headroom);
+    if load.headroom_machines > 0 {
+        (target, reason) = (target.saturating_add(load.headroom_machines), TargetReason::Headroom);
     }
     if trend > target {
-        (target, reason) = (trend, Reason::Trend);
+        (target, reason) = (trend, TargetReason::Trend);
     }
     if target < figures.min {
-        (target, reason) = (figures.min, Reason::Min);
+        (target, reason) = (figures.min, TargetReason::Min);
     }
     if target > figures.max {
-        (target, reason) = (figures.max, Reason::Max);
+        (target, reason) = (figures.max, TargetReason::Max);
     }
-    Decision {
+    ScalingDecision {
         little,
         trend,
         drain,
@@ -162,18 +162,18 @@
 
 /// Counts events over a sliding window.
 #[derive(Debug, Clone, Default)]
-pub struct Meter {
+pub struct RateMeter {
     events: VecDeque<(f64, f64)>,
 }
 
 /// Events that a meter keeps.
-const EVENTS: usize = 4096;
+const MAX_EVENTS: usize = 4096;
 
-impl Meter {
+impl RateMeter {
     /// Adds an event of some weight.
     pub fn add(&mut self, weight: f64, now: f64) {
         self.events.push_back((now, weight));
-        if self.events.len() > EVENTS {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -1,10 +1,10 @@
 //! One node: takes requests, answers and the passing of time, and says what is to be done.
 
-use super::catalogue::Catalogue;
-use super::election::{Election, Outcome, Times};
-use super::frontend::Frontend;
-use super::leader::{Leader, Notice, ReportAnswer, STATE_SHARE};
-use super::outbox::{Action, CloudAsk, Outbox, StoreAsk, Tag};
+use super::effects::{CloudRequestKind, CorrelationId, Effect, Effects, KvRequestKind};
+use super::election::{Election, ElectionTimeouts, LeadershipChange};
+use super::instance_catalog::InstanceCatalog;
+use super::job_api::JobApi;
+use super::leader::{HeartbeatOutcome, LEADER_STATE_SHARE, Leader, LeaderEvent};
 use super::peers::Peers;
 use super::routes::Route;
 use super::terminations::TerminationQueue;
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Now {
     /// Steady clock, in seconds since the node started.
-    pub steady: f64,
+    pub monotonic: f64,
     /// Time of day, in seconds.
     pub wall: f64,
 }
@@ -42,25 +42,25 @@
 pub struct Controller {
     settings: Rc<Settings>,
     policy: Rc<Policy>,
-    out: Outbox,
-    frontend: Frontend,
+    effects: Effects,
+    job_api: JobApi,
     jobs_watch: Watch,
     leader_watch: Watch,
     election: Election,
     leader: Option<Leader>,
-    catalogue: Catalogue,
+    catalog: InstanceCatalog,
     quotas: Quotas,
     peers: Peers,
-    ends: TerminationQueue,
+    terminations: TerminationQueue,
     /// Workers that knocked here while another node leads, and when.
     redirected: BTreeMap<String, f64>,
     heartbeat_at: f64,
     /// When the users' changes were last shared out.
-    shared_at: f64,
-    state_ok_at: Option<f64>,
+    write_budget_shared_at: f64,
+    state_service_ok_at: Option<f64>,
     /// When the state service last refused this node, or left a call of it unanswered.
-    doubt_at: f64,
-    hold_over_s: f64,
+    state_service_failed_at: f64,
+    lease_grace_s: f64,
     rng: SmallRng,
 }
 
@@ -69,51 +69,51 @@
 
 /// Waits of the watch on the open jobs in a report interval: the longest time by which the view of them
 /// is less current than it could be.
-const WATCHES_PER_REPORT: f64 = 4.0;
+const WATCHES_PER_HEARTBEAT: f64 = 4.0;
 
 /// Report intervals of silence from all workers that are more than chance.
-const SILENT_REPORTS: f64 = 1.6;
+const UNREACHABLE_HEARTBEATS: f64 = 1.6;
 
 impl Controller {
     /// A node that has just started; `seed` tells this life from others.
     pub fn new(settings: Rc<Settings>, policy: Rc<Policy>, seed: u64) -> Controller {
         let workers = &settings.deployment.workers;
-        let times = Times::new(workers);
-        let patience_s = workers.report_s / 2.0;
+        let times = ElectionTimeouts::new(workers);
+        let patience_s = workers.heartbeat_interval_s / 2.0;
         let nodes = f64::from(settings.deployment.initial_size).max(1.0);
-        let share = (1.0 - STATE_SHARE) / nodes;
+        let share = (1.0 - LEADER_STATE_SHARE) / nodes;
         Controller {
-            out: Outbox::default(),
-            frontend: Frontend::new(&settings.deployment.state, share, patience_s),
+            effects: Effects::default(),
+            job_api: JobApi::new(&settings.deployment.state, share, patience_s),
             jobs_watch: Watch::new(
                 records::OPEN_PREFIX,
-                StoreAsk::Mirror,
-                workers.report_s / WATCHES_PER_REPORT,
+                KvRequestKind::OpenJobsWatch,
+                workers.heartbeat_interval_s / WATCHES_PER_HEARTBEAT,
                 patience_s,
             ),
             leader_watch: Watch::new(
                 records::LEADER_KEY,
-                StoreAsk::LeaderWatch,
+                KvRequestKind::LeaderWatch,
                 workers.lease_s,
                 patience_s,
             ),
             election: Election::new(&settings.label, seed, times),
             leader: None,
-            catalogue: Catalogue::new(workers),
+            catalog: InstanceCatalog::new(workers),
             quotas: Quotas::new(&settings.deployment.teams),
             peers: Peers::default(),
-            ends: TerminationQueue::new(
+            terminations: TerminationQueue::new(
                 &settings.label,
                 seed,
-                settings.seeds.iter().map(|seed| seed.label.clone()),
+                settings.peers.iter().map(|seed| seed.label.clone()),
                 workers.cancel_s,
             ),
             redirected: BTreeMap::new(),
             heartbeat_at: 0.0,
-            shared_at: 0.0,
-            state_ok_at: None,
-            doubt_at: f64::NEG_INFINITY,
-            hold_over_s: times.hold_over_s,
+            write_budget_shared_at: 0.0,
+            state_service_ok_at: None,
+            state_service_failed_at: f64::NEG_INFINITY,
+            lease_grace_s: times.lease_grace_s,
             rng: SmallRng::seed_from_u64(seed),
             settings,
             policy,
@@ -121,32 +121,32 @@
     }
 
     /// Takes the actions that have come together.
-    pub fn take_actions(&mut self) -> Vec<Action> {
-        std::mem::take(&mut self.out.actions)
+    pub fn take_effects(&mut self) -> Vec<Effect> {
+        std::mem::take(&mut self.effects.queue)
     }
 
     /// Whether this node leads, confirmed or held over.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.leader.is_some()
     }
 
-    fn report_s(&self) -> f64 {
-        self.settings.deployment.workers.report_s
+    fn heartbeat_interval_s(&self) -> f64 {
+        self.settings.deployment.workers.heartbeat_interval_s
     }
 
     // ---- requests of users and workers
 
     /// Takes a request.
-    pub fn request(&mut self, to: u64, method: &str, path: &str, body: &[u8], now: Now) {
+    pub fn on_request(&mut self, to: u64, method: &str, path: &str, body: &[u8], now: Now) {
         match Route::parse(method, path) {
-            Ok(Route::Health) => self.health(to, now.steady),
-            Ok(Route::Report) => self.report(to, body, now.steady),
+            Ok(Route::Health) => self.health(to, now.monotonic),
+            Ok(Route::Report) => self.on_worker_heartbeat(to, body, now.monotonic),
             Ok(Route::Submit) => self.submit(to, body, now),
-            Ok(Route::Poll(id)) => self.frontend.poll(to, id, &mut self.out, now.steady),
-            Ok(Route::Cancel(id)) => self.frontend.cancel(to, id, &mut self.out, now.steady),
+            Ok(Route::Poll(id)) => self.job_api.on_status_request(to, id, &mut self.effects, now.monotonic),
+            Ok(Route::Cancel(id)) => self.job_api.on_cancel(to, id, &mut self.effects, now.monotonic),
             Err(error) => self
-                .out
-                .refuse(to, error.status(), &error.to_string(), None),
+                .effects
+                .respond_error(to, error.status(), &error.to_string(), None),
         }
     }
 
@@ -155,28 +155,32 @@
             Ok(spec) => spec,
             Err(error) => {
                 tracing::debug!(%error, "malformed submission");
-                self.out.refuse(to, 400, &error.to_string(), None);
+                self.effects.respond_error(to, 400, &error.to_string(), None);
                 return;
             }
         };
-        let Some(flavors) = self.catalogue.flavors().cloned() else {
-            self.out
-                .refuse(to, 503, "the machine types are not known yet", Some(1));
+        let Some(flavors) = self.catalog.instance_types().cloned() else {
+            self.effects
+                .respond_error(to, 503, "the machine types are not known yet", Some(1));
             return;
         };
-        let verdict = self.could_run(&spec, &flavors);
-        self.frontend
-            .submit(to, spec, verdict.err(), &mut self.out, now.steady);
+        let verdict = self.check_satisfiable(&spec, &flavors);
+        self.job_api
+            .on_submit(to, spec, verdict.err(), &mut self.effects, now.monotonic);
     }
 
-    fn could_run(&self, spec: &JobSpec, flavors: &[InstanceType]) -> Result<(), &'static str> {
+    fn check_satisfiable(
+        &self,
+        spec: &JobSpec,
+        flavors: &[InstanceType],
+    ) -> Result<(), &'static str> {
         if !self.quotas.contains_team(&spec.team) {
             return Err("unknown team");
         }
         if !self.quotas.can_ever_run(spec) {
             return Err("more than the team's limit");
         }
-        let need = super::scheduler::need(spec);
+        let need = super::scheduler::resource_request(spec);
         let fits = flavors.iter().any(|flavor| {
             Resources::of_instance_type(flavor).fits(&need)
                 && flavor.zones.iter().any(|zone| {
@@ -192,52 +196,52 @@
     }
 
     fn health(&mut self, to: u64, now: f64) {
-        let window_s = self.report_s();
-        let own = self.state_ok_at.is_some_and(|at| now - at < window_s);
+        let window_s = self.heartbeat_interval_s();
+        let own = self.state_service_ok_at.is_some_and(|at| now - at < window_s);
         // A node that the state service refuses says so only while a peer is served: removals
         // back off for long, and during an outage all nodes are equally good.
         let better = self.peers.any_served(window_s, now);
-        if self.catalogue.flavors().is_some() && self.jobs_watch.listed() && (own || !better) {
-            self.out.answer(to, 200, &"ok");
+        if self.catalog.instance_types().is_some() && self.jobs_watch.is_complete() && (own || !better) {
+            self.effects.respond(to, 200, &"ok");
         } else {
-            self.out.refuse(to, 503, "not ready", Some(1));
+            self.effects.respond_error(to, 503, "not ready", Some(1));
         }
     }
 
-    fn report(&mut self, to: u64, body: &[u8], now: f64) {
+    fn on_worker_heartbeat(&mut self, to: u64, body: &[u8], now: f64) {
         let report = match read_report(body) {
             Ok(report) => report,
             Err(error) => {
                 tracing::warn!(%error, "report refused");
-                self.out.refuse(to, 400, &error.to_string(), None);
+                self.effects.respond_error(to, 400, &error.to_string(), None);
                 return;
             }
         };
-        let outcome = self.election.notice(report.token.epoch());
-        self.follow_outcome(outcome, now);
-        let knowledge = self.knowledge(now);
+        let outcome = self.election.observe_epoch(report.token.epoch());
+        self.apply_leadership_change(outcome, now);
+        let knowledge = self.view_freshness(now);
         if let Some(leader) = &mut self.leader {
-            let open = &self.frontend.open;
+            let open = &self.job_api.open;
             let is_open = |id: &str| open.contains_key(id);
-            match leader.report(&report, &knowledge, is_open, now) {
-                ReportAnswer::Orders(answer) if is_within_hold_over(&knowledge, &report) => {
+            match leader.on_heartbeat(&report, &knowledge, is_open, now) {
+                HeartbeatOutcome::Commands(answer) if is_within_hold_over(&knowledge, &report) => {
                     // What else follows from it waits for the next tick: reports are many.
-                    self.out.answer(to, 200, &answer);
+                    self.effects.respond(to, 200, &answer);
                     return;
                 }
                 // An answer that renews no lease: the worker comes again.
-                ReportAnswer::Orders(_) | ReportAnswer::NotNow => {
-                    self.out.refuse(to, 503, "the open jobs aren't known", None);
+                HeartbeatOutcome::Commands(_) | HeartbeatOutcome::LeaseNotRenewed => {
+                    self.effects.respond_error(to, 503, "the open jobs aren't known", None);
                     return;
                 }
-                ReportAnswer::Superseded => {}
+                HeartbeatOutcome::NewerLeaderExists => {}
             }
         }
         if self.redirected.len() < MAX_REDIRECTED {
             self.redirected.insert(report.worker, now);
         }
-        let foreman = self.foreman(now);
-        self.out.answer(
+        let foreman = self.leader_hint(now);
+        self.effects.respond(
             to,
             421,
             &NotLeader {
@@ -247,16 +251,16 @@
     }
 
     /// What this node knows, and how old that is.
-    fn knowledge(&self, now: f64) -> ViewFreshness {
+    fn view_freshness(&self, now: f64) -> ViewFreshness {
         let view_at = self.jobs_watch.current_at();
-        self.election.knowledge(view_at, self.doubt_at, now)
+        self.election.view_freshness(view_at, self.state_service_failed_at, now)
     }
 
     /// The node to which workers are sent: the leader, unless that is this node or it is not
     /// certain that it still leads.
-    fn foreman(&self, now: f64) -> Option<String> {
-        let known = match self.peers.latest_leader(self.report_s(), now) {
-            Some((epoch, leader)) if epoch >= self.election.highest() => leader,
+    fn leader_hint(&self, now: f64) -> Option<String> {
+        let known = match self.peers.latest_leader(self.heartbeat_interval_s(), now) {
+            Some((epoch, leader)) if epoch >= self.election.highest_epoch() => leader,
             _ => self.election.leader(),
         };
         let known = known.map(str::to_owned);
@@ -266,135 +270,141 @@
     // ---- answers
 
     /// Takes an answer of the state service.
-    pub fn store_reply(&mut self, tag: Tag, reply: KvResponse, now: Now) {
-        let Some((ask, sent)) = self.out.store_ask(tag) else {
+    pub fn on_kv_response(&mut self, tag: CorrelationId, reply: KvResponse, now: Now) {
+        let Some((ask, sent)) = self.effects.take_kv_request(tag) else {
             return;
         };
-        let t = now.steady;
+        let t = now.monotonic;
         let frontend_only = matches!(
             ask,
-            StoreAsk::Check(_) | StoreAsk::Look(_) | StoreAsk::Renew | StoreAsk::Write(_)
+            KvRequestKind::RevisionCheck(_)
+                | KvRequestKind::JobLookup(_)
+                | KvRequestKind::KeepAlive
+                | KvRequestKind::JobWrites(_)
         );
         if matches!(reply, KvResponse::Unavailable | KvResponse::OutcomeUnknown) {
-            self.doubt_at = t;
+            self.state_service_failed_at = t;
         } else {
-            self.state_ok_at = Some(t);
+            self.state_service_ok_at = Some(t);
         }
         match ask {
-            StoreAsk::Mirror => {
-                for news in self.jobs_watch.reply(reply, sent, t) {
+            KvRequestKind::OpenJobsWatch => {
+                for news in self.jobs_watch.on_response(reply, sent, t) {
                     self.apply_job_update(news, now);
                 }
             }
-            StoreAsk::LeaderWatch => {
-                for news in self.leader_watch.reply(reply, sent, t) {
+            KvRequestKind::LeaderWatch => {
+                for news in self.leader_watch.on_response(reply, sent, t) {
                     self.apply_leader_update(news, t);
                 }
             }
-            StoreAsk::Grant | StoreAsk::Take | StoreAsk::Renew | StoreAsk::Drop => {
-                let outcome = self.election.reply(&ask, &reply, sent, &mut self.out, t);
-                self.follow_outcome(outcome, t);
+            KvRequestKind::GrantLease
+            | KvRequestKind::Campaign
+            | KvRequestKind::KeepAlive
+            | KvRequestKind::RevokeLease => {
+                let outcome = self.election.on_response(&ask, &reply, sent, &mut self.effects, t);
+                self.apply_leadership_change(outcome, t);
             }
-            StoreAsk::Check(call) => self.frontend.checked(call, reply, &mut self.out, t),
-            StoreAsk::Write(call) => {
-                let opened = self.frontend.written(call, reply, &mut self.out, t);
+            KvRequestKind::RevisionCheck(call) => self.job_api.on_revision_check_completed(call, reply, &mut self.effects, t),
+            KvRequestKind::JobWrites(call) => {
+                let opened = self.job_api.on_writes_completed(call, reply, &mut self.effects, t);
                 if let Some(leader) = &mut self.leader {
                     for (stamp, spec) in opened {
-                        leader.opened(stamp, &spec, t, now.wall);
+                        leader.on_job_opened(stamp, &spec, t, now.wall);
                     }
                 }
             }
-            StoreAsk::Look(id) => self.frontend.looked(&id, reply, &mut self.out, t),
-            StoreAsk::Load(epoch) => {
-                if let Some(leader) = self.leader_of(epoch) {
-                    leader.loaded(reply, t, now.wall);
+            KvRequestKind::JobLookup(id) => self.job_api.on_lookup_completed(&id, reply, &mut self.effects, t),
+            KvRequestKind::RecoveryRead(epoch) => {
+                if let Some(leader) = self.leader_with_epoch(epoch) {
+                    leader.on_recovery_page(reply, t, now.wall);
                 }
             }
-            StoreAsk::Ledger(epoch) => {
+            KvRequestKind::LogAppend(epoch) => {
                 if let Some(leader) = self.leader.as_mut().filter(|l| l.epoch() == epoch) {
-                    leader.written(reply, &mut self.out, t);
+                    leader.on_commit_completed(reply, &mut self.effects, t);
                 }
             }
-            StoreAsk::Witness(epoch) => {
+            KvRequestKind::LogReadBack(epoch) => {
                 if let Some(leader) = self.leader.as_mut().filter(|l| l.epoch() == epoch) {
-                    leader.witnessed(reply, &mut self.out, t);
+                    leader.on_read_back(reply, &mut self.effects, t);
                 }
             }
-            StoreAsk::Catalogue => {
-                if self.catalogue.loaded(&reply) {
-                    self.flavors_changed();
+            KvRequestKind::InstanceCatalog => {
+                if self.catalog.on_stored_types(&reply) {
+                    self.instance_types_changed();
                 }
             }
-            StoreAsk::Ignored => {}
+            KvRequestKind::Ignored => {}
         }
-        self.tell_ended();
+        self.tell_leader_of_finished_jobs();
         if !frontend_only {
-            self.drive(t);
+            self.poll_leader(t);
         }
     }
 
     /// Tells the leader of the jobs that the frontend has learnt to be over: from its own transactions,
     /// from a look, or from a peer, long before the watch may tell.
-    fn tell_ended(&mut self) {
-        for id in self.frontend.take_over() {
+    fn tell_leader_of_finished_jobs(&mut self) {
+        for id in self.job_api.take_finished() {
             if let Some(leader) = &mut self.leader {
-                leader.closed(&id);
+                leader.on_job_closed(&id);
             }
         }
     }
 
-    fn leader_of(&mut self, epoch: u64) -> Option<&mut Leader> {
+    fn leader_with_epoch(&mut self, epoch: u64) -> Option<&mut Leader> {
         self.leader
             .as_mut()
             .filter(|leader| leader.epoch() == epoch)
     }
 
     /// Takes an answer of the cloud.
-    pub fn cloud_reply(&mut self, tag: Tag, reply: CloudResponse, now: Now) {
-        let Some(ask) = self.out.cloud_ask(tag) else {
+    pub fn on_cloud_response(&mut self, tag: CorrelationId, reply: CloudResponse, now: Now) {
+        let Some(ask) = self.effects.take_cloud_request(tag) else {
             return;
         };
-        let t = now.steady;
+        let t = now.monotonic;
         match ask {
-            CloudAsk::Types => {
-                if self.catalogue.told(reply, t) {
-                    self.flavors_changed();
+            CloudRequestKind::ListInstanceTypes => {
+                if self.catalog.on_cloud_response(reply, t) {
+                    self.instance_types_changed();
                 }
             }
-            CloudAsk::List(epoch) => {
-                if let Some(leader) = self.leader_of(epoch) {
-                    leader.listed(reply, t);
+            CloudRequestKind::ListInstances(epoch) => {
+                if let Some(leader) = self.leader_with_epoch(epoch) {
+                    leader.on_instances_listed(reply, t);
                 }
             }
-            CloudAsk::Rent(epoch, bid) => {
-                if let Some(leader) = self.leader_of(epoch) {
-                    leader.rented(&bid, reply, t);
+            CloudRequestKind::CreateInstances(epoch, bid) => {
+                if let Some(leader) = self.leader_with_epoch(epoch) {
+                    leader.on_instances_created(&bid, reply, t);
                 }
             }
-            CloudAsk::Delete(epoch, hosts) => {
-                if let Some(leader) = self.leader_of(epoch) {
-                    leader.deleted(&hosts, &reply, t);
+            CloudRequestKind::DeleteInstances(epoch, hosts) => {
+                if let Some(leader) = self.leader_with_epoch(epoch) {
+                    leader.on_instances_deleted(&hosts, &reply, t);
                 }
             }
         }
-        self.drive(t);
+        self.poll_leader(t);
     }
 
     /// Takes what came of a direct call to a worker.
-    pub fn worker_reply(&mut self, tag: Tag, reply: WorkerResponse, now: Now) {
-        let Some(ask) = self.out.worker_ask(tag) else {
+    pub fn on_worker_response(&mut self, tag: CorrelationId, reply: WorkerResponse, now: Now) {
+        let Some(ask) = self.effects.take_worker_request(tag) else {
             return;
         };
-        if let Some(leader) = self.leader_of(ask.epoch) {
-            leader.pushed(&ask, reply, now.steady);
+        if let Some(leader) = self.leader_with_epoch(ask.epoch) {
+            leader.on_worker_response(&ask, reply, now.monotonic);
         }
     }
 
     /// Takes a peer's word.
-    pub fn heartbeat(&mut self, heartbeat: PeerHeartbeat, now: Now) {
+    pub fn on_peer_heartbeat(&mut self, heartbeat: PeerHeartbeat, now: Now) {
         let known = self
             .settings
-            .seeds
+            .peers
             .iter()
             .any(|seed| seed.label == heartbeat.label);
         if !known {
@@ -408,24 +418,24 @@
             );
             return;
         }
-        let outcome = self.election.notice(heartbeat.epoch);
-        self.follow_outcome(outcome, now.steady);
-        self.ends.heard(&heartbeat.label, &heartbeat.terminations);
-        self.frontend.note_ended(&heartbeat.terminations.entries);
-        self.tell_ended();
+        let outcome = self.election.observe_epoch(heartbeat.epoch);
+        self.apply_leadership_change(outcome, now.monotonic);
+        self.terminations.on_message(&heartbeat.label, &heartbeat.terminations);
+        self.job_api.on_peer_terminations(&heartbeat.terminations.entries);
+        self.tell_leader_of_finished_jobs();
         match &mut self.leader {
             Some(leader) if heartbeat.epoch >= leader.epoch() => {
-                leader.informed(&heartbeat.label, now.steady);
+                leader.acknowledged_by(&heartbeat.label, now.monotonic);
             }
             Some(_) => {}
-            None => self.frontend.note_counts(&heartbeat.counts),
+            None => self.job_api.on_job_counts(&heartbeat.counts),
         }
-        self.peers.take(heartbeat, now.steady);
+        self.peers.record(heartbeat, now.monotonic);
     }
 
-    fn flavors_changed(&mut self) {
-        if let (Some(leader), Some(flavors)) = (&mut self.leader, self.catalogue.flavors()) {
-            leader.set_flavors(flavors.clone());
+    fn instance_types_changed(&mut self) {
+        if let (Some(leader), Some(flavors)) = (&mut self.leader, self.catalog.instance_types()) {
+            leader.set_instance_types(flavors.clone());
         }
     }
 
@@ -440,51 +450,51 @@
                     })
                     .collect();
                 let closed: Vec<String> = self
-                    .frontend
+                    .job_api
                     .open
                     .iter()
                     .filter(|(id, (stamp, _))| *stamp <= revision && !listed.contains_key(*id))
                     .map(|(id, _)| id.clone())
                     .collect();
                 for id in closed {
-                    self.job_closed(&id);
+                    self.on_job_closed(&id);
                 }
                 if let Some(leader) = &mut self.leader {
-                    leader.keep_open(revision, listed.keys().cloned().collect());
+                    leader.on_open_jobs_listed(revision, listed.keys().cloned().collect());
                 }
                 for (id, item) in listed {
-                    self.job_opened(&id, item.mod_revision, &item.value, now);
+                    self.on_job_opened(&id, item.mod_revision, &item.value, now);
                 }
             }
-            WatchUpdate::Set(key, value, stamp) => {
+            WatchUpdate::Put(key, value, stamp) => {
                 if let Some(id) = key.strip_prefix(records::OPEN_PREFIX) {
-                    self.job_opened(id, stamp, &value, now);
+                    self.on_job_opened(id, stamp, &value, now);
                 }
             }
-            WatchUpdate::Removed(key) => {
+            WatchUpdate::Deleted(key) => {
                 if let Some(id) = key.strip_prefix(records::OPEN_PREFIX) {
-                    self.job_closed(id);
+                    self.on_job_closed(id);
                 }
             }
         }
     }
 
-    fn job_opened(&mut self, id: &str, stamp: u64, value: &ciborium::Value, now: Now) {
+    fn on_job_opened(&mut self, id: &str, stamp: u64, value: &ciborium::Value, now: Now) {
         match cbor::from_value::<JobSpec>(value) {
             Ok(spec) => {
                 if let Some(leader) = &mut self.leader {
-                    leader.opened(stamp, &spec, now.steady, now.wall);
+                    leader.on_job_opened(stamp, &spec, now.monotonic, now.wall);
                 }
-                self.frontend.note_open(stamp, spec);
+                self.job_api.on_job_opened(stamp, spec);
             }
             Err(error) => tracing::error!(id, %error, "unreadable job"),
         }
     }
 
-    fn job_closed(&mut self, id: &str) {
-        self.frontend.note_closed(id);
+    fn on_job_closed(&mut self, id: &str) {
+        self.job_api.on_job_closed(id);
         if let Some(leader) = &mut self.leader {
-            leader.closed(id);
+            leader.on_job_closed(id);
         }
     }
 
@@ -496,45 +506,45 @@
                     .iter()
                     .find(|item| item.key == records::LEADER_KEY)
                     .and_then(|item| Some((read_leader(&item.value)?, item.mod_revision)));
-                self.election.observe(known, jitter, now)
+                self.election.observe_leader(known, jitter, now)
             }
-            WatchUpdate::Set(key, value, stamp) if key == records::LEADER_KEY => {
+            WatchUpdate::Put(key, value, stamp) if key == records::LEADER_KEY => {
                 match read_leader(&value) {
-                    Some(record) => self.election.observe(Some((record, stamp)), jitter, now),
-                    None => Outcome::Same,
+                    Some(record) => self.election.observe_leader(Some((record, stamp)), jitter, now),
+                    None => LeadershipChange::None,
                 }
             }
-            WatchUpdate::Removed(key) if key == records::LEADER_KEY => {
-                self.election.removed(jitter, now)
+            WatchUpdate::Deleted(key) if key == records::LEADER_KEY => {
+                self.election.on_leader_deleted(jitter, now)
             }
-            _ => Outcome::Same,
+            _ => LeadershipChange::None,
         };
-        self.follow_outcome(outcome, now);
+        self.apply_leadership_change(outcome, now);
     }
 
     // ---- leadership
 
-    fn follow_outcome(&mut self, outcome: Outcome, now: f64) {
+    fn apply_leadership_change(&mut self, outcome: LeadershipChange, now: f64) {
         match outcome {
-            Outcome::Same => {}
-            Outcome::Won(epoch) => {
+            LeadershipChange::None => {}
+            LeadershipChange::Elected(epoch) => {
                 tracing::info!(epoch, "this node leads");
-                let flavors = self.catalogue.flavors().cloned().unwrap_or_default();
+                let flavors = self.catalog.instance_types().cloned().unwrap_or_default();
                 let mut leader = Leader::new(
                     epoch,
                     self.settings.clone(),
                     self.policy.clone(),
                     flavors,
-                    self.hold_over_s,
+                    self.lease_grace_s,
                     SmallRng::from_rng(&mut self.rng),
                     now,
                 );
                 let told_s = self.settings.deployment.workers.cancel_s;
-                leader.inherit_suspects(self.peers.suspects(told_s, now));
+                leader.inherit_crash_looping(self.peers.crash_looping_jobs(told_s, now));
                 self.leader = Some(leader);
                 self.heartbeat_at = now;
             }
-            Outcome::Lost => {
+            LeadershipChange::Deposed => {
                 if let Some(leader) = self.leader.take() {
                     tracing::info!(epoch = leader.epoch(), "this node no longer leads");
                 }
@@ -544,115 +554,115 @@
 
     /// Does all that is due.
     pub fn tick(&mut self, now: Now) {
-        let t = now.steady;
-        self.jobs_watch.drive(&mut self.out, t);
-        self.leader_watch.drive(&mut self.out, t);
-        let watching = self.leader_watch.listed();
+        let t = now.monotonic;
+        self.jobs_watch.poll(&mut self.effects, t);
+        self.leader_watch.poll(&mut self.effects, t);
+        let watching = self.leader_watch.is_complete();
         let outcome = self
             .election
-            .drive(watching, self.jobs_watch.current_at(), &mut self.out, t);
-        self.follow_outcome(outcome, t);
+            .poll(watching, self.jobs_watch.current_at(), &mut self.effects, t);
+        self.apply_leadership_change(outcome, t);
         let leads = self.leader.is_some();
-        self.catalogue.drive(leads, &mut self.out, t);
-        self.frontend.drive(&mut self.out, t);
-        self.drive_heartbeats(t);
-        self.yield_if_unreachable(t);
-        self.drive(t);
+        self.catalog.poll(leads, &mut self.effects, t);
+        self.job_api.send_due_requests(&mut self.effects, t);
+        self.poll_heartbeats(t);
+        self.resign_if_partitioned(t);
+        self.poll_leader(t);
     }
 
     /// Leader's work, and what it has to tell the rest of the node.
-    fn drive(&mut self, now: f64) {
-        self.jobs_watch.drive(&mut self.out, now);
-        self.leader_watch.drive(&mut self.out, now);
-        let knowledge = self.knowledge(now);
+    fn poll_leader(&mut self, now: f64) {
+        self.jobs_watch.poll(&mut self.effects, now);
+        self.leader_watch.poll(&mut self.effects, now);
+        let knowledge = self.view_freshness(now);
         let Some(leader) = &mut self.leader else {
             return;
         };
-        leader.drive(&knowledge, &mut self.out, now);
-        for notice in leader.take_notices() {
+        leader.poll(&knowledge, &mut self.effects, now);
+        for notice in leader.take_events() {
             let outcome = match notice {
-                Notice::Over(id, record) => {
-                    self.frontend.announce_over(&id, record);
-                    Outcome::Same
+                LeaderEvent::JobFinished(id, record) => {
+                    self.job_api.announce_finished(&id, record);
+                    LeadershipChange::None
                 }
-                Notice::Epoch(epoch) => self.election.notice(epoch),
-                Notice::Deposed => self.election.deposed(),
+                LeaderEvent::HigherEpochSeen(epoch) => self.election.observe_epoch(epoch),
+                LeaderEvent::Deposed => self.election.on_deposed(),
             };
-            self.follow_outcome(outcome, now);
+            self.apply_leadership_change(outcome, now);
         }
     }
 
-    fn drive_heartbeats(&mut self, now: f64) {
+    fn poll_heartbeats(&mut self, now: f64) {
         if now < self.heartbeat_at {
             return;
         }
-        self.heartbeat_at = now + self.report_s() / 2.5;
-        self.out.log_refused();
-        let window_s = self.report_s() * 2.0;
+        self.heartbeat_at = now + self.heartbeat_interval_s() / 2.5;
+        self.effects.log_refusals();
+        let window_s = self.heartbeat_interval_s() * 2.0;
         self.redirected.retain(|_, at| now - *at < window_s);
         let counts = match &self.leader {
-            Some(leader) => leader.counts(),
+            Some(leader) => leader.job_counts(),
             None => Vec::new(),
         };
         let suspects = match &self.leader {
-            Some(leader) => leader.suspects(),
+            Some(leader) => leader.crash_looping_jobs(),
             None => Vec::new(),
         };
-        self.frontend.note_counts(&counts);
-        let changes_per_s = self.share_changes(now);
-        self.ends.add(self.frontend.take_news(), now);
+        self.job_api.on_job_counts(&counts);
+        let changes_per_s = self.share_write_budget(now);
+        self.terminations.push(self.job_api.take_updates(), now);
         let heartbeat = PeerHeartbeat {
             label: self.settings.label.clone(),
-            epoch: self.election.highest(),
+            epoch: self.election.highest_epoch(),
             leader: self.election.leader().map(str::to_owned),
             state_service_ok: self
-                .state_ok_at
-                .is_some_and(|at| now - at < self.report_s()),
+                .state_service_ok_at
+                .is_some_and(|at| now - at < self.heartbeat_interval_s()),
             redirected_workers: self.redirected.len() as u32,
             counts,
             crash_looping_jobs: suspects,
             changes_per_s,
-            terminations: self.ends.word(now),
+            terminations: self.terminations.next_message(now),
         };
-        self.out.actions.push(Action::Heartbeat(heartbeat));
+        self.effects.queue.push(Effect::BroadcastHeartbeat(heartbeat));
     }
 
     /// Takes the part of the users' changes that peers don't use, and returns the rate at which this
     /// node has used it since the last time.
-    fn share_changes(&mut self, now: f64) -> f64 {
-        let window_s = self.report_s() * 2.0;
+    fn share_write_budget(&mut self, now: f64) -> f64 {
+        let window_s = self.heartbeat_interval_s() * 2.0;
         let others: Vec<Option<f64>> = self
             .settings
-            .seeds
+            .peers
             .iter()
             .map(|seed| {
                 let peers = &self.peers;
                 peers.changes_per_s(&seed.label, window_s, now)
             })
             .collect();
-        let budget = self.settings.deployment.state.write_rps * (1.0 - STATE_SHARE);
-        self.frontend
-            .set_changes_rate(rate_limit::fair_share_rate(budget, &others), now);
-        let since_s = (now - self.shared_at).max(f64::EPSILON);
-        self.shared_at = now;
-        self.frontend.take_changes_made() / since_s
+        let budget = self.settings.deployment.state.write_rps * (1.0 - LEADER_STATE_SHARE);
+        self.job_api
+            .set_write_rate(rate_limit::fair_share_rate(budget, &others), now);
+        let since_s = (now - self.write_budget_shared_at).max(f64::EPSILON);
+        self.write_budget_shared_at = now;
+        self.job_api.take_writes_made() / since_s
     }
 
     /// A leader that workers can't reach gives up its lease, when they knock at its peers or when
     /// the peers are silent too.
-    fn yield_if_unreachable(&mut self, now: f64) {
+    fn resign_if_partitioned(&mut self, now: f64) {
         let Some(leader) = &self.leader else { return };
-        let silent_s = leader.silent_for(now);
-        if self.settings.seeds.is_empty() || silent_s < SILENT_REPORTS * self.report_s() {
+        let silent_s = leader.unresponsive_for(now);
+        if self.settings.peers.is_empty() || silent_s < UNREACHABLE_HEARTBEATS * self.heartbeat_interval_s() {
             return;
         }
-        let fresh = self.report_s() * 2.0;
-        let alone = self.peers.are_silent(fresh, now);
+        let fresh = self.heartbeat_interval_s() * 2.0;
+        let alone = self.peers.none_fresh(fresh, now);
         let knocked = self.peers.any_redirected(fresh, now);
         if knocked || (alone && silent_s > self.settings.deployment.workers.lease_s / 2.0) {
             tracing::info!("workers can't reach this node: giving up the lead");
-            let outcome = self.election.give_up(&mut self.out, now);
-            self.follow_outcome(outcome, now);
+            let outcome = self.election.resign(&mut self.effects, now);
+            self.apply_leadership_change(outcome, now);
         }
     }
 }
--- a/src/coordination/outbox.rs
+++ b/src/coordination/effects.rs
@@ -9,15 +9,15 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// Names an action that will be answered.
-pub type Tag = u64;
+pub type CorrelationId = u64;
 
 /// Something for the event loop to do.
 #[derive(Debug, Clone)]
-pub enum Action {
+pub enum Effect {
     /// Answer a request.
-    Answer {
+    Respond {
         /// Which request.
-        to: u64,
+        request_id: u64,
         /// Status.
         status: u16,
         /// Body.
@@ -26,168 +26,174 @@
         retry_after_s: Option<u32>,
     },
     /// Call the state service.
-    Store {
+    CallKv {
         /// Names the call.
-        tag: Tag,
+        correlation_id: CorrelationId,
         /// The call.
-        call: KvRequest,
+        request: KvRequest,
         /// Seconds after which to give up.
-        within_s: f64,
+        timeout_s: f64,
     },
     /// Call the cloud.
-    Cloud {
+    CallCloud {
         /// Names the call.
-        tag: Tag,
+        correlation_id: CorrelationId,
         /// The call.
-        call: CloudRequest,
+        request: CloudRequest,
         /// Seconds after which to give up.
-        within_s: f64,
+        timeout_s: f64,
     },
     /// Call a worker.
-    Worker {
+    CallWorker {
         /// Names the call.
-        tag: Tag,
+        correlation_id: CorrelationId,
         /// Its address.
         endpoint: String,
         /// The call.
-        call: WorkerRequest,
+        request: WorkerRequest,
         /// Seconds after which to give up.
-        within_s: f64,
+        timeout_s: f64,
     },
     /// Tell all peers.
-    Heartbeat(PeerHeartbeat),
+    BroadcastHeartbeat(PeerHeartbeat),
 }
 
 /// Which part asked the state service, and for what.
 #[derive(Debug, Clone, PartialEq)]
-pub enum StoreAsk {
+pub enum KvRequestKind {
     /// The mirror of open jobs.
-    Mirror,
+    OpenJobsWatch,
     /// The watch on `leader`.
     LeaderWatch,
     /// A new lease for the election.
-    Grant,
+    GrantLease,
     /// The transaction that takes `leader`.
-    Take,
+    Campaign,
     /// The renewal of the lease.
-    Renew,
+    KeepAlive,
     /// The end of a lease.
-    Drop,
+    RevokeLease,
     /// The frontend's comparison for polls, by its number.
-    Check(u64),
+    RevisionCheck(u64),
     /// The frontend's submits and cancels, by their number.
-    Write(u64),
+    JobWrites(u64),
     /// The frontend's look at one job.
-    Look(String),
+    JobLookup(String),
     /// The leader's reading of all its records, for this Epoch.
-    Load(u64),
+    RecoveryRead(u64),
     /// The leader's transaction, for this Epoch.
-    Ledger(u64),
+    LogAppend(u64),
     /// The leader's look at the log, to learn the fate of its transaction.
-    Witness(u64),
+    LogReadBack(u64),
     /// The stored catalogue.
-    Catalogue,
+    InstanceCatalog,
     /// A call whose answer does not matter.
     Ignored,
 }
 
 /// Which part asked the cloud, and for what.
 #[derive(Debug, Clone, PartialEq)]
-pub enum CloudAsk {
+pub enum CloudRequestKind {
     /// The catalogue.
-    Types,
+    ListInstanceTypes,
     /// The list, for this Epoch.
-    List(u64),
+    ListInstances(u64),
     /// A rental, for this Epoch.
-    Rent(u64, String),
+    CreateInstances(u64, String),
     /// A deletion, for this Epoch.
-    Delete(u64, Vec<String>),
+    DeleteInstances(u64, Vec<String>),
 }
 
 /// A direct call to a worker.
 #[derive(Debug, Clone, PartialEq)]
-pub struct WorkerAsk {
+pub struct WorkerRequestContext {
     /// The leader's Epoch.
     pub epoch: u64,
     /// The host.
-    pub host: String,
+    pub worker: String,
     /// The orders sent.
-    pub orders: Vec<crate::protocol::worker::Command>,
+    pub commands: Vec<crate::protocol::worker::Command>,
 }
 
 /// Collects actions and remembers what their answers are for.
 #[derive(Debug, Default)]
-pub struct Outbox {
+pub struct Effects {
     /// Actions in order.
-    pub actions: Vec<Action>,
-    next: Tag,
-    store: HashMap<Tag, (StoreAsk, f64)>,
-    cloud: HashMap<Tag, CloudAsk>,
-    worker: HashMap<Tag, WorkerAsk>,
+    pub queue: Vec<Effect>,
+    next_correlation_id: CorrelationId,
+    call_kv: HashMap<CorrelationId, (KvRequestKind, f64)>,
+    call_cloud: HashMap<CorrelationId, CloudRequestKind>,
+    call_worker: HashMap<CorrelationId, WorkerRequestContext>,
     /// Refusals since the last log of them, by status and reason.
-    refused: BTreeMap<(u16, String), u32>,
+    refusals: BTreeMap<(u16, String), u32>,
 }
 
 /// Reasons told apart between two logs; those of malformed requests are many.
 const MAX_REASONS: usize = 16;
 
-impl Outbox {
-    fn tag(&mut self) -> Tag {
-        self.next += 1;
-        self.next
+impl Effects {
+    fn new_correlation_id(&mut self) -> CorrelationId {
+        self.next_correlation_id += 1;
+        self.next_correlation_id
     }
 
     /// Calls the state service.
-    pub fn store(&mut self, ask: StoreAsk, call: KvRequest, within_s: f64, now: f64) {
-        let tag = self.tag();
-        self.store.insert(tag, (ask, now));
-        self.actions.push(Action::Store {
-            tag,
-            call,
-            within_s,
+    pub fn call_kv(&mut self, ask: KvRequestKind, call: KvRequest, within_s: f64, now: f64) {
+        let tag = self.new_correlation_id();
+        self.call_kv.insert(tag, (ask, now));
+        self.queue.push(Effect::CallKv {
+            correlation_id: tag,
+            request: call,
+            timeout_s: within_s,
         });
     }
 
     /// Calls the cloud.
-    pub fn cloud(&mut self, ask: CloudAsk, call: CloudRequest, within_s: f64) {
-        let tag = self.tag();
-        self.cloud.insert(tag, ask);
-        self.actions.push(Action::Cloud {
-            tag,
-            call,
-            within_s,
+    pub fn call_cloud(&mut self, ask: CloudRequestKind, call: CloudRequest, within_s: f64) {
+        let tag = self.new_correlation_id();
+        self.call_cloud.insert(tag, ask);
+        self.queue.push(Effect::CallCloud {
+            correlation_id: tag,
+            request: call,
+            timeout_s: within_s,
         });
     }
 
     /// Calls a worker.
-    pub fn worker(&mut self, ask: WorkerAsk, endpoint: String, call: WorkerRequest, within_s: f64) {
-        let tag = self.tag();
-        self.worker.insert(tag, ask);
-        self.actions.push(Action::Worker {
-            tag,
+    pub fn call_worker(
+        &mut self,
+        ask: WorkerRequestContext,
+        endpoint: String,
+        call: WorkerRequest,
+        within_s: f64,
+    ) {
+        let tag = self.new_correlation_id();
+        self.call_worker.insert(tag, ask);
+        self.queue.push(Effect::CallWorker {
+            correlation_id: tag,
             endpoint,
-            call,
-            within_s,
+            request: call,
+            timeout_s: within_s,
         });
     }
 
     /// What a store call was for and when it was made; once only.
-    pub fn store_ask(&mut self, tag: Tag) -> Option<(StoreAsk, f64)> {
-        self.store.remove(&tag)
+    pub fn take_kv_request(&mut self, tag: CorrelationId) -> Option<(KvRequestKind, f64)> {
+        self.call_kv.remove(&tag)
     }
     /// What a cloud call was for; once only.
-    pub fn cloud_ask(&mut self, tag: Tag) -> Option<CloudAsk> {
-        self.cloud.remove(&tag)
+    pub fn take_cloud_request(&mut self, tag: CorrelationId) -> Option<CloudRequestKind> {
+        self.call_cloud.remove(&tag)
     }
     /// What a worker call was for; once only.
-    pub fn worker_ask(&mut self, tag: Tag) -> Option<WorkerAsk> {
-        self.worker.remove(&tag)
+    pub fn take_worker_request(&mut self, tag: CorrelationId) -> Option<WorkerRequestContext> {
+        self.call_worker.remove(&tag)
     }
 
     /// Answers with a message.
-    pub fn answer<T: serde::Serialize>(&mut self, to: u64, status: u16, message: &T) {
-        self.actions.push(Action::Answer {
-            to,
+    pub fn respond<T: serde::Serialize>(&mut self, to: u64, status: u16, message: &T) {
+        self.queue.push(Effect::Respond {
+            request_id: to,
             status,
             body: cbor::encode(message),
             retry_after_s: None,
@@ -195,36 +201,36 @@
     }
 
     /// Answers with a job's state.
-    pub fn answer_state(&mut self, to: u64, status: u16, id: &str, state: job::JobStatus) {
+    pub fn respond_job_status(&mut self, to: u64, status: u16, id: &str, state: job::JobStatus) {
         let accepted = job::JobAccepted {
             id: id.to_owned(),
             status: state,
         };
-        self.answer(to, status, &accepted);
+        self.respond(to, status, &accepted);
     }
 
     /// Logs what was refused since the last time.
-    pub fn log_refused(&mut self) {
-        for ((status, reason), count) in std::mem::take(&mut self.refused) {
+    pub fn log_refusals(&mut self) {
+        for ((status, reason), count) in std::mem::take(&mut self.refusals) {
             tracing::info!(status, reason, count, "refused");
         }
     }
 
     /// Answers with a refusal; `retry_after_s` tells when to come back.
-    pub fn refuse(&mut self, to: u64, status: u16, why: &str, retry_after_s: Option<u32>) {
+    pub fn respond_error(&mut self, to: u64, status: u16, why: &str, retry_after_s: Option<u32>) {
         // That there is no such job is an answer like others.
         if status != 404 {
             let mut reason = (status, why.to_owned());
-            if self.refused.len() >= MAX_REASONS && !self.refused.contains_key(&reason) {
+            if self.refusals.len() >= MAX_REASONS && !self.refusals.contains_key(&reason) {
                 reason.1 = "others".to_owned();
             }
-            *self.refused.entry(reason).or_default() += 1;
+            *self.refusals.entry(reason).or_default() += 1;
         }
         let refusal = ErrorBody {
             error: why.to_owned(),
         };
-        self.actions.push(Action::Answer {
-            to,
+        self.queue.push(Effect::Respond {
+            request_id: to,
             status,
             body: cbor::encode(&refusal),
             retry_after_s,
--- a/src/coordination/catalogue.rs
+++ b/src/coordination/instance_catalog.rs
@@ -1,7 +1,7 @@
 //! The machine types, as the cloud tells them and as the state service keeps them for nodes that start while
 //! the cloud is out.
 
-use super::outbox::{CloudAsk, Outbox, StoreAsk};
+use super::effects::{CloudRequestKind, Effects, KvRequestKind};
 use crate::bookkeeping::records;
 use crate::protocol::cbor;
 use crate::protocol::cloud::{CloudRequest, CloudResponse, InstanceType};
@@ -10,59 +10,63 @@
 use std::rc::Rc;
 
 /// Leases between two questions to the cloud that was answered.
-const LEASES_PER_LOOK: f64 = 2.0;
+const LEASES_PER_CATALOG_REFRESH: f64 = 2.0;
 /// Report intervals in which a call must be answered.
-const PATIENCE_REPORTS: f64 = 2.0;
+const REQUEST_TIMEOUT_HEARTBEATS: f64 = 2.0;
 
 /// What is known of the machine types.
 #[derive(Debug)]
-pub struct Catalogue {
+pub struct InstanceCatalog {
     lease_s: f64,
     report_s: f64,
-    flavors: Option<Rc<Vec<InstanceType>>>,
+    instance_types: Option<Rc<Vec<InstanceType>>>,
     stored: Option<Rc<Vec<InstanceType>>>,
-    ask_at: f64,
+    refresh_at: f64,
     /// What the state service keeps has been read, or is certainly missing.
-    read: bool,
+    stored_read: bool,
 }
 
-impl Catalogue {
+impl InstanceCatalog {
     /// Nothing is known yet.
-    pub fn new(workers: &WorkerSettings) -> Catalogue {
-        Catalogue {
+    pub fn new(workers: &WorkerSettings) -> InstanceCatalog {
+        InstanceCatalog {
             lease_s: workers.lease_s,
-            report_s: workers.report_s,
-            flavors: None,
+            report_s: workers.heartbeat_interval_s,
+            instance_types: None,
             stored: None,
-            ask_at: 0.0,
-            read: false,
+            refresh_at: 0.0,
+            stored_read: false,
         }
     }
 
     /// The machine types, once they are known.
-    pub fn flavors(&self) -> Option<&Rc<Vec<InstanceType>>> {
-        self.flavors.as_ref()
+    pub fn instance_types(&self) -> Option<&Rc<Vec<InstanceType>>> {
+        self.instance_types.as_ref()
     }
 
     /// Asks the cloud if it is time, and reads or keeps the types in the state service.
-    pub fn drive(&mut self, leads: bool, out: &mut Outbox, now: f64) {
-        if now < self.ask_at {
+    pub fn poll(&mut self, leads: bool, out: &mut Effects, now: f64) {
+        if now < self.refresh_at {
             return;
         }
-        self.ask_at = now + self.lease_s;
-        let within_s = self.report_s * PATIENCE_REPORTS;
-        out.cloud(CloudAsk::Types, CloudRequest::ListInstanceTypes, within_s);
-        if !self.read {
+        self.refresh_at = now + self.lease_s;
+        let within_s = self.report_s * REQUEST_TIMEOUT_HEARTBEATS;
+        out.call_cloud(
+            CloudRequestKind::ListInstanceTypes,
+            CloudRequest::ListInstanceTypes,
+            within_s,
+        );
+        if !self.stored_read {
             let call = KvRequest::Get(records::INSTANCE_CATALOG_KEY.to_owned());
-            out.store(StoreAsk::Catalogue, call, within_s, now);
+            out.call_kv(KvRequestKind::InstanceCatalog, call, within_s, now);
         } else if leads {
-            self.keep(within_s, out, now);
+            self.store_types(within_s, out, now);
         }
     }
 
     /// Keeps the types in the state service, unless that has the same.
-    fn keep(&mut self, within_s: f64, out: &mut Outbox, now: f64) {
-        let Some(flavors) = &self.flavors else {
+    fn store_types(&mut self, within_s: f64, out: &mut Effects, now: f64) {
+        let Some(flavors) = &self.instance_types else {
             return;
         };
         let kept = self.stored.as_ref();
@@ -77,23 +81,23 @@
             )],
         };
         self.stored = Some(flavors.clone());
-        out.store(StoreAsk::Ignored, KvRequest::Txn(txn), within_s, now);
+        out.call_kv(KvRequestKind::Ignored, KvRequest::Txn(txn), within_s, now);
     }
 
     /// Takes the cloud's answer. True: the types are new.
-    pub fn told(&mut self, reply: CloudResponse, now: f64) -> bool {
+    pub fn on_cloud_response(&mut self, reply: CloudResponse, now: f64) -> bool {
         let CloudResponse::InstanceTypes(flavors) = reply else {
-            self.ask_at = now + self.report_s;
+            self.refresh_at = now + self.report_s;
             return false;
         };
-        self.ask_at = now + LEASES_PER_LOOK * self.lease_s;
-        self.flavors = Some(Rc::new(flavors));
+        self.refresh_at = now + LEASES_PER_CATALOG_REFRESH * self.lease_s;
+        self.instance_types = Some(Rc::new(flavors));
         true
     }
 
     /// Takes what the state service keeps. True: the types are new.
-    pub fn loaded(&mut self, reply: &KvResponse) -> bool {
-        self.read |= matches!(reply, KvResponse::Value(_) | KvResponse::NotFound);
+    pub fn on_stored_types(&mut self, reply: &KvResponse) -> bool {
+        self.stored_read |= matches!(reply, KvResponse::Value(_) | KvResponse::NotFound);
         let KvResponse::Value(item) = reply else {
             return false;
         };
@@ -102,8 +106,8 @@
         };
         let flavors = Rc::new(flavors);
         self.stored = Some(flavors.clone());
-        let new = self.flavors.is_none();
-        self.flavors.get_or_insert(flavors);
+        let new = self.instance_types.is_none();
+        self.instance_types.get_or_insert(flavors);
         new
     }
 }
--- a/src/coordination/frontend/request.rs
+++ b/src/coordination/job_api/pending_request.rs
@@ -16,17 +16,17 @@
 
 #[derive(Debug, Clone)]
 pub(super) struct PendingRequest {
-    pub(super) request: u64,
+    pub(super) request_id: u64,
     pub(super) id: String,
     pub(super) kind: RequestKind,
-    pub(super) until: f64,
+    pub(super) deadline: f64,
     /// The comparison on its way takes the job to be open.
-    pub(super) compared_open: bool,
+    pub(super) checked_as_open: bool,
 }
 
 impl PendingRequest {
     /// Whether a failed comparison may be about this job.
-    pub(super) fn concerned(&self, failed: &[String]) -> bool {
+    pub(super) fn is_affected_by(&self, failed: &[String]) -> bool {
         failed.is_empty()
             || failed.contains(&records::open_key(&self.id))
             || failed.contains(&records::finished_key(&self.id))
--- a/src/coordination/frontend/finals.rs
+++ b/src/coordination/job_api/terminal_states.rs
@@ -5,33 +5,33 @@
 use std::collections::{HashMap, VecDeque};
 
 /// Final states kept in memory; others are looked up again.
-const MAX_FINALS: usize = 20_000;
+const MAX_TERMINAL_STATES: usize = 20_000;
 
 /// Final states, the latest ones.
 #[derive(Debug, Default)]
-pub(super) struct Finals {
+pub(super) struct TerminalStateCache {
     records: HashMap<String, FinishedRecord>,
     order: VecDeque<String>,
     /// Jobs that have ended by this node's doing, for its next word to the peers.
-    news: Vec<Termination>,
+    unannounced: Vec<Termination>,
     /// Jobs learnt to be over, for this node's leader.
-    learnt: Vec<String>,
+    newly_finished: Vec<String>,
 }
 
-impl Finals {
+impl TerminalStateCache {
     /// How a job has ended, if that is known.
     pub(super) fn get(&self, id: &str) -> Option<FinishedRecord> {
         self.records.get(id).copied()
     }
 
     /// Notes how a job has ended.
-    pub(super) fn note(&mut self, id: &str, record: FinishedRecord) {
+    pub(super) fn insert(&mut self, id: &str, record: FinishedRecord) {
         if self.records.insert(id.to_owned(), record).is_some() {
             return;
         }
-        self.learnt.push(id.to_owned());
+        self.newly_finished.push(id.to_owned());
         self.order.push_back(id.to_owned());
-        if self.order.len() > MAX_FINALS
+        if self.order.len() > MAX_TERMINAL_STATES
             && let Some(oldest) = self.order.pop_front()
         {
             self.records.remove(&oldest);
@@ -40,8 +40,8 @@
 
     /// Notes for the peers that a job has ended by this node's doing.
     pub(super) fn announce(&mut self, id: &str, record: FinishedRecord) {
-        if self.news.len() < MAX_TERMINATIONS {
-            self.news.push(Termination {
+        if self.unannounced.len() < MAX_TERMINATIONS {
+            self.unannounced.push(Termination {
                 job: id.to_owned(),
                 aborted: record.outcome == JobOutcome::Aborted,
                 done: record.completed_tasks,
@@ -50,12 +50,12 @@
     }
 
     /// Jobs that have been learnt to be over since the last time.
-    pub(super) fn take_learnt(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.learnt)
+    pub(super) fn take_newly_finished(&mut self) -> Vec<String> {
+        std::mem::take(&mut self.newly_finished)
     }
 
     /// What the peers have not been told yet.
-    pub(super) fn take_news(&mut self) -> Vec<Termination> {
-        std::mem::take(&mut self.news)
+    pub(super) fn take_unannounced(&mut self) -> Vec<Termination> {
+        std::mem::take(&mut self.unannounced)
     }
 }
--- a/src/coordination/leader/exits.rs
+++ b/src/coordination/leader/binding_reconciliation.rs
@@ -52,8 +52,8 @@
 
 impl Leader {
     /// Compares a host's bindings with its latest report.
-    pub(super) fn settle_bindings(&mut self, name: &str, now: f64) {
-        let Some(host) = self.hosts.get(name) else {
+    pub(super) fn reconcile_bindings(&mut self, name: &str, now: f64) {
+        let Some(host) = self.workers.get(name) else {
             return;
         };
         let findings: Vec<(TaskId, u64, Finding)> = host
@@ -66,17 +66,17 @@
             .collect();
         for (task, attempt, finding) in findings {
             match finding {
-                Finding::Began => self.began(name, &task, attempt, now),
-                Finding::RanFor(for_s) => self.note_running(name, &task.job, for_s),
+                Finding::Began => self.on_task_started(name, &task, attempt, now),
+                Finding::RanFor(for_s) => self.record_steady_replica(name, &task.job, for_s),
                 Finding::Absent => self.end_binding(name, &task, attempt, false),
-                Finding::Exited(cause, ran) => self.exited(name, &task, attempt, cause, ran, now),
+                Finding::Exited(cause, ran) => self.on_task_exited(name, &task, attempt, cause, ran, now),
             }
         }
     }
 
-    fn began(&mut self, name: &str, task: &TaskId, attempt: u64, now: f64) {
+    fn on_task_started(&mut self, name: &str, task: &TaskId, attempt: u64, now: f64) {
         tracing::debug!(host = name, %task, attempt, "running");
-        let Some(host) = self.hosts.get_mut(name) else {
+        let Some(host) = self.workers.get_mut(name) else {
             return;
         };
         if let Some(binding) = host.bindings.get_mut(task) {
@@ -90,7 +90,7 @@
 
     /// Ends a binding whose task has exited, or is not on its host and won't be.
     pub(super) fn end_binding(&mut self, name: &str, task: &TaskId, attempt: u64, done: bool) {
-        let Some(host) = self.hosts.get_mut(name) else {
+        let Some(host) = self.workers.get_mut(name) else {
             return;
         };
         let exited = host.has_exited(task, attempt);
@@ -105,7 +105,7 @@
         {
             binding.unbinding = true;
             tracing::debug!(host = name, %task, attempt, exited, "binding ends");
-            self.ledger.push(LogEntry::Unbind {
+            self.log.push(LogEntry::Unbind {
                 worker: name.to_owned(),
                 task: task.clone(),
                 attempt,
@@ -114,7 +114,7 @@
         }
     }
 
-    fn exited(
+    fn on_task_exited(
         &mut self,
         name: &str,
         task: &TaskId,
@@ -128,9 +128,9 @@
         match cause {
             ExitReason::Completed => {
                 if ran {
-                    self.note_finish(name, task, now);
+                    self.record_runtime(name, task, now);
                 }
-                let host = self.hosts.get(name);
+                let host = self.workers.get(name);
                 let copies = host.is_some_and(|host| host.pending_starts.may_arrive(task, attempt));
                 if let Some(job) = self.jobs.get_mut(&task.job).filter(|job| !job.is_service()) {
                     if copies {
@@ -138,10 +138,10 @@
                     }
                     done = job.complete(task.index);
                 }
-                self.note_success(name, &task.job);
+                self.record_success(name, &task.job);
             }
             ExitReason::Failed | ExitReason::UnknownTask | ExitReason::Unknown => {
-                self.note_failure(name, task, cause, now);
+                self.record_failure(name, task, cause, now);
             }
             ExitReason::Stopped
             | ExitReason::InsufficientResources
@@ -150,14 +150,14 @@
         // The end of the job goes first: should only it be written, the binding still is in the
         // records and ends by the worker's next report.
         if done {
-            self.end_job(&task.job);
+            self.finish_job(&task.job);
         }
         self.end_binding(name, task, attempt, done);
     }
 
     /// A machine that is about to be taken: what can't finish there in time moves now.
-    pub(super) fn drain(&mut self, name: &str, now: f64) {
-        let Some(host) = self.hosts.get_mut(name) else {
+    pub(super) fn evict_before_reclaim(&mut self, name: &str, now: f64) {
+        let Some(host) = self.workers.get_mut(name) else {
             return;
         };
         let left_s = host.reclaim_at.map_or(0.0, |at| at - now);
--- a/src/coordination/leader/consolidation.rs
+++ b/src/coordination/leader/consolidation.rs
@@ -9,17 +9,17 @@
 impl Leader {
     /// Empties one sparsely used ordinary machine of a zone, if its replicas find room on others
     /// beside the `keep` replicas to come for which room is kept there.
-    pub(super) fn pack(&mut self, zone: &str, keep: u32, need: &Resources) {
-        for host in self.hosts.iter_mut() {
+    pub(super) fn consolidate(&mut self, zone: &str, keep: u32, need: &Resources) {
+        for host in self.workers.iter_mut() {
             host.draining &= !host.bindings.is_empty();
         }
         let whole = |host: &Worker| {
-            let flavor = self.flavors.iter().find(|f| f.name == host.instance_type);
+            let flavor = self.instance_types.iter().find(|f| f.name == host.instance_type);
             flavor.map(Resources::of_instance_type).unwrap_or_default()
         };
         let here = |host: &&Worker| host.is_schedulable() && !host.spot && host.zone == zone;
         let in_use = || {
-            self.hosts
+            self.workers
                 .iter()
                 .filter(here)
                 .filter(|host| !host.bindings.is_empty())
@@ -44,7 +44,7 @@
         }
         let name = host.name.clone();
         tracing::info!(host = name, moved, "moving replicas together");
-        if let Some(host) = self.hosts.get_mut(&name) {
+        if let Some(host) = self.workers.get_mut(&name) {
             host.draining = true;
             for (task, binding) in &mut host.bindings {
                 let flush_s = self
@@ -53,7 +53,7 @@
                     .map_or(0.0, |job| job.spec.checkpoint_grace_s);
                 binding.eviction = Some((flush_s, EvictionReason::Drained));
             }
-            self.push_due.insert(name);
+            self.dispatch_due.insert(name);
         }
     }
 }
--- /dev/null
+++ b/src/coordination/leader/dispatch.rs
@@ -0,0 +1,209 @@
+//! Direct commands to workers: probes of late workers, and orders that cannot wait for a report.
+
+use super::heartbeats::MAX_COMMANDS;
+use super::{Leader, LeaderEvent};
+use crate::bookkeeping::pending_starts::CallOutcome;
+use crate::bookkeeping::permits::ViewFreshness;
+use crate::bookkeeping::workers::{DeliveryPath, Worker};
+use crate::coordination::effects::{Effects, WorkerRequestContext};
+use crate::protocol::worker::{Command, CommandKind, WorkerRequest, WorkerResponse};
+
+/// Report intervals without a report after which a worker is asked directly. They come with a
+/// quarter more at most.
+const PROBE_AFTER_HEARTBEATS: f64 = 1.3;
+
+/// A direct call that a worker needs.
+struct WorkerCall {
+    worker: String,
+    commands: Vec<Command>,
+    /// Starts that may still arrive are to be revoked, which can't wait.
+    is_urgent: bool,
+    /// The worker may well not answer.
+    may_not_answer: bool,
+    /// When it was last called.
+    last_called_at: f64,
+}
+
+impl Leader {
+    /// Sends direct commands where the workers don't yet do what is wanted, and this leader's Epoch
+    /// where it is not known yet. Calls at a time are bounded, and workers that may not answer get a
+    /// part of them only: a zone that is cut off must not keep commands from the others.
+    pub(super) fn dispatch_commands(
+        &mut self,
+        knowledge: &ViewFreshness,
+        out: &mut Effects,
+        now: f64,
+    ) {
+        let limit = self.settings.deployment.quota.direct_sockets();
+        self.probe_late_workers(now);
+        let due: Vec<String> = self.dispatch_due.iter().cloned().collect();
+        let mut doubtful: Vec<WorkerCall> = Vec::new();
+        for name in due {
+            if self.calls_in_flight.contains_key(&name) {
+                continue;
+            }
+            let Some(call) = self.next_command(&name, knowledge, now) else {
+                self.dispatch_due.remove(&name);
+                continue;
+            };
+            // What has just been sent is not repeated before its answer could show.
+            if !call.is_urgent && self.was_just_dispatched(&call, now) {
+                continue;
+            }
+            if call.may_not_answer {
+                doubtful.push(call);
+            } else if self.calls_in_flight.len() < limit {
+                self.dispatch(call, knowledge, out, now);
+            }
+        }
+        let probing = self.calls_in_flight.values().filter(|doubtful| **doubtful).count();
+        let free = (limit / 2).saturating_sub(probing);
+        // Those not asked for longest go first.
+        doubtful.sort_by(|a, b| a.last_called_at.total_cmp(&b.last_called_at));
+        for call in doubtful.into_iter().take(free) {
+            self.dispatch(call, knowledge, out, now);
+        }
+    }
+
+    /// Whether a worker has missed its latest report, or could not be reached.
+    fn has_missed_heartbeat(&self, host: &Worker, now: f64) -> bool {
+        let report_s = self.settings.deployment.workers.heartbeat_interval_s;
+        let late = |at| now - at > PROBE_AFTER_HEARTBEATS * report_s;
+        host.unreachable_since.is_some() || host.last_heartbeat_at.is_some_and(late)
+    }
+
+    /// Workers that have missed their latest report are asked directly.
+    fn probe_late_workers(&mut self, now: f64) {
+        let missed = self.workers.iter().filter(|host| self.has_missed_heartbeat(host, now));
+        let names: Vec<String> = missed.map(|host| host.name.clone()).collect();
+        self.dispatch_due.extend(names);
+    }
+
+    /// What a worker is to be called for, if it is.
+    fn next_command(&self, name: &str, knowledge: &ViewFreshness, now: f64) -> Option<WorkerCall> {
+        let host = self.workers.get(name)?;
+        let missed = self.has_missed_heartbeat(host, now);
+        let may_start = knowledge.may_start().is_ok();
+        let orders = match host.token_acknowledged {
+            true => host.commands(may_start, MAX_COMMANDS),
+            false => Vec::new(),
+        };
+        let revocation = host
+            .pending_revocation()
+            .filter(|_| host.token_acknowledged);
+        let revokes = revocation.is_some_and(|reason| reason.is_urgent());
+        let waits = host.token_acknowledged && host.awaits_fence();
+        // It is asked before it is thought silent: a report may only be on its way from a node that does
+        // not answer it.
+        let probe = host.token_acknowledged && !host.termination_recorded && missed;
+        let up =
+            host.last_heartbeat_at.is_some() || host.listed_running || !host.bindings.is_empty();
+        let greet = !host.token_acknowledged && !host.termination_recorded && up;
+        // Clears can wait for the next report.
+        let pressing = orders.iter().any(|order| order.kind != CommandKind::Clear);
+        let wanted = pressing || revokes || waits || probe || greet;
+        if !wanted || host.endpoint.is_empty() {
+            return None;
+        }
+        let last = self.last_dispatch.get(name);
+        Some(WorkerCall {
+            worker: name.to_owned(),
+            commands: orders,
+            is_urgent: revokes,
+            may_not_answer: !host.token_acknowledged || missed,
+            last_called_at: last.map_or(f64::NEG_INFINITY, |(_, at)| *at),
+        })
+    }
+
+    fn was_just_dispatched(&self, call: &WorkerCall, now: f64) -> bool {
+        let half_s = self.settings.deployment.workers.heartbeat_interval_s / 2.0;
+        let last = self.last_dispatch.get(&call.worker);
+        last.is_some_and(|(sent, at)| *sent == call.commands && now - at < half_s)
+    }
+
+    fn dispatch(
+        &mut self,
+        call: WorkerCall,
+        knowledge: &ViewFreshness,
+        out: &mut Effects,
+        now: f64,
+    ) {
+        let name = call.worker;
+        let Some(host) = self.workers.get(&name) else {
+            return;
+        };
+        let endpoint = host.endpoint.clone();
+        if host.token_acknowledged {
+            self.revoke_pending_starts(&name);
+        }
+        let commands = self.prepare_commands(&name, call.commands, DeliveryPath::DirectCall, knowledge);
+        self.dispatch_due.remove(&name);
+        self.calls_in_flight.insert(name.clone(), call.may_not_answer);
+        self.last_dispatch
+            .insert(name.clone(), (commands.commands.clone(), now));
+        let ask = WorkerRequestContext {
+            epoch: self.epoch,
+            worker: name,
+            commands: commands.commands.clone(),
+        };
+        let within_s = self.settings.deployment.workers.heartbeat_interval_s / 2.0;
+        out.call_worker(ask, endpoint, WorkerRequest::Commands(commands), within_s);
+    }
+
+    /// Takes what came of a direct call.
+    pub fn on_worker_response(
+        &mut self,
+        ask: &WorkerRequestContext,
+        reply: WorkerResponse,
+        now: f64,
+    ) {
+        self.calls_in_flight.remove(&ask.worker);
+        self.dispatch_due.insert(ask.worker.clone());
+        if let Some(host) = self.workers.get_mut(&ask.worker) {
+            host.record_call_outcome(&ask.commands, call_outcome(&reply));
+            match reply {
+                WorkerResponse::Executed(_) | WorkerResponse::Rejected(_) => {
+                    host.unreachable_since = None
+                }
+                WorkerResponse::OutcomeUnknown | WorkerResponse::Unreachable => {
+                    host.unreachable_since.get_or_insert(now);
+                }
+                WorkerResponse::NotSent => {}
+            }
+            self.schedule_due = true;
+        }
+        let report = match reply {
+            WorkerResponse::Executed(report) => report,
+            WorkerResponse::Rejected(report) => {
+                // Its session is known now: the next call can follow at once.
+                self.last_dispatch.remove(&ask.worker);
+                report
+            }
+            WorkerResponse::NotSent
+            | WorkerResponse::Unreachable
+            | WorkerResponse::OutcomeUnknown => return,
+        };
+        if report.worker != ask.worker {
+            tracing::warn!(host = ask.worker, "another worker answers at its address");
+            return;
+        }
+        if let Err(error) = report.token.check() {
+            tracing::error!(host = ask.worker, %error, "answer of a worker refused");
+            return;
+        }
+        if report.token.epoch() > self.epoch {
+            self.emit(LeaderEvent::HigherEpochSeen(report.token.epoch()));
+            return;
+        }
+        self.apply_heartbeat(&report, false, now);
+    }
+}
+
+/// What became of a direct call, as its outcome tells.
+fn call_outcome(reply: &WorkerResponse) -> CallOutcome {
+    match reply {
+        WorkerResponse::Executed(_) | WorkerResponse::Rejected(_) => CallOutcome::Answered,
+        WorkerResponse::OutcomeUnknown => CallOutcome::Unanswered,
+        WorkerResponse::NotSent | WorkerResponse::Unreachable => CallOutcome::NotSent,
+    }
+}
--- a/src/coordination/leader/verdicts.rs
+++ b/src/coordination/leader/failure_attribution.rs
@@ -9,30 +9,33 @@
 use std::collections::BTreeSet;
 
 /// The shortest wait of a suspect job between two probes, in report intervals.
-const PROBE_REPORTS: f64 = 1.0;
+const PROBE_HEARTBEATS: f64 = 1.0;
 /// By how much that wait varies, so that jobs that became suspect together don't probe together.
 const JITTER: f64 = 0.25;
 /// Report intervals for which a replica must run to show that its job works.
-const STEADY_REPORTS: f64 = 2.0;
+const STEADY_HEARTBEATS: f64 = 2.0;
 
 impl Leader {
     /// Counts the run time of a task that has completed.
-    pub(super) fn note_finish(&mut self, host: &str, task: &TaskId, now: f64) {
-        let Some(host) = self.hosts.get(host) else {
+    pub(super) fn record_runtime(&mut self, host: &str, task: &TaskId, now: f64) {
+        let Some(host) = self.workers.get(host) else {
             return;
         };
-        let running = host.bindings.get(task).and_then(|binding| binding.running_since);
+        let running = host
+            .bindings
+            .get(task)
+            .and_then(|binding| binding.running_since);
         if let Some(since) = running {
             let job = self.jobs.get(&task.job);
             let expect_s = job.map_or(0.0, |job| job.spec.expected_runtime_s);
-            self.fleet.note_finish(host, now - since, expect_s, now);
+            self.fleet.record_finish(host, now - since, expect_s, now);
         }
     }
 
     /// A task of a job has completed on a host: both work, so where the job failed before, that was
     /// the machine's fault, unless the job is suspect.
-    pub(super) fn note_success(&mut self, host: &str, job: &str) {
-        if let Some(host) = self.hosts.get_mut(host) {
+    pub(super) fn record_success(&mut self, host: &str, job: &str) {
+        if let Some(host) = self.workers.get_mut(host) {
             host.failures.record_success();
         }
         let Some(job) = self.jobs.get_mut(job) else {
@@ -44,7 +47,7 @@
             self.schedule_due = true;
         } else {
             for name in job.failures.workers() {
-                if let Some(host) = self.hosts.get_mut(name) {
+                if let Some(host) = self.workers.get_mut(name) {
                     host.failures.attribute_to_worker(&job.spec.id);
                 }
             }
@@ -54,18 +57,24 @@
 
     /// A replica of a failing service runs on a host: it never completes, so having run for a while is
     /// its success.
-    pub(super) fn note_running(&mut self, host: &str, job: &str, for_s: f64) {
-        let steady_s = STEADY_REPORTS * self.settings.deployment.workers.report_s;
+    pub(super) fn record_steady_replica(&mut self, host: &str, job: &str, for_s: f64) {
+        let steady_s = STEADY_HEARTBEATS * self.settings.deployment.workers.heartbeat_interval_s;
         if for_s >= steady_s {
-            self.note_success(host, job);
+            self.record_success(host, job);
         }
     }
 
     /// A task has failed: its machine may be faulty, or its job was submitted with a mistake.
-    pub(super) fn note_failure(&mut self, host: &str, task: &TaskId, cause: ExitReason, now: f64) {
+    pub(super) fn record_failure(
+        &mut self,
+        host: &str,
+        task: &TaskId,
+        cause: ExitReason,
+        now: f64,
+    ) {
         let workers = &self.settings.deployment.workers;
         let avoid_s = AVOID_LEASES * workers.lease_s;
-        let shortest_s = PROBE_REPORTS * workers.report_s;
+        let shortest_s = PROBE_HEARTBEATS * workers.heartbeat_interval_s;
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -83,10 +92,10 @@
             );
         }
         if newly_suspect {
-            withdraw_failures(job, &mut self.hosts);
+            withdraw_failures(job, &mut self.workers);
         } else if cause == ExitReason::Failed
             && !job.failures.is_crash_looping()
-            && let Some(host) = self.hosts.get_mut(host)
+            && let Some(host) = self.workers.get_mut(host)
         {
             let proven = job.failures.has_succeeded();
             host.failures.record_failure(&task.job, proven);
@@ -94,21 +103,24 @@
     }
 
     /// Jobs that are suspect, for the leader after this one.
-    pub fn suspects(&self) -> Vec<String> {
-        let suspect = self.jobs.iter().filter(|job| job.failures.is_crash_looping());
+    pub fn crash_looping_jobs(&self) -> Vec<String> {
+        let suspect = self
+            .jobs
+            .iter()
+            .filter(|job| job.failures.is_crash_looping());
         let ids = suspect.map(|job| job.spec.id.clone());
         ids.take(MAX_CRASH_LOOPING_JOBS).collect()
     }
 
     /// Takes over the jobs that an earlier leader has told to be suspect: they begin with a probe. What
     /// it did not tell is found out once more, at the price of the job's whole width.
-    pub fn inherit_suspects(&mut self, suspects: BTreeSet<String>) {
-        self.inherited_suspects = suspects;
+    pub fn inherit_crash_looping(&mut self, suspects: BTreeSet<String>) {
+        self.inherited_crash_looping = suspects;
     }
 
     /// Marks the inherited suspects, once the open jobs are known.
-    pub(super) fn take_inherited_suspects(&mut self) {
-        for id in std::mem::take(&mut self.inherited_suspects) {
+    pub(super) fn mark_inherited_crash_looping(&mut self) {
+        for id in std::mem::take(&mut self.inherited_crash_looping) {
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.failures.inherit_crash_loop();
             }
@@ -117,9 +129,9 @@
 
     /// A job is over. What its failures told about machines is withdrawn, unless it has succeeded
     /// elsewhere: it may have been at fault itself.
-    pub(super) fn forget_failures(&mut self, job: &Job) {
+    pub(super) fn withdraw_failures(&mut self, job: &Job) {
         if !job.failures.has_succeeded() {
-            withdraw_failures(job, &mut self.hosts);
+            withdraw_failures(job, &mut self.workers);
         }
     }
 }
--- a/src/coordination/leader/failure_detection.rs
+++ b/src/coordination/leader/failure_detection.rs
@@ -1,48 +1,48 @@
 //! Machines that are of no use: silent, faulty, taken, or never up; and zones that are cut off.
 
 use super::Leader;
-use super::fleet::GiveBackReason;
+use super::fleet::ScaleInReason;
 use crate::bookkeeping::workers::Worker;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Usual boot times after which a machine that is not up is given back.
-const BOOT_PATIENCE: f64 = 2.5;
+const BOOT_TIMEOUT_FACTOR: f64 = 2.5;
 /// Report intervals without a report that are more than chance.
-const MISSED_REPORTS: f64 = 1.5;
+const MISSED_HEARTBEATS: f64 = 1.5;
 /// Report intervals without any report, from whatever worker, that are more than chance.
-const QUIET_REPORTS: f64 = 1.25;
+const QUIET_HEARTBEATS: f64 = 1.25;
 /// Machines that may fall silent together by chance.
-const FEW: usize = 6;
+const MIN_ZONE_WORKERS: usize = 6;
 /// Report intervals after which a report is late. They come with a quarter more at most, so that
 /// even if all machines report at the same moment three in ten are late at most.
-const LATE_REPORTS: f64 = 1.1;
+const LATE_HEARTBEATS: f64 = 1.1;
 /// Share of a zone's machines that are late, from which the zone is taken to be cut off.
 const LATE_SHARE: f64 = 0.35;
 /// Worker leases for which the machines of a zone that is cut off are kept.
-const CUT_LEASES: f64 = 3.0;
+const PARTITION_LEASES: f64 = 3.0;
 /// Report intervals that workers take to come again: a report without answer, and another node.
-const BACK_REPORTS: f64 = 2.5;
+const RECONNECT_HEARTBEATS: f64 = 2.5;
 
 impl Leader {
     /// Since when a machine that should report has not; `None`: it may still be booting.
-    fn quiet_since(&self, host: &Worker) -> Option<f64> {
+    fn last_contact(&self, host: &Worker) -> Option<f64> {
         // Who has tasks and was never heard had them under an earlier leader.
-        let inherited = (!host.bindings.is_empty()).then_some(self.since);
+        let inherited = (!host.bindings.is_empty()).then_some(self.elected_at);
         Some(host.last_heartbeat_at.or(inherited)?.max(self.awake_since))
     }
 
     /// Whether a machine has missed its latest reports and leaves direct calls unanswered, or has
     /// been quiet for so long that this is not needed.
-    fn silent(&self, host: &Worker, now: f64) -> bool {
+    fn is_unresponsive(&self, host: &Worker, now: f64) -> bool {
         let workers = &self.settings.deployment.workers;
-        self.quiet_since(host).is_some_and(|since| {
+        self.last_contact(host).is_some_and(|since| {
             let quiet_s = now - since;
             let asked = host.unreachable_since.is_some_and(|at| at >= since);
             let long_s = match host.last_heartbeat_at {
                 Some(_) => workers.lease_s / 2.0,
                 None => workers.lease_s,
             };
-            quiet_s > long_s || (asked && quiet_s > MISSED_REPORTS * workers.report_s)
+            quiet_s > long_s || (asked && quiet_s > MISSED_HEARTBEATS * workers.heartbeat_interval_s)
         })
     }
 
@@ -51,17 +51,17 @@
     /// would only add a boot. This shows before the first of them counts as silent.
     ///
     /// The second value tells whether this is so for all zones that have more than a few machines.
-    fn cut_zones(&self, now: f64) -> (BTreeSet<String>, bool) {
-        let late_s = LATE_REPORTS * self.settings.deployment.workers.report_s;
+    fn partitioned_zones(&self, now: f64) -> (BTreeSet<String>, bool) {
+        let late_s = LATE_HEARTBEATS * self.settings.deployment.workers.heartbeat_interval_s;
         let mut zones: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        for host in self.hosts.iter().filter(|host| !host.terminating) {
-            if let Some(since) = self.quiet_since(host) {
+        for host in self.workers.iter().filter(|host| !host.terminating) {
+            if let Some(since) = self.last_contact(host) {
                 let (there, late) = zones.entry(&host.zone).or_default();
                 *there += 1;
                 *late += usize::from(now - since > late_s);
             }
         }
-        zones.retain(|_, (there, _)| *there >= FEW);
+        zones.retain(|_, (there, _)| *there >= MIN_ZONE_WORKERS);
         let known = zones.len();
         let cut: BTreeSet<String> = zones
             .into_iter()
@@ -72,16 +72,16 @@
         (cut, all)
     }
 
-    fn note_cut_zones(&mut self, now: f64) {
-        let (cut, all) = self.cut_zones(now);
-        self.fleet.all_cut_since = all.then(|| self.fleet.all_cut_since.unwrap_or(now));
+    fn update_partitioned_zones(&mut self, now: f64) {
+        let (cut, all) = self.partitioned_zones(now);
+        self.fleet.all_partitioned_since = all.then(|| self.fleet.all_partitioned_since.unwrap_or(now));
         for zone in cut {
-            if self.fleet.cut_zones.insert(zone.clone(), now).is_none() {
+            if self.fleet.partitioned_zones.insert(zone.clone(), now).is_none() {
                 tracing::info!(zone, "zone cut off");
             }
         }
-        let over_s = BACK_REPORTS * self.fleet.report_s;
-        self.fleet.cut_zones.retain(|zone, at| {
+        let over_s = RECONNECT_HEARTBEATS * self.fleet.heartbeat_interval_s;
+        self.fleet.partitioned_zones.retain(|zone, at| {
             let cut = now - *at < over_s;
             if !cut {
                 tracing::info!(zone, "zone is back");
@@ -91,78 +91,86 @@
     }
 
     /// Gives back machines that are of no use: silent, faulty, taken, or never up.
-    pub(super) fn retire(&mut self, now: f64) {
+    pub(super) fn remove_failed_workers(&mut self, now: f64) {
         let lease_s = self.settings.deployment.workers.lease_s;
-        let up = self.hosts.iter().filter(|h| h.last_heartbeat_at.is_some()).count();
+        let up = self
+            .workers
+            .iter()
+            .filter(|h| h.last_heartbeat_at.is_some())
+            .count();
         // When most have missed their latest reports it is this node that is cut off. Counting only
         // those past the longer limit would give back the first few that pass it.
-        let missed_s = MISSED_REPORTS * self.fleet.report_s;
+        let missed_s = MISSED_HEARTBEATS * self.fleet.heartbeat_interval_s;
         let unheard = self
-            .hosts
+            .workers
             .iter()
             .filter(|host| host.last_heartbeat_at.is_some_and(|at| now - at > missed_s))
             .count();
         // So it may be when nobody at all is heard; should this last, the lead is given up.
-        let quiet_s = self.last_report.map_or(0.0, |at| now - at);
-        let nobody = quiet_s > QUIET_REPORTS * self.fleet.report_s && quiet_s < lease_s;
-        let unreached = self.hosts.iter().filter(|h| h.unreachable_since.is_some()).count();
-        self.note_cut_zones(now);
+        let quiet_s = self.last_heartbeat_at.map_or(0.0, |at| now - at);
+        let nobody = quiet_s > QUIET_HEARTBEATS * self.fleet.heartbeat_interval_s && quiet_s < lease_s;
+        let unreached = self
+            .workers
+            .iter()
+            .filter(|h| h.unreachable_since.is_some())
+            .count();
+        self.update_partitioned_zones(now);
         // Zones that fall silent together are no failure of each: this shows before most machines have
         // missed enough. Should it last, and this node still lead, the machines are dead.
         let all_cut = self
             .fleet
-            .all_cut_since
+            .all_partitioned_since
             .is_some_and(|since| now - since < lease_s);
         let cut_off = 2 * unheard > up || 2 * unreached > up || nobody || all_cut;
         // A zone that stays away for long is given up: its machines cost more by then than their boots.
         // Once it is back, all its workers get the time to come again.
         let waits = |host: &Worker| {
             !host.spot
-                && self.fleet.was_cut(&host.zone)
+                && self.fleet.was_partitioned(&host.zone)
                 && self
-                    .quiet_since(host)
-                    .is_some_and(|since| now - since < CUT_LEASES * lease_s)
+                    .last_contact(host)
+                    .is_some_and(|since| now - since < PARTITION_LEASES * lease_s)
         };
         let mut back = Vec::new();
-        for host in self.hosts.iter().filter(|host| !host.terminating) {
+        for host in self.workers.iter().filter(|host| !host.terminating) {
             let ready_s = self
-                .flavors
+                .instance_types
                 .iter()
                 .find(|f| f.name == host.instance_type)
-                .map_or(self.fleet.report_s, |f| f.boot_time_s);
+                .map_or(self.fleet.heartbeat_interval_s, |f| f.boot_time_s);
             let lost_s = 4.0 * self.fleet.list_lag_s + ready_s;
             let taken = host
                 .reclaim_at
-                .is_some_and(|at| now > at + self.fleet.report_s || host.bindings.is_empty());
+                .is_some_and(|at| now > at + self.fleet.heartbeat_interval_s || host.bindings.is_empty());
             let never_up = host.last_heartbeat_at.is_none()
                 && host.bindings.is_empty()
-                && now - host.first_seen_at > BOOT_PATIENCE * ready_s
-                && (!host.listed_running || now - self.since > lease_s);
+                && now - host.first_seen_at > BOOT_TIMEOUT_FACTOR * ready_s
+                && (!host.listed_running || now - self.elected_at > lease_s);
             let reason = if taken {
-                GiveBackReason::TakenByCloud
+                ScaleInReason::Reclaimed
             } else if never_up {
-                GiveBackReason::NeverUp
-            } else if self.silent(host, now) && !cut_off && !waits(host) {
-                GiveBackReason::Silent
+                ScaleInReason::BootTimedOut
+            } else if self.is_unresponsive(host, now) && !cut_off && !waits(host) {
+                ScaleInReason::Unresponsive
             } else if host.unreachable_since.is_some_and(|at| now - at > lease_s)
                 && !cut_off
                 && !waits(host)
             {
-                GiveBackReason::Unreached
+                ScaleInReason::Unreachable
             } else if host.failures.is_quarantined() {
-                GiveBackReason::FailsTasks
+                ScaleInReason::FailsTasks
             } else if host.last_heartbeat_at.is_none()
                 && host.last_listed_at.is_some_and(|at| now - at > lost_s)
                 && host.bindings.is_empty()
             {
-                GiveBackReason::NotListed
+                ScaleInReason::NotListed
             } else {
                 continue;
             };
             back.push((host.name.clone(), reason));
         }
         for (name, reason) in back {
-            self.give_back(&name, reason);
+            self.scale_in(&name, reason);
         }
     }
 }
--- a/src/coordination/leader/fleet.rs
+++ b/src/coordination/leader/fleet.rs
@@ -6,8 +6,8 @@
 use crate::bookkeeping::records::{self, ProvisioningRecord};
 use crate::bookkeeping::workers::Worker;
 use crate::bookkeeping::write_ahead_log::LogEntry;
-use crate::coordination::autoscaler::{self, Meter};
-use crate::coordination::outbox::{CloudAsk, Outbox};
+use crate::coordination::autoscaler::{self, RateMeter};
+use crate::coordination::effects::{CloudRequestKind, Effects};
 use crate::protocol::cloud::{
     CloudRequest, CloudResponse, CreateInstances, Instance, InstanceStatus,
     MAX_INSTANCES_PER_CREATE, MAX_INSTANCES_PER_DELETE,
@@ -19,15 +19,15 @@
 
 /// Why a machine is given back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum GiveBackReason {
+pub(super) enum ScaleInReason {
     /// The cloud takes it.
-    TakenByCloud,
+    Reclaimed,
     /// It has not come up in time.
-    NeverUp,
+    BootTimedOut,
     /// It has missed its reports, and left direct calls unanswered.
-    Silent,
+    Unresponsive,
     /// Its reports arrive, but no answer or command reaches it.
-    Unreached,
+    Unreachable,
     /// Tasks of several jobs fail on it that succeed elsewhere.
     FailsTasks,
     /// The cloud lists it no longer.
@@ -37,14 +37,14 @@
     /// Nothing is bound to it, and it is not needed.
     Idle,
     /// Its fence can't be raised any further.
-    FenceUsedUp,
+    FenceExhausted,
 }
 
 /// A pool of machines: type, zone, and whether spot.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PoolKey {
     /// Machine type.
-    pub flavor: String,
+    pub instance_type: String,
     /// Zone.
     pub zone: String,
     /// Spot machines.
@@ -54,47 +54,47 @@
 impl std::fmt::Display for PoolKey {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         let kind = if self.spot { "spot" } else { "ordinary" };
-        write!(f, "{}/{}/{kind}", self.flavor, self.zone)
+        write!(f, "{}/{}/{kind}", self.instance_type, self.zone)
     }
 }
 
 /// How far a rental has come.
 #[derive(Debug, Clone, PartialEq)]
-enum Stage {
+enum ProvisioningState {
     /// Its record is being written.
-    Writing,
+    Recording,
     /// To be sent, or sent again, from this time on.
     Ready(f64),
     /// On its way.
-    Calling,
+    InFlight,
     /// These machines were rented; they are not all seen yet.
-    Rented(Vec<String>),
+    Created(Vec<String>),
     /// Its record is being removed.
-    Settling,
+    Completing,
 }
 
 #[derive(Debug, Clone)]
-struct Renting {
+struct ProvisioningRequest {
     record: ProvisioningRecord,
-    stage: Stage,
+    state: ProvisioningState,
     /// The most urgent work that it is for, and the order within that.
-    turn: (PriorityClass, u64),
+    queue_position: (PriorityClass, u64),
     /// It may have reached the cloud.
     sent: bool,
 }
 
-impl Renting {
+impl ProvisioningRequest {
     fn pool(&self) -> PoolKey {
         PoolKey {
-            flavor: self.record.instance_type.clone(),
+            instance_type: self.record.instance_type.clone(),
             zone: self.record.zone.clone(),
             spot: self.record.spot,
         }
     }
     /// Machines that may come of it and are not in the table yet.
-    fn expected(&self) -> u32 {
-        match self.stage {
-            Stage::Rented(_) | Stage::Settling => 0,
+    fn instances_expected(&self) -> u32 {
+        match self.state {
+            ProvisioningState::Created(_) | ProvisioningState::Completing => 0,
             _ => self.record.count,
         }
     }
@@ -104,52 +104,52 @@
 pub(super) struct Pool {
     blocked_until: f64,
     block_s: f64,
-    pub(super) starts: Meter,
-    pub(super) finishes: Meter,
+    pub(super) starts: RateMeter,
+    pub(super) finishes: RateMeter,
     pub(super) task_s: Option<f64>,
-    pub(super) share: Option<f64>,
-    pub(super) decided: Option<autoscaler::Decision>,
+    pub(super) machine_share: Option<f64>,
+    pub(super) last_decision: Option<autoscaler::ScalingDecision>,
 }
 
 /// Weight of the latest value in running averages.
-const LATEST: f64 = 0.1;
+const SMOOTHING: f64 = 0.1;
 
 /// A single task's run time over its estimate counts within these bounds.
-const BIAS_RANGE: (f64, f64) = (0.2, 5.0);
+const RUNTIME_BIAS_RANGE: (f64, f64) = (0.2, 5.0);
 
 fn average(known: Option<f64>, value: f64) -> Option<f64> {
-    Some(known.map_or(value, |known| known + (value - known) * LATEST))
+    Some(known.map_or(value, |known| known + (value - known) * SMOOTHING))
 }
 
 /// State of renting and giving back.
 #[derive(Debug)]
 pub struct Fleet {
     epoch: u64,
-    since: f64,
-    bids: u64,
-    rentals: BTreeMap<String, Renting>,
+    started_at: f64,
+    requests_made: u64,
+    provisioning: BTreeMap<String, ProvisioningRequest>,
     pub(super) pools: BTreeMap<PoolKey, Pool>,
     /// What tasks take over what their owners thought; on some days estimates are mostly too high
     /// or too low.
-    pub(super) bias: f64,
+    pub(super) runtime_bias: f64,
     /// Machines whose deletion was confirmed, and when.
-    gone: HashMap<String, f64>,
-    calls: TokenBucket,
-    listing: Vec<Instance>,
-    list_busy: bool,
-    list_at: f64,
-    listed: Option<f64>,
-    rent_busy: bool,
-    delete_busy: bool,
-    delete_at: f64,
-    scale_at: f64,
-    retire_at: f64,
+    deleted_at: HashMap<String, f64>,
+    rate_limiter: TokenBucket,
+    partial_listing: Vec<Instance>,
+    list_in_flight: bool,
+    next_list_at: f64,
+    listed_at: Option<f64>,
+    create_in_flight: bool,
+    delete_in_flight: bool,
+    next_delete_at: f64,
+    next_scaling_at: f64,
+    next_failure_check_at: f64,
     /// Zones that are taken to be cut off, and when that was last so.
-    pub(super) cut_zones: BTreeMap<String, f64>,
+    pub(super) partitioned_zones: BTreeMap<String, f64>,
     /// Since when all zones have been silent at once.
-    pub(super) all_cut_since: Option<f64>,
+    pub(super) all_partitioned_since: Option<f64>,
     pub(super) list_lag_s: f64,
-    pub(super) report_s: f64,
+    pub(super) heartbeat_interval_s: f64,
 }
 
 /// Share of the cloud's limit that the leader uses; the rest is for the catalogue and for a leader
@@ -160,13 +160,13 @@
 /// Usual boot times within which most machines are up. Those that are not are no longer counted on.
 pub(super) const BOOT_USUAL: f64 = 1.5;
 /// Looks for machines to be given back in a report interval.
-const LOOKS_PER_REPORT: f64 = 8.0;
+const CHECKS_PER_HEARTBEAT: f64 = 8.0;
 /// Rounds of the autoscaler in the time of the quickest boot.
 const ROUNDS_PER_BOOT: f64 = 5.0;
 /// Boots that take longer don't slow the rounds down.
-const MAX_READY_S: f64 = 60.0;
+const MAX_BOOT_TIME_S: f64 = 60.0;
 /// Machines asked for at a time in one pool; what is there of them shows soon enough.
-const MAX_RENTED: u32 = 8 * MAX_INSTANCES_PER_CREATE;
+const MAX_INSTANCES_PER_ROUND: u32 = 8 * MAX_INSTANCES_PER_CREATE;
 /// Longest time for which a refused pool is left alone, in boot times.
 const MAX_BLOCK: f64 = 4.0;
 
@@ -175,61 +175,61 @@
         let cloud = &settings.deployment.cloud;
         Fleet {
             epoch,
-            since: now,
-            bids: 0,
-            rentals: BTreeMap::new(),
+            started_at: now,
+            requests_made: 0,
+            provisioning: BTreeMap::new(),
             pools: BTreeMap::new(),
-            bias: 1.0,
-            gone: HashMap::new(),
-            calls: TokenBucket::new(
+            runtime_bias: 1.0,
+            deleted_at: HashMap::new(),
+            rate_limiter: TokenBucket::new(
                 cloud.rps * CLOUD_SHARE,
                 (cloud.rps * CLOUD_SHARE * CLOUD_BURST_S).max(1.0),
             ),
-            listing: Vec::new(),
-            list_busy: false,
-            list_at: 0.0,
-            listed: None,
-            rent_busy: false,
-            delete_busy: false,
-            delete_at: 0.0,
-            scale_at: 0.0,
-            retire_at: 0.0,
-            cut_zones: BTreeMap::new(),
-            all_cut_since: None,
+            partial_listing: Vec::new(),
+            list_in_flight: false,
+            next_list_at: 0.0,
+            listed_at: None,
+            create_in_flight: false,
+            delete_in_flight: false,
+            next_delete_at: 0.0,
+            next_scaling_at: 0.0,
+            next_failure_check_at: 0.0,
+            partitioned_zones: BTreeMap::new(),
+            all_partitioned_since: None,
             list_lag_s: cloud.list_lag_s,
-            report_s: settings.deployment.workers.report_s,
+            heartbeat_interval_s: settings.deployment.workers.heartbeat_interval_s,
         }
     }
 
     /// Whether the machine's deletion was confirmed.
-    pub(super) fn is_gone(&self, name: &str) -> bool {
-        self.gone.contains_key(name)
+    pub(super) fn is_deleted(&self, name: &str) -> bool {
+        self.deleted_at.contains_key(name)
     }
 
     /// Takes over a rental that an earlier leader wrote down.
-    pub(super) fn inherit_rental(&mut self, bid: &str, record: ProvisioningRecord) {
-        let renting = Renting {
+    pub(super) fn inherit_provisioning(&mut self, bid: &str, record: ProvisioningRecord) {
+        let renting = ProvisioningRequest {
             record,
-            stage: Stage::Ready(0.0),
-            turn: (PriorityClass::Production, 0),
+            state: ProvisioningState::Ready(0.0),
+            queue_position: (PriorityClass::Production, 0),
             sent: true,
         };
-        self.rentals.insert(bid.to_owned(), renting);
+        self.provisioning.insert(bid.to_owned(), renting);
     }
 
     /// A rental's record was written or removed.
-    pub(super) fn written(&mut self, write: &WriteOp) {
+    pub(super) fn on_record_written(&mut self, write: &WriteOp) {
         match write {
             WriteOp::Put { key, .. } => {
                 if let Some(bid) = key.strip_prefix(records::PROVISIONING_PREFIX)
-                    && let Some(rental) = self.rentals.get_mut(bid)
+                    && let Some(rental) = self.provisioning.get_mut(bid)
                 {
-                    rental.stage = Stage::Ready(0.0);
+                    rental.state = ProvisioningState::Ready(0.0);
                 }
             }
             WriteOp::Delete { key } => {
                 if let Some(bid) = key.strip_prefix(records::PROVISIONING_PREFIX) {
-                    self.rentals.remove(bid);
+                    self.provisioning.remove(bid);
                 }
             }
         }
@@ -242,24 +242,24 @@
     }
 
     /// Whether a zone is cut off, or has just come back.
-    pub(super) fn was_cut(&self, zone: &str) -> bool {
-        self.cut_zones.contains_key(zone)
+    pub(super) fn was_partitioned(&self, zone: &str) -> bool {
+        self.partitioned_zones.contains_key(zone)
     }
 
     /// Whether a zone is cut off now, as far as the last look told.
-    pub(super) fn is_cut(&self, zone: &str, now: f64) -> bool {
-        let cut = self.cut_zones.get(zone);
-        cut.is_some_and(|at| now - at < self.report_s / LOOKS_PER_REPORT * 2.0)
+    pub(super) fn is_partitioned(&self, zone: &str, now: f64) -> bool {
+        let cut = self.partitioned_zones.get(zone);
+        cut.is_some_and(|at| now - at < self.heartbeat_interval_s / CHECKS_PER_HEARTBEAT * 2.0)
     }
 
     /// Whether any rental is not settled.
-    pub(super) fn is_renting(&self) -> bool {
-        !self.rentals.is_empty()
+    pub(super) fn is_provisioning(&self) -> bool {
+        !self.provisioning.is_empty()
     }
 
     /// How many machines of a pool are worth asking for: a single call's after it could not give all
     /// that was asked for.
-    pub(super) fn worth_asking(&self, key: &PoolKey) -> u32 {
+    pub(super) fn request_limit(&self, key: &PoolKey) -> u32 {
         match self.pools.get(key) {
             Some(pool) if pool.block_s > 0.0 => MAX_INSTANCES_PER_CREATE,
             _ => u32::MAX,
@@ -267,33 +267,33 @@
     }
 
     /// Machines of a pool that are being rented and are not in the table yet.
-    pub(super) fn renting(&self, key: &PoolKey) -> u32 {
-        self.rentals
+    pub(super) fn instances_expected(&self, key: &PoolKey) -> u32 {
+        self.provisioning
             .values()
             .filter(|rental| rental.pool() == *key)
-            .map(Renting::expected)
+            .map(ProvisioningRequest::instances_expected)
             .sum()
     }
 
-    fn pool_of(&mut self, host: &Worker) -> &mut Pool {
-        self.pools.entry(key_of(host)).or_default()
+    fn pool_of_worker(&mut self, host: &Worker) -> &mut Pool {
+        self.pools.entry(pool_key(host)).or_default()
     }
 
-    pub(super) fn note_start(&mut self, host: &Worker, share: Option<f64>, now: f64) {
-        let pool = self.pool_of(host);
+    pub(super) fn record_start(&mut self, host: &Worker, share: Option<f64>, now: f64) {
+        let pool = self.pool_of_worker(host);
         if let Some(share) = share {
             pool.starts.add(1.0, now);
-            pool.share = average(pool.share, share.max(1e-3));
+            pool.machine_share = average(pool.machine_share, share.max(1e-3));
         }
     }
 
-    pub(super) fn note_finish(&mut self, host: &Worker, ran_s: f64, expect_s: f64, now: f64) {
+    pub(super) fn record_finish(&mut self, host: &Worker, ran_s: f64, expect_s: f64, now: f64) {
         if expect_s > 0.0 {
-            let (least, most) = BIAS_RANGE;
+            let (least, most) = RUNTIME_BIAS_RANGE;
             let bias = (ran_s / expect_s).clamp(least, most);
-            self.bias += (bias - self.bias) * LATEST / 10.0;
+            self.runtime_bias += (bias - self.runtime_bias) * SMOOTHING / 10.0;
         }
-        let pool = self.pool_of(host);
+        let pool = self.pool_of_worker(host);
         pool.finishes.add(1.0, now);
         pool.task_s = average(pool.task_s, ran_s);
     }
@@ -303,114 +303,114 @@
         pool.block_s = (pool.block_s * 2.0).clamp(ready_s / 2.0, ready_s * MAX_BLOCK);
         pool.blocked_until = now + pool.block_s;
         // What it can't give is asked of others soon.
-        self.scale_at = self.scale_at.min(now + self.report_s / 5.0);
+        self.next_scaling_at = self.next_scaling_at.min(now + self.heartbeat_interval_s / 5.0);
     }
 }
 
-fn key_of(host: &Worker) -> PoolKey {
+fn pool_key(host: &Worker) -> PoolKey {
     PoolKey {
-        flavor: host.instance_type.clone(),
+        instance_type: host.instance_type.clone(),
         zone: host.zone.clone(),
         spot: host.spot,
     }
 }
 
 pub(super) fn is_in(host: &Worker, pool: &PoolKey) -> bool {
-    host.spot == pool.spot && host.zone == pool.zone && host.instance_type == pool.flavor
+    host.spot == pool.spot && host.zone == pool.zone && host.instance_type == pool.instance_type
 }
 
 impl Leader {
     /// Lists, scales, rents and deletes, as is due.
-    pub(super) fn drive_fleet(&mut self, confirmed: bool, out: &mut Outbox, now: f64) {
+    pub(super) fn poll_fleet(&mut self, confirmed: bool, out: &mut Effects, now: f64) {
         if !confirmed {
             return;
         }
-        self.drive_list(out, now);
-        self.drive_deletes(out, now);
+        self.list_instances(out, now);
+        self.delete_instances(out, now);
         let fleet = &self.fleet;
         // Nothing is rented before the list is known and a round of reports has come, unless no
         // machine was ever asked for.
         let informed =
-            fleet.listed.is_some() && (self.first || now - fleet.since > 1.5 * fleet.report_s);
-        if informed && now >= fleet.retire_at {
-            self.fleet.retire_at = now + self.fleet.report_s / LOOKS_PER_REPORT;
-            self.retire(now);
+            fleet.listed_at.is_some() && (self.is_first_leader || now - fleet.started_at > 1.5 * fleet.heartbeat_interval_s);
+        if informed && now >= fleet.next_failure_check_at {
+            self.fleet.next_failure_check_at = now + self.fleet.heartbeat_interval_s / CHECKS_PER_HEARTBEAT;
+            self.remove_failed_workers(now);
         }
-        if informed && now >= self.fleet.scale_at {
-            let ready_s = self.flavors.iter().map(|flavor| flavor.boot_time_s);
-            let quickest_s = ready_s.fold(f64::INFINITY, f64::min).min(MAX_READY_S);
-            self.fleet.scale_at = now + quickest_s / ROUNDS_PER_BOOT;
-            self.scale(now);
+        if informed && now >= self.fleet.next_scaling_at {
+            let ready_s = self.instance_types.iter().map(|flavor| flavor.boot_time_s);
+            let quickest_s = ready_s.fold(f64::INFINITY, f64::min).min(MAX_BOOT_TIME_S);
+            self.fleet.next_scaling_at = now + quickest_s / ROUNDS_PER_BOOT;
+            self.run_autoscaler(now);
         }
-        self.drive_rentals(out, now);
+        self.send_provisioning_requests(out, now);
     }
 
-    fn drive_list(&mut self, out: &mut Outbox, now: f64) {
+    fn list_instances(&mut self, out: &mut Effects, now: f64) {
         let fleet = &mut self.fleet;
-        if fleet.list_busy || now < fleet.list_at || !fleet.calls.take(1.0, now) {
+        if fleet.list_in_flight || now < fleet.next_list_at || !fleet.rate_limiter.take(1.0, now) {
             return;
         }
-        fleet.list_busy = true;
-        let from = fleet.listing.last().map(|machine| machine.name.clone());
-        let within_s = 2.0 * fleet.report_s;
-        out.cloud(
-            CloudAsk::List(fleet.epoch),
+        fleet.list_in_flight = true;
+        let from = fleet.partial_listing.last().map(|machine| machine.name.clone());
+        let within_s = 2.0 * fleet.heartbeat_interval_s;
+        out.call_cloud(
+            CloudRequestKind::ListInstances(fleet.epoch),
             CloudRequest::ListInstances(from),
             within_s,
         );
     }
 
-    fn drive_deletes(&mut self, out: &mut Outbox, now: f64) {
-        if self.fleet.delete_busy || now < self.fleet.delete_at {
+    fn delete_instances(&mut self, out: &mut Effects, now: f64) {
+        if self.fleet.delete_in_flight || now < self.fleet.next_delete_at {
             return;
         }
         let names: Vec<String> = self
-            .hosts
+            .workers
             .iter()
-            .filter(|host| permits::may_delete(host).is_ok() && !self.fleet.is_gone(&host.name))
+            .filter(|host| permits::may_delete(host).is_ok() && !self.fleet.is_deleted(&host.name))
             .map(|host| host.name.clone())
             .take(MAX_INSTANCES_PER_DELETE)
             .collect();
-        if names.is_empty() || !self.fleet.calls.take(1.0, now) {
+        if names.is_empty() || !self.fleet.rate_limiter.take(1.0, now) {
             return;
         }
-        self.fleet.delete_busy = true;
+        self.fleet.delete_in_flight = true;
         tracing::debug!(hosts = ?names, "deletion sent");
-        let ask = CloudAsk::Delete(self.epoch, names.clone());
-        out.cloud(
+        let ask = CloudRequestKind::DeleteInstances(self.epoch, names.clone());
+        out.call_cloud(
             ask,
             CloudRequest::DeleteInstances(names),
-            2.0 * self.fleet.report_s,
+            2.0 * self.fleet.heartbeat_interval_s,
         );
     }
 
-    fn drive_rentals(&mut self, out: &mut Outbox, now: f64) {
+    fn send_provisioning_requests(&mut self, out: &mut Effects, now: f64) {
         let fleet = &mut self.fleet;
-        if fleet.rent_busy {
+        if fleet.create_in_flight {
             return;
         }
         let ready = fleet
-            .rentals
+            .provisioning
             .iter_mut()
-            .filter(|(_, rental)| matches!(rental.stage, Stage::Ready(at) if now >= at))
-            .min_by_key(|(_, rental)| rental.turn);
+            .filter(|(_, rental)| matches!(rental.state, ProvisioningState::Ready(at) if now >= at))
+            .min_by_key(|(_, rental)| rental.queue_position);
         let Some((bid, rental)) = ready else { return };
         let blocked = |pool: &Pool| now < pool.blocked_until;
         if !rental.sent && fleet.pools.get(&rental.pool()).is_some_and(blocked) {
             // The pool has turned out to be sold out; the next round asks elsewhere.
-            rental.stage = Stage::Settling;
-            self.ledger.push(LogEntry::WriteKey {
+            rental.state = ProvisioningState::Completing;
+            self.log.push(LogEntry::WriteKey {
                 write: WriteOp::delete(records::provisioning_key(bid)),
             });
             return;
         }
-        if !fleet.calls.take(1.0, now) {
+        if !fleet.rate_limiter.take(1.0, now) {
             return;
         }
         tracing::debug!(bid, pool = %rental.pool(), again = rental.sent, "rental sent");
-        rental.stage = Stage::Calling;
+        rental.state = ProvisioningState::InFlight;
         rental.sent = true;
-        fleet.rent_busy = true;
+        fleet.create_in_flight = true;
         let call = CloudRequest::CreateInstances(CreateInstances {
             idempotency_key: bid.clone(),
             instance_type: rental.record.instance_type.clone(),
@@ -418,40 +418,40 @@
             spot: rental.record.spot,
             count: rental.record.count,
         });
-        let ask = CloudAsk::Rent(self.epoch, bid.clone());
-        out.cloud(ask, call, 2.0 * fleet.report_s);
+        let ask = CloudRequestKind::CreateInstances(self.epoch, bid.clone());
+        out.call_cloud(ask, call, 2.0 * fleet.heartbeat_interval_s);
     }
 
     /// Takes a page of the cloud's list.
-    pub fn listed(&mut self, reply: CloudResponse, now: f64) {
-        self.fleet.list_busy = false;
+    pub fn on_instances_listed(&mut self, reply: CloudResponse, now: f64) {
+        self.fleet.list_in_flight = false;
         let CloudResponse::Page(machines, more) = reply else {
-            self.fleet.listing.clear();
-            self.fleet.list_at = now + self.fleet.report_s;
+            self.fleet.partial_listing.clear();
+            self.fleet.next_list_at = now + self.fleet.heartbeat_interval_s;
             return;
         };
         let more = more && !machines.is_empty();
-        self.fleet.listing.extend(machines);
+        self.fleet.partial_listing.extend(machines);
         if more {
             return;
         }
-        let machines = std::mem::take(&mut self.fleet.listing);
-        self.fleet.list_at = now + self.fleet.list_lag_s;
-        self.fleet.listed = Some(now);
+        let machines = std::mem::take(&mut self.fleet.partial_listing);
+        self.fleet.next_list_at = now + self.fleet.list_lag_s;
+        self.fleet.listed_at = Some(now);
         for machine in machines {
-            self.take_listed(&machine, now);
+            self.observe_instance(&machine, now);
         }
-        let forget_s = 60.0 * self.fleet.list_lag_s.max(self.fleet.report_s);
-        self.fleet.gone.retain(|_, at| now - *at < forget_s);
-        self.settle_rentals();
+        let forget_s = 60.0 * self.fleet.list_lag_s.max(self.fleet.heartbeat_interval_s);
+        self.fleet.deleted_at.retain(|_, at| now - *at < forget_s);
+        self.complete_provisioning();
     }
 
-    fn take_listed(&mut self, machine: &Instance, now: f64) {
-        if self.fleet.is_gone(&machine.name) {
+    fn observe_instance(&mut self, machine: &Instance, now: f64) {
+        if self.fleet.is_deleted(&machine.name) {
             return;
         }
-        let lease_from = self.others_until;
-        let host = self.hosts.entry(&machine.name, || {
+        let lease_from = self.previous_leader_deadline;
+        let host = self.workers.entry(&machine.name, || {
             let mut host = Worker::new(
                 &machine.name,
                 &machine.instance_type,
@@ -469,29 +469,29 @@
         match machine.status {
             InstanceStatus::Running if !host.listed_running => {
                 host.listed_running = true;
-                self.push_due.insert(machine.name.clone());
+                self.dispatch_due.insert(machine.name.clone());
             }
             InstanceStatus::Failed if !host.terminating => {
-                self.give_back(&machine.name, GiveBackReason::Failed);
+                self.scale_in(&machine.name, ScaleInReason::Failed);
             }
             _ => {}
         }
     }
 
     /// Removes the records of rentals whose machines have all been seen.
-    fn settle_rentals(&mut self) {
-        for (bid, rental) in &mut self.fleet.rentals {
-            let Stage::Rented(names) = &rental.stage else {
+    fn complete_provisioning(&mut self) {
+        for (bid, rental) in &mut self.fleet.provisioning {
+            let ProvisioningState::Created(names) = &rental.state else {
                 continue;
             };
             let seen = names.iter().all(|name| {
-                self.hosts
-                    .get(name)
-                    .is_none_or(|host| host.last_listed_at.is_some() || host.last_heartbeat_at.is_some())
+                self.workers.get(name).is_none_or(|host| {
+                    host.last_listed_at.is_some() || host.last_heartbeat_at.is_some()
+                })
             });
             if seen {
-                rental.stage = Stage::Settling;
-                self.ledger.push(LogEntry::WriteKey {
+                rental.state = ProvisioningState::Completing;
+                self.log.push(LogEntry::WriteKey {
                     write: WriteOp::delete(records::provisioning_key(bid)),
                 });
             }
@@ -499,18 +499,18 @@
     }
 
     /// Takes what came of a rental.
-    pub fn rented(&mut self, bid: &str, reply: CloudResponse, now: f64) {
-        self.fleet.rent_busy = false;
-        let Some(rental) = self.fleet.rentals.get_mut(bid) else {
+    pub fn on_instances_created(&mut self, bid: &str, reply: CloudResponse, now: f64) {
+        self.fleet.create_in_flight = false;
+        let Some(rental) = self.fleet.provisioning.get_mut(bid) else {
             return;
         };
         let key = rental.pool();
         let wanted = rental.record.count;
         let ready_s = self
-            .flavors
+            .instance_types
             .iter()
-            .find(|f| f.name == key.flavor)
-            .map_or(self.fleet.report_s, |f| f.boot_time_s);
+            .find(|f| f.name == key.instance_type)
+            .map_or(self.fleet.heartbeat_interval_s, |f| f.boot_time_s);
         match reply {
             CloudResponse::Created(names) => {
                 tracing::info!(bid, pool = %key, wanted, got = names.len(), "rented");
@@ -520,83 +520,85 @@
                     pool.block_s = 0.0;
                 }
                 for name in &names {
-                    if !self.fleet.is_gone(name) {
-                        self.hosts.entry(name, || {
-                            Worker::new(name, &key.flavor, &key.zone, key.spot, now)
+                    if !self.fleet.is_deleted(name) {
+                        self.workers.entry(name, || {
+                            Worker::new(name, &key.instance_type, &key.zone, key.spot, now)
                         });
                     }
                 }
-                if let Some(rental) = self.fleet.rentals.get_mut(bid) {
-                    rental.stage = Stage::Rented(names);
+                if let Some(rental) = self.fleet.provisioning.get_mut(bid) {
+                    rental.state = ProvisioningState::Created(names);
                 }
-                self.settle_rentals();
+                self.complete_provisioning();
             }
             CloudResponse::InsufficientCapacity | CloudResponse::InvalidRequest => {
                 tracing::info!(bid, pool = %key, wanted, "rental refused");
-                rental.stage = Stage::Settling;
+                rental.state = ProvisioningState::Completing;
                 self.fleet.block(&key, ready_s, now);
-                self.ledger.push(LogEntry::WriteKey {
+                self.log.push(LogEntry::WriteKey {
                     write: WriteOp::delete(records::provisioning_key(bid)),
                 });
             }
             // It may have been carried out: the same name is asked again until there is an answer.
-            _ => rental.stage = Stage::Ready(now + self.fleet.report_s),
+            _ => rental.state = ProvisioningState::Ready(now + self.fleet.heartbeat_interval_s),
         }
     }
 
     /// Takes what came of a deletion.
-    pub fn deleted(&mut self, names: &[String], reply: &CloudResponse, now: f64) {
-        self.fleet.delete_busy = false;
+    pub fn on_instances_deleted(&mut self, names: &[String], reply: &CloudResponse, now: f64) {
+        self.fleet.delete_in_flight = false;
         if !matches!(reply, CloudResponse::Deleted) {
-            self.fleet.delete_at = now + self.fleet.report_s;
+            self.fleet.next_delete_at = now + self.fleet.heartbeat_interval_s;
             return;
         }
         for name in names {
-            self.fleet.gone.insert(name.clone(), now);
-            if self.hosts.get(name).is_none() {
+            self.fleet.deleted_at.insert(name.clone(), now);
+            if self.workers.get(name).is_none() {
                 continue;
             }
             self.drop_all_bindings(name, now);
             tracing::info!(host = name, "machine deleted");
-            self.ledger.push(LogEntry::RemoveWorker { worker: name.clone() });
+            self.log.push(LogEntry::RemoveWorker {
+                worker: name.clone(),
+            });
         }
     }
 
     /// Marks a host as returning; it is deleted once the mark is written.
-    pub(super) fn give_back(&mut self, name: &str, reason: GiveBackReason) {
-        if let Some(host) = self.hosts.get_mut(name)
+    pub(super) fn scale_in(&mut self, name: &str, reason: ScaleInReason) {
+        if let Some(host) = self.workers.get_mut(name)
             && !host.terminating
         {
             tracing::info!(host = name, ?reason, "giving back a machine");
             host.terminating = true;
-            self.ledger.push(LogEntry::RecordTermination {
+            self.log.push(LogEntry::RecordTermination {
                 worker: name.to_owned(),
             });
         }
     }
 
-    pub(super) fn rent(&mut self, key: &PoolKey, rank: Option<PriorityClass>, count: u32) {
-        let mut left = count.min(MAX_RENTED);
+    pub(super) fn scale_out(&mut self, key: &PoolKey, rank: Option<PriorityClass>, count: u32) {
+        let mut left = count.min(MAX_INSTANCES_PER_ROUND);
         while left > 0 {
-            self.fleet.bids += 1;
-            let bid = format!("r-{}-{}", self.epoch, self.fleet.bids);
+            self.fleet.requests_made += 1;
+            let bid = format!("r-{}-{}", self.epoch, self.fleet.requests_made);
             let record = ProvisioningRecord {
-                instance_type: key.flavor.clone(),
+                instance_type: key.instance_type.clone(),
                 zone: key.zone.clone(),
                 spot: key.spot,
                 count: left.min(MAX_INSTANCES_PER_CREATE),
             };
             left -= record.count;
-            self.ledger.push(LogEntry::WriteKey {
+            self.log.push(LogEntry::WriteKey {
                 write: WriteOp::put(records::provisioning_key(&bid), &record),
             });
-            let renting = Renting {
+            let renting = ProvisioningRequest {
                 record,
-                stage: Stage::Writing,
-                turn: (rank.unwrap_or(PriorityClass::BestEffort), self.fleet.bids),
+                state: ProvisioningState::Recording,
+                queue_position: (rank.unwrap_or(PriorityClass::BestEffort), self.fleet.requests_made),
                 sent: false,
             };
-            self.fleet.rentals.insert(bid, renting);
+            self.fleet.provisioning.insert(bid, renting);
         }
     }
 }
--- a/src/coordination/leader/reports.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -1,6 +1,6 @@
 //! Reports of workers: what they tell, and the orders that answer them.
 
-use super::{Leader, MAX_EARLY, Notice};
+use super::{Leader, LeaderEvent, MAX_BUFFERED_HEARTBEATS};
 use crate::bookkeeping::permits::{PermitKind, ViewFreshness};
 use crate::bookkeeping::workers::{DeliveryPath, Worker};
 use crate::protocol::worker::{
@@ -9,35 +9,35 @@
 use std::collections::BTreeMap;
 
 /// Orders in one message, well below the size limit of messages.
-pub(super) const MAX_ORDERS: usize = 300;
+pub(super) const MAX_COMMANDS: usize = 300;
 
 /// What to answer a worker.
 #[derive(Debug, PartialEq)]
-pub enum ReportAnswer {
+pub enum HeartbeatOutcome {
     /// 200 with these orders.
-    Orders(CommandBatch),
+    Commands(CommandBatch),
     /// Nothing that renews its lease: what runs there may be cancelled.
-    NotNow,
+    LeaseNotRenewed,
     /// The worker has seen a higher Epoch: 421.
-    Superseded,
+    NewerLeaderExists,
 }
 
 impl Leader {
     /// Takes a report that a worker sent by itself. The answer renews its lease, if `knowledge` allows
     /// it. `is_open`: the open jobs that this node knows of besides the tables.
-    pub fn report(
+    pub fn on_heartbeat(
         &mut self,
         report: &WorkerHeartbeat,
         knowledge: &ViewFreshness,
         is_open: impl Fn(&str) -> bool,
         now: f64,
-    ) -> ReportAnswer {
+    ) -> HeartbeatOutcome {
         if report.token.epoch() > self.epoch {
-            self.note(Notice::Epoch(report.token.epoch()));
-            return ReportAnswer::Superseded;
+            self.emit(LeaderEvent::HigherEpochSeen(report.token.epoch()));
+            return HeartbeatOutcome::NewerLeaderExists;
         }
         let renewal = knowledge.may_renew();
-        self.tally.count(PermitKind::RenewLease, renewal);
+        self.decisions.count(PermitKind::RenewLease, renewal);
         if let Err(reason) = renewal {
             tracing::debug!(
                 host = report.worker,
@@ -46,9 +46,9 @@
                 view_age_s = knowledge.view_age_s,
                 "lease not renewed"
             );
-            return ReportAnswer::NotNow;
+            return HeartbeatOutcome::LeaseNotRenewed;
         }
-        if self.loading() {
+        if self.recovery() {
             // Nothing can be stopped yet, however long it takes to load: workers with tasks of jobs
             // that are over don't have their leases renewed meanwhile.
             let runs_closed = report
@@ -57,53 +57,53 @@
                 .filter(|step| step.state != TaskState::Exited)
                 .filter_map(|step| TaskId::parse(&step.task))
                 .any(|task| !is_open(&task.job));
-            let known = self.early.contains_key(&report.worker);
-            if runs_closed || (!known && self.early.len() >= MAX_EARLY) {
-                return ReportAnswer::NotNow;
+            let known = self.buffered_heartbeats.contains_key(&report.worker);
+            if runs_closed || (!known && self.buffered_heartbeats.len() >= MAX_BUFFERED_HEARTBEATS) {
+                return HeartbeatOutcome::LeaseNotRenewed;
             }
-            self.early.insert(report.worker.clone(), report.clone());
-            return self.answer(report, Vec::new(), knowledge);
+            self.buffered_heartbeats.insert(report.worker.clone(), report.clone());
+            return self.respond_to_heartbeat(report, Vec::new(), knowledge);
         }
-        let newer = self.take_report(report, true, now);
-        self.revoke_where_due(&report.worker);
-        let Some(host) = self.hosts.get(&report.worker).filter(|_| newer) else {
+        let newer = self.apply_heartbeat(report, true, now);
+        self.revoke_pending_starts(&report.worker);
+        let Some(host) = self.workers.get(&report.worker).filter(|_| newer) else {
             // Late: an answer renews nothing, and its task list is old.
-            return self.answer(report, Vec::new(), knowledge);
+            return self.respond_to_heartbeat(report, Vec::new(), knowledge);
         };
         let may_start = knowledge.may_start().is_ok();
-        let orders = host.commands(may_start, MAX_ORDERS);
-        if may_start && orders.len() < MAX_ORDERS {
+        let orders = host.commands(may_start, MAX_COMMANDS);
+        if may_start && orders.len() < MAX_COMMANDS {
             // The answer carries all; the next report shows what came of it.
-            self.push_due.remove(&report.worker);
-            self.pushed_at
+            self.dispatch_due.remove(&report.worker);
+            self.last_dispatch
                 .insert(report.worker.clone(), (orders.clone(), now));
         }
-        self.answer(report, orders, knowledge)
+        self.respond_to_heartbeat(report, orders, knowledge)
     }
 
-    fn answer(
+    fn respond_to_heartbeat(
         &mut self,
         report: &WorkerHeartbeat,
         orders: Vec<Command>,
         knowledge: &ViewFreshness,
-    ) -> ReportAnswer {
+    ) -> HeartbeatOutcome {
         let way = DeliveryPath::HeartbeatResponse(report.sequence);
-        ReportAnswer::Orders(self.send_off(&report.worker, orders, way, knowledge))
+        HeartbeatOutcome::Commands(self.prepare_commands(&report.worker, orders, way, knowledge))
     }
 
     /// Takes a report from whatever way. False: a newer one is known.
-    pub(super) fn take_report(
+    pub(super) fn apply_heartbeat(
         &mut self,
         report: &WorkerHeartbeat,
         by_itself: bool,
         now: f64,
     ) -> bool {
-        let since = self.others_until;
-        let known = self.hosts.get(&report.worker).is_some();
-        if !known && self.fleet.is_gone(&report.worker) {
+        let since = self.previous_leader_deadline;
+        let known = self.workers.get(&report.worker).is_some();
+        if !known && self.fleet.is_deleted(&report.worker) {
             return false;
         }
-        let host = self.hosts.entry(&report.worker, || {
+        let host = self.workers.entry(&report.worker, || {
             let mut host = Worker::new(
                 &report.worker,
                 &report.instance_type,
@@ -164,7 +164,7 @@
         if ours {
             host.observe_fence(report.token.fence());
             // Only who has our Epoch shows that we are heard, too.
-            self.last_report = Some(now);
+            self.last_heartbeat_at = Some(now);
         }
         host.endpoint.clone_from(&report.endpoint);
         host.reclaim_at = report.reclaim_in_s.map(|left| now + left);
@@ -185,14 +185,14 @@
         if new_session {
             // A new session has killed and forgotten all tasks of the earlier ones.
             let tenure = report.incarnation;
-            self.lose_bindings(&name, |binding| binding.incarnation < tenure);
+            self.end_lost_bindings(&name, |binding| binding.incarnation < tenure);
             self.schedule_due = true;
         }
-        self.settle_bindings(&name, now);
+        self.reconcile_bindings(&name, now);
         if report.reclaim_in_s.is_some() {
-            self.drain(&name, now);
+            self.evict_before_reclaim(&name, now);
         }
-        self.push_due.insert(name);
+        self.dispatch_due.insert(name);
         true
     }
 }
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -1,20 +1,20 @@
 //! What the leading node does: it rebuilds its tables from the state service, takes reports, binds
 //! tasks, and reconciles workers and fleet with what is wanted.
 
+mod binding_reconciliation;
+mod commit;
 mod consolidation;
-mod direct;
-mod exits;
+mod dispatch;
+mod failure_attribution;
 mod failure_detection;
+mod fencing;
 mod fleet;
-mod load;
-mod orders;
-mod reports;
+mod heartbeats;
+mod recovery;
 mod scaling;
-mod verdicts;
-mod writes;
 
-use super::outbox::Outbox;
-use super::scheduler::{self, Pass};
+use super::effects::Effects;
+use super::scheduler::{self, SchedulingCycle};
 use crate::bookkeeping::jobs::{Job, Jobs};
 use crate::bookkeeping::permits::{DecisionCounters, PermitKind, ViewFreshness};
 use crate::bookkeeping::quotas::Quotas;
@@ -29,39 +29,39 @@
 use crate::protocol::worker::{Command, TaskId, WorkerHeartbeat};
 use crate::settings::{DRIFT, Settings};
 use fleet::Fleet;
-use load::Loading;
 use rand::rngs::SmallRng;
+use recovery::Recovery;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
 
-pub use reports::ReportAnswer;
+pub use heartbeats::HeartbeatOutcome;
 
 /// Attempts within one Epoch.
-const TRIES_BITS: u32 = 24;
+const ATTEMPT_COUNTER_BITS: u32 = 24;
 /// Share of the state service's limits that the leader's own writes may use.
-pub const STATE_SHARE: f64 = 0.5;
+pub const LEADER_STATE_SHARE: f64 = 0.5;
 /// Reports kept while the tables are being loaded.
-const MAX_EARLY: usize = 4096;
+const MAX_BUFFERED_HEARTBEATS: usize = 4096;
 /// Binds are put off while more changes than this wait to be written.
 const MAX_BACKLOG: usize = 600;
 /// Estimates are often wrong by half.
-const EXPECT_MARGIN: f64 = 1.5;
+const RUNTIME_ESTIMATE_MARGIN: f64 = 1.5;
 /// Leases for which a job waits without a start before it goes first among its equals.
 const AGEING_LEASES: f64 = 6.0;
 /// Leases for which a job's tasks avoid a host on which one of them has failed.
 const AVOID_LEASES: f64 = 1.0;
 /// Report intervals between two logs of what was allowed and denied.
-const REPORTS_PER_TALLY: f64 = 24.0;
+const HEARTBEATS_PER_DECISION_LOG: f64 = 24.0;
 /// Passes of the scheduler in a report interval, at most.
-const PASSES_PER_REPORT: f64 = 25.0;
+const CYCLES_PER_HEARTBEAT: f64 = 25.0;
 
 /// Something that the rest of the node must learn.
 #[derive(Debug, PartialEq)]
-pub enum Notice {
+pub enum LeaderEvent {
     /// A job has ended.
-    Over(String, FinishedRecord),
+    JobFinished(String, FinishedRecord),
     /// Another leader's Epoch was seen.
-    Epoch(u64),
+    HigherEpochSeen(u64),
     /// A transaction found the leader's key changed.
     Deposed,
 }
@@ -69,53 +69,53 @@
 /// The leader's tables and pipelines, for one Epoch.
 pub struct Leader {
     epoch: u64,
-    since: f64,
+    elected_at: f64,
     settings: Rc<Settings>,
     policy: Rc<Policy>,
-    flavors: Rc<Vec<InstanceType>>,
+    instance_types: Rc<Vec<InstanceType>>,
     jobs: Jobs,
-    hosts: Workers,
+    workers: Workers,
     quotas: Quotas,
-    ledger: WriteAheadLog,
-    loading: Option<Loading>,
-    early: BTreeMap<String, WorkerHeartbeat>,
-    closed_early: HashSet<String>,
+    log: WriteAheadLog,
+    recovery: Option<Recovery>,
+    buffered_heartbeats: BTreeMap<String, WorkerHeartbeat>,
+    closed_during_recovery: HashSet<String>,
     /// Jobs that an earlier leader has told to be suspect.
-    inherited_suspects: BTreeSet<String>,
-    listed_early: Option<(u64, BTreeSet<String>)>,
-    tries: u64,
-    requests: TokenBucket,
-    changes: TokenBucket,
+    inherited_crash_looping: BTreeSet<String>,
+    listing_during_recovery: Option<(u64, BTreeSet<String>)>,
+    attempts: u64,
+    request_budget: TokenBucket,
+    write_budget: TokenBucket,
     /// A transaction, or a look at its fate, is on its way.
-    writing: bool,
+    commit_in_flight: bool,
     /// No transaction before this time.
-    write_at: f64,
+    next_commit_at: f64,
     /// The conditions that a transaction of unknown fate met.
-    refused_for: Vec<String>,
+    failed_compares: Vec<String>,
     schedule_due: bool,
-    schedule_at: f64,
+    next_cycle_at: f64,
     /// Starts may go out, as of the last time.
     may_start: bool,
-    push_due: BTreeSet<String>,
+    dispatch_due: BTreeSet<String>,
     /// Hosts with a direct call on its way, and whether it may well not be answered.
-    pushing: HashMap<String, bool>,
-    pushed_at: HashMap<String, (Vec<Command>, f64)>,
-    unplaced: Vec<scheduler::Unplaced>,
+    calls_in_flight: HashMap<String, bool>,
+    last_dispatch: HashMap<String, (Vec<Command>, f64)>,
+    pending_demand: Vec<scheduler::PendingDemand>,
     fleet: Fleet,
-    notices: Vec<Notice>,
+    events: Vec<LeaderEvent>,
     /// No leader before this one has written anything: there is no machine of ours.
-    first: bool,
+    is_first_leader: bool,
     /// Until then an earlier leader may have renewed leases.
-    others_until: f64,
+    previous_leader_deadline: f64,
     /// Nodes that know this Epoch, or a higher one.
-    informed: BTreeSet<String>,
-    last_report: Option<f64>,
+    acknowledged_by: BTreeSet<String>,
+    last_heartbeat_at: Option<f64>,
     /// When this node last did its work, and since when it has done so without a gap: nobody counts
     /// as silent for the time in which it did not listen.
-    drove_at: f64,
+    last_polled_at: f64,
     awake_since: f64,
-    tally: DecisionCounters,
-    tally_at: f64,
+    decisions: DecisionCounters,
+    next_decision_log_at: f64,
     rng: SmallRng,
 }
 
@@ -135,50 +135,50 @@
             max_writes: state.txn_ops,
             max_value_bytes: (state.value_kb * 1024.0) as usize,
         };
-        let share = |all: f64| TokenBucket::new(all * STATE_SHARE, all * STATE_SHARE);
+        let share = |all: f64| TokenBucket::new(all * LEADER_STATE_SHARE, all * LEADER_STATE_SHARE);
         Leader {
             epoch,
-            since: now,
+            elected_at: now,
             jobs: Jobs::default(),
-            hosts: Workers::default(),
+            workers: Workers::default(),
             quotas: Quotas::new(&settings.deployment.teams),
-            ledger: WriteAheadLog::new(limits),
-            loading: Some(Loading::everything()),
-            early: BTreeMap::new(),
-            closed_early: HashSet::new(),
-            inherited_suspects: BTreeSet::new(),
-            listed_early: None,
-            tries: 0,
-            requests: share(state.rps),
-            changes: share(state.write_rps),
-            writing: false,
-            write_at: 0.0,
-            refused_for: Vec::new(),
+            log: WriteAheadLog::new(limits),
+            recovery: Some(Recovery::new()),
+            buffered_heartbeats: BTreeMap::new(),
+            closed_during_recovery: HashSet::new(),
+            inherited_crash_looping: BTreeSet::new(),
+            listing_during_recovery: None,
+            attempts: 0,
+            request_budget: share(state.rps),
+            write_budget: share(state.write_rps),
+            commit_in_flight: false,
+            next_commit_at: 0.0,
+            failed_compares: Vec::new(),
             schedule_due: true,
-            schedule_at: 0.0,
+            next_cycle_at: 0.0,
             may_start: true,
-            push_due: BTreeSet::new(),
-            pushing: HashMap::new(),
-            pushed_at: HashMap::new(),
-            unplaced: Vec::new(),
+            dispatch_due: BTreeSet::new(),
+            calls_in_flight: HashMap::new(),
+            last_dispatch: HashMap::new(),
+            pending_demand: Vec::new(),
             fleet: Fleet::new(&settings, epoch, now),
-            notices: Vec::new(),
-            first: false,
-            others_until: if settings.seeds.is_empty() {
+            events: Vec::new(),
+            is_first_leader: false,
+            previous_leader_deadline: if settings.peers.is_empty() {
                 now
             } else {
                 now + hold_over_s
             },
-            informed: BTreeSet::new(),
-            last_report: None,
-            drove_at: now,
+            acknowledged_by: BTreeSet::new(),
+            last_heartbeat_at: None,
+            last_polled_at: now,
             awake_since: now,
-            tally: DecisionCounters::default(),
-            tally_at: now,
+            decisions: DecisionCounters::default(),
+            next_decision_log_at: now,
             rng,
             settings,
             policy,
-            flavors,
+            instance_types: flavors,
         }
     }
 
@@ -189,32 +189,32 @@
 
     /// A node has shown that it knows this Epoch, or a higher one: it no longer holds over for an
     /// earlier one, and never will again. Once all have, nobody else renews any lease.
-    pub fn informed(&mut self, label: &str, now: f64) {
-        let seeds = &self.settings.seeds;
-        if !self.informed.insert(label.to_owned())
-            || !seeds.iter().all(|seed| self.informed.contains(&seed.label))
+    pub fn acknowledged_by(&mut self, label: &str, now: f64) {
+        let seeds = &self.settings.peers;
+        if !self.acknowledged_by.insert(label.to_owned())
+            || !seeds.iter().all(|seed| self.acknowledged_by.contains(&seed.label))
         {
             return;
         }
-        self.others_until = self.others_until.min(now);
-        for host in self.hosts.iter_mut() {
+        self.previous_leader_deadline = self.previous_leader_deadline.min(now);
+        for host in self.workers.iter_mut() {
             host.lease_renewed_at = host.lease_renewed_at.min(now);
         }
     }
 
     /// What the rest of the node must learn.
-    pub fn take_notices(&mut self) -> Vec<Notice> {
-        std::mem::take(&mut self.notices)
+    pub fn take_events(&mut self) -> Vec<LeaderEvent> {
+        std::mem::take(&mut self.events)
     }
 
     /// Takes a new catalogue.
-    pub fn set_flavors(&mut self, flavors: Rc<Vec<InstanceType>>) {
-        self.flavors = flavors;
+    pub fn set_instance_types(&mut self, flavors: Rc<Vec<InstanceType>>) {
+        self.instance_types = flavors;
         self.schedule_due = true;
     }
 
     /// A job was opened, as the watch or the frontend shows it.
-    pub fn opened(&mut self, stamp: u64, spec: &JobSpec, now: f64, wall: f64) {
+    pub fn on_job_opened(&mut self, stamp: u64, spec: &JobSpec, now: f64, wall: f64) {
         if self.jobs.get(&spec.id).is_some() {
             return;
         }
@@ -225,7 +225,7 @@
         }
         job.start_objective_s = self.objective("wait", &spec.class);
         if let (Some(due), None) = (job.deadline, job.start_objective_s) {
-            job.latest_unhurried_start = due - EXPECT_MARGIN * spec.expected_runtime_s;
+            job.latest_unhurried_start = due - RUNTIME_ESTIMATE_MARGIN * spec.expected_runtime_s;
         }
         self.jobs.insert(job);
         self.schedule_due = true;
@@ -244,10 +244,10 @@
     }
 
     /// A job was closed. Its tasks are stopped; their bindings last until they are gone.
-    pub fn closed(&mut self, id: &str) {
-        if self.loading.is_some() {
+    pub fn on_job_closed(&mut self, id: &str) {
+        if self.recovery.is_some() {
             // What has been read so far may still show it as open.
-            self.closed_early.insert(id.to_owned());
+            self.closed_during_recovery.insert(id.to_owned());
         }
         if let Some(job) = self.jobs.remove(id) {
             tracing::debug!(
@@ -256,45 +256,45 @@
                 copies_on = job.workers_with_start_copies.len(),
                 "job over: its tasks are stopped"
             );
-            self.ledger.forget_job(id);
-            self.halt_orphans_of(&job);
-            self.revoke_copies_of(&job);
+            self.log.forget_job(id);
+            self.evict_tasks_of(&job);
+            self.revoke_start_copies(&job);
         }
     }
 
     /// Revokes copies of starts of a job's completed tasks: of a job that may have been cancelled no task
     /// may be started, not even to exit at once.
-    fn revoke_copies_of(&mut self, job: &Job) {
+    fn revoke_start_copies(&mut self, job: &Job) {
         for name in &job.workers_with_start_copies {
-            if let Some(host) = self.hosts.get_mut(name) {
+            if let Some(host) = self.workers.get_mut(name) {
                 host.revoke_ended_jobs = true;
-                self.push_due.insert(name.clone());
+                self.dispatch_due.insert(name.clone());
             }
         }
     }
 
     /// Orders a stop of a job's bound tasks after its end.
-    fn halt_orphans_of(&mut self, job: &Job) {
+    fn evict_tasks_of(&mut self, job: &Job) {
         for (index, names) in &job.bound_workers {
             let task = TaskId {
                 job: job.spec.id.clone(),
                 index: *index,
             };
             for name in names {
-                let host = self.hosts.get_mut(name);
+                let host = self.workers.get_mut(name);
                 if let Some(binding) = host.and_then(|host| host.bindings.get_mut(&task)) {
                     binding.eviction = Some((0.0, EvictionReason::JobEnded));
-                    self.push_due.insert(name.clone());
+                    self.dispatch_due.insert(name.clone());
                 }
             }
         }
-        self.forget_failures(job);
+        self.withdraw_failures(job);
         self.schedule_due = true;
     }
 
     /// A listing of the open jobs at a revision. The leader's own listing may be older: a job that
     /// was closed between the two has no event that would tell.
-    pub fn keep_open(&mut self, revision: u64, listed: BTreeSet<String>) {
+    pub fn on_open_jobs_listed(&mut self, revision: u64, listed: BTreeSet<String>) {
         let closed: Vec<String> = self
             .jobs
             .iter()
@@ -302,21 +302,21 @@
             .map(|job| job.spec.id.clone())
             .collect();
         for id in closed {
-            self.closed(&id);
+            self.on_job_closed(&id);
         }
-        if self.loading.is_some() {
-            self.listed_early = Some((revision, listed));
+        if self.recovery.is_some() {
+            self.listing_during_recovery = Some((revision, listed));
         }
     }
 
     /// Orders a stop of all bound tasks whose job is over.
-    fn halt_orphans(&mut self) {
-        for host in self.hosts.iter_mut() {
+    fn evict_orphans(&mut self) {
+        for host in self.workers.iter_mut() {
             for (task, binding) in &mut host.bindings {
                 let over = self.jobs.get(&task.job).is_none();
                 if over && binding.eviction != Some((0.0, EvictionReason::JobEnded)) {
                     binding.eviction = Some((0.0, EvictionReason::JobEnded));
-                    self.push_due.insert(host.name.clone());
+                    self.dispatch_due.insert(host.name.clone());
                 }
             }
         }
@@ -324,59 +324,61 @@
     }
 
     /// Whether the tables are still being loaded.
-    pub fn loading(&self) -> bool {
-        self.loading.is_some()
+    pub fn recovery(&self) -> bool {
+        self.recovery.is_some()
     }
 
     /// For how long no worker has shown that it hears us, although some should.
-    pub fn silent_for(&self, now: f64) -> f64 {
+    pub fn unresponsive_for(&self, now: f64) -> f64 {
         // Since when there is somebody to be heard: a machine whose first word has just come has not
         // had our answer yet.
         let there = self
-            .hosts
+            .workers
             .iter()
-            .filter(|host| !host.terminating && (host.last_heartbeat_at.is_some() || !host.bindings.is_empty()))
-            .map(|host| host.first_heartbeat_at.unwrap_or(self.since))
+            .filter(|host| {
+                !host.terminating && (host.last_heartbeat_at.is_some() || !host.bindings.is_empty())
+            })
+            .map(|host| host.first_heartbeat_at.unwrap_or(self.elected_at))
             .min_by(f64::total_cmp);
-        let Some(there) = there.filter(|_| !self.loading()) else {
+        let Some(there) = there.filter(|_| !self.recovery()) else {
             return 0.0;
         };
         // After a takeover, workers need a moment to find the new leader.
-        let from = self.since + 2.0 * self.settings.deployment.workers.report_s;
-        now - self.last_report.unwrap_or(from).max(from).max(there)
+        let from = self.elected_at + 2.0 * self.settings.deployment.workers.heartbeat_interval_s;
+        now - self.last_heartbeat_at.unwrap_or(from).max(from).max(there)
     }
 
     /// When a session whose worker is silent has certainly ended: its lease has run out since the
     /// last answer that may have renewed it, by the slower of two clocks.
-    fn session_over_at(&self, host: &Worker) -> f64 {
+    fn worker_lease_expires_at(&self, host: &Worker) -> f64 {
         let workers = &self.settings.deployment.workers;
-        host.lease_renewed_at + workers.lease_s * (1.0 + 4.0 * DRIFT) + workers.report_s / 5.0
+        host.lease_renewed_at + workers.lease_s * (1.0 + 4.0 * DRIFT) + workers.heartbeat_interval_s / 5.0
     }
 
     /// Does all that is due and that `knowledge` allows.
-    pub fn drive(&mut self, knowledge: &ViewFreshness, out: &mut Outbox, now: f64) {
-        if now - self.drove_at > self.settings.deployment.workers.report_s / 4.0 {
-            tracing::info!(gap_s = now - self.drove_at, "this node stood still");
+    pub fn poll(&mut self, knowledge: &ViewFreshness, out: &mut Effects, now: f64) {
+        if now - self.last_polled_at > self.settings.deployment.workers.heartbeat_interval_s / 4.0 {
+            tracing::info!(gap_s = now - self.last_polled_at, "this node stood still");
             self.awake_since = now;
         }
-        self.drove_at = now;
-        if self.loading() {
-            self.drive_loading(out, now);
+        self.last_polled_at = now;
+        if self.recovery() {
+            self.poll_recovery(out, now);
             return;
         }
-        self.end_dead_sessions(now);
+        self.expire_worker_leases(now);
         if knowledge.lease_held {
-            self.schedule(now);
+            self.run_scheduling_cycle(now);
         }
-        self.drive_writes(out, now);
-        self.drive_fleet(knowledge.lease_held, out, now);
+        self.commit_pending(out, now);
+        self.poll_fleet(knowledge.lease_held, out, now);
         let starts = knowledge.may_start();
-        self.tally.count(PermitKind::StartTasks, starts);
+        self.decisions.count(PermitKind::StartTasks, starts);
         let may_start = starts.is_ok();
         if may_start && !self.may_start {
             // Starts that had to wait.
-            let names = self.hosts.iter().map(|host| host.name.clone());
-            self.push_due.extend(names);
+            let names = self.workers.iter().map(|host| host.name.clone());
+            self.dispatch_due.extend(names);
         }
         if self.may_start != may_start {
             tracing::debug!(
@@ -387,26 +389,27 @@
             );
         }
         self.may_start = may_start;
-        self.drive_pushes(knowledge, out, now);
+        self.dispatch_commands(knowledge, out, now);
         self.log_decisions(now);
     }
 
     /// Logs how often what was allowed and denied, from time to time.
     fn log_decisions(&mut self, now: f64) {
-        if now < self.tally_at {
+        if now < self.next_decision_log_at {
             return;
         }
-        self.tally_at = now + REPORTS_PER_TALLY * self.settings.deployment.workers.report_s;
-        self.tally.log();
+        self.next_decision_log_at =
+            now + HEARTBEATS_PER_DECISION_LOG * self.settings.deployment.workers.heartbeat_interval_s;
+        self.decisions.log();
     }
 
     /// Ends the bindings of workers that have been silent for longer than their lease can last.
-    fn end_dead_sessions(&mut self, now: f64) {
+    fn expire_worker_leases(&mut self, now: f64) {
         let dead: Vec<String> = self
-            .hosts
+            .workers
             .iter()
             .filter(|host| host.bindings.values().any(|binding| !binding.unbinding))
-            .filter(|host| now > self.session_over_at(host))
+            .filter(|host| now > self.worker_lease_expires_at(host))
             .map(|host| host.name.clone())
             .collect();
         for name in dead {
@@ -414,18 +417,18 @@
                 host = name,
                 "session over: silent for longer than its lease"
             );
-            if let Some(host) = self.hosts.get_mut(&name) {
+            if let Some(host) = self.workers.get_mut(&name) {
                 host.token_acknowledged = false;
                 host.observed_tasks.clear();
                 host.pending_starts.end_session();
             }
-            self.lose_bindings(&name, |_| true);
+            self.end_lost_bindings(&name, |_| true);
         }
     }
 
     /// Ends bindings of tasks that are certainly no longer on the host.
-    fn lose_bindings(&mut self, name: &str, is_lost: impl Fn(&Binding) -> bool) {
-        let Some(host) = self.hosts.get(name) else {
+    fn end_lost_bindings(&mut self, name: &str, is_lost: impl Fn(&Binding) -> bool) {
+        let Some(host) = self.workers.get(name) else {
             return;
         };
         let lost: Vec<(TaskId, u64)> = host
@@ -442,7 +445,7 @@
 
     /// Drops a binding from the tables, after its end is written down or its machine is gone.
     fn drop_binding(&mut self, name: &str, task: &TaskId, attempt: u64, now: f64) {
-        let Some(host) = self.hosts.get_mut(name) else {
+        let Some(host) = self.workers.get_mut(name) else {
             return;
         };
         if host.bindings.get(task).is_none_or(|b| b.attempt != attempt) {
@@ -459,14 +462,14 @@
                 job.running_tasks -= u32::from(binding.running_since.is_some());
             }
             self.schedule_due = true;
-            self.push_due.insert(name.to_owned());
+            self.dispatch_due.insert(name.to_owned());
         }
     }
 
     /// Drops all bindings of a machine that is gone.
     fn drop_all_bindings(&mut self, name: &str, now: f64) {
         let bound: Vec<(TaskId, u64)> = self
-            .hosts
+            .workers
             .get(name)
             .into_iter()
             .flat_map(|host| &host.bindings)
@@ -478,32 +481,32 @@
     }
 
     /// One pass of the scheduler, unless too much waits to be written down.
-    fn schedule(&mut self, now: f64) {
-        let due = self.schedule_due && now >= self.schedule_at;
-        if !due || self.flavors.is_empty() || self.ledger.backlog() > MAX_BACKLOG {
+    fn run_scheduling_cycle(&mut self, now: f64) {
+        let due = self.schedule_due && now >= self.next_cycle_at;
+        if !due || self.instance_types.is_empty() || self.log.backlog() > MAX_BACKLOG {
             return;
         }
         self.schedule_due = false;
-        self.schedule_at = now + self.settings.deployment.workers.report_s / PASSES_PER_REPORT;
+        self.next_cycle_at = now + self.settings.deployment.workers.heartbeat_interval_s / CYCLES_PER_HEARTBEAT;
         let lease_s = self.settings.deployment.workers.lease_s;
-        let limits = scheduler::Limits {
+        let limits = scheduler::CycleLimits {
             ageing_s: AGEING_LEASES * lease_s,
             avoid_s: AVOID_LEASES * lease_s,
         };
-        let pass = Pass::new(
+        let pass = SchedulingCycle::new(
             &self.jobs,
-            &self.hosts,
-            &self.flavors,
+            &self.workers,
+            &self.instance_types,
             &self.quotas,
             limits,
             now,
         );
         let plan = pass.run(&mut self.rng);
-        for (task, host) in plan.binds {
+        for (task, host) in plan.bindings {
             self.bind(&task, &host, now);
         }
-        for (name, task) in plan.halts {
-            let host = self.hosts.get_mut(&name);
+        for (name, task) in plan.preemptions {
+            let host = self.workers.get_mut(&name);
             if let Some(binding) = host.and_then(|host| host.bindings.get_mut(&task)) {
                 tracing::info!(host = name, %task, "preempted");
                 let flush_s = self
@@ -511,14 +514,14 @@
                     .get(&task.job)
                     .map_or(0.0, |job| job.spec.checkpoint_grace_s);
                 binding.eviction = Some((flush_s, EvictionReason::Preempted));
-                self.push_due.insert(name);
+                self.dispatch_due.insert(name);
             }
         }
-        self.unplaced = plan.unplaced;
+        self.pending_demand = plan.pending_demand;
     }
 
     fn bind(&mut self, task: &TaskId, name: &str, now: f64) {
-        let (Some(host), Some(job)) = (self.hosts.get_mut(name), self.jobs.get_mut(&task.job))
+        let (Some(host), Some(job)) = (self.workers.get_mut(name), self.jobs.get_mut(&task.job))
         else {
             return;
         };
@@ -533,11 +536,11 @@
             _ => None,
         };
         let attempt = mates.unwrap_or_else(|| {
-            self.tries += 1;
-            (self.epoch << TRIES_BITS) | self.tries
+            self.attempts += 1;
+            (self.epoch << ATTEMPT_COUNTER_BITS) | self.attempts
         });
         job.gang_attempt = Some(attempt);
-        let need = scheduler::need(&job.spec);
+        let need = scheduler::resource_request(&job.spec);
         let binding = Binding {
             attempt,
             incarnation: host.incarnation,
@@ -559,11 +562,11 @@
         let share = if job.is_service() || spilled || job.failures.is_crash_looping() {
             None
         } else {
-            let flavor = self.flavors.iter().find(|f| f.name == host.instance_type);
+            let flavor = self.instance_types.iter().find(|f| f.name == host.instance_type);
             flavor.map(|f| need.dominant_share(&Resources::of_instance_type(f)))
         };
-        self.fleet.note_start(host, share, now);
-        self.ledger.push(LogEntry::Bind {
+        self.fleet.record_start(host, share, now);
+        self.log.push(LogEntry::Bind {
             worker: name.to_owned(),
             task: task.clone(),
             attempt,
@@ -571,7 +574,7 @@
     }
 
     /// Display counts of the open jobs.
-    pub fn counts(&self) -> Vec<JobCounts> {
+    pub fn job_counts(&self) -> Vec<JobCounts> {
         self.jobs
             .iter()
             .take(MAX_JOB_COUNTS)
--- a/src/coordination/leader/load.rs
+++ b/src/coordination/leader/recovery.rs
@@ -1,10 +1,10 @@
 //! Reading the records after a takeover: open jobs, the log, and rentals.
 
-use super::{Leader, Notice};
+use super::{Leader, LeaderEvent};
 use crate::bookkeeping::records::{self, ProvisioningRecord};
 use crate::bookkeeping::segment::{Segment, decode_chunk};
 use crate::bookkeeping::workers::{Binding, Resources, Worker};
-use crate::coordination::outbox::{Outbox, StoreAsk};
+use crate::coordination::effects::{Effects, KvRequestKind};
 use crate::protocol::cbor;
 use crate::protocol::job::JobSpec;
 use crate::protocol::kv::{KeyValue, KvRequest, KvResponse};
@@ -12,26 +12,26 @@
 
 /// A reading that goes on.
 #[derive(Debug)]
-pub(super) struct Loading {
-    prefixes: Vec<&'static str>,
-    items: Vec<KeyValue>,
-    from: Option<String>,
+pub(super) struct Recovery {
+    remaining_prefixes: Vec<&'static str>,
+    records: Vec<KeyValue>,
+    after: Option<String>,
     in_flight: bool,
     retry_at: f64,
 }
 
-impl Loading {
+impl Recovery {
     /// Everything, for a new leader.
-    pub fn everything() -> Loading {
-        Loading {
+    pub fn new() -> Recovery {
+        Recovery {
             // The last goes first.
-            prefixes: vec![
+            remaining_prefixes: vec![
                 records::PROVISIONING_PREFIX,
                 records::LOG_PREFIX,
                 records::OPEN_PREFIX,
             ],
-            items: Vec::new(),
-            from: None,
+            records: Vec::new(),
+            after: None,
             in_flight: false,
             retry_at: 0.0,
         }
@@ -39,59 +39,64 @@
 }
 
 impl Leader {
-    pub(super) fn drive_loading(&mut self, out: &mut Outbox, now: f64) {
-        let patience_s = self.settings.deployment.workers.report_s / 2.0;
-        let Some(loading) = &mut self.loading else {
+    pub(super) fn poll_recovery(&mut self, out: &mut Effects, now: f64) {
+        let patience_s = self.settings.deployment.workers.heartbeat_interval_s / 2.0;
+        let Some(loading) = &mut self.recovery else {
             return;
         };
         if loading.in_flight || now < loading.retry_at {
             return;
         }
-        let Some(prefix) = loading.prefixes.last() else {
+        let Some(prefix) = loading.remaining_prefixes.last() else {
             return;
         };
         loading.in_flight = true;
         let call = KvRequest::List {
             prefix: (*prefix).to_owned(),
-            after: loading.from.clone(),
+            after: loading.after.clone(),
         };
-        self.requests.take_with_debt(1.0, now);
-        out.store(StoreAsk::Load(self.epoch), call, patience_s, now);
+        self.request_budget.take_with_debt(1.0, now);
+        out.call_kv(
+            KvRequestKind::RecoveryRead(self.epoch),
+            call,
+            patience_s,
+            now,
+        );
     }
 
     /// Takes a page of records.
-    pub fn loaded(&mut self, reply: KvResponse, now: f64, wall: f64) {
-        let Some(loading) = &mut self.loading else {
+    pub fn on_recovery_page(&mut self, reply: KvResponse, now: f64, wall: f64) {
+        let Some(loading) = &mut self.recovery else {
             return;
         };
         loading.in_flight = false;
         let KvResponse::Page(items, more, _) = reply else {
-            loading.retry_at = now + self.settings.deployment.workers.report_s / 10.0;
+            loading.retry_at = now + self.settings.deployment.workers.heartbeat_interval_s / 10.0;
             return;
         };
-        loading.from = items.last().map(|item| item.key.clone());
+        loading.after = items.last().map(|item| item.key.clone());
         let more = more && !items.is_empty();
-        loading.items.extend(items);
+        loading.records.extend(items);
         if !more {
-            loading.from = None;
-            loading.prefixes.pop();
+            loading.after = None;
+            loading.remaining_prefixes.pop();
         }
-        if loading.prefixes.is_empty() {
-            self.finish_loading(now, wall);
+        if loading.remaining_prefixes.is_empty() {
+            self.finish_recovery(now, wall);
         }
     }
 
-    fn finish_loading(&mut self, now: f64, wall: f64) {
-        let Some(loading) = self.loading.take() else {
+    fn finish_recovery(&mut self, now: f64, wall: f64) {
+        let Some(loading) = self.recovery.take() else {
             return;
         };
         let mut segments = Vec::new();
-        for item in &loading.items {
+        for item in &loading.records {
             if item.key.starts_with(records::OPEN_PREFIX) {
                 if let Ok(spec) = cbor::from_value::<JobSpec>(&item.value)
-                    && !self.closed_early.contains(&spec.id)
+                    && !self.closed_during_recovery.contains(&spec.id)
                 {
-                    self.opened(item.mod_revision, &spec, now, wall);
+                    self.on_job_opened(item.mod_revision, &spec, now, wall);
                 }
             } else if item.key.starts_with(records::LOG_PREFIX) {
                 match cbor::from_value::<Segment>(&item.value) {
@@ -112,50 +117,51 @@
             } else if let Some(bid) = item.key.strip_prefix(records::PROVISIONING_PREFIX)
                 && let Ok(record) = cbor::from_value::<ProvisioningRecord>(&item.value)
             {
-                self.fleet.inherit_rental(bid, record);
+                self.fleet.inherit_provisioning(bid, record);
             }
         }
-        self.first = segments.is_empty() && !self.fleet.is_renting();
+        self.is_first_leader = segments.is_empty() && !self.fleet.is_provisioning();
         segments.sort_by_key(|(_, segment)| segment.seq);
         // What a host is may have been carried into a later segment than its bindings stand in.
         for (_, segment) in &segments {
-            self.replay_kinds(segment, now);
+            self.replay_workers(segment, now);
         }
         for (item, segment) in &segments {
-            self.ledger.replay_segment(&item.key, item.mod_revision, segment);
-            self.replay(segment);
+            self.log
+                .replay_segment(&item.key, item.mod_revision, segment);
+            self.replay_bindings(segment);
         }
-        self.count_inherited();
-        self.closed_early.clear();
-        if let Some((revision, listed)) = self.listed_early.take() {
-            self.keep_open(revision, listed);
+        self.charge_inherited_bindings();
+        self.closed_during_recovery.clear();
+        if let Some((revision, listed)) = self.listing_during_recovery.take() {
+            self.on_open_jobs_listed(revision, listed);
         }
-        self.take_inherited_suspects();
-        self.halt_orphans();
+        self.mark_inherited_crash_looping();
+        self.evict_orphans();
         tracing::info!(
             epoch = self.epoch,
             jobs = self.jobs.len(),
-            hosts = self.hosts.len(),
+            hosts = self.workers.len(),
             segments = segments.len(),
-            after_s = now - self.since,
+            after_s = now - self.elected_at,
             "tables loaded"
         );
-        self.end_complete_jobs();
-        for (_, report) in std::mem::take(&mut self.early) {
-            let _ = self.take_report(&report, true, now);
+        self.finish_completed_jobs();
+        for (_, report) in std::mem::take(&mut self.buffered_heartbeats) {
+            let _ = self.apply_heartbeat(&report, true, now);
         }
         self.schedule_due = true;
     }
 
     /// Repeats what a segment of the log says of hosts.
-    fn replay_kinds(&mut self, segment: &Segment, now: f64) {
+    fn replay_workers(&mut self, segment: &Segment, now: f64) {
         // An earlier leader may have answered reports until its hold-over ended.
-        let lease_from = self.others_until;
+        let lease_from = self.previous_leader_deadline;
         for (number, flavor, zone, spot, endpoint, returning) in &segment.workers {
             let Some(name) = segment.worker_name(*number) else {
                 continue;
             };
-            let host = self.hosts.entry(name, || {
+            let host = self.workers.entry(name, || {
                 let mut host = Worker::new(name, flavor, zone, *spot, now);
                 host.lease_renewed_at = lease_from;
                 host
@@ -167,16 +173,17 @@
     }
 
     /// Repeats what a segment of the log says of tasks.
-    fn replay(&mut self, segment: &Segment) {
+    fn replay_bindings(&mut self, segment: &Segment) {
         let task = |job: u32, index: u32| {
             let job = segment.job(job)?.0.clone();
             Some(TaskId { job, index })
         };
         for (number, job, index, attempt, tenure) in &segment.bindings {
-            let (Some(name), Some(entry)) = (segment.worker_name(*number), segment.job(*job)) else {
+            let (Some(name), Some(entry)) = (segment.worker_name(*number), segment.job(*job))
+            else {
                 continue;
             };
-            let (Some(host), Some(task)) = (self.hosts.get_mut(name), task(*job, *index)) else {
+            let (Some(host), Some(task)) = (self.workers.get_mut(name), task(*job, *index)) else {
                 continue;
             };
             let binding = Binding {
@@ -197,7 +204,9 @@
             host.bindings.insert(task, binding);
         }
         for (number, job, index, attempt) in &segment.ended_bindings {
-            let host = segment.worker_name(*number).and_then(|n| self.hosts.get_mut(n));
+            let host = segment
+                .worker_name(*number)
+                .and_then(|n| self.workers.get_mut(n));
             if let (Some(host), Some(task)) = (host, task(*job, *index))
                 && host
                     .bindings
@@ -209,7 +218,7 @@
         }
         for number in &segment.removed_workers {
             if let Some(name) = segment.worker_name(*number) {
-                self.hosts.remove(name);
+                self.workers.remove(name);
             }
         }
         for (job, chunk, bits) in &segment.completed {
@@ -225,8 +234,8 @@
     }
 
     /// Counts the bindings that the log has left.
-    fn count_inherited(&mut self) {
-        for host in self.hosts.iter() {
+    fn charge_inherited_bindings(&mut self) {
+        for host in self.workers.iter() {
             for (task, binding) in &host.bindings {
                 let need = binding.request;
                 self.quotas.charge(&binding.team, need.cpus, need.gpus);
@@ -234,12 +243,12 @@
                     job.bind(task.index, &host.name, &host.zone);
                 }
             }
-            self.push_due.insert(host.name.clone());
+            self.dispatch_due.insert(host.name.clone());
         }
     }
 
     /// Jobs of which the last task was recorded, but not the end.
-    fn end_complete_jobs(&mut self) {
+    fn finish_completed_jobs(&mut self) {
         let complete: Vec<String> = self
             .jobs
             .iter()
@@ -247,11 +256,11 @@
             .map(|job| job.spec.id.clone())
             .collect();
         for id in complete {
-            self.end_job(&id);
+            self.finish_job(&id);
         }
     }
 
-    pub(super) fn note(&mut self, notice: Notice) {
-        self.notices.push(notice);
+    pub(super) fn emit(&mut self, notice: LeaderEvent) {
+        self.events.push(notice);
     }
 }
