--- a/src/bookkeeping/failure_attribution.rs
+++ b/src/bookkeeping/failure_attribution.rs
@@ -43,14 +43,18 @@
     }
 
     /// Whether a task of the job has failed on a host since the last success.
-    pub fn has_failed_on(&self, host: &str) -> bool {
-        self.workers.contains_key(host)
+    pub fn has_failed_on(&self, worker: &str) -> bool {
+        self.workers.contains_key(worker)
     }
 
     /// Whether further tasks of the job should go to other hosts than this one. After `avoid_s` the
     /// host is tried again: there may be no other.
-    pub fn avoids(&self, host: &str, avoid_s: f64, now: f64) -> bool {
-        !self.crash_looping && self.workers.get(host).is_some_and(|at| now - at < avoid_s)
+    pub fn avoids(&self, worker: &str, avoid_s: f64, now: f64) -> bool {
+        !self.crash_looping
+            && self
+                .workers
+                .get(worker)
+                .is_some_and(|at| now - at < avoid_s)
     }
 
     /// The hosts on which tasks failed.
@@ -60,10 +64,13 @@
 
     /// Notes a failure. The job becomes suspect when it has failed on several hosts, or again on one
     /// that it had avoided for `avoid_s`. Returns whether it has just become suspect.
-    pub fn record_failure(&mut self, host: &str, avoid_s: f64, now: f64) -> bool {
-        let again = self.workers.get(host).is_some_and(|at| now - at >= avoid_s);
+    pub fn record_failure(&mut self, worker: &str, avoid_s: f64, now: f64) -> bool {
+        let again = self
+            .workers
+            .get(worker)
+            .is_some_and(|at| now - at >= avoid_s);
         if self.workers.len() < MAX_REMEMBERED {
-            self.workers.entry(host.to_owned()).or_insert(now);
+            self.workers.entry(worker.to_owned()).or_insert(now);
         }
         let before = self.crash_looping;
         self.crash_looping |= again || self.workers.len() >= CRASH_LOOP_WORKERS;
--- a/src/bookkeeping/jobs.rs
+++ b/src/bookkeeping/jobs.rs
@@ -89,15 +89,15 @@
 
 impl Job {
     /// A job of which nothing but its key is known.
-    pub fn new(spec: JobSpec, stamp: u64, since: f64) -> Job {
+    pub fn new(spec: JobSpec, mod_revision: u64, since: f64) -> Job {
         let tasks = spec.tasks;
-        let due = spec.deadline_s.map(|due| since + due);
+        let deadline = spec.deadline_s.map(|deadline| since + deadline);
         Job {
-            deadline: due,
+            deadline,
             start_objective_s: None,
             latest_unhurried_start: since,
             spec,
-            mod_revision: stamp,
+            mod_revision,
             submitted_at: since,
             completed: TaskSet::new(tasks),
             bound_workers: BTreeMap::new(),
@@ -171,25 +171,25 @@
     }
 
     /// Notes that a task was bound to a host in a zone.
-    pub fn bind(&mut self, index: u32, host: &str, zone: &str) {
-        let hosts = self.bound_workers.entry(index).or_default();
-        if hosts.is_empty() && self.completed.contains(index) {
+    pub fn bind(&mut self, index: u32, worker: &str, zone: &str) {
+        let workers = self.bound_workers.entry(index).or_default();
+        if workers.is_empty() && self.completed.contains(index) {
             self.bound_completed += 1;
         }
-        if !hosts.iter().any(|name| name == host) {
-            hosts.push(host.to_owned());
+        if !workers.iter().any(|name| name == worker) {
+            workers.push(worker.to_owned());
             *self.bound_per_zone.entry(zone.to_owned()).or_default() += 1;
         }
     }
 
     /// Notes that a binding has ended.
-    pub fn unbind(&mut self, index: u32, host: &str, zone: &str, now: f64) {
-        let Some(hosts) = self.bound_workers.get_mut(&index) else {
+    pub fn unbind(&mut self, index: u32, worker: &str, zone: &str, now: f64) {
+        let Some(workers) = self.bound_workers.get_mut(&index) else {
             return;
         };
-        let before = hosts.len();
-        hosts.retain(|name| name != host);
-        if hosts.len() < before
+        let before = workers.len();
+        workers.retain(|name| name != worker);
+        if workers.len() < before
             && let Some(count) = self.bound_per_zone.get_mut(zone)
         {
             *count -= 1;
@@ -197,7 +197,7 @@
                 self.bound_per_zone.remove(zone);
             }
         }
-        if hosts.is_empty() {
+        if workers.is_empty() {
             self.bound_workers.remove(&index);
             if self.completed.contains(index) {
                 self.bound_completed -= 1;
--- a/src/bookkeeping/permits.rs
+++ b/src/bookkeeping/permits.rs
@@ -108,8 +108,8 @@
 }
 
 /// Whether a bound task may be started on its machine, by a leader that may start tasks at all.
-pub fn may_start_task(host: &Worker, task: &TaskId, binding: &Binding) -> Result<(), Denial> {
-    if host.terminating {
+pub fn may_start_task(worker: &Worker, task: &TaskId, binding: &Binding) -> Result<(), Denial> {
+    if worker.terminating {
         return Err(Denial::Terminating);
     }
     if !binding.durable || binding.unbinding {
@@ -121,10 +121,10 @@
     if binding.eviction.is_some() {
         return Err(Denial::Evicted);
     }
-    if binding.incarnation != host.incarnation {
+    if binding.incarnation != worker.incarnation {
         return Err(Denial::IncarnationMismatch);
     }
-    if host.observed_task(task, binding.attempt).is_some() {
+    if worker.observed_task(task, binding.attempt).is_some() {
         return Err(Denial::AlreadyObserved);
     }
     Ok(())
@@ -132,30 +132,32 @@
 
 /// Whether an attempt that a worker shows may be cleared. After that a start that arrives late, or once
 /// more, would run it again; copies do no harm to a task that is done, whose result is kept.
-pub fn may_clear(host: &Worker, task: &TaskId, step: &TaskStatus) -> Result<(), Denial> {
-    if step.state != TaskState::Exited {
+pub fn may_clear(worker: &Worker, task: &TaskId, task_status: &TaskStatus) -> Result<(), Denial> {
+    if task_status.state != TaskState::Exited {
         return Err(Denial::NotExited);
     }
-    let bound = host.bindings.get(task);
-    if bound.is_some_and(|binding| binding.attempt == step.attempt) {
+    let bound = worker.bindings.get(task);
+    if bound.is_some_and(|binding| binding.attempt == task_status.attempt) {
         return Err(Denial::NotCommitted);
     }
-    let harmless = step.exit_reason == Some(ExitReason::Completed)
-        && host.pending_starts.only_answered_copies(task, step.attempt);
-    if host.pending_starts.may_arrive(task, step.attempt) && !harmless {
+    let harmless = task_status.exit_reason == Some(ExitReason::Completed)
+        && worker
+            .pending_starts
+            .only_answered_copies(task, task_status.attempt);
+    if worker.pending_starts.may_arrive(task, task_status.attempt) && !harmless {
         return Err(Denial::StartMayArrive);
     }
     Ok(())
 }
 
 /// Whether a binding may end whose task the worker does not show: it is not there and won't be.
-pub fn may_unbind_absent(host: &Worker, task: &TaskId, binding: &Binding) -> Result<(), Denial> {
+pub fn may_unbind_absent(worker: &Worker, task: &TaskId, binding: &Binding) -> Result<(), Denial> {
     if !binding.durable || binding.unbinding {
         return Err(Denial::NotCommitted);
     }
     if binding.inherited {
         // Once the worker has this leader's epoch, no start of an earlier one can reach it any more.
-        return if host.token_acknowledged {
+        return if worker.token_acknowledged {
             Ok(())
         } else {
             Err(Denial::StartMayArrive)
@@ -164,7 +166,7 @@
     if binding.eviction.is_none() {
         return Err(Denial::StillWanted);
     }
-    if host.pending_starts.may_arrive(task, binding.attempt) {
+    if worker.pending_starts.may_arrive(task, binding.attempt) {
         return Err(Denial::StartMayArrive);
     }
     Ok(())
@@ -172,8 +174,8 @@
 
 /// Whether the cloud may be asked to delete a machine: its mark is written, so every later leader deletes it
 /// too, however late the request is carried out.
-pub fn may_delete(host: &Worker) -> Result<(), Denial> {
-    if host.termination_recorded {
+pub fn may_delete(worker: &Worker) -> Result<(), Denial> {
+    if worker.termination_recorded {
         Ok(())
     } else {
         Err(Denial::NotCommitted)
--- a/src/bookkeeping/records.rs
+++ b/src/bookkeeping/records.rs
@@ -28,8 +28,8 @@
     format!("{LOG_PREFIX}{slot:05}")
 }
 /// Key of a rental.
-pub fn provisioning_key(bid: &str) -> String {
-    format!("{PROVISIONING_PREFIX}{bid}")
+pub fn provisioning_key(idempotency_key: &str) -> String {
+    format!("{PROVISIONING_PREFIX}{idempotency_key}")
 }
 
 /// Value of `leader`.
--- a/src/bookkeeping/ring.rs
+++ b/src/bookkeeping/ring.rs
@@ -84,7 +84,7 @@
     }
 
     /// Takes over a segment that an earlier leader wrote; they come in the log's order.
-    pub fn replay_segment(&mut self, key: &str, stamp: u64, segment: &Segment) {
+    pub fn replay_segment(&mut self, key: &str, mod_revision: u64, segment: &Segment) {
         let Some(number) = key
             .strip_prefix(records::LOG_PREFIX)
             .and_then(|slot| slot.parse().ok())
@@ -96,26 +96,29 @@
         let items = BTreeSet::new();
         let slot = Slot {
             number,
-            mod_revision: stamp,
+            mod_revision,
             live_entries: items,
         };
         self.slots.insert(seq, slot);
-        let host = |number: u32| segment.worker_name(number).unwrap_or_default().to_owned();
+        let worker = |number: u32| segment.worker_name(number).unwrap_or_default().to_owned();
         let task = |number: u32, index: u32| TaskId {
             job: segment.job(number).map_or(String::new(), |j| j.0.clone()),
             index,
         };
         for kind in &segment.workers {
-            self.insert(LiveEntry::Worker(host(kind.0)), seq);
+            self.insert(LiveEntry::Worker(worker(kind.0)), seq);
         }
         for bind in &segment.bindings {
-            self.insert(LiveEntry::Binding(host(bind.0), task(bind.1, bind.2)), seq);
+            self.insert(
+                LiveEntry::Binding(worker(bind.0), task(bind.1, bind.2)),
+                seq,
+            );
         }
         for end in &segment.ended_bindings {
-            self.remove(&LiveEntry::Binding(host(end.0), task(end.1, end.2)));
+            self.remove(&LiveEntry::Binding(worker(end.0), task(end.1, end.2)));
         }
         for gone in &segment.removed_workers {
-            self.remove_worker(&host(*gone));
+            self.remove_worker(&worker(*gone));
         }
         for (job, chunk, _) in &segment.completed {
             let job = task(*job, 0).job;
@@ -124,16 +127,16 @@
     }
 
     /// A host is gone, with all that was bound to it.
-    pub fn remove_worker(&mut self, host: &str) {
-        self.remove(&LiveEntry::Worker(host.to_owned()));
+    pub fn remove_worker(&mut self, worker: &str) {
+        self.remove(&LiveEntry::Worker(worker.to_owned()));
         let first = TaskId {
             job: String::new(),
             index: 0,
         };
-        let from = LiveEntry::Binding(host.to_owned(), first);
+        let from = LiveEntry::Binding(worker.to_owned(), first);
         self.remove_all(
             from,
-            |item| matches!(item, LiveEntry::Binding(h, _) if h == host),
+            |item| matches!(item, LiveEntry::Binding(h, _) if h == worker),
         );
     }
 
--- a/src/bookkeeping/segment.rs
+++ b/src/bookkeeping/segment.rs
@@ -140,12 +140,12 @@
     }
 
     /// What any one entry with its names may add, apart from a bitmap.
-    pub fn entry_bytes(host: &Worker, job: &str, team: &str) -> usize {
+    pub fn entry_bytes(worker: &Worker, job: &str, team: &str) -> usize {
         4 * FRAME
-            + 2 * host.name.len()
-            + host.instance_type.len()
-            + host.zone.len()
-            + host.endpoint.len()
+            + 2 * worker.name.len()
+            + worker.instance_type.len()
+            + worker.zone.len()
+            + worker.endpoint.len()
             + job.len()
             + team.len()
             + 3 * 24
@@ -196,17 +196,21 @@
     }
 
     /// Says what a host is.
-    pub fn describe_worker(&mut self, host: &Worker, returning: bool) {
-        let number = self.worker_number(&host.name);
+    pub fn describe_worker(&mut self, worker: &Worker, returning: bool) {
+        let number = self.worker_number(&worker.name);
         self.segment.workers.retain(|kind| kind.0 != number);
-        self.bytes +=
-            3 * FRAME + 4 + host.instance_type.len() + host.zone.len() + host.endpoint.len() + 12;
+        self.bytes += 3 * FRAME
+            + 4
+            + worker.instance_type.len()
+            + worker.zone.len()
+            + worker.endpoint.len()
+            + 12;
         self.segment.workers.push((
             number,
-            host.instance_type.clone(),
-            host.zone.clone(),
-            host.spot,
-            host.endpoint.clone(),
+            worker.instance_type.clone(),
+            worker.zone.clone(),
+            worker.spot,
+            worker.endpoint.clone(),
             returning,
         ));
     }
@@ -214,45 +218,45 @@
     /// Adds a binding.
     pub fn bind(
         &mut self,
-        host: &str,
+        worker: &str,
         (job, index): (&str, u32),
         (team, need): (&str, Resources),
-        (attempt, tenure): (u64, u64),
+        (attempt, incarnation): (u64, u64),
     ) {
-        let host = self.worker_number(host);
+        let worker = self.worker_number(worker);
         let job = self.job_number(job, Some((team, need)));
         self.bytes += FRAME
-            + [host, job, index]
+            + [worker, job, index]
                 .map(|n| digits(n.into()))
                 .iter()
                 .sum::<usize>()
             + digits(attempt)
-            + digits(tenure);
+            + digits(incarnation);
         self.segment
             .bindings
-            .push((host, job, index, attempt, tenure));
+            .push((worker, job, index, attempt, incarnation));
     }
 
     /// Adds the end of a binding.
-    pub fn end_binding(&mut self, host: &str, job: &str, index: u32, attempt: u64) {
-        let host = self.worker_number(host);
+    pub fn end_binding(&mut self, worker: &str, job: &str, index: u32, attempt: u64) {
+        let worker = self.worker_number(worker);
         let job = self.job_number(job, None);
         self.bytes += FRAME
-            + [host, job, index]
+            + [worker, job, index]
                 .map(|n| digits(n.into()))
                 .iter()
                 .sum::<usize>()
             + digits(attempt);
         self.segment
             .ended_bindings
-            .push((host, job, index, attempt));
+            .push((worker, job, index, attempt));
     }
 
     /// Adds a host that is gone.
-    pub fn remove_worker(&mut self, host: &str) {
-        let host = self.worker_number(host);
-        self.bytes += digits(host.into()) + 1;
-        self.segment.removed_workers.push(host);
+    pub fn remove_worker(&mut self, worker: &str) {
+        let worker = self.worker_number(worker);
+        self.bytes += digits(worker.into()) + 1;
+        self.segment.removed_workers.push(worker);
     }
 
     /// Adds the completed tasks of a chunk.
--- a/src/bookkeeping/workers.rs
+++ b/src/bookkeeping/workers.rs
@@ -25,11 +25,11 @@
 
 impl Resources {
     /// What a machine of a type has.
-    pub fn of_instance_type(flavor: &InstanceType) -> Resources {
+    pub fn of_instance_type(instance_type: &InstanceType) -> Resources {
         Resources {
-            cpus: flavor.cpus,
-            gpus: flavor.gpus,
-            ram_gb: flavor.ram_gb,
+            cpus: instance_type.cpus,
+            gpus: instance_type.gpus,
+            ram_gb: instance_type.ram_gb,
         }
     }
     /// Whether `need` fits.
@@ -215,10 +215,10 @@
 
 impl Worker {
     /// A host of which only the name and the kind are known.
-    pub fn new(name: &str, flavor: &str, zone: &str, spot: bool, now: f64) -> Worker {
+    pub fn new(name: &str, instance_type: &str, zone: &str, spot: bool, now: f64) -> Worker {
         Worker {
             name: name.to_owned(),
-            instance_type: flavor.to_owned(),
+            instance_type: instance_type.to_owned(),
             zone: zone.to_owned(),
             spot,
             endpoint: String::new(),
@@ -272,8 +272,8 @@
     }
 
     /// Whether a report is newer than all seen.
-    pub fn is_newer(&self, report: &WorkerHeartbeat) -> bool {
-        (report.incarnation, report.sequence) > (self.incarnation, self.sequence)
+    pub fn is_newer(&self, heartbeat: &WorkerHeartbeat) -> bool {
+        (heartbeat.incarnation, heartbeat.sequence) > (self.incarnation, self.sequence)
     }
 
     /// Whether a binding's attempt is in the latest report, and how.
@@ -281,13 +281,13 @@
         self.observed_tasks
             .get(task)?
             .iter()
-            .find(|step| step.attempt == attempt)
+            .find(|task_status| task_status.attempt == attempt)
     }
 
     /// Whether the latest report shows an attempt as exited.
     pub fn has_exited(&self, task: &TaskId, attempt: u64) -> bool {
         self.observed_task(task, attempt)
-            .is_some_and(|step| step.state == TaskState::Exited)
+            .is_some_and(|task_status| task_status.state == TaskState::Exited)
     }
 
     /// Remembers that the host has an image.
@@ -302,7 +302,7 @@
     /// Whether the starts that may still arrive are to be revoked, and why. Nothing that goes out under the
     /// present fence needs that twice.
     pub fn pending_revocation(&self) -> Option<RevocationReason> {
-        let mut halted = None;
+        let mut evicted = None;
         for (task, binding) in &self.bindings {
             let Some((_, reason)) = binding.eviction else {
                 continue;
@@ -314,14 +314,14 @@
                 return Some(RevocationReason::JobEnded);
             }
             if self.observed_task(task, binding.attempt).is_none() {
-                halted = Some(RevocationReason::Evicted);
+                evicted = Some(RevocationReason::Evicted);
             }
         }
         if self.revoke_ended_jobs {
             return Some(RevocationReason::JobEnded);
         }
-        if halted.is_some() {
-            return halted;
+        if evicted.is_some() {
+            return evicted;
         }
         if self.has_uncleared_exit() {
             return Some(RevocationReason::Clear);
@@ -332,10 +332,10 @@
 
     /// Whether an attempt that has exited can't be cleared before the fence is raised.
     fn has_uncleared_exit(&self) -> bool {
-        self.observed_tasks.iter().any(|(task, steps)| {
-            steps.iter().any(|step| {
-                permits::may_clear(self, task, step) == Err(Denial::StartMayArrive)
-                    && self.pending_starts.needs_fence(task, step.attempt)
+        self.observed_tasks.iter().any(|(task, statuses)| {
+            statuses.iter().any(|task_status| {
+                permits::may_clear(self, task, task_status) == Err(Denial::StartMayArrive)
+                    && self.pending_starts.needs_fence(task, task_status.attempt)
             })
         })
     }
@@ -347,7 +347,7 @@
         let raised = self.pending_starts.raise_fence();
         let fence = self.pending_starts.fence();
         tracing::debug!(
-            host = self.name,
+            worker = self.name,
             ?reason,
             fence,
             starts,
@@ -372,7 +372,7 @@
     pub fn observe_fence(&mut self, fence: u32) {
         if fence > self.pending_starts.fence() {
             tracing::error!(
-                host = self.name,
+                worker = self.name,
                 fence,
                 given = self.pending_starts.fence(),
                 "Epoch: the worker shows a fence that it was not given; it is taken over. Look for a \
@@ -385,57 +385,57 @@
     /// Notes orders that go out.
     pub fn record_sent(
         &mut self,
-        orders: &[Command],
+        commands: &[Command],
         way: DeliveryPath,
-        knowledge: &ViewFreshness,
+        freshness: &ViewFreshness,
     ) {
-        for order in orders {
+        for command in commands {
             tracing::debug!(
-                host = self.name,
-                task = order.task,
-                attempt = order.attempt,
-                verb = ?order.kind,
+                worker = self.name,
+                task = command.task,
+                attempt = command.attempt,
+                verb = ?command.kind,
                 ?way,
-                tenure = self.incarnation,
+                incarnation = self.incarnation,
                 fence = self.pending_starts.fence(),
-                view_age_s = knowledge.view_age_s,
+                view_age_s = freshness.view_age_s,
                 "order sent"
             );
-            if order.kind != CommandKind::Start {
+            if command.kind != CommandKind::Start {
                 continue;
             }
-            let Some(task) = TaskId::parse(&order.task) else {
+            let Some(task) = TaskId::parse(&command.task) else {
                 continue;
             };
             match way {
-                DeliveryPath::DirectCall => {
-                    self.pending_starts.record_direct_call(task, order.attempt)
-                }
+                DeliveryPath::DirectCall => self
+                    .pending_starts
+                    .record_direct_call(task, command.attempt),
                 DeliveryPath::HeartbeatResponse(tick) => self
                     .pending_starts
-                    .record_heartbeat_response(task, order.attempt, tick),
+                    .record_heartbeat_response(task, command.attempt, tick),
             }
         }
     }
 
     /// Notes what came of a direct call.
-    pub fn record_call_outcome(&mut self, orders: &[Command], fate: CallOutcome) {
-        for order in orders
+    pub fn record_call_outcome(&mut self, commands: &[Command], fate: CallOutcome) {
+        for command in commands
             .iter()
-            .filter(|order| order.kind == CommandKind::Start)
+            .filter(|command| command.kind == CommandKind::Start)
         {
             if fate == CallOutcome::Unanswered {
                 tracing::debug!(
-                    host = self.name,
-                    task = order.task,
-                    attempt = order.attempt,
+                    worker = self.name,
+                    task = command.task,
+                    attempt = command.attempt,
                     fence = self.pending_starts.fence(),
                     "start without answer: it may still arrive"
                 );
             }
-            if let Some(task) = TaskId::parse(&order.task) {
+            if let Some(task) = TaskId::parse(&command.task) {
                 self.pending_starts
-                    .record_call_outcome(&task, order.attempt, fate);
+                    .record_call_outcome(&task, command.attempt, fate);
             }
         }
     }
@@ -443,23 +443,23 @@
     /// The orders that turn what the latest report shows into what is wanted. Starts only where
     /// `may_start`, which needs a confirmed leader.
     pub fn commands(&self, may_start: bool, limit: usize) -> Vec<Command> {
-        let mut orders = Vec::new();
-        for (task, steps) in &self.observed_tasks {
-            for step in steps {
-                if permits::may_clear(self, task, step).is_ok() {
-                    orders.push(order(
+        let mut commands = Vec::new();
+        for (task, statuses) in &self.observed_tasks {
+            for task_status in statuses {
+                if permits::may_clear(self, task, task_status).is_ok() {
+                    commands.push(command(
                         CommandKind::Clear,
-                        step.task.clone(),
-                        step.attempt,
+                        task_status.task.clone(),
+                        task_status.attempt,
                         None,
                     ));
-                } else if let Some(drain_s) = self.wanted_stop(task, step) {
-                    let drain_s = Some(drain_s);
-                    orders.push(order(
+                } else if let Some(grace_s) = self.wanted_stop(task, task_status) {
+                    let grace_s = Some(grace_s);
+                    commands.push(command(
                         CommandKind::Stop,
-                        step.task.clone(),
-                        step.attempt,
-                        drain_s,
+                        task_status.task.clone(),
+                        task_status.attempt,
+                        grace_s,
                     ));
                 }
             }
@@ -467,7 +467,7 @@
         if may_start {
             for (task, binding) in &self.bindings {
                 if permits::may_start_task(self, task, binding).is_ok() {
-                    orders.push(order(
+                    commands.push(command(
                         CommandKind::Start,
                         task.to_string(),
                         binding.attempt,
@@ -476,71 +476,71 @@
                 }
             }
         }
-        orders.truncate(limit);
-        orders
+        commands.truncate(limit);
+        commands
     }
 
     /// The time to save of a task that is to be stopped, or stopped once more.
-    fn wanted_stop(&self, task: &TaskId, step: &TaskStatus) -> Option<f64> {
-        if step.state == TaskState::Exited {
+    fn wanted_stop(&self, task: &TaskId, task_status: &TaskStatus) -> Option<f64> {
+        if task_status.state == TaskState::Exited {
             return None;
         }
         let bound = self.bindings.get(task);
-        let Some(binding) = bound.filter(|binding| binding.attempt == step.attempt) else {
+        let Some(binding) = bound.filter(|binding| binding.attempt == task_status.attempt) else {
             return Some(0.0);
         };
-        let (drain_s, _) = binding.eviction?;
-        let saves = step.state == TaskState::Checkpointing && drain_s > 0.0;
-        (!saves).then_some(drain_s)
+        let (grace_s, _) = binding.eviction?;
+        let saves = task_status.state == TaskState::Checkpointing && grace_s > 0.0;
+        (!saves).then_some(grace_s)
     }
 }
 
-fn order(verb: CommandKind, step: String, attempt: u64, drain_s: Option<f64>) -> Command {
+fn command(verb: CommandKind, task_status: String, attempt: u64, grace_s: Option<f64>) -> Command {
     Command {
         kind: verb,
-        task: step,
+        task: task_status,
         attempt,
-        grace_s: drain_s,
+        grace_s,
     }
 }
 
 /// All hosts.
 #[derive(Debug, Default)]
 pub struct Workers {
-    hosts: BTreeMap<String, Worker>,
+    workers: BTreeMap<String, Worker>,
 }
 
 impl Workers {
     /// A host.
     pub fn get(&self, name: &str) -> Option<&Worker> {
-        self.hosts.get(name)
+        self.workers.get(name)
     }
     /// A host, to be changed.
     pub fn get_mut(&mut self, name: &str) -> Option<&mut Worker> {
-        self.hosts.get_mut(name)
+        self.workers.get_mut(name)
     }
     /// A host, made if it is unknown.
     pub fn entry(&mut self, name: &str, make: impl FnOnce() -> Worker) -> &mut Worker {
-        self.hosts.entry(name.to_owned()).or_insert_with(make)
+        self.workers.entry(name.to_owned()).or_insert_with(make)
     }
     /// Drops a host.
     pub fn remove(&mut self, name: &str) -> Option<Worker> {
-        self.hosts.remove(name)
+        self.workers.remove(name)
     }
     /// All hosts, by name.
     pub fn iter(&self) -> impl Iterator<Item = &Worker> {
-        self.hosts.values()
+        self.workers.values()
     }
     /// All hosts, to be changed.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Worker> {
-        self.hosts.values_mut()
+        self.workers.values_mut()
     }
     /// How many.
     pub fn len(&self) -> usize {
-        self.hosts.len()
+        self.workers.len()
     }
     /// Whether there are none.
     pub fn is_empty(&self) -> bool {
-        self.hosts.is_empty()
+        self.workers.is_empty()
     }
 }
--- a/src/bookkeeping/write_ahead_log.rs
+++ b/src/bookkeeping/write_ahead_log.rs
@@ -139,8 +139,8 @@
     }
 
     /// Takes over a segment that an earlier leader wrote; they come in the log's order.
-    pub fn replay_segment(&mut self, key: &str, stamp: u64, segment: &Segment) {
-        self.ring.replay_segment(key, stamp, segment);
+    pub fn replay_segment(&mut self, key: &str, mod_revision: u64, segment: &Segment) {
+        self.ring.replay_segment(key, mod_revision, segment);
     }
 
     /// A job is over: its completed tasks need not be kept.
@@ -180,8 +180,8 @@
     /// Forms the next transaction of at most `budget` writes, if there is anything to write.
     pub fn next_transaction(
         &mut self,
-        leader_stamp: u64,
-        hosts: &Workers,
+        leader_revision: u64,
+        workers: &Workers,
         jobs: &Jobs,
         budget: usize,
     ) -> Option<Txn> {
@@ -190,7 +190,7 @@
         }
         let seq = self.ring.next_seq;
         let mut draft = SegmentDraft {
-            builder: SegmentBuilder::new(leader_stamp, seq),
+            builder: SegmentBuilder::new(leader_revision, seq),
             entries: Vec::new(),
             live_entries: Vec::new(),
             described_workers: BTreeSet::new(),
@@ -199,24 +199,24 @@
             key_writes: Vec::new(),
             key_write_bytes: 0,
         };
-        let (over, slot, stamp) = self.choose_slot(&mut draft, hosts, jobs);
+        let (over, slot, mod_revision) = self.choose_slot(&mut draft, workers, jobs);
         let limit = (self.limits.max_value_bytes as f64 * FILL) as usize;
         while let Some(change) = self.queue.front() {
-            if !self.fits(&draft, change, hosts, jobs, budget, limit) {
+            if !self.fits(&draft, change, workers, jobs, budget, limit) {
                 break;
             }
             let Some(change) = self.queue.pop_front() else {
                 break;
             };
-            if add(&mut draft, &self.ring, &change, hosts, jobs) {
+            if add(&mut draft, &self.ring, &change, workers, jobs) {
                 draft.entries.push(change);
             } else if let LogEntry::Bind {
-                worker: host,
+                worker,
                 task,
                 attempt,
             } = change
             {
-                self.rejected_bindings.push((host, task, attempt));
+                self.rejected_bindings.push((worker, task, attempt));
             }
         }
         if draft.entries.is_empty() && draft.live_entries.is_empty() {
@@ -224,12 +224,12 @@
         }
         self.ring.next_seq = seq + 1;
         let mut when = vec![
-            Compare::new(records::LEADER_KEY, leader_stamp),
-            Compare::new(records::log_key(slot), stamp),
+            Compare::new(records::LEADER_KEY, leader_revision),
+            Compare::new(records::log_key(slot), mod_revision),
         ];
         for job in &draft.bound_jobs {
-            let stamp = jobs.get(job).map_or(0, |known| known.mod_revision);
-            when.push(Compare::new(records::open_key(job), stamp));
+            let mod_revision = jobs.get(job).map_or(0, |known| known.mod_revision);
+            when.push(Compare::new(records::open_key(job), mod_revision));
         }
         let segment = draft.builder.finish();
         let mut writes = vec![WriteOp::put(records::log_key(slot), &segment)];
@@ -252,7 +252,7 @@
             entries: draft.entries,
             live_entries: draft.live_entries,
             seq,
-            epoch: leader_stamp,
+            epoch: leader_revision,
             slot,
             overwritten_seq: over,
             outcome_unknown: false,
@@ -266,7 +266,7 @@
     fn choose_slot(
         &self,
         draft: &mut SegmentDraft,
-        hosts: &Workers,
+        workers: &Workers,
         jobs: &Jobs,
     ) -> (Option<u64>, u32, u64) {
         let oldest = self.ring.slots.iter().next();
@@ -276,7 +276,7 @@
             return (None, self.ring.slots.len() as u32, 0);
         };
         for item in &oldest.live_entries {
-            carry(draft, item, hosts, jobs);
+            carry(draft, item, workers, jobs);
         }
         (Some(*seq), oldest.number, oldest.mod_revision)
     }
@@ -286,28 +286,29 @@
         &self,
         draft: &SegmentDraft,
         change: &LogEntry,
-        hosts: &Workers,
+        workers: &Workers,
         jobs: &Jobs,
         budget: usize,
         limit: usize,
     ) -> bool {
         let team = |job: &str| jobs.get(job).map_or("", |known| &known.spec.team);
-        let entry = |host: &String, job: &str| {
-            hosts
-                .get(host)
-                .map_or(2 * host.len() + job.len() + 128, |known| {
+        let entry = |worker: &String, job: &str| {
+            workers
+                .get(worker)
+                .map_or(2 * worker.len() + job.len() + 128, |known| {
                     SegmentBuilder::entry_bytes(known, job, team(job))
                 })
         };
         let (ops, bytes, put_bytes) = match change {
-            LogEntry::Bind {
-                worker: host, task, ..
-            } => (0, entry(host, &task.job), 0),
-            LogEntry::Unbind {
-                worker: host, task, ..
-            } => (0, entry(host, &task.job) + TASKS_PER_CHUNK as usize / 4, 0),
-            LogEntry::RecordTermination { worker: host }
-            | LogEntry::RemoveWorker { worker: host } => (0, entry(host, ""), 0),
+            LogEntry::Bind { worker, task, .. } => (0, entry(worker, &task.job), 0),
+            LogEntry::Unbind { worker, task, .. } => (
+                0,
+                entry(worker, &task.job) + TASKS_PER_CHUNK as usize / 4,
+                0,
+            ),
+            LogEntry::RecordTermination { worker } | LogEntry::RemoveWorker { worker } => {
+                (0, entry(worker, ""), 0)
+            }
             LogEntry::FinishJob { job } => (2, 0, 2 * job.len() + 256),
             LogEntry::WriteKey { write } => (1, 0, write.json_size()),
         };
@@ -325,13 +326,13 @@
     }
 
     /// The transaction was committed: returns its changes.
-    pub fn complete_in_flight(&mut self, stamp: u64) -> Vec<LogEntry> {
+    pub fn complete_in_flight(&mut self, mod_revision: u64) -> Vec<LogEntry> {
         let Some(sent) = self.in_flight.take() else {
             return Vec::new();
         };
         let slot = Slot {
             number: sent.slot,
-            mod_revision: stamp,
+            mod_revision,
             live_entries: BTreeSet::new(),
         };
         self.ring.slots.insert(sent.seq, slot);
@@ -347,13 +348,11 @@
         }
         for change in &sent.entries {
             match change {
-                LogEntry::Unbind {
-                    worker: host, task, ..
-                } => {
+                LogEntry::Unbind { worker, task, .. } => {
                     self.ring
-                        .remove(&LiveEntry::Binding(host.clone(), task.clone()));
+                        .remove(&LiveEntry::Binding(worker.clone(), task.clone()));
                 }
-                LogEntry::RemoveWorker { worker: host } => self.ring.remove_worker(host),
+                LogEntry::RemoveWorker { worker } => self.ring.remove_worker(worker),
                 LogEntry::FinishJob { job } => self.ring.remove_job(job),
                 _ => {}
             }
@@ -399,17 +398,21 @@
 }
 
 /// Copies what still counts of an old segment into a draft.
-fn carry(draft: &mut SegmentDraft, item: &LiveEntry, hosts: &Workers, jobs: &Jobs) {
+fn carry(draft: &mut SegmentDraft, item: &LiveEntry, workers: &Workers, jobs: &Jobs) {
     match item {
         LiveEntry::Worker(name) => {
-            let Some(host) = hosts.get(name) else { return };
+            let Some(worker) = workers.get(name) else {
+                return;
+            };
             draft
                 .builder
-                .describe_worker(host, host.termination_recorded);
+                .describe_worker(worker, worker.termination_recorded);
             draft.described_workers.insert(name.clone());
         }
         LiveEntry::Binding(name, task) => {
-            let known = hosts.get(name).and_then(|host| host.bindings.get(task));
+            let known = workers
+                .get(name)
+                .and_then(|worker| worker.bindings.get(task));
             let Some(b) = known else { return };
             draft.builder.bind(
                 name,
@@ -432,7 +435,7 @@
     draft: &mut SegmentDraft,
     ring: &SegmentRing,
     change: &LogEntry,
-    hosts: &Workers,
+    workers: &Workers,
     jobs: &Jobs,
 ) -> bool {
     match change {
@@ -441,10 +444,10 @@
             task,
             attempt,
         } => {
-            let Some(host) = hosts.get(name) else {
+            let Some(worker) = workers.get(name) else {
                 return false;
             };
-            let Some(b) = host.bindings.get(task) else {
+            let Some(b) = worker.bindings.get(task) else {
                 return false;
             };
             if jobs.get(&task.job).is_none() || b.attempt != *attempt {
@@ -452,7 +455,7 @@
             }
             let kind = LiveEntry::Worker(name.clone());
             if !ring.location.contains_key(&kind) && draft.described_workers.insert(name.clone()) {
-                draft.builder.describe_worker(host, false);
+                draft.builder.describe_worker(worker, false);
                 draft.live_entries.push(kind);
             }
             draft.builder.bind(
@@ -467,14 +470,14 @@
             draft.bound_jobs.insert(task.job.clone());
         }
         LogEntry::Unbind {
-            worker: host,
+            worker,
             task,
             attempt,
             completed: done,
         } => {
             draft
                 .builder
-                .end_binding(host, &task.job, task.index, *attempt);
+                .end_binding(worker, &task.job, task.index, *attempt);
             let chunk = task.index / TASKS_PER_CHUNK;
             let item = LiveEntry::Completed(task.job.clone(), chunk);
             if *done
@@ -497,13 +500,13 @@
                 .insert(job.clone(), known.completed.len());
         }
         LogEntry::RecordTermination { worker: name } => {
-            if let Some(host) = hosts.get(name) {
-                draft.builder.describe_worker(host, true);
+            if let Some(worker) = workers.get(name) {
+                draft.builder.describe_worker(worker, true);
                 draft.described_workers.insert(name.clone());
                 draft.live_entries.push(LiveEntry::Worker(name.clone()));
             }
         }
-        LogEntry::RemoveWorker { worker: host } => draft.builder.remove_worker(host),
+        LogEntry::RemoveWorker { worker } => draft.builder.remove_worker(worker),
         LogEntry::WriteKey { write } => {
             draft.key_write_bytes += write.json_size();
             draft.key_writes.push(write.clone());
--- a/src/coordination/autoscaler.rs
+++ b/src/coordination/autoscaler.rs
@@ -140,7 +140,10 @@
         (target, reason) = (load.busy, TargetReason::Busy);
     }
     if load.headroom_machines > 0 {
-        (target, reason) = (target.saturating_add(load.headroom_machines), TargetReason::Headroom);
+        (target, reason) = (
+            target.saturating_add(load.headroom_machines),
+            TargetReason::Headroom,
+        );
     }
     if trend > target {
         (target, reason) = (trend, TargetReason::Trend);
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -77,36 +77,36 @@
 impl Controller {
     /// A node that has just started; `seed` tells this life from others.
     pub fn new(settings: Rc<Settings>, policy: Rc<Policy>, seed: u64) -> Controller {
-        let workers = &settings.deployment.workers;
-        let times = ElectionTimeouts::new(workers);
-        let patience_s = workers.heartbeat_interval_s / 2.0;
+        let worker_settings = &settings.deployment.workers;
+        let times = ElectionTimeouts::new(worker_settings);
+        let request_timeout_s = worker_settings.heartbeat_interval_s / 2.0;
         let nodes = f64::from(settings.deployment.initial_size).max(1.0);
         let share = (1.0 - LEADER_STATE_SHARE) / nodes;
         Controller {
             effects: Effects::default(),
-            job_api: JobApi::new(&settings.deployment.state, share, patience_s),
+            job_api: JobApi::new(&settings.deployment.state, share, request_timeout_s),
             jobs_watch: Watch::new(
                 records::OPEN_PREFIX,
                 KvRequestKind::OpenJobsWatch,
-                workers.heartbeat_interval_s / WATCHES_PER_HEARTBEAT,
-                patience_s,
+                worker_settings.heartbeat_interval_s / WATCHES_PER_HEARTBEAT,
+                request_timeout_s,
             ),
             leader_watch: Watch::new(
                 records::LEADER_KEY,
                 KvRequestKind::LeaderWatch,
-                workers.lease_s,
-                patience_s,
+                worker_settings.lease_s,
+                request_timeout_s,
             ),
             election: Election::new(&settings.label, seed, times),
             leader: None,
-            catalog: InstanceCatalog::new(workers),
+            catalog: InstanceCatalog::new(worker_settings),
             quotas: Quotas::new(&settings.deployment.teams),
             peers: Peers::default(),
             terminations: TerminationQueue::new(
                 &settings.label,
                 seed,
                 settings.peers.iter().map(|seed| seed.label.clone()),
-                workers.cancel_s,
+                worker_settings.cancel_s,
             ),
             redirected: BTreeMap::new(),
             heartbeat_at: 0.0,
@@ -142,8 +142,14 @@
             Ok(Route::Health) => self.health(to, now.monotonic),
             Ok(Route::Report) => self.on_worker_heartbeat(to, body, now.monotonic),
             Ok(Route::Submit) => self.submit(to, body, now),
-            Ok(Route::Poll(id)) => self.job_api.on_status_request(to, id, &mut self.effects, now.monotonic),
-            Ok(Route::Cancel(id)) => self.job_api.on_cancel(to, id, &mut self.effects, now.monotonic),
+            Ok(Route::Poll(id)) => {
+                self.job_api
+                    .on_status_request(to, id, &mut self.effects, now.monotonic)
+            }
+            Ok(Route::Cancel(id)) => {
+                self.job_api
+                    .on_cancel(to, id, &mut self.effects, now.monotonic)
+            }
             Err(error) => self
                 .effects
                 .respond_error(to, error.status(), &error.to_string(), None),
@@ -155,16 +161,17 @@
             Ok(spec) => spec,
             Err(error) => {
                 tracing::debug!(%error, "malformed submission");
-                self.effects.respond_error(to, 400, &error.to_string(), None);
+                self.effects
+                    .respond_error(to, 400, &error.to_string(), None);
                 return;
             }
         };
-        let Some(flavors) = self.catalog.instance_types().cloned() else {
+        let Some(instance_types) = self.catalog.instance_types().cloned() else {
             self.effects
                 .respond_error(to, 503, "the machine types are not known yet", Some(1));
             return;
         };
-        let verdict = self.check_satisfiable(&spec, &flavors);
+        let verdict = self.check_satisfiable(&spec, &instance_types);
         self.job_api
             .on_submit(to, spec, verdict.err(), &mut self.effects, now.monotonic);
     }
@@ -172,7 +179,7 @@
     fn check_satisfiable(
         &self,
         spec: &JobSpec,
-        flavors: &[InstanceType],
+        instance_types: &[InstanceType],
     ) -> Result<(), &'static str> {
         if !self.quotas.contains_team(&spec.team) {
             return Err("unknown team");
@@ -181,11 +188,11 @@
             return Err("more than the team's limit");
         }
         let need = super::scheduler::resource_request(spec);
-        let fits = flavors.iter().any(|flavor| {
-            Resources::of_instance_type(flavor).fits(&need)
-                && flavor.zones.iter().any(|zone| {
-                    spec.allows(&flavor.name, zone, false)
-                        || (spec.spot && spec.allows(&flavor.name, zone, true))
+        let fits = instance_types.iter().any(|instance_type| {
+            Resources::of_instance_type(instance_type).fits(&need)
+                && instance_type.zones.iter().any(|zone| {
+                    spec.allows(&instance_type.name, zone, false)
+                        || (spec.spot && spec.allows(&instance_type.name, zone, true))
                 })
         });
         if fits {
@@ -197,11 +204,16 @@
 
     fn health(&mut self, to: u64, now: f64) {
         let window_s = self.heartbeat_interval_s();
-        let own = self.state_service_ok_at.is_some_and(|at| now - at < window_s);
+        let own = self
+            .state_service_ok_at
+            .is_some_and(|at| now - at < window_s);
         // A node that the state service refuses says so only while a peer is served: removals
         // back off for long, and during an outage all nodes are equally good.
         let better = self.peers.any_served(window_s, now);
-        if self.catalog.instance_types().is_some() && self.jobs_watch.is_complete() && (own || !better) {
+        if self.catalog.instance_types().is_some()
+            && self.jobs_watch.is_complete()
+            && (own || !better)
+        {
             self.effects.respond(to, 200, &"ok");
         } else {
             self.effects.respond_error(to, 503, "not ready", Some(1));
@@ -209,51 +221,50 @@
     }
 
     fn on_worker_heartbeat(&mut self, to: u64, body: &[u8], now: f64) {
-        let report = match read_report(body) {
-            Ok(report) => report,
+        let heartbeat = match read_worker_heartbeat(body) {
+            Ok(heartbeat) => heartbeat,
             Err(error) => {
                 tracing::warn!(%error, "report refused");
-                self.effects.respond_error(to, 400, &error.to_string(), None);
+                self.effects
+                    .respond_error(to, 400, &error.to_string(), None);
                 return;
             }
         };
-        let outcome = self.election.observe_epoch(report.token.epoch());
-        self.apply_leadership_change(outcome, now);
-        let knowledge = self.view_freshness(now);
+        let change = self.election.observe_epoch(heartbeat.token.epoch());
+        self.apply_leadership_change(change, now);
+        let freshness = self.view_freshness(now);
         if let Some(leader) = &mut self.leader {
             let open = &self.job_api.open;
             let is_open = |id: &str| open.contains_key(id);
-            match leader.on_heartbeat(&report, &knowledge, is_open, now) {
-                HeartbeatOutcome::Commands(answer) if is_within_hold_over(&knowledge, &report) => {
+            match leader.on_heartbeat(&heartbeat, &freshness, is_open, now) {
+                HeartbeatOutcome::Commands(answer)
+                    if is_within_hold_over(&freshness, &heartbeat) =>
+                {
                     // What else follows from it waits for the next tick: reports are many.
                     self.effects.respond(to, 200, &answer);
                     return;
                 }
                 // An answer that renews no lease: the worker comes again.
                 HeartbeatOutcome::Commands(_) | HeartbeatOutcome::LeaseNotRenewed => {
-                    self.effects.respond_error(to, 503, "the open jobs aren't known", None);
+                    self.effects
+                        .respond_error(to, 503, "the open jobs aren't known", None);
                     return;
                 }
                 HeartbeatOutcome::NewerLeaderExists => {}
             }
         }
         if self.redirected.len() < MAX_REDIRECTED {
-            self.redirected.insert(report.worker, now);
+            self.redirected.insert(heartbeat.worker, now);
         }
-        let foreman = self.leader_hint(now);
-        self.effects.respond(
-            to,
-            421,
-            &NotLeader {
-                leader_hint: foreman,
-            },
-        );
+        let leader_hint = self.leader_hint(now);
+        self.effects.respond(to, 421, &NotLeader { leader_hint });
     }
 
     /// What this node knows, and how old that is.
     fn view_freshness(&self, now: f64) -> ViewFreshness {
         let view_at = self.jobs_watch.current_at();
-        self.election.view_freshness(view_at, self.state_service_failed_at, now)
+        self.election
+            .view_freshness(view_at, self.state_service_failed_at, now)
     }
 
     /// The node to which workers are sent: the leader, unless that is this node or it is not
@@ -270,31 +281,39 @@
     // ---- answers
 
     /// Takes an answer of the state service.
-    pub fn on_kv_response(&mut self, tag: CorrelationId, reply: KvResponse, now: Now) {
-        let Some((ask, sent)) = self.effects.take_kv_request(tag) else {
+    pub fn on_kv_response(
+        &mut self,
+        correlation_id: CorrelationId,
+        response: KvResponse,
+        now: Now,
+    ) {
+        let Some((kind, sent)) = self.effects.take_kv_request(correlation_id) else {
             return;
         };
         let t = now.monotonic;
         let frontend_only = matches!(
-            ask,
+            kind,
             KvRequestKind::RevisionCheck(_)
                 | KvRequestKind::JobLookup(_)
                 | KvRequestKind::KeepAlive
                 | KvRequestKind::JobWrites(_)
         );
-        if matches!(reply, KvResponse::Unavailable | KvResponse::OutcomeUnknown) {
+        if matches!(
+            response,
+            KvResponse::Unavailable | KvResponse::OutcomeUnknown
+        ) {
             self.state_service_failed_at = t;
         } else {
             self.state_service_ok_at = Some(t);
         }
-        match ask {
+        match kind {
             KvRequestKind::OpenJobsWatch => {
-                for news in self.jobs_watch.on_response(reply, sent, t) {
+                for news in self.jobs_watch.on_response(response, sent, t) {
                     self.apply_job_update(news, now);
                 }
             }
             KvRequestKind::LeaderWatch => {
-                for news in self.leader_watch.on_response(reply, sent, t) {
+                for news in self.leader_watch.on_response(response, sent, t) {
                     self.apply_leader_update(news, t);
                 }
             }
@@ -302,36 +321,46 @@
             | KvRequestKind::Campaign
             | KvRequestKind::KeepAlive
             | KvRequestKind::RevokeLease => {
-                let outcome = self.election.on_response(&ask, &reply, sent, &mut self.effects, t);
-                self.apply_leadership_change(outcome, t);
+                let change =
+                    self.election
+                        .on_response(&kind, &response, sent, &mut self.effects, t);
+                self.apply_leadership_change(change, t);
+            }
+            KvRequestKind::RevisionCheck(call) => {
+                self.job_api
+                    .on_revision_check_completed(call, response, &mut self.effects, t)
             }
-            KvRequestKind::RevisionCheck(call) => self.job_api.on_revision_check_completed(call, reply, &mut self.effects, t),
             KvRequestKind::JobWrites(call) => {
-                let opened = self.job_api.on_writes_completed(call, reply, &mut self.effects, t);
+                let opened = self
+                    .job_api
+                    .on_writes_completed(call, response, &mut self.effects, t);
                 if let Some(leader) = &mut self.leader {
-                    for (stamp, spec) in opened {
-                        leader.on_job_opened(stamp, &spec, t, now.wall);
+                    for (mod_revision, spec) in opened {
+                        leader.on_job_opened(mod_revision, &spec, t, now.wall);
                     }
                 }
             }
-            KvRequestKind::JobLookup(id) => self.job_api.on_lookup_completed(&id, reply, &mut self.effects, t),
+            KvRequestKind::JobLookup(id) => {
+                self.job_api
+                    .on_lookup_completed(&id, response, &mut self.effects, t)
+            }
             KvRequestKind::RecoveryRead(epoch) => {
                 if let Some(leader) = self.leader_with_epoch(epoch) {
-                    leader.on_recovery_page(reply, t, now.wall);
+                    leader.on_recovery_page(response, t, now.wall);
                 }
             }
             KvRequestKind::LogAppend(epoch) => {
                 if let Some(leader) = self.leader.as_mut().filter(|l| l.epoch() == epoch) {
-                    leader.on_commit_completed(reply, &mut self.effects, t);
+                    leader.on_commit_completed(response, &mut self.effects, t);
                 }
             }
             KvRequestKind::LogReadBack(epoch) => {
                 if let Some(leader) = self.leader.as_mut().filter(|l| l.epoch() == epoch) {
-                    leader.on_read_back(reply, &mut self.effects, t);
+                    leader.on_read_back(response, &mut self.effects, t);
                 }
             }
             KvRequestKind::InstanceCatalog => {
-                if self.catalog.on_stored_types(&reply) {
+                if self.catalog.on_stored_types(&response) {
                     self.instance_types_changed();
                 }
             }
@@ -360,30 +389,35 @@
     }
 
     /// Takes an answer of the cloud.
-    pub fn on_cloud_response(&mut self, tag: CorrelationId, reply: CloudResponse, now: Now) {
-        let Some(ask) = self.effects.take_cloud_request(tag) else {
+    pub fn on_cloud_response(
+        &mut self,
+        correlation_id: CorrelationId,
+        response: CloudResponse,
+        now: Now,
+    ) {
+        let Some(kind) = self.effects.take_cloud_request(correlation_id) else {
             return;
         };
         let t = now.monotonic;
-        match ask {
+        match kind {
             CloudRequestKind::ListInstanceTypes => {
-                if self.catalog.on_cloud_response(reply, t) {
+                if self.catalog.on_cloud_response(response, t) {
                     self.instance_types_changed();
                 }
             }
             CloudRequestKind::ListInstances(epoch) => {
                 if let Some(leader) = self.leader_with_epoch(epoch) {
-                    leader.on_instances_listed(reply, t);
+                    leader.on_instances_listed(response, t);
                 }
             }
-            CloudRequestKind::CreateInstances(epoch, bid) => {
+            CloudRequestKind::CreateInstances(epoch, idempotency_key) => {
                 if let Some(leader) = self.leader_with_epoch(epoch) {
-                    leader.on_instances_created(&bid, reply, t);
+                    leader.on_instances_created(&idempotency_key, response, t);
                 }
             }
-            CloudRequestKind::DeleteInstances(epoch, hosts) => {
+            CloudRequestKind::DeleteInstances(epoch, workers) => {
                 if let Some(leader) = self.leader_with_epoch(epoch) {
-                    leader.on_instances_deleted(&hosts, &reply, t);
+                    leader.on_instances_deleted(&workers, &response, t);
                 }
             }
         }
@@ -391,12 +425,17 @@
     }
 
     /// Takes what came of a direct call to a worker.
-    pub fn on_worker_response(&mut self, tag: CorrelationId, reply: WorkerResponse, now: Now) {
-        let Some(ask) = self.effects.take_worker_request(tag) else {
+    pub fn on_worker_response(
+        &mut self,
+        correlation_id: CorrelationId,
+        response: WorkerResponse,
+        now: Now,
+    ) {
+        let Some(kind) = self.effects.take_worker_request(correlation_id) else {
             return;
         };
-        if let Some(leader) = self.leader_with_epoch(ask.epoch) {
-            leader.on_worker_response(&ask, reply, now.monotonic);
+        if let Some(leader) = self.leader_with_epoch(kind.epoch) {
+            leader.on_worker_response(&kind, response, now.monotonic);
         }
     }
 
@@ -418,10 +457,12 @@
             );
             return;
         }
-        let outcome = self.election.observe_epoch(heartbeat.epoch);
-        self.apply_leadership_change(outcome, now.monotonic);
-        self.terminations.on_message(&heartbeat.label, &heartbeat.terminations);
-        self.job_api.on_peer_terminations(&heartbeat.terminations.entries);
+        let change = self.election.observe_epoch(heartbeat.epoch);
+        self.apply_leadership_change(change, now.monotonic);
+        self.terminations
+            .on_message(&heartbeat.label, &heartbeat.terminations);
+        self.job_api
+            .on_peer_terminations(&heartbeat.terminations.entries);
         self.tell_leader_of_finished_jobs();
         match &mut self.leader {
             Some(leader) if heartbeat.epoch >= leader.epoch() => {
@@ -434,8 +475,10 @@
     }
 
     fn instance_types_changed(&mut self) {
-        if let (Some(leader), Some(flavors)) = (&mut self.leader, self.catalog.instance_types()) {
-            leader.set_instance_types(flavors.clone());
+        if let (Some(leader), Some(instance_types)) =
+            (&mut self.leader, self.catalog.instance_types())
+        {
+            leader.set_instance_types(instance_types.clone());
         }
     }
 
@@ -453,7 +496,9 @@
                     .job_api
                     .open
                     .iter()
-                    .filter(|(id, (stamp, _))| *stamp <= revision && !listed.contains_key(*id))
+                    .filter(|(id, (mod_revision, _))| {
+                        *mod_revision <= revision && !listed.contains_key(*id)
+                    })
                     .map(|(id, _)| id.clone())
                     .collect();
                 for id in closed {
@@ -466,9 +511,9 @@
                     self.on_job_opened(&id, item.mod_revision, &item.value, now);
                 }
             }
-            WatchUpdate::Put(key, value, stamp) => {
+            WatchUpdate::Put(key, value, mod_revision) => {
                 if let Some(id) = key.strip_prefix(records::OPEN_PREFIX) {
-                    self.on_job_opened(id, stamp, &value, now);
+                    self.on_job_opened(id, mod_revision, &value, now);
                 }
             }
             WatchUpdate::Deleted(key) => {
@@ -479,13 +524,13 @@
         }
     }
 
-    fn on_job_opened(&mut self, id: &str, stamp: u64, value: &ciborium::Value, now: Now) {
+    fn on_job_opened(&mut self, id: &str, mod_revision: u64, value: &ciborium::Value, now: Now) {
         match cbor::from_value::<JobSpec>(value) {
             Ok(spec) => {
                 if let Some(leader) = &mut self.leader {
-                    leader.on_job_opened(stamp, &spec, now.monotonic, now.wall);
+                    leader.on_job_opened(mod_revision, &spec, now.monotonic, now.wall);
                 }
-                self.job_api.on_job_opened(stamp, spec);
+                self.job_api.on_job_opened(mod_revision, spec);
             }
             Err(error) => tracing::error!(id, %error, "unreadable job"),
         }
@@ -500,7 +545,7 @@
 
     fn apply_leader_update(&mut self, news: WatchUpdate, now: f64) {
         let jitter = self.rng.random::<f64>();
-        let outcome = match news {
+        let change = match news {
             WatchUpdate::Reset(items, _) => {
                 let known = items
                     .iter()
@@ -508,9 +553,12 @@
                     .and_then(|item| Some((read_leader(&item.value)?, item.mod_revision)));
                 self.election.observe_leader(known, jitter, now)
             }
-            WatchUpdate::Put(key, value, stamp) if key == records::LEADER_KEY => {
+            WatchUpdate::Put(key, value, mod_revision) if key == records::LEADER_KEY => {
                 match read_leader(&value) {
-                    Some(record) => self.election.observe_leader(Some((record, stamp)), jitter, now),
+                    Some(record) => {
+                        self.election
+                            .observe_leader(Some((record, mod_revision)), jitter, now)
+                    }
                     None => LeadershipChange::None,
                 }
             }
@@ -519,22 +567,22 @@
             }
             _ => LeadershipChange::None,
         };
-        self.apply_leadership_change(outcome, now);
+        self.apply_leadership_change(change, now);
     }
 
     // ---- leadership
 
-    fn apply_leadership_change(&mut self, outcome: LeadershipChange, now: f64) {
-        match outcome {
+    fn apply_leadership_change(&mut self, change: LeadershipChange, now: f64) {
+        match change {
             LeadershipChange::None => {}
             LeadershipChange::Elected(epoch) => {
                 tracing::info!(epoch, "this node leads");
-                let flavors = self.catalog.instance_types().cloned().unwrap_or_default();
+                let instance_types = self.catalog.instance_types().cloned().unwrap_or_default();
                 let mut leader = Leader::new(
                     epoch,
                     self.settings.clone(),
                     self.policy.clone(),
-                    flavors,
+                    instance_types,
                     self.lease_grace_s,
                     SmallRng::from_rng(&mut self.rng),
                     now,
@@ -558,10 +606,10 @@
         self.jobs_watch.poll(&mut self.effects, t);
         self.leader_watch.poll(&mut self.effects, t);
         let watching = self.leader_watch.is_complete();
-        let outcome = self
-            .election
-            .poll(watching, self.jobs_watch.current_at(), &mut self.effects, t);
-        self.apply_leadership_change(outcome, t);
+        let change =
+            self.election
+                .poll(watching, self.jobs_watch.current_at(), &mut self.effects, t);
+        self.apply_leadership_change(change, t);
         let leads = self.leader.is_some();
         self.catalog.poll(leads, &mut self.effects, t);
         self.job_api.send_due_requests(&mut self.effects, t);
@@ -574,13 +622,13 @@
     fn poll_leader(&mut self, now: f64) {
         self.jobs_watch.poll(&mut self.effects, now);
         self.leader_watch.poll(&mut self.effects, now);
-        let knowledge = self.view_freshness(now);
+        let freshness = self.view_freshness(now);
         let Some(leader) = &mut self.leader else {
             return;
         };
-        leader.poll(&knowledge, &mut self.effects, now);
-        for notice in leader.take_events() {
-            let outcome = match notice {
+        leader.poll(&freshness, &mut self.effects, now);
+        for event in leader.take_events() {
+            let change = match event {
                 LeaderEvent::JobFinished(id, record) => {
                     self.job_api.announce_finished(&id, record);
                     LeadershipChange::None
@@ -588,7 +636,7 @@
                 LeaderEvent::HigherEpochSeen(epoch) => self.election.observe_epoch(epoch),
                 LeaderEvent::Deposed => self.election.on_deposed(),
             };
-            self.apply_leadership_change(outcome, now);
+            self.apply_leadership_change(change, now);
         }
     }
 
@@ -604,7 +652,7 @@
             Some(leader) => leader.job_counts(),
             None => Vec::new(),
         };
-        let suspects = match &self.leader {
+        let crash_looping_jobs = match &self.leader {
             Some(leader) => leader.crash_looping_jobs(),
             None => Vec::new(),
         };
@@ -620,11 +668,13 @@
                 .is_some_and(|at| now - at < self.heartbeat_interval_s()),
             redirected_workers: self.redirected.len() as u32,
             counts,
-            crash_looping_jobs: suspects,
+            crash_looping_jobs,
             changes_per_s,
             terminations: self.terminations.next_message(now),
         };
-        self.effects.queue.push(Effect::BroadcastHeartbeat(heartbeat));
+        self.effects
+            .queue
+            .push(Effect::BroadcastHeartbeat(heartbeat));
     }
 
     /// Takes the part of the users' changes that peers don't use, and returns the rate at which this
@@ -653,7 +703,9 @@
     fn resign_if_partitioned(&mut self, now: f64) {
         let Some(leader) = &self.leader else { return };
         let silent_s = leader.unresponsive_for(now);
-        if self.settings.peers.is_empty() || silent_s < UNREACHABLE_HEARTBEATS * self.heartbeat_interval_s() {
+        if self.settings.peers.is_empty()
+            || silent_s < UNREACHABLE_HEARTBEATS * self.heartbeat_interval_s()
+        {
             return;
         }
         let fresh = self.heartbeat_interval_s() * 2.0;
@@ -661,32 +713,32 @@
         let knocked = self.peers.any_redirected(fresh, now);
         if knocked || (alone && silent_s > self.settings.deployment.workers.lease_s / 2.0) {
             tracing::info!("workers can't reach this node: giving up the lead");
-            let outcome = self.election.resign(&mut self.effects, now);
-            self.apply_leadership_change(outcome, now);
+            let change = self.election.resign(&mut self.effects, now);
+            self.apply_leadership_change(change, now);
         }
     }
 }
 
 /// Why a report is refused.
 #[derive(Debug, thiserror::Error)]
-enum ReportError {
+enum HeartbeatError {
     #[error("not a report: {0}")]
     Malformed(#[from] cbor::CborError),
     #[error(transparent)]
     FencingToken(#[from] InvalidFencingToken),
 }
 
-fn read_report(body: &[u8]) -> Result<WorkerHeartbeat, ReportError> {
-    let report = cbor::decode::<WorkerHeartbeat>(body)?;
-    report.token.check()?;
-    Ok(report)
+fn read_worker_heartbeat(body: &[u8]) -> Result<WorkerHeartbeat, HeartbeatError> {
+    let heartbeat = cbor::decode::<WorkerHeartbeat>(body)?;
+    heartbeat.token.check()?;
+    Ok(heartbeat)
 }
 
 /// Whether an answer that renews a worker's lease may leave, by other means than those that allowed it.
-fn is_within_hold_over(knowledge: &ViewFreshness, report: &WorkerHeartbeat) -> bool {
-    let age_s = knowledge.lease_age_s.max(knowledge.view_age_s);
-    let within = age_s <= knowledge.limits.lease_grace_s;
-    let details = format_args!("host {}, after {age_s} s", report.worker);
+fn is_within_hold_over(freshness: &ViewFreshness, heartbeat: &WorkerHeartbeat) -> bool {
+    let age_s = freshness.lease_age_s.max(freshness.view_age_s);
+    let within = age_s <= freshness.limits.lease_grace_s;
+    let details = format_args!("host {}, after {age_s} s", heartbeat.worker);
     invariants::uphold(Invariant::NoRenewalBeyondLeaseGrace, within, details)
 }
 
--- a/src/coordination/effects.rs
+++ b/src/coordination/effects.rs
@@ -138,22 +138,22 @@
     }
 
     /// Calls the state service.
-    pub fn call_kv(&mut self, ask: KvRequestKind, call: KvRequest, within_s: f64, now: f64) {
-        let tag = self.new_correlation_id();
-        self.call_kv.insert(tag, (ask, now));
+    pub fn call_kv(&mut self, kind: KvRequestKind, call: KvRequest, within_s: f64, now: f64) {
+        let correlation_id = self.new_correlation_id();
+        self.call_kv.insert(correlation_id, (kind, now));
         self.queue.push(Effect::CallKv {
-            correlation_id: tag,
+            correlation_id,
             request: call,
             timeout_s: within_s,
         });
     }
 
     /// Calls the cloud.
-    pub fn call_cloud(&mut self, ask: CloudRequestKind, call: CloudRequest, within_s: f64) {
-        let tag = self.new_correlation_id();
-        self.call_cloud.insert(tag, ask);
+    pub fn call_cloud(&mut self, kind: CloudRequestKind, call: CloudRequest, within_s: f64) {
+        let correlation_id = self.new_correlation_id();
+        self.call_cloud.insert(correlation_id, kind);
         self.queue.push(Effect::CallCloud {
-            correlation_id: tag,
+            correlation_id,
             request: call,
             timeout_s: within_s,
         });
@@ -162,15 +162,15 @@
     /// Calls a worker.
     pub fn call_worker(
         &mut self,
-        ask: WorkerRequestContext,
+        kind: WorkerRequestContext,
         endpoint: String,
         call: WorkerRequest,
         within_s: f64,
     ) {
-        let tag = self.new_correlation_id();
-        self.call_worker.insert(tag, ask);
+        let correlation_id = self.new_correlation_id();
+        self.call_worker.insert(correlation_id, kind);
         self.queue.push(Effect::CallWorker {
-            correlation_id: tag,
+            correlation_id,
             endpoint,
             request: call,
             timeout_s: within_s,
@@ -178,16 +178,25 @@
     }
 
     /// What a store call was for and when it was made; once only.
-    pub fn take_kv_request(&mut self, tag: CorrelationId) -> Option<(KvRequestKind, f64)> {
-        self.call_kv.remove(&tag)
+    pub fn take_kv_request(
+        &mut self,
+        correlation_id: CorrelationId,
+    ) -> Option<(KvRequestKind, f64)> {
+        self.call_kv.remove(&correlation_id)
     }
     /// What a cloud call was for; once only.
-    pub fn take_cloud_request(&mut self, tag: CorrelationId) -> Option<CloudRequestKind> {
-        self.call_cloud.remove(&tag)
+    pub fn take_cloud_request(
+        &mut self,
+        correlation_id: CorrelationId,
+    ) -> Option<CloudRequestKind> {
+        self.call_cloud.remove(&correlation_id)
     }
     /// What a worker call was for; once only.
-    pub fn take_worker_request(&mut self, tag: CorrelationId) -> Option<WorkerRequestContext> {
-        self.call_worker.remove(&tag)
+    pub fn take_worker_request(
+        &mut self,
+        correlation_id: CorrelationId,
+    ) -> Option<WorkerRequestContext> {
+        self.call_worker.remove(&correlation_id)
     }
 
     /// Answers with a message.
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -29,15 +29,15 @@
     /// view of the open jobs is no longer current hears of none; the tasks of a job that was cancelled
     /// right after it was so must be gone in time all the same: their workers' leases, renewed until
     /// the hold-over ends, must have run out by then.
-    pub fn new(workers: &WorkerSettings) -> ElectionTimeouts {
-        let lease_s = workers.lease_s;
+    pub fn new(worker_settings: &WorkerSettings) -> ElectionTimeouts {
+        let lease_s = worker_settings.lease_s;
         let life_s = (lease_s / 5.0).max(0.1);
-        let news_s = workers.heartbeat_interval_s / 2.0;
-        let hold_over_s = workers.cancel_s - lease_s * (1.0 + 4.0 * DRIFT) - news_s;
+        let news_s = worker_settings.heartbeat_interval_s / 2.0;
+        let hold_over_s = worker_settings.cancel_s - lease_s * (1.0 + 4.0 * DRIFT) - news_s;
         ElectionTimeouts {
             leader_lease_s: life_s,
             lease_grace_s: hold_over_s.max(life_s),
-            max_start_view_age_s: MAX_START_VIEW_HEARTBEATS * workers.heartbeat_interval_s,
+            max_start_view_age_s: MAX_START_VIEW_HEARTBEATS * worker_settings.heartbeat_interval_s,
             campaign_backoff_s: lease_s,
         }
     }
@@ -88,11 +88,11 @@
 
 impl Election {
     /// `life` tells this process from earlier ones of the same node.
-    pub fn new(label: &str, life: u64, times: ElectionTimeouts) -> Election {
+    pub fn new(label: &str, process_incarnation: u64, times: ElectionTimeouts) -> Election {
         Election {
             own_record: LeaderRecord {
                 label: label.to_owned(),
-                process_incarnation: life,
+                process_incarnation,
             },
             timeouts: times,
             state: ElectionState::Follower,
@@ -116,7 +116,8 @@
 
     /// Whether this node leads and certainly holds the lease.
     pub fn holds_lease(&self, now: f64) -> bool {
-        self.epoch().is_some() && now < self.renewed_at + self.timeouts.leader_lease_s * (1.0 - 2.0 * DRIFT)
+        self.epoch().is_some()
+            && now < self.renewed_at + self.timeouts.leader_lease_s * (1.0 - 2.0 * DRIFT)
     }
 
     /// What this node knows, with a view of the open jobs that was current at `view_at` and a state
@@ -144,7 +145,10 @@
     pub fn leader(&self) -> Option<&str> {
         match &self.state {
             ElectionState::Leader { .. } => Some(&self.own_record.label),
-            _ => self.observed_leader.as_ref().map(|(record, _)| record.label.as_str()),
+            _ => self
+                .observed_leader
+                .as_ref()
+                .map(|(record, _)| record.label.as_str()),
         }
     }
 
@@ -161,12 +165,14 @@
                 .max(now + jitter * self.timeouts.leader_lease_s * ELECTION_TIMEOUT_SHARE / 2.0);
         }
         self.observed_leader = known;
-        if let Some((_, stamp)) = &self.observed_leader {
-            self.highest_epoch = self.highest_epoch.max(*stamp);
+        if let Some((_, mod_revision)) = &self.observed_leader {
+            self.highest_epoch = self.highest_epoch.max(*mod_revision);
         }
         match (&self.state, &self.observed_leader) {
             // The watch may be late: only a newer leader, or none after us, deposes.
-            (ElectionState::Leader { epoch, .. }, Some((_, stamp))) if stamp > epoch => {
+            (ElectionState::Leader { epoch, .. }, Some((_, mod_revision)))
+                if mod_revision > epoch =>
+            {
                 self.step_down()
             }
             _ => LeadershipChange::None,
@@ -177,7 +183,7 @@
     pub fn on_leader_deleted(&mut self, jitter: f64, now: f64) -> LeadershipChange {
         let was_ours = matches!(
             (&self.state, &self.observed_leader),
-            (ElectionState::Leader { epoch, .. }, Some((_, stamp))) if epoch == stamp
+            (ElectionState::Leader { epoch, .. }, Some((_, mod_revision))) if epoch == mod_revision
         );
         self.observe_leader(None, jitter, now);
         if was_ours {
@@ -211,13 +217,13 @@
     }
 
     /// Gives up the lease, so that a node that workers can reach may lead.
-    pub fn resign(&mut self, out: &mut Effects, now: f64) -> LeadershipChange {
-        let ElectionState::Leader { lease_id: hold, .. } = self.state else {
+    pub fn resign(&mut self, effects: &mut Effects, now: f64) -> LeadershipChange {
+        let ElectionState::Leader { lease_id, .. } = self.state else {
             return LeadershipChange::None;
         };
-        out.call_kv(
+        effects.call_kv(
             KvRequestKind::RevokeLease,
-            KvRequest::RevokeLease(hold),
+            KvRequest::RevokeLease(lease_id),
             self.request_timeout_s(),
             now,
         );
@@ -229,7 +235,9 @@
     fn replaceable_revision(&self) -> Option<u64> {
         match &self.observed_leader {
             None => Some(0),
-            Some((record, stamp)) => (record.label == self.own_record.label).then_some(*stamp),
+            Some((record, mod_revision)) => {
+                (record.label == self.own_record.label).then_some(*mod_revision)
+            }
         }
     }
 
@@ -243,24 +251,24 @@
         &mut self,
         watching: bool,
         current_at: f64,
-        out: &mut Effects,
+        effects: &mut Effects,
         now: f64,
     ) -> LeadershipChange {
         match self.state {
-            ElectionState::Leader { lease_id: hold, .. } => {
+            ElectionState::Leader { lease_id, .. } => {
                 if now > self.renewed_at + self.timeouts.lease_grace_s {
                     return self.step_down();
                 }
                 // It holds the lease and is of no use: another may have a view that is current.
                 if now > self.elected_at.max(current_at) + self.timeouts.lease_grace_s {
                     tracing::info!("the open jobs can't be followed: giving up the lead");
-                    return self.resign(out, now);
+                    return self.resign(effects, now);
                 }
                 if !self.keep_alive_in_flight && now >= self.keep_alive_at {
                     self.keep_alive_in_flight = true;
-                    out.call_kv(
+                    effects.call_kv(
                         KvRequestKind::KeepAlive,
-                        KvRequest::KeepAlive(hold),
+                        KvRequest::KeepAlive(lease_id),
                         self.request_timeout_s(),
                         now,
                     );
@@ -274,7 +282,12 @@
                 self.state = ElectionState::AcquiringLease;
                 let life_ms = (self.timeouts.leader_lease_s * 1000.0) as u64;
                 let call = KvRequest::GrantLease(life_ms);
-                out.call_kv(KvRequestKind::GrantLease, call, self.request_timeout_s(), now);
+                effects.call_kv(
+                    KvRequestKind::GrantLease,
+                    call,
+                    self.request_timeout_s(),
+                    now,
+                );
             }
             _ => {}
         }
@@ -284,23 +297,23 @@
     /// Takes the answer to an election call that was made at `sent`.
     pub fn on_response(
         &mut self,
-        ask: &KvRequestKind,
-        reply: &KvResponse,
+        kind: &KvRequestKind,
+        response: &KvResponse,
         sent: f64,
-        out: &mut Effects,
+        effects: &mut Effects,
         now: f64,
     ) -> LeadershipChange {
-        match (ask, &self.state) {
+        match (kind, &self.state) {
             (KvRequestKind::GrantLease, ElectionState::AcquiringLease) => {
-                let KvResponse::LeaseGranted(hold) = *reply else {
+                let KvResponse::LeaseGranted(lease_id) = *response else {
                     self.back_off(now);
                     return LeadershipChange::None;
                 };
                 // Another may have taken the lead while the lease was on its way.
-                let Some(stamp) = self.replaceable_revision() else {
-                    out.call_kv(
+                let Some(mod_revision) = self.replaceable_revision() else {
+                    effects.call_kv(
                         KvRequestKind::RevokeLease,
-                        KvRequest::RevokeLease(hold),
+                        KvRequest::RevokeLease(lease_id),
                         self.request_timeout_s(),
                         now,
                     );
@@ -308,15 +321,18 @@
                     return LeadershipChange::None;
                 };
                 let txn = Txn {
-                    compares: vec![Compare::new(records::LEADER_KEY, stamp)],
+                    compares: vec![Compare::new(records::LEADER_KEY, mod_revision)],
                     writes: vec![WriteOp::Put {
                         key: records::LEADER_KEY.to_owned(),
                         value: cbor::to_value(&self.own_record),
-                        lease_id: Some(hold),
+                        lease_id: Some(lease_id),
                     }],
                 };
-                self.state = ElectionState::Campaigning { lease_id: hold, requested_at: sent };
-                out.call_kv(
+                self.state = ElectionState::Campaigning {
+                    lease_id,
+                    requested_at: sent,
+                };
+                effects.call_kv(
                     KvRequestKind::Campaign,
                     KvRequest::Txn(txn),
                     self.request_timeout_s(),
@@ -324,12 +340,18 @@
                 );
                 LeadershipChange::None
             }
-            (KvRequestKind::Campaign, ElectionState::Campaigning { lease_id: hold, requested_at: since }) => {
-                let (hold, since) = (*hold, *since);
-                if let KvResponse::Committed(epoch) = *reply
+            (
+                KvRequestKind::Campaign,
+                ElectionState::Campaigning {
+                    lease_id,
+                    requested_at: since,
+                },
+            ) => {
+                let (lease_id, since) = (*lease_id, *since);
+                if let KvResponse::Committed(epoch) = *response
                     && is_usable(epoch)
                 {
-                    self.state = ElectionState::Leader { epoch, lease_id: hold };
+                    self.state = ElectionState::Leader { epoch, lease_id };
                     self.observed_leader = Some((self.own_record.clone(), epoch));
                     self.highest_epoch = self.highest_epoch.max(epoch);
                     self.elected_at = now;
@@ -339,9 +361,9 @@
                     return LeadershipChange::Elected(epoch);
                 }
                 // An unanswered take may still be applied; without its lease it cannot.
-                out.call_kv(
+                effects.call_kv(
                     KvRequestKind::RevokeLease,
-                    KvRequest::RevokeLease(hold),
+                    KvRequest::RevokeLease(lease_id),
                     self.request_timeout_s(),
                     now,
                 );
@@ -350,7 +372,7 @@
             }
             (KvRequestKind::KeepAlive, ElectionState::Leader { .. }) => {
                 self.keep_alive_in_flight = false;
-                match reply {
+                match response {
                     KvResponse::LeaseOk => {
                         self.renewed_at = sent;
                         self.keep_alive_at = sent + self.timeouts.leader_lease_s * KEEP_ALIVE_SHARE;
@@ -361,7 +383,8 @@
                         self.step_down()
                     }
                     _ => {
-                        self.keep_alive_at = now + self.timeouts.leader_lease_s * KEEP_ALIVE_SHARE / 4.0;
+                        self.keep_alive_at =
+                            now + self.timeouts.leader_lease_s * KEEP_ALIVE_SHARE / 4.0;
                         LeadershipChange::None
                     }
                 }
--- a/src/coordination/instance_catalog.rs
+++ b/src/coordination/instance_catalog.rs
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub struct InstanceCatalog {
     lease_s: f64,
-    report_s: f64,
+    heartbeat_interval_s: f64,
     instance_types: Option<Rc<Vec<InstanceType>>>,
     stored: Option<Rc<Vec<InstanceType>>>,
     refresh_at: f64,
@@ -28,10 +28,10 @@
 
 impl InstanceCatalog {
     /// Nothing is known yet.
-    pub fn new(workers: &WorkerSettings) -> InstanceCatalog {
+    pub fn new(worker_settings: &WorkerSettings) -> InstanceCatalog {
         InstanceCatalog {
-            lease_s: workers.lease_s,
-            report_s: workers.heartbeat_interval_s,
+            lease_s: worker_settings.lease_s,
+            heartbeat_interval_s: worker_settings.heartbeat_interval_s,
             instance_types: None,
             stored: None,
             refresh_at: 0.0,
@@ -45,81 +45,81 @@
     }
 
     /// Asks the cloud if it is time, and reads or keeps the types in the state service.
-    pub fn poll(&mut self, leads: bool, out: &mut Effects, now: f64) {
+    pub fn poll(&mut self, leads: bool, effects: &mut Effects, now: f64) {
         if now < self.refresh_at {
             return;
         }
         self.refresh_at = now + self.lease_s;
-        let within_s = self.report_s * REQUEST_TIMEOUT_HEARTBEATS;
-        out.call_cloud(
+        let within_s = self.heartbeat_interval_s * REQUEST_TIMEOUT_HEARTBEATS;
+        effects.call_cloud(
             CloudRequestKind::ListInstanceTypes,
             CloudRequest::ListInstanceTypes,
             within_s,
         );
         if !self.stored_read {
             let call = KvRequest::Get(records::INSTANCE_CATALOG_KEY.to_owned());
-            out.call_kv(KvRequestKind::InstanceCatalog, call, within_s, now);
+            effects.call_kv(KvRequestKind::InstanceCatalog, call, within_s, now);
         } else if leads {
-            self.store_types(within_s, out, now);
+            self.store_types(within_s, effects, now);
         }
     }
 
     /// Keeps the types in the state service, unless that has the same.
-    fn store_types(&mut self, within_s: f64, out: &mut Effects, now: f64) {
-        let Some(flavors) = &self.instance_types else {
+    fn store_types(&mut self, within_s: f64, effects: &mut Effects, now: f64) {
+        let Some(instance_types) = &self.instance_types else {
             return;
         };
         let kept = self.stored.as_ref();
-        if kept.is_some_and(|kept| same_types(kept, flavors)) {
+        if kept.is_some_and(|kept| same_types(kept, instance_types)) {
             return;
         }
         let txn = Txn {
             compares: Vec::new(),
             writes: vec![WriteOp::put(
                 records::INSTANCE_CATALOG_KEY,
-                flavors.as_ref(),
+                instance_types.as_ref(),
             )],
         };
-        self.stored = Some(flavors.clone());
-        out.call_kv(KvRequestKind::Ignored, KvRequest::Txn(txn), within_s, now);
+        self.stored = Some(instance_types.clone());
+        effects.call_kv(KvRequestKind::Ignored, KvRequest::Txn(txn), within_s, now);
     }
 
     /// Takes the cloud's answer. True: the types are new.
-    pub fn on_cloud_response(&mut self, reply: CloudResponse, now: f64) -> bool {
-        let CloudResponse::InstanceTypes(flavors) = reply else {
-            self.refresh_at = now + self.report_s;
+    pub fn on_cloud_response(&mut self, response: CloudResponse, now: f64) -> bool {
+        let CloudResponse::InstanceTypes(instance_types) = response else {
+            self.refresh_at = now + self.heartbeat_interval_s;
             return false;
         };
         self.refresh_at = now + LEASES_PER_CATALOG_REFRESH * self.lease_s;
-        self.instance_types = Some(Rc::new(flavors));
+        self.instance_types = Some(Rc::new(instance_types));
         true
     }
 
     /// Takes what the state service keeps. True: the types are new.
-    pub fn on_stored_types(&mut self, reply: &KvResponse) -> bool {
-        self.stored_read |= matches!(reply, KvResponse::Value(_) | KvResponse::NotFound);
-        let KvResponse::Value(item) = reply else {
+    pub fn on_stored_types(&mut self, response: &KvResponse) -> bool {
+        self.stored_read |= matches!(response, KvResponse::Value(_) | KvResponse::NotFound);
+        let KvResponse::Value(item) = response else {
             return false;
         };
-        let Ok(flavors) = cbor::from_value::<Vec<InstanceType>>(&item.value) else {
+        let Ok(instance_types) = cbor::from_value::<Vec<InstanceType>>(&item.value) else {
             return false;
         };
-        let flavors = Rc::new(flavors);
-        self.stored = Some(flavors.clone());
+        let instance_types = Rc::new(instance_types);
+        self.stored = Some(instance_types.clone());
         let new = self.instance_types.is_none();
-        self.instance_types.get_or_insert(flavors);
+        self.instance_types.get_or_insert(instance_types);
         new
     }
 }
 
 /// Whether two catalogues differ in their prices at most.
 fn same_types(a: &[InstanceType], b: &[InstanceType]) -> bool {
-    let plain = |flavors: &[InstanceType]| {
-        flavors
+    let plain = |instance_types: &[InstanceType]| {
+        instance_types
             .iter()
-            .map(|flavor| InstanceType {
-                spot_price: flavor.spot_price.map(|_| 0.0),
-                ..flavor.clone()
+            .map(|instance_type| InstanceType {
+                spot_price: instance_type.spot_price.map(|_| 0.0),
+                ..instance_type.clone()
             })
             .collect::<Vec<_>>()
     };
--- a/src/coordination/job_api/batches.rs
+++ b/src/coordination/job_api/batches.rs
@@ -19,9 +19,10 @@
 
 impl InFlightBatches {
     /// Usually one at a time, so that many go into it.
-    pub(super) fn may_send(&self, patience_s: f64, now: f64) -> bool {
+    pub(super) fn may_send(&self, request_timeout_s: f64, now: f64) -> bool {
         let count = self.batches.len();
-        count == 0 || (count < MAX_BATCHES_IN_FLIGHT && now - self.last_sent_at > SLOW * patience_s)
+        count == 0
+            || (count < MAX_BATCHES_IN_FLIGHT && now - self.last_sent_at > SLOW * request_timeout_s)
     }
 
     pub(super) fn add(&mut self, waiting: Vec<PendingRequest>, now: f64) -> u64 {
--- a/src/coordination/job_api/mod.rs
+++ b/src/coordination/job_api/mod.rs
@@ -95,7 +95,7 @@
 
 impl JobApi {
     /// A frontend that may use this share of the state service's limits.
-    pub fn new(limits: &StateLimits, share: f64, patience_s: f64) -> JobApi {
+    pub fn new(limits: &StateLimits, share: f64, request_timeout_s: f64) -> JobApi {
         let rate = |all: f64| TokenBucket::new(all * share, burst_of(all * share));
         JobApi {
             open: BTreeMap::new(),
@@ -112,7 +112,7 @@
             write_budget: rate(limits.write_rps),
             writes_made: 0.0,
             limits: limits.clone(),
-            request_timeout_s: patience_s,
+            request_timeout_s,
             next_check_at: 0.0,
             check_interval_s: 1.0 / (CHECK_SHARE * share * limits.rps),
             refused_at: None,
@@ -120,9 +120,10 @@
     }
 
     /// Notes an open job.
-    pub fn on_job_opened(&mut self, stamp: u64, spec: JobSpec) {
+    pub fn on_job_opened(&mut self, mod_revision: u64, spec: JobSpec) {
         if self.terminal_states.get(&spec.id).is_none() {
-            self.open.insert(spec.id.clone(), (stamp, Rc::new(spec)));
+            self.open
+                .insert(spec.id.clone(), (mod_revision, Rc::new(spec)));
         }
     }
 
@@ -197,8 +198,8 @@
     }
 
     /// A user polls.
-    pub fn on_status_request(&mut self, request: u64, id: &str, out: &mut Effects, now: f64) {
-        self.admit(request, id, RequestKind::Poll, out, now);
+    pub fn on_status_request(&mut self, request: u64, id: &str, effects: &mut Effects, now: f64) {
+        self.admit(request, id, RequestKind::Poll, effects, now);
     }
 
     /// A user submits a job, which may be one that can never run.
@@ -207,7 +208,7 @@
         request: u64,
         spec: JobSpec,
         unsatisfiable: Option<&'static str>,
-        out: &mut Effects,
+        effects: &mut Effects,
         now: f64,
     ) {
         let id = spec.id.clone();
@@ -215,18 +216,25 @@
             Some(why) => RequestKind::Unsatisfiable(why),
             None => RequestKind::Submit(Rc::new(spec)),
         };
-        self.admit(request, &id, kind, out, now);
+        self.admit(request, &id, kind, effects, now);
     }
 
     /// A user cancels.
-    pub fn on_cancel(&mut self, request: u64, id: &str, out: &mut Effects, now: f64) {
-        self.admit(request, id, RequestKind::Cancel, out, now);
+    pub fn on_cancel(&mut self, request: u64, id: &str, effects: &mut Effects, now: f64) {
+        self.admit(request, id, RequestKind::Cancel, effects, now);
     }
 
     /// Answers from memory how a job has ended; any other request waits for the state service.
-    fn admit(&mut self, request: u64, id: &str, kind: RequestKind, out: &mut Effects, now: f64) {
+    fn admit(
+        &mut self,
+        request: u64,
+        id: &str,
+        kind: RequestKind,
+        effects: &mut Effects,
+        now: f64,
+    ) {
         if let Some(record) = self.terminal_states.get(id) {
-            self.respond_finished(request, id, &kind, record, out);
+            self.respond_finished(request, id, &kind, record, effects);
             return;
         }
         let waiting = self.polls.len()
@@ -237,7 +245,7 @@
                 .map(|look| look.waiting.len() + look.arrived_later.len())
                 .sum::<usize>();
         if waiting >= MAX_WAITING {
-            out.respond_error(request, 429, "too much at once", Some(RETRY_AFTER_S));
+            effects.respond_error(request, 429, "too much at once", Some(RETRY_AFTER_S));
             return;
         }
         // A request that the state service can't confirm now is refused at once, not held back.
@@ -245,10 +253,10 @@
             .refused_at
             .is_some_and(|at| now - at < self.request_timeout_s / 2.0)
         {
-            respond_state_service_unavailable(request, out);
+            respond_state_service_unavailable(request, effects);
             return;
         }
-        let patience_s = match kind {
+        let request_timeout_s = match kind {
             RequestKind::Poll => POLL_PATIENCE_S.min(1.5 * self.request_timeout_s),
             _ => 1.5 * self.request_timeout_s,
         };
@@ -256,7 +264,7 @@
             request_id: request,
             id: id.to_owned(),
             kind,
-            deadline: now + patience_s,
+            deadline: now + request_timeout_s,
             checked_as_open: false,
         };
         match pending.kind {
@@ -265,7 +273,7 @@
             RequestKind::Cancel if self.open.contains_key(id) => self.writes.push_back(pending),
             RequestKind::Cancel | RequestKind::Unsatisfiable(_) => self.enqueue_lookup(pending),
         }
-        self.send_due_requests(out, now);
+        self.send_due_requests(effects, now);
     }
 
     fn enqueue_lookup(&mut self, pending: PendingRequest) {
@@ -281,7 +289,7 @@
         look.waiting.push(pending);
     }
 
-    fn send_lookup(&mut self, id: &str, stage: LookupPhase, out: &mut Effects, now: f64) {
+    fn send_lookup(&mut self, id: &str, stage: LookupPhase, effects: &mut Effects, now: f64) {
         if let Some(look) = self.lookups.get_mut(id) {
             look.phase = stage;
         }
@@ -289,13 +297,13 @@
             LookupPhase::ReadingFinished => records::finished_key(id),
             _ => records::open_key(id),
         };
-        let ask = KvRequestKind::JobLookup(id.to_owned());
-        out.call_kv(ask, KvRequest::Get(key), self.request_timeout_s / 2.0, now);
+        let kind = KvRequestKind::JobLookup(id.to_owned());
+        effects.call_kv(kind, KvRequest::Get(key), self.request_timeout_s / 2.0, now);
     }
 
     /// Makes the calls that are due.
-    pub fn send_due_requests(&mut self, out: &mut Effects, now: f64) {
-        self.expire_requests(out, now);
+    pub fn send_due_requests(&mut self, effects: &mut Effects, now: f64) {
+        self.expire_requests(effects, now);
         // Looks go first: comparisons take as many polls as there are, and can wait for company. The
         // other way round, a node that many users ask would never come to look.
         while self.lookups_in_flight < MAX_LOOKUPS && !self.lookup_queue.is_empty() {
@@ -306,13 +314,13 @@
                 break;
             };
             self.lookups_in_flight += 1;
-            self.send_lookup(&id, LookupPhase::ReadingOpen, out, now);
+            self.send_lookup(&id, LookupPhase::ReadingOpen, effects, now);
         }
-        self.send_revision_check(out, now);
-        self.send_writes(out, now);
+        self.send_revision_check(effects, now);
+        self.send_writes(effects, now);
     }
 
-    fn expire_requests(&mut self, out: &mut Effects, now: f64) {
+    fn expire_requests(&mut self, effects: &mut Effects, now: f64) {
         let late = |pending: &PendingRequest| now >= pending.deadline;
         let mut dropped = Vec::new();
         for queue in [&mut self.polls, &mut self.writes] {
@@ -322,11 +330,11 @@
             }
         }
         for request in dropped {
-            respond_timed_out(request, out);
+            respond_timed_out(request, effects);
         }
     }
 
-    fn send_revision_check(&mut self, out: &mut Effects, now: f64) {
+    fn send_revision_check(&mut self, effects: &mut Effects, now: f64) {
         if self.polls.is_empty()
             || now < self.next_check_at
             || !self.revision_checks.may_send(self.request_timeout_s, now)
@@ -344,8 +352,8 @@
             pending.checked_as_open = self.open.contains_key(&pending.id);
             if ids.insert(pending.id.clone()) {
                 match self.open.get(&pending.id) {
-                    Some((stamp, _)) => {
-                        when.push(Compare::new(records::open_key(&pending.id), *stamp))
+                    Some((mod_revision, _)) => {
+                        when.push(Compare::new(records::open_key(&pending.id), *mod_revision))
                     }
                     None => {
                         when.push(Compare::new(records::open_key(&pending.id), 0));
@@ -354,19 +362,22 @@
                 }
             }
         }
-        let ask = KvRequestKind::RevisionCheck(self.revision_checks.add(batch, now));
+        let kind = KvRequestKind::RevisionCheck(self.revision_checks.add(batch, now));
         let txn = Txn {
             compares: when,
             writes: Vec::new(),
         };
-        out.call_kv(ask, KvRequest::Txn(txn), self.request_timeout_s, now);
+        effects.call_kv(kind, KvRequest::Txn(txn), self.request_timeout_s, now);
     }
 
-    fn send_writes(&mut self, out: &mut Effects, now: f64) {
+    fn send_writes(&mut self, effects: &mut Effects, now: f64) {
         if self.writes.is_empty() || !self.write_batches.may_send(self.request_timeout_s, now) {
             return;
         }
-        let level = self.write_budget.available(now).min(self.limits.txn_ops as f64);
+        let level = self
+            .write_budget
+            .available(now)
+            .min(self.limits.txn_ops as f64);
         let mut txn = Txn::default();
         let mut batch: Vec<PendingRequest> = Vec::new();
         let mut later = VecDeque::new();
@@ -379,10 +390,10 @@
             }
             let open = records::open_key(&pending.id);
             let over = records::finished_key(&pending.id);
-            let (stamp, writes) = match &pending.kind {
+            let (mod_revision, writes) = match &pending.kind {
                 RequestKind::Submit(spec) => (0, vec![WriteOp::put(open.clone(), spec.as_ref())]),
                 _ => {
-                    let Some((stamp, _)) = self.open.get(&pending.id) else {
+                    let Some((mod_revision, _)) = self.open.get(&pending.id) else {
                         self.enqueue_lookup(pending);
                         continue;
                     };
@@ -395,7 +406,7 @@
                         WriteOp::delete(open.clone()),
                         WriteOp::put(over.clone(), &record),
                     ];
-                    (*stamp, writes)
+                    (*mod_revision, writes)
                 }
             };
             let size: usize = writes.iter().map(WriteOp::json_size).sum();
@@ -406,7 +417,7 @@
                 break;
             }
             bytes += size;
-            txn.compares.push(Compare::new(open, stamp));
+            txn.compares.push(Compare::new(open, mod_revision));
             txn.compares.push(Compare::new(over, 0));
             txn.writes.extend(writes);
             batch.push(pending);
@@ -417,29 +428,30 @@
         if batch.is_empty() {
             return;
         }
-        self.write_budget.take_with_debt(txn.writes.len() as f64, now);
+        self.write_budget
+            .take_with_debt(txn.writes.len() as f64, now);
         self.writes_made += txn.writes.len() as f64;
         self.request_budget.take_with_debt(1.0, now);
-        let ask = KvRequestKind::JobWrites(self.write_batches.add(batch, now));
-        out.call_kv(ask, KvRequest::Txn(txn), self.request_timeout_s, now);
+        let kind = KvRequestKind::JobWrites(self.write_batches.add(batch, now));
+        effects.call_kv(kind, KvRequest::Txn(txn), self.request_timeout_s, now);
     }
 
-    fn observe_response(&mut self, reply: &KvResponse, now: f64) {
-        self.refused_at = matches!(reply, KvResponse::Unavailable).then_some(now);
+    fn observe_response(&mut self, response: &KvResponse, now: f64) {
+        self.refused_at = matches!(response, KvResponse::Unavailable).then_some(now);
     }
 
     /// The answer to the comparison for polls.
     pub fn on_revision_check_completed(
         &mut self,
         call: u64,
-        reply: KvResponse,
-        out: &mut Effects,
+        response: KvResponse,
+        effects: &mut Effects,
         now: f64,
     ) {
-        self.observe_response(&reply, now);
+        self.observe_response(&response, now);
         for pending in self.revision_checks.complete(call) {
-            match &reply {
-                KvResponse::Committed(_) => self.respond_to_poll(pending, out),
+            match &response {
+                KvResponse::Committed(_) => self.respond_to_poll(pending, effects),
                 KvResponse::CompareFailed(failed) => {
                     if pending.is_affected_by(failed) {
                         self.enqueue_lookup(pending);
@@ -448,23 +460,29 @@
                     }
                 }
                 KvResponse::RateLimited => self.polls.push_back(pending),
-                _ => respond_state_service_unavailable(pending.request_id, out),
+                _ => respond_state_service_unavailable(pending.request_id, effects),
             }
         }
-        self.send_due_requests(out, now);
+        self.send_due_requests(effects, now);
     }
 
     /// Answers a poll by a comparison that held. What has become known since then is newer and
     /// goes first; a job that was open and has been closed since is looked up, never denied.
-    fn respond_to_poll(&mut self, pending: PendingRequest, out: &mut Effects) {
+    fn respond_to_poll(&mut self, pending: PendingRequest, effects: &mut Effects) {
         if let Some(record) = self.terminal_states.get(&pending.id) {
-            self.respond_finished(pending.request_id, &pending.id, &pending.kind, record, out);
+            self.respond_finished(
+                pending.request_id,
+                &pending.id,
+                &pending.kind,
+                record,
+                effects,
+            );
         } else if self.open.contains_key(&pending.id) {
-            out.respond(pending.request_id, 200, &self.open_view(&pending.id));
+            effects.respond(pending.request_id, 200, &self.open_view(&pending.id));
         } else if pending.checked_as_open {
             self.enqueue_lookup(pending);
         } else {
-            out.respond_error(pending.request_id, 404, "no such job", None);
+            effects.respond_error(pending.request_id, 404, "no such job", None);
         }
     }
 
@@ -475,17 +493,18 @@
         id: &str,
         kind: &RequestKind,
         record: FinishedRecord,
-        out: &mut Effects,
+        effects: &mut Effects,
     ) {
-        let written = self.terminal_states.get(id).map(|known| known.outcome) == Some(record.outcome);
+        let written =
+            self.terminal_states.get(id).map(|known| known.outcome) == Some(record.outcome);
         let details = format_args!("job {id}, {:?}", record.outcome);
         if !invariants::uphold(Invariant::NoAbortedWithoutCommit, written, details) {
-            respond_timed_out(request, out);
+            respond_timed_out(request, effects);
             return;
         }
         match kind {
-            RequestKind::Poll => out.respond(request, 200, &finished_view(id, &record)),
-            _ => out.respond_job_status(request, 200, id, finished_status(&record)),
+            RequestKind::Poll => effects.respond(request, 200, &finished_view(id, &record)),
+            _ => effects.respond_job_status(request, 200, id, finished_status(&record)),
         }
     }
 
@@ -508,26 +527,32 @@
     pub fn on_writes_completed(
         &mut self,
         call: u64,
-        reply: KvResponse,
-        out: &mut Effects,
+        response: KvResponse,
+        effects: &mut Effects,
         now: f64,
     ) -> Vec<(u64, Rc<JobSpec>)> {
-        self.observe_response(&reply, now);
+        self.observe_response(&response, now);
         let mut opened = Vec::new();
         let batch = self.write_batches.complete(call);
         for pending in batch {
-            match &reply {
-                KvResponse::Committed(stamp) => match &pending.kind {
+            match &response {
+                KvResponse::Committed(mod_revision) => match &pending.kind {
                     RequestKind::Submit(spec) => {
-                        self.open.insert(pending.id.clone(), (*stamp, spec.clone()));
+                        self.open
+                            .insert(pending.id.clone(), (*mod_revision, spec.clone()));
                         tracing::debug!(
                             job = pending.id,
                             class = spec.class,
                             tasks = spec.tasks,
                             "accepted"
                         );
-                        opened.push((*stamp, spec.clone()));
-                        out.respond_job_status(pending.request_id, 201, &pending.id, JobStatus::Queued);
+                        opened.push((*mod_revision, spec.clone()));
+                        effects.respond_job_status(
+                            pending.request_id,
+                            201,
+                            &pending.id,
+                            JobStatus::Queued,
+                        );
                     }
                     _ => {
                         let done = self.counts.get(&pending.id).map_or(0, |(done, _)| *done);
@@ -537,7 +562,13 @@
                         };
                         tracing::debug!(job = pending.id, "cancelled");
                         self.announce_finished(&pending.id, record);
-                        self.respond_finished(pending.request_id, &pending.id, &pending.kind, record, out);
+                        self.respond_finished(
+                            pending.request_id,
+                            &pending.id,
+                            &pending.kind,
+                            record,
+                            effects,
+                        );
                     }
                 },
                 KvResponse::CompareFailed(failed) => {
@@ -550,10 +581,10 @@
                 KvResponse::RateLimited => self.writes.push_back(pending),
                 // It may have been applied: look, and answer by what is there.
                 KvResponse::OutcomeUnknown => self.enqueue_lookup(pending),
-                _ => respond_state_service_unavailable(pending.request_id, out),
+                _ => respond_state_service_unavailable(pending.request_id, effects),
             }
         }
-        self.send_due_requests(out, now);
+        self.send_due_requests(effects, now);
         opened
     }
 
@@ -562,25 +593,27 @@
     pub fn on_lookup_completed(
         &mut self,
         id: &str,
-        reply: KvResponse,
-        out: &mut Effects,
+        response: KvResponse,
+        effects: &mut Effects,
         now: f64,
     ) {
-        self.observe_response(&reply, now);
+        self.observe_response(&response, now);
         let stage = self
             .lookups
             .get(id)
             .map_or(LookupPhase::Queued, |look| look.phase);
-        let state = match reply {
+        let state = match response {
             KvResponse::Value(item) if item.key == records::open_key(id) => {
                 match cbor::from_value::<JobSpec>(&item.value) {
                     Ok(spec) => Some(JobRecordState::Open(item.mod_revision, Rc::new(spec))),
                     Err(_) => None,
                 }
             }
-            KvResponse::Value(item) => cbor::from_value(&item.value).ok().map(JobRecordState::Finished),
+            KvResponse::Value(item) => cbor::from_value(&item.value)
+                .ok()
+                .map(JobRecordState::Finished),
             KvResponse::NotFound if stage == LookupPhase::ReadingOpen => {
-                self.send_lookup(id, LookupPhase::ReadingFinished, out, now);
+                self.send_lookup(id, LookupPhase::ReadingFinished, effects, now);
                 return;
             }
             KvResponse::NotFound => Some(JobRecordState::Unknown),
@@ -594,12 +627,13 @@
             for pending in look.waiting.into_iter().chain(look.arrived_later) {
                 self.enqueue_lookup(pending);
             }
-            self.send_due_requests(out, now);
+            self.send_due_requests(effects, now);
             return;
         }
         match &state {
-            Some(JobRecordState::Open(stamp, spec)) => {
-                self.open.insert(id.to_owned(), (*stamp, spec.clone()));
+            Some(JobRecordState::Open(mod_revision, spec)) => {
+                self.open
+                    .insert(id.to_owned(), (*mod_revision, spec.clone()));
             }
             Some(JobRecordState::Finished(record)) => self.on_job_finished(id, *record),
             Some(JobRecordState::Unknown) => {
@@ -611,47 +645,49 @@
             self.enqueue_lookup(pending);
         }
         for pending in look.waiting {
-            self.respond_after_lookup(pending, state.as_ref(), out, now);
+            self.respond_after_lookup(pending, state.as_ref(), effects, now);
         }
-        self.send_due_requests(out, now);
+        self.send_due_requests(effects, now);
     }
 
     fn respond_after_lookup(
         &mut self,
         pending: PendingRequest,
         state: Option<&JobRecordState>,
-        out: &mut Effects,
+        effects: &mut Effects,
         now: f64,
     ) {
         let request = pending.request_id;
         if state.is_none()
             || (now >= pending.deadline && !matches!(state, Some(JobRecordState::Finished(_))))
         {
-            respond_timed_out(request, out);
+            respond_timed_out(request, effects);
             return;
         }
         match (state, &pending.kind) {
             (Some(JobRecordState::Finished(record)), kind) => {
-                self.respond_finished(request, &pending.id, kind, *record, out);
+                self.respond_finished(request, &pending.id, kind, *record, effects);
             }
             (Some(JobRecordState::Open(..)), RequestKind::Poll) => {
-                out.respond(request, 200, &self.open_view(&pending.id));
+                effects.respond(request, 200, &self.open_view(&pending.id));
             }
             (
                 Some(JobRecordState::Open(..)),
                 RequestKind::Submit(_) | RequestKind::Unsatisfiable(_),
             ) => {
                 let status = self.open_view(&pending.id).status;
-                out.respond_job_status(request, 200, &pending.id, status);
+                effects.respond_job_status(request, 200, &pending.id, status);
             }
             (Some(JobRecordState::Open(..)), RequestKind::Cancel)
             | (Some(JobRecordState::Unknown), RequestKind::Submit(_)) => {
                 self.writes.push_back(pending);
             }
             (Some(JobRecordState::Unknown), RequestKind::Unsatisfiable(why)) => {
-                out.respond_error(request, 422, why, None)
+                effects.respond_error(request, 422, why, None)
+            }
+            (Some(JobRecordState::Unknown), _) => {
+                effects.respond_error(request, 404, "no such job", None)
             }
-            (Some(JobRecordState::Unknown), _) => out.respond_error(request, 404, "no such job", None),
             (None, _) => {}
         }
     }
@@ -662,14 +698,14 @@
     per_s.max(4.0)
 }
 
-fn respond_state_service_unavailable(request: u64, out: &mut Effects) {
+fn respond_state_service_unavailable(request: u64, effects: &mut Effects) {
     let why = "the state service is out";
-    out.respond_error(request, 503, why, Some(RETRY_AFTER_S));
+    effects.respond_error(request, 503, why, Some(RETRY_AFTER_S));
 }
 
-fn respond_timed_out(request: u64, out: &mut Effects) {
+fn respond_timed_out(request: u64, effects: &mut Effects) {
     let why = "no decision in time";
-    out.respond_error(request, 503, why, Some(RETRY_AFTER_S));
+    effects.respond_error(request, 503, why, Some(RETRY_AFTER_S));
 }
 
 fn finished_status(record: &FinishedRecord) -> JobStatus {
--- a/src/coordination/leader/binding_reconciliation.rs
+++ b/src/coordination/leader/binding_reconciliation.rs
@@ -22,7 +22,7 @@
 
 /// What the latest report of a host tells of a task that is bound there.
 fn finding(
-    host: &Worker,
+    worker: &Worker,
     task: &TaskId,
     binding: &Binding,
     jobs: &Jobs,
@@ -31,13 +31,13 @@
     if binding.unbinding || !binding.durable {
         return None;
     }
-    let Some(step) = host.observed_task(task, binding.attempt) else {
-        let absent = permits::may_unbind_absent(host, task, binding).is_ok();
+    let Some(task_status) = worker.observed_task(task, binding.attempt) else {
+        let absent = permits::may_unbind_absent(worker, task, binding).is_ok();
         return absent.then_some(Finding::Absent);
     };
-    match (step.state, binding.running_since) {
+    match (task_status.state, binding.running_since) {
         (TaskState::Exited, ran) => {
-            let cause = step.exit_reason.unwrap_or(ExitReason::Unknown);
+            let cause = task_status.exit_reason.unwrap_or(ExitReason::Unknown);
             Some(Finding::Exited(cause, ran.is_some()))
         }
         (TaskState::Fetching, _) => None,
@@ -53,14 +53,14 @@
 impl Leader {
     /// Compares a host's bindings with its latest report.
     pub(super) fn reconcile_bindings(&mut self, name: &str, now: f64) {
-        let Some(host) = self.workers.get(name) else {
+        let Some(worker) = self.workers.get(name) else {
             return;
         };
-        let findings: Vec<(TaskId, u64, Finding)> = host
+        let findings: Vec<(TaskId, u64, Finding)> = worker
             .bindings
             .iter()
             .filter_map(|(task, binding)| {
-                let finding = finding(host, task, binding, &self.jobs, now)?;
+                let finding = finding(worker, task, binding, &self.jobs, now)?;
                 Some((task.clone(), binding.attempt, finding))
             })
             .collect();
@@ -69,42 +69,44 @@
                 Finding::Began => self.on_task_started(name, &task, attempt, now),
                 Finding::RanFor(for_s) => self.record_steady_replica(name, &task.job, for_s),
                 Finding::Absent => self.end_binding(name, &task, attempt, false),
-                Finding::Exited(cause, ran) => self.on_task_exited(name, &task, attempt, cause, ran, now),
+                Finding::Exited(cause, ran) => {
+                    self.on_task_exited(name, &task, attempt, cause, ran, now)
+                }
             }
         }
     }
 
     fn on_task_started(&mut self, name: &str, task: &TaskId, attempt: u64, now: f64) {
-        tracing::debug!(host = name, %task, attempt, "running");
-        let Some(host) = self.workers.get_mut(name) else {
+        tracing::debug!(worker = name, %task, attempt, "running");
+        let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        if let Some(binding) = host.bindings.get_mut(task) {
+        if let Some(binding) = worker.bindings.get_mut(task) {
             binding.running_since = Some(now);
         }
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.running_tasks += 1;
-            host.remember_image(&job.spec.image);
+            worker.remember_image(&job.spec.image);
         }
     }
 
     /// Ends a binding whose task has exited, or is not on its host and won't be.
     pub(super) fn end_binding(&mut self, name: &str, task: &TaskId, attempt: u64, done: bool) {
-        let Some(host) = self.workers.get_mut(name) else {
+        let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        let exited = host.has_exited(task, attempt);
-        let gone = exited || !host.pending_starts.may_arrive(task, attempt);
+        let exited = worker.has_exited(task, attempt);
+        let gone = exited || !worker.pending_starts.may_arrive(task, attempt);
         let details = format_args!("host {name}, task {task}, attempt {attempt}");
         if !invariants::uphold(Invariant::NoUnbindWhileStartMayArrive, gone, details) {
             return;
         }
-        if let Some(binding) = host.bindings.get_mut(task)
+        if let Some(binding) = worker.bindings.get_mut(task)
             && binding.attempt == attempt
             && !binding.unbinding
         {
             binding.unbinding = true;
-            tracing::debug!(host = name, %task, attempt, exited, "binding ends");
+            tracing::debug!(worker = name, %task, attempt, exited, "binding ends");
             self.log.push(LogEntry::Unbind {
                 worker: name.to_owned(),
                 task: task.clone(),
@@ -123,15 +125,16 @@
         ran: bool,
         now: f64,
     ) {
-        tracing::debug!(host = name, %task, attempt, ?cause, "exited");
+        tracing::debug!(worker = name, %task, attempt, ?cause, "exited");
         let mut done = false;
         match cause {
             ExitReason::Completed => {
                 if ran {
                     self.record_runtime(name, task, now);
                 }
-                let host = self.workers.get(name);
-                let copies = host.is_some_and(|host| host.pending_starts.may_arrive(task, attempt));
+                let worker = self.workers.get(name);
+                let copies =
+                    worker.is_some_and(|worker| worker.pending_starts.may_arrive(task, attempt));
                 if let Some(job) = self.jobs.get_mut(&task.job).filter(|job| !job.is_service()) {
                     if copies {
                         job.workers_with_start_copies.insert(name.to_owned());
@@ -157,11 +160,11 @@
 
     /// A machine that is about to be taken: what can't finish there in time moves now.
     pub(super) fn evict_before_reclaim(&mut self, name: &str, now: f64) {
-        let Some(host) = self.workers.get_mut(name) else {
+        let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        let left_s = host.reclaim_at.map_or(0.0, |at| at - now);
-        for (task, binding) in &mut host.bindings {
+        let left_s = worker.reclaim_at.map_or(0.0, |at| at - now);
+        for (task, binding) in &mut worker.bindings {
             if binding.eviction.is_some() || binding.unbinding {
                 continue;
             }
@@ -174,13 +177,13 @@
                 && binding.running_since.is_some()
                 && (spec.expected_runtime_s - ran_s).max(0.0) < left_s;
             if !finishes {
-                tracing::debug!(host = name, %task, "drained: the machine is about to be taken");
-                let drain_s = if spec.checkpoint_grace_s <= left_s {
+                tracing::debug!(worker = name, %task, "drained: the machine is about to be taken");
+                let grace_s = if spec.checkpoint_grace_s <= left_s {
                     spec.checkpoint_grace_s
                 } else {
                     0.0
                 };
-                binding.eviction = Some((drain_s, EvictionReason::Drained));
+                binding.eviction = Some((grace_s, EvictionReason::Drained));
             }
         }
     }
--- a/src/coordination/leader/commit.rs
+++ b/src/coordination/leader/commit.rs
@@ -14,7 +14,7 @@
 impl Leader {
     /// Sends the next transaction if there is one and the budget has room for it; or once more the
     /// one whose fate is unknown.
-    pub(super) fn commit_pending(&mut self, out: &mut Effects, now: f64) {
+    pub(super) fn commit_pending(&mut self, effects: &mut Effects, now: f64) {
         if self.recovery()
             || self.commit_in_flight
             || now < self.next_commit_at
@@ -30,21 +30,22 @@
                     .log
                     .next_transaction(self.epoch, &self.workers, &self.jobs, budget);
                 // Binds of jobs that have ended meanwhile: nothing was written, no start was sent.
-                for (host, task, attempt) in self.log.take_rejected_bindings() {
-                    self.drop_binding(&host, &task, attempt, now);
+                for (worker, task, attempt) in self.log.take_rejected_bindings() {
+                    self.drop_binding(&worker, &task, attempt, now);
                 }
                 let Some(txn) = txn else { return };
                 txn
             }
         };
         self.request_budget.take_with_debt(1.0, now);
-        self.write_budget.take_with_debt(txn.writes.len() as f64, now);
+        self.write_budget
+            .take_with_debt(txn.writes.len() as f64, now);
         self.commit_in_flight = true;
         // Small transactions wait for company, the longer the more of the budget is gone.
         let state = &self.settings.deployment.state;
         self.next_commit_at = now + COMMIT_PACE / (state.write_rps * LEADER_STATE_SHARE);
-        let ask = KvRequestKind::LogAppend(self.epoch);
-        out.call_kv(ask, KvRequest::Txn(txn), self.request_timeout_s(), now);
+        let kind = KvRequestKind::LogAppend(self.epoch);
+        effects.call_kv(kind, KvRequest::Txn(txn), self.request_timeout_s(), now);
     }
 
     fn request_timeout_s(&self) -> f64 {
@@ -52,11 +53,11 @@
     }
 
     /// Takes the answer to a transaction.
-    pub fn on_commit_completed(&mut self, reply: KvResponse, out: &mut Effects, now: f64) {
+    pub fn on_commit_completed(&mut self, response: KvResponse, effects: &mut Effects, now: f64) {
         self.commit_in_flight = false;
-        let report_s = self.settings.deployment.workers.heartbeat_interval_s;
-        match reply {
-            KvResponse::Committed(stamp) => self.apply_committed(stamp, now),
+        let heartbeat_interval_s = self.settings.deployment.workers.heartbeat_interval_s;
+        match response {
+            KvResponse::Committed(mod_revision) => self.apply_committed(mod_revision, now),
             KvResponse::CompareFailed(failed) => {
                 if failed.iter().any(|key| key == records::LEADER_KEY) {
                     self.emit(LeaderEvent::Deposed);
@@ -65,7 +66,7 @@
                 {
                     // Its own first copy may be what it met.
                     self.failed_compares = failed;
-                    self.read_back_log(key, out, now);
+                    self.read_back_log(key, effects, now);
                 } else {
                     self.on_compare_failed(&failed);
                 }
@@ -75,12 +76,12 @@
                 if !self.log.is_outcome_unknown() {
                     self.log.requeue_in_flight();
                 }
-                self.next_commit_at = now + report_s / 10.0;
+                self.next_commit_at = now + heartbeat_interval_s / 10.0;
             }
             KvResponse::InvalidRequest => {
                 tracing::error!("the state service calls a transaction malformed");
                 self.log.requeue_in_flight();
-                self.next_commit_at = now + report_s;
+                self.next_commit_at = now + heartbeat_interval_s;
             }
             // It may have been applied, or may yet be.
             _ => {
@@ -90,30 +91,30 @@
         }
     }
 
-    fn read_back_log(&mut self, key: String, out: &mut Effects, now: f64) {
+    fn read_back_log(&mut self, key: String, effects: &mut Effects, now: f64) {
         self.commit_in_flight = true;
         self.request_budget.take_with_debt(1.0, now);
-        let ask = KvRequestKind::LogReadBack(self.epoch);
-        out.call_kv(ask, KvRequest::Get(key), self.request_timeout_s(), now);
+        let kind = KvRequestKind::LogReadBack(self.epoch);
+        effects.call_kv(kind, KvRequest::Get(key), self.request_timeout_s(), now);
     }
 
     /// Takes the look that tells whether a transaction of unknown fate was executed.
-    pub fn on_read_back(&mut self, reply: KvResponse, out: &mut Effects, now: f64) {
+    pub fn on_read_back(&mut self, response: KvResponse, effects: &mut Effects, now: f64) {
         self.commit_in_flight = false;
-        let ours = match &reply {
+        let ours = match &response {
             KvResponse::Value(item) => cbor::from_value::<Segment>(&item.value)
                 .is_ok_and(|segment| self.log.is_own_segment(&segment))
                 .then_some(item.mod_revision),
             KvResponse::NotFound => None,
             _ => {
                 if let Some(key) = self.log.read_back_key() {
-                    self.read_back_log(key, out, now);
+                    self.read_back_log(key, effects, now);
                 }
                 return;
             }
         };
         match ours {
-            Some(stamp) => self.apply_committed(stamp, now),
+            Some(mod_revision) => self.apply_committed(mod_revision, now),
             None => {
                 let failed = std::mem::take(&mut self.failed_compares);
                 self.on_compare_failed(&failed);
@@ -121,8 +122,8 @@
         }
     }
 
-    fn apply_committed(&mut self, stamp: u64, now: f64) {
-        for change in self.log.complete_in_flight(stamp) {
+    fn apply_committed(&mut self, mod_revision: u64, now: f64) {
+        for change in self.log.complete_in_flight(mod_revision) {
             self.apply_entry(&change, now);
         }
     }
@@ -154,24 +155,24 @@
     pub(super) fn apply_entry(&mut self, change: &LogEntry, now: f64) {
         match change {
             LogEntry::Bind {
-                worker: host,
+                worker,
                 task,
                 attempt,
             } => {
-                let known = self.workers.get_mut(host);
+                let known = self.workers.get_mut(worker);
                 if let Some(binding) = known.and_then(|h| h.bindings.get_mut(task))
                     && binding.attempt == *attempt
                 {
                     binding.durable = true;
-                    self.dispatch_due.insert(host.clone());
+                    self.dispatch_due.insert(worker.clone());
                 }
             }
             LogEntry::Unbind {
-                worker: host,
+                worker,
                 task,
                 attempt,
                 ..
-            } => self.drop_binding(host, task, *attempt, now),
+            } => self.drop_binding(worker, task, *attempt, now),
             LogEntry::FinishJob { job } => {
                 tracing::debug!(job, "done");
                 // The watch may have told of it first.
@@ -184,17 +185,17 @@
                     self.evict_tasks_of(&known);
                 }
             }
-            LogEntry::RecordTermination { worker: host } => {
-                if let Some(known) = self.workers.get_mut(host) {
+            LogEntry::RecordTermination { worker } => {
+                if let Some(known) = self.workers.get_mut(worker) {
                     known.termination_recorded = true;
                 }
             }
-            LogEntry::RemoveWorker { worker: host } => {
+            LogEntry::RemoveWorker { worker } => {
                 // A record that was read again meanwhile may have brought bindings back.
-                self.drop_all_bindings(host, now);
-                self.workers.remove(host);
-                self.dispatch_due.remove(host);
-                self.last_dispatch.remove(host);
+                self.drop_all_bindings(worker, now);
+                self.workers.remove(worker);
+                self.dispatch_due.remove(worker);
+                self.last_dispatch.remove(worker);
             }
             LogEntry::WriteKey { write } => self.fleet.on_record_written(write),
         }
--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -30,8 +30,8 @@
     /// part of them only: a zone that is cut off must not keep commands from the others.
     pub(super) fn dispatch_commands(
         &mut self,
-        knowledge: &ViewFreshness,
-        out: &mut Effects,
+        freshness: &ViewFreshness,
+        effects: &mut Effects,
         now: f64,
     ) {
         let limit = self.settings.deployment.quota.direct_sockets();
@@ -42,7 +42,7 @@
             if self.calls_in_flight.contains_key(&name) {
                 continue;
             }
-            let Some(call) = self.next_command(&name, knowledge, now) else {
+            let Some(call) = self.next_command(&name, freshness, now) else {
                 self.dispatch_due.remove(&name);
                 continue;
             };
@@ -53,64 +53,74 @@
             if call.may_not_answer {
                 doubtful.push(call);
             } else if self.calls_in_flight.len() < limit {
-                self.dispatch(call, knowledge, out, now);
+                self.dispatch(call, freshness, effects, now);
             }
         }
-        let probing = self.calls_in_flight.values().filter(|doubtful| **doubtful).count();
+        let probing = self
+            .calls_in_flight
+            .values()
+            .filter(|doubtful| **doubtful)
+            .count();
         let free = (limit / 2).saturating_sub(probing);
         // Those not asked for longest go first.
         doubtful.sort_by(|a, b| a.last_called_at.total_cmp(&b.last_called_at));
         for call in doubtful.into_iter().take(free) {
-            self.dispatch(call, knowledge, out, now);
+            self.dispatch(call, freshness, effects, now);
         }
     }
 
     /// Whether a worker has missed its latest report, or could not be reached.
-    fn has_missed_heartbeat(&self, host: &Worker, now: f64) -> bool {
-        let report_s = self.settings.deployment.workers.heartbeat_interval_s;
-        let late = |at| now - at > PROBE_AFTER_HEARTBEATS * report_s;
-        host.unreachable_since.is_some() || host.last_heartbeat_at.is_some_and(late)
+    fn has_missed_heartbeat(&self, worker: &Worker, now: f64) -> bool {
+        let heartbeat_interval_s = self.settings.deployment.workers.heartbeat_interval_s;
+        let late = |at| now - at > PROBE_AFTER_HEARTBEATS * heartbeat_interval_s;
+        worker.unreachable_since.is_some() || worker.last_heartbeat_at.is_some_and(late)
     }
 
     /// Workers that have missed their latest report are asked directly.
     fn probe_late_workers(&mut self, now: f64) {
-        let missed = self.workers.iter().filter(|host| self.has_missed_heartbeat(host, now));
-        let names: Vec<String> = missed.map(|host| host.name.clone()).collect();
+        let missed = self
+            .workers
+            .iter()
+            .filter(|worker| self.has_missed_heartbeat(worker, now));
+        let names: Vec<String> = missed.map(|worker| worker.name.clone()).collect();
         self.dispatch_due.extend(names);
     }
 
     /// What a worker is to be called for, if it is.
-    fn next_command(&self, name: &str, knowledge: &ViewFreshness, now: f64) -> Option<WorkerCall> {
-        let host = self.workers.get(name)?;
-        let missed = self.has_missed_heartbeat(host, now);
-        let may_start = knowledge.may_start().is_ok();
-        let orders = match host.token_acknowledged {
-            true => host.commands(may_start, MAX_COMMANDS),
+    fn next_command(&self, name: &str, freshness: &ViewFreshness, now: f64) -> Option<WorkerCall> {
+        let worker = self.workers.get(name)?;
+        let missed = self.has_missed_heartbeat(worker, now);
+        let may_start = freshness.may_start().is_ok();
+        let commands = match worker.token_acknowledged {
+            true => worker.commands(may_start, MAX_COMMANDS),
             false => Vec::new(),
         };
-        let revocation = host
+        let revocation = worker
             .pending_revocation()
-            .filter(|_| host.token_acknowledged);
+            .filter(|_| worker.token_acknowledged);
         let revokes = revocation.is_some_and(|reason| reason.is_urgent());
-        let waits = host.token_acknowledged && host.awaits_fence();
+        let waits = worker.token_acknowledged && worker.awaits_fence();
         // It is asked before it is thought silent: a report may only be on its way from a node that does
         // not answer it.
-        let probe = host.token_acknowledged && !host.termination_recorded && missed;
-        let up =
-            host.last_heartbeat_at.is_some() || host.listed_running || !host.bindings.is_empty();
-        let greet = !host.token_acknowledged && !host.termination_recorded && up;
+        let probe = worker.token_acknowledged && !worker.termination_recorded && missed;
+        let up = worker.last_heartbeat_at.is_some()
+            || worker.listed_running
+            || !worker.bindings.is_empty();
+        let greet = !worker.token_acknowledged && !worker.termination_recorded && up;
         // Clears can wait for the next report.
-        let pressing = orders.iter().any(|order| order.kind != CommandKind::Clear);
+        let pressing = commands
+            .iter()
+            .any(|command| command.kind != CommandKind::Clear);
         let wanted = pressing || revokes || waits || probe || greet;
-        if !wanted || host.endpoint.is_empty() {
+        if !wanted || worker.endpoint.is_empty() {
             return None;
         }
         let last = self.last_dispatch.get(name);
         Some(WorkerCall {
             worker: name.to_owned(),
-            commands: orders,
+            commands,
             is_urgent: revokes,
-            may_not_answer: !host.token_acknowledged || missed,
+            may_not_answer: !worker.token_acknowledged || missed,
             last_called_at: last.map_or(f64::NEG_INFINITY, |(_, at)| *at),
         })
     }
@@ -124,84 +134,89 @@
     fn dispatch(
         &mut self,
         call: WorkerCall,
-        knowledge: &ViewFreshness,
-        out: &mut Effects,
+        freshness: &ViewFreshness,
+        effects: &mut Effects,
         now: f64,
     ) {
         let name = call.worker;
-        let Some(host) = self.workers.get(&name) else {
+        let Some(worker) = self.workers.get(&name) else {
             return;
         };
-        let endpoint = host.endpoint.clone();
-        if host.token_acknowledged {
+        let endpoint = worker.endpoint.clone();
+        if worker.token_acknowledged {
             self.revoke_pending_starts(&name);
         }
-        let commands = self.prepare_commands(&name, call.commands, DeliveryPath::DirectCall, knowledge);
+        let commands =
+            self.prepare_commands(&name, call.commands, DeliveryPath::DirectCall, freshness);
         self.dispatch_due.remove(&name);
-        self.calls_in_flight.insert(name.clone(), call.may_not_answer);
+        self.calls_in_flight
+            .insert(name.clone(), call.may_not_answer);
         self.last_dispatch
             .insert(name.clone(), (commands.commands.clone(), now));
-        let ask = WorkerRequestContext {
+        let kind = WorkerRequestContext {
             epoch: self.epoch,
             worker: name,
             commands: commands.commands.clone(),
         };
         let within_s = self.settings.deployment.workers.heartbeat_interval_s / 2.0;
-        out.call_worker(ask, endpoint, WorkerRequest::Commands(commands), within_s);
+        effects.call_worker(kind, endpoint, WorkerRequest::Commands(commands), within_s);
     }
 
     /// Takes what came of a direct call.
     pub fn on_worker_response(
         &mut self,
-        ask: &WorkerRequestContext,
-        reply: WorkerResponse,
+        kind: &WorkerRequestContext,
+        response: WorkerResponse,
         now: f64,
     ) {
-        self.calls_in_flight.remove(&ask.worker);
-        self.dispatch_due.insert(ask.worker.clone());
-        if let Some(host) = self.workers.get_mut(&ask.worker) {
-            host.record_call_outcome(&ask.commands, call_outcome(&reply));
-            match reply {
+        self.calls_in_flight.remove(&kind.worker);
+        self.dispatch_due.insert(kind.worker.clone());
+        if let Some(worker) = self.workers.get_mut(&kind.worker) {
+            worker.record_call_outcome(&kind.commands, call_outcome(&response));
+            match response {
                 WorkerResponse::Executed(_) | WorkerResponse::Rejected(_) => {
-                    host.unreachable_since = None
+                    worker.unreachable_since = None
                 }
                 WorkerResponse::OutcomeUnknown | WorkerResponse::Unreachable => {
-                    host.unreachable_since.get_or_insert(now);
+                    worker.unreachable_since.get_or_insert(now);
                 }
                 WorkerResponse::NotSent => {}
             }
             self.schedule_due = true;
         }
-        let report = match reply {
-            WorkerResponse::Executed(report) => report,
-            WorkerResponse::Rejected(report) => {
+        let heartbeat = match response {
+            WorkerResponse::Executed(heartbeat) => heartbeat,
+            WorkerResponse::Rejected(heartbeat) => {
                 // Its session is known now: the next call can follow at once.
-                self.last_dispatch.remove(&ask.worker);
-                report
+                self.last_dispatch.remove(&kind.worker);
+                heartbeat
             }
             WorkerResponse::NotSent
             | WorkerResponse::Unreachable
             | WorkerResponse::OutcomeUnknown => return,
         };
-        if report.worker != ask.worker {
-            tracing::warn!(host = ask.worker, "another worker answers at its address");
+        if heartbeat.worker != kind.worker {
+            tracing::warn!(
+                worker = kind.worker,
+                "another worker answers at its address"
+            );
             return;
         }
-        if let Err(error) = report.token.check() {
-            tracing::error!(host = ask.worker, %error, "answer of a worker refused");
+        if let Err(error) = heartbeat.token.check() {
+            tracing::error!(worker = kind.worker, %error, "answer of a worker refused");
             return;
         }
-        if report.token.epoch() > self.epoch {
-            self.emit(LeaderEvent::HigherEpochSeen(report.token.epoch()));
+        if heartbeat.token.epoch() > self.epoch {
+            self.emit(LeaderEvent::HigherEpochSeen(heartbeat.token.epoch()));
             return;
         }
-        self.apply_heartbeat(&report, false, now);
+        self.apply_heartbeat(&heartbeat, false, now);
     }
 }
 
 /// What became of a direct call, as its outcome tells.
-fn call_outcome(reply: &WorkerResponse) -> CallOutcome {
-    match reply {
+fn call_outcome(response: &WorkerResponse) -> CallOutcome {
+    match response {
         WorkerResponse::Executed(_) | WorkerResponse::Rejected(_) => CallOutcome::Answered,
         WorkerResponse::OutcomeUnknown => CallOutcome::Unanswered,
         WorkerResponse::NotSent | WorkerResponse::Unreachable => CallOutcome::NotSent,
--- a/src/coordination/leader/failure_attribution.rs
+++ b/src/coordination/leader/failure_attribution.rs
@@ -17,26 +17,27 @@
 
 impl Leader {
     /// Counts the run time of a task that has completed.
-    pub(super) fn record_runtime(&mut self, host: &str, task: &TaskId, now: f64) {
-        let Some(host) = self.workers.get(host) else {
+    pub(super) fn record_runtime(&mut self, worker: &str, task: &TaskId, now: f64) {
+        let Some(worker) = self.workers.get(worker) else {
             return;
         };
-        let running = host
+        let running = worker
             .bindings
             .get(task)
             .and_then(|binding| binding.running_since);
         if let Some(since) = running {
             let job = self.jobs.get(&task.job);
-            let expect_s = job.map_or(0.0, |job| job.spec.expected_runtime_s);
-            self.fleet.record_finish(host, now - since, expect_s, now);
+            let expected_runtime_s = job.map_or(0.0, |job| job.spec.expected_runtime_s);
+            self.fleet
+                .record_finish(worker, now - since, expected_runtime_s, now);
         }
     }
 
     /// A task of a job has completed on a host: both work, so where the job failed before, that was
     /// the machine's fault, unless the job is suspect.
-    pub(super) fn record_success(&mut self, host: &str, job: &str) {
-        if let Some(host) = self.workers.get_mut(host) {
-            host.failures.record_success();
+    pub(super) fn record_success(&mut self, worker: &str, job: &str) {
+        if let Some(worker) = self.workers.get_mut(worker) {
+            worker.failures.record_success();
         }
         let Some(job) = self.jobs.get_mut(job) else {
             return;
@@ -47,8 +48,8 @@
             self.schedule_due = true;
         } else {
             for name in job.failures.workers() {
-                if let Some(host) = self.workers.get_mut(name) {
-                    host.failures.attribute_to_worker(&job.spec.id);
+                if let Some(worker) = self.workers.get_mut(name) {
+                    worker.failures.attribute_to_worker(&job.spec.id);
                 }
             }
         }
@@ -57,31 +58,31 @@
 
     /// A replica of a failing service runs on a host: it never completes, so having run for a while is
     /// its success.
-    pub(super) fn record_steady_replica(&mut self, host: &str, job: &str, for_s: f64) {
+    pub(super) fn record_steady_replica(&mut self, worker: &str, job: &str, for_s: f64) {
         let steady_s = STEADY_HEARTBEATS * self.settings.deployment.workers.heartbeat_interval_s;
         if for_s >= steady_s {
-            self.record_success(host, job);
+            self.record_success(worker, job);
         }
     }
 
     /// A task has failed: its machine may be faulty, or its job was submitted with a mistake.
     pub(super) fn record_failure(
         &mut self,
-        host: &str,
+        worker: &str,
         task: &TaskId,
         cause: ExitReason,
         now: f64,
     ) {
-        let workers = &self.settings.deployment.workers;
-        let avoid_s = AVOID_LEASES * workers.lease_s;
-        let shortest_s = PROBE_HEARTBEATS * workers.heartbeat_interval_s;
+        let worker_settings = &self.settings.deployment.workers;
+        let avoid_s = AVOID_LEASES * worker_settings.lease_s;
+        let shortest_s = PROBE_HEARTBEATS * worker_settings.heartbeat_interval_s;
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        tracing::info!(host, %task, ?cause, "task failed");
+        tracing::info!(worker, %task, ?cause, "task failed");
         let probed = job.failures.is_crash_looping() && now >= job.eligible_at;
-        let newly_suspect = job.failures.record_failure(host, avoid_s, now);
-        if probed || newly_suspect {
+        let newly_crash_looping = job.failures.record_failure(worker, avoid_s, now);
+        if probed || newly_crash_looping {
             let jitter = self.rng.random_range(1.0 - JITTER..1.0 + JITTER);
             let wait_s = job.failures.next_backoff_s(shortest_s) * jitter;
             job.eligible_at = now + wait_s;
@@ -91,31 +92,31 @@
                 "suspect: fails on several machines"
             );
         }
-        if newly_suspect {
+        if newly_crash_looping {
             withdraw_failures(job, &mut self.workers);
         } else if cause == ExitReason::Failed
             && !job.failures.is_crash_looping()
-            && let Some(host) = self.workers.get_mut(host)
+            && let Some(worker) = self.workers.get_mut(worker)
         {
             let proven = job.failures.has_succeeded();
-            host.failures.record_failure(&task.job, proven);
+            worker.failures.record_failure(&task.job, proven);
         }
     }
 
     /// Jobs that are suspect, for the leader after this one.
     pub fn crash_looping_jobs(&self) -> Vec<String> {
-        let suspect = self
+        let crash_looping = self
             .jobs
             .iter()
             .filter(|job| job.failures.is_crash_looping());
-        let ids = suspect.map(|job| job.spec.id.clone());
+        let ids = crash_looping.map(|job| job.spec.id.clone());
         ids.take(MAX_CRASH_LOOPING_JOBS).collect()
     }
 
     /// Takes over the jobs that an earlier leader has told to be suspect: they begin with a probe. What
     /// it did not tell is found out once more, at the price of the job's whole width.
-    pub fn inherit_crash_looping(&mut self, suspects: BTreeSet<String>) {
-        self.inherited_crash_looping = suspects;
+    pub fn inherit_crash_looping(&mut self, crash_looping_jobs: BTreeSet<String>) {
+        self.inherited_crash_looping = crash_looping_jobs;
     }
 
     /// Marks the inherited suspects, once the open jobs are known.
@@ -137,10 +138,10 @@
 }
 
 /// Withdraws what a job's failures told about machines.
-fn withdraw_failures(job: &Job, hosts: &mut Workers) {
+fn withdraw_failures(job: &Job, workers: &mut Workers) {
     for name in job.failures.workers() {
-        if let Some(host) = hosts.get_mut(name) {
-            host.failures.attribute_to_job(&job.spec.id);
+        if let Some(worker) = workers.get_mut(name) {
+            worker.failures.attribute_to_job(&job.spec.id);
         }
     }
 }
--- a/src/coordination/leader/failure_detection.rs
+++ b/src/coordination/leader/failure_detection.rs
@@ -25,24 +25,30 @@
 
 impl Leader {
     /// Since when a machine that should report has not; `None`: it may still be booting.
-    fn last_contact(&self, host: &Worker) -> Option<f64> {
+    fn last_contact(&self, worker: &Worker) -> Option<f64> {
         // Who has tasks and was never heard had them under an earlier leader.
-        let inherited = (!host.bindings.is_empty()).then_some(self.elected_at);
-        Some(host.last_heartbeat_at.or(inherited)?.max(self.awake_since))
+        let inherited = (!worker.bindings.is_empty()).then_some(self.elected_at);
+        Some(
+            worker
+                .last_heartbeat_at
+                .or(inherited)?
+                .max(self.awake_since),
+        )
     }
 
     /// Whether a machine has missed its latest reports and leaves direct calls unanswered, or has
     /// been quiet for so long that this is not needed.
-    fn is_unresponsive(&self, host: &Worker, now: f64) -> bool {
-        let workers = &self.settings.deployment.workers;
-        self.last_contact(host).is_some_and(|since| {
+    fn is_unresponsive(&self, worker: &Worker, now: f64) -> bool {
+        let worker_settings = &self.settings.deployment.workers;
+        self.last_contact(worker).is_some_and(|since| {
             let quiet_s = now - since;
-            let asked = host.unreachable_since.is_some_and(|at| at >= since);
-            let long_s = match host.last_heartbeat_at {
-                Some(_) => workers.lease_s / 2.0,
-                None => workers.lease_s,
+            let asked = worker.unreachable_since.is_some_and(|at| at >= since);
+            let long_s = match worker.last_heartbeat_at {
+                Some(_) => worker_settings.lease_s / 2.0,
+                None => worker_settings.lease_s,
             };
-            quiet_s > long_s || (asked && quiet_s > MISSED_HEARTBEATS * workers.heartbeat_interval_s)
+            quiet_s > long_s
+                || (asked && quiet_s > MISSED_HEARTBEATS * worker_settings.heartbeat_interval_s)
         })
     }
 
@@ -54,9 +60,9 @@
     fn partitioned_zones(&self, now: f64) -> (BTreeSet<String>, bool) {
         let late_s = LATE_HEARTBEATS * self.settings.deployment.workers.heartbeat_interval_s;
         let mut zones: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        for host in self.workers.iter().filter(|host| !host.terminating) {
-            if let Some(since) = self.last_contact(host) {
-                let (there, late) = zones.entry(&host.zone).or_default();
+        for worker in self.workers.iter().filter(|worker| !worker.terminating) {
+            if let Some(since) = self.last_contact(worker) {
+                let (there, late) = zones.entry(&worker.zone).or_default();
                 *there += 1;
                 *late += usize::from(now - since > late_s);
             }
@@ -74,9 +80,15 @@
 
     fn update_partitioned_zones(&mut self, now: f64) {
         let (cut, all) = self.partitioned_zones(now);
-        self.fleet.all_partitioned_since = all.then(|| self.fleet.all_partitioned_since.unwrap_or(now));
+        self.fleet.all_partitioned_since =
+            all.then(|| self.fleet.all_partitioned_since.unwrap_or(now));
         for zone in cut {
-            if self.fleet.partitioned_zones.insert(zone.clone(), now).is_none() {
+            if self
+                .fleet
+                .partitioned_zones
+                .insert(zone.clone(), now)
+                .is_none()
+            {
                 tracing::info!(zone, "zone cut off");
             }
         }
@@ -104,11 +116,16 @@
         let unheard = self
             .workers
             .iter()
-            .filter(|host| host.last_heartbeat_at.is_some_and(|at| now - at > missed_s))
+            .filter(|worker| {
+                worker
+                    .last_heartbeat_at
+                    .is_some_and(|at| now - at > missed_s)
+            })
             .count();
         // So it may be when nobody at all is heard; should this last, the lead is given up.
         let quiet_s = self.last_heartbeat_at.map_or(0.0, |at| now - at);
-        let nobody = quiet_s > QUIET_HEARTBEATS * self.fleet.heartbeat_interval_s && quiet_s < lease_s;
+        let nobody =
+            quiet_s > QUIET_HEARTBEATS * self.fleet.heartbeat_interval_s && quiet_s < lease_s;
         let unreached = self
             .workers
             .iter()
@@ -124,50 +141,52 @@
         let cut_off = 2 * unheard > up || 2 * unreached > up || nobody || all_cut;
         // A zone that stays away for long is given up: its machines cost more by then than their boots.
         // Once it is back, all its workers get the time to come again.
-        let waits = |host: &Worker| {
-            !host.spot
-                && self.fleet.was_partitioned(&host.zone)
+        let waits = |worker: &Worker| {
+            !worker.spot
+                && self.fleet.was_partitioned(&worker.zone)
                 && self
-                    .last_contact(host)
+                    .last_contact(worker)
                     .is_some_and(|since| now - since < PARTITION_LEASES * lease_s)
         };
         let mut back = Vec::new();
-        for host in self.workers.iter().filter(|host| !host.terminating) {
-            let ready_s = self
+        for worker in self.workers.iter().filter(|worker| !worker.terminating) {
+            let boot_time_s = self
                 .instance_types
                 .iter()
-                .find(|f| f.name == host.instance_type)
+                .find(|f| f.name == worker.instance_type)
                 .map_or(self.fleet.heartbeat_interval_s, |f| f.boot_time_s);
-            let lost_s = 4.0 * self.fleet.list_lag_s + ready_s;
-            let taken = host
-                .reclaim_at
-                .is_some_and(|at| now > at + self.fleet.heartbeat_interval_s || host.bindings.is_empty());
-            let never_up = host.last_heartbeat_at.is_none()
-                && host.bindings.is_empty()
-                && now - host.first_seen_at > BOOT_TIMEOUT_FACTOR * ready_s
-                && (!host.listed_running || now - self.elected_at > lease_s);
+            let lost_s = 4.0 * self.fleet.list_lag_s + boot_time_s;
+            let taken = worker.reclaim_at.is_some_and(|at| {
+                now > at + self.fleet.heartbeat_interval_s || worker.bindings.is_empty()
+            });
+            let never_up = worker.last_heartbeat_at.is_none()
+                && worker.bindings.is_empty()
+                && now - worker.first_seen_at > BOOT_TIMEOUT_FACTOR * boot_time_s
+                && (!worker.listed_running || now - self.elected_at > lease_s);
             let reason = if taken {
                 ScaleInReason::Reclaimed
             } else if never_up {
                 ScaleInReason::BootTimedOut
-            } else if self.is_unresponsive(host, now) && !cut_off && !waits(host) {
+            } else if self.is_unresponsive(worker, now) && !cut_off && !waits(worker) {
                 ScaleInReason::Unresponsive
-            } else if host.unreachable_since.is_some_and(|at| now - at > lease_s)
+            } else if worker
+                .unreachable_since
+                .is_some_and(|at| now - at > lease_s)
                 && !cut_off
-                && !waits(host)
+                && !waits(worker)
             {
                 ScaleInReason::Unreachable
-            } else if host.failures.is_quarantined() {
+            } else if worker.failures.is_quarantined() {
                 ScaleInReason::FailsTasks
-            } else if host.last_heartbeat_at.is_none()
-                && host.last_listed_at.is_some_and(|at| now - at > lost_s)
-                && host.bindings.is_empty()
+            } else if worker.last_heartbeat_at.is_none()
+                && worker.last_listed_at.is_some_and(|at| now - at > lost_s)
+                && worker.bindings.is_empty()
             {
                 ScaleInReason::NotListed
             } else {
                 continue;
             };
-            back.push((host.name.clone(), reason));
+            back.push((worker.name.clone(), reason));
         }
         for (name, reason) in back {
             self.scale_in(&name, reason);
--- a/src/coordination/leader/fencing.rs
+++ b/src/coordination/leader/fencing.rs
@@ -12,11 +12,11 @@
 
 impl Leader {
     /// The token that a worker is given now.
-    pub(super) fn fencing_token_for(&self, host: &str) -> FencingToken {
+    pub(super) fn fencing_token_for(&self, worker: &str) -> FencingToken {
         let fence = self
             .workers
-            .get(host)
-            .map_or(0, |host| host.pending_starts.fence());
+            .get(worker)
+            .map_or(0, |worker| worker.pending_starts.fence());
         FencingToken::new(self.epoch, fence)
     }
 
@@ -24,17 +24,17 @@
     /// be lost; only urgent revocations don't wait for that.
     pub(super) fn revoke_pending_starts(&mut self, name: &str) {
         let in_call = self.calls_in_flight.contains_key(name);
-        let Some(host) = self.workers.get_mut(name) else {
+        let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        let Some(reason) = host.pending_revocation() else {
+        let Some(reason) = worker.pending_revocation() else {
             return;
         };
         if in_call && !reason.is_urgent() {
             return;
         }
         self.decisions.count_revocation(reason);
-        if !host.revoke_starts(reason) {
+        if !worker.revoke_starts(reason) {
             self.scale_in(name, ScaleInReason::FenceExhausted);
         }
     }
@@ -43,58 +43,58 @@
     pub(super) fn prepare_commands(
         &mut self,
         name: &str,
-        mut orders: Vec<Command>,
+        mut commands: Vec<Command>,
         way: DeliveryPath,
-        knowledge: &ViewFreshness,
+        freshness: &ViewFreshness,
     ) -> CommandBatch {
         let token = self.fencing_token_for(name);
         let jobs = &self.jobs;
-        let Some(host) = self.workers.get_mut(name) else {
+        let Some(worker) = self.workers.get_mut(name) else {
             return CommandBatch {
                 token,
                 incarnation: None,
                 commands: Vec::new(),
             };
         };
-        orders.retain(|order| upholds_invariants(order, host, jobs));
-        host.record_sent(&orders, way, knowledge);
-        let tenure = match way {
-            DeliveryPath::DirectCall => Some(target_incarnation(host)),
+        commands.retain(|command| upholds_invariants(command, worker, jobs));
+        worker.record_sent(&commands, way, freshness);
+        let incarnation = match way {
+            DeliveryPath::DirectCall => Some(target_incarnation(worker)),
             DeliveryPath::HeartbeatResponse(_) => None,
         };
         CommandBatch {
             token,
-            incarnation: tenure,
-            commands: orders,
+            incarnation,
+            commands,
         }
     }
 }
 
 /// The session that direct commands are for.
-fn target_incarnation(host: &Worker) -> u64 {
-    let bound = host.bindings.values().map(|binding| binding.incarnation);
-    host.incarnation.max(bound.max().unwrap_or(1)).max(1)
+fn target_incarnation(worker: &Worker) -> u64 {
+    let bound = worker.bindings.values().map(|binding| binding.incarnation);
+    worker.incarnation.max(bound.max().unwrap_or(1)).max(1)
 }
 
 /// Whether an order may go out, by other means than those that made it.
-fn upholds_invariants(order: &Command, host: &Worker, jobs: &Jobs) -> bool {
-    let Some(task) = TaskId::parse(&order.task) else {
+fn upholds_invariants(command: &Command, worker: &Worker, jobs: &Jobs) -> bool {
+    let Some(task) = TaskId::parse(&command.task) else {
         // Workers may show what is no task of ours; it is stopped and cleared.
-        return order.kind != CommandKind::Start;
+        return command.kind != CommandKind::Start;
     };
-    let attempt = order.attempt;
-    let details = format_args!("host {}, task {task}, attempt {attempt}", host.name);
-    match order.kind {
+    let attempt = command.attempt;
+    let details = format_args!("host {}, task {task}, attempt {attempt}", worker.name);
+    match command.kind {
         CommandKind::Start => {
             let open = jobs.get(&task.job).is_some();
             invariants::uphold(Invariant::NoStartOfEndedJob, open, details)
         }
         CommandKind::Clear => {
-            let cause = host
+            let cause = worker
                 .observed_task(&task, attempt)
-                .and_then(|step| step.exit_reason);
+                .and_then(|task_status| task_status.exit_reason);
             let harmless = cause == Some(ExitReason::Completed)
-                || !host.pending_starts.may_arrive(&task, attempt);
+                || !worker.pending_starts.may_arrive(&task, attempt);
             invariants::uphold(Invariant::NoClearWhileStartMayArrive, harmless, details)
         }
         CommandKind::Stop => true,
--- a/src/coordination/leader/fleet.rs
+++ b/src/coordination/leader/fleet.rs
@@ -207,29 +207,34 @@
     }
 
     /// Takes over a rental that an earlier leader wrote down.
-    pub(super) fn inherit_provisioning(&mut self, bid: &str, record: ProvisioningRecord) {
+    pub(super) fn inherit_provisioning(
+        &mut self,
+        idempotency_key: &str,
+        record: ProvisioningRecord,
+    ) {
         let renting = ProvisioningRequest {
             record,
             state: ProvisioningState::Ready(0.0),
             queue_position: (PriorityClass::Production, 0),
             sent: true,
         };
-        self.provisioning.insert(bid.to_owned(), renting);
+        self.provisioning
+            .insert(idempotency_key.to_owned(), renting);
     }
 
     /// A rental's record was written or removed.
     pub(super) fn on_record_written(&mut self, write: &WriteOp) {
         match write {
             WriteOp::Put { key, .. } => {
-                if let Some(bid) = key.strip_prefix(records::PROVISIONING_PREFIX)
-                    && let Some(rental) = self.provisioning.get_mut(bid)
+                if let Some(idempotency_key) = key.strip_prefix(records::PROVISIONING_PREFIX)
+                    && let Some(request) = self.provisioning.get_mut(idempotency_key)
                 {
-                    rental.state = ProvisioningState::Ready(0.0);
+                    request.state = ProvisioningState::Ready(0.0);
                 }
             }
             WriteOp::Delete { key } => {
-                if let Some(bid) = key.strip_prefix(records::PROVISIONING_PREFIX) {
-                    self.provisioning.remove(bid);
+                if let Some(idempotency_key) = key.strip_prefix(records::PROVISIONING_PREFIX) {
+                    self.provisioning.remove(idempotency_key);
                 }
             }
         }
@@ -270,121 +275,142 @@
     pub(super) fn instances_expected(&self, key: &PoolKey) -> u32 {
         self.provisioning
             .values()
-            .filter(|rental| rental.pool() == *key)
+            .filter(|request| request.pool() == *key)
             .map(ProvisioningRequest::instances_expected)
             .sum()
     }
 
-    fn pool_of_worker(&mut self, host: &Worker) -> &mut Pool {
-        self.pools.entry(pool_key(host)).or_default()
+    fn pool_of_worker(&mut self, worker: &Worker) -> &mut Pool {
+        self.pools.entry(pool_key(worker)).or_default()
     }
 
-    pub(super) fn record_start(&mut self, host: &Worker, share: Option<f64>, now: f64) {
-        let pool = self.pool_of_worker(host);
+    pub(super) fn record_start(&mut self, worker: &Worker, share: Option<f64>, now: f64) {
+        let pool = self.pool_of_worker(worker);
         if let Some(share) = share {
             pool.starts.add(1.0, now);
             pool.machine_share = average(pool.machine_share, share.max(1e-3));
         }
     }
 
-    pub(super) fn record_finish(&mut self, host: &Worker, ran_s: f64, expect_s: f64, now: f64) {
-        if expect_s > 0.0 {
+    pub(super) fn record_finish(
+        &mut self,
+        worker: &Worker,
+        ran_s: f64,
+        expected_runtime_s: f64,
+        now: f64,
+    ) {
+        if expected_runtime_s > 0.0 {
             let (least, most) = RUNTIME_BIAS_RANGE;
-            let bias = (ran_s / expect_s).clamp(least, most);
+            let bias = (ran_s / expected_runtime_s).clamp(least, most);
             self.runtime_bias += (bias - self.runtime_bias) * SMOOTHING / 10.0;
         }
-        let pool = self.pool_of_worker(host);
+        let pool = self.pool_of_worker(worker);
         pool.finishes.add(1.0, now);
         pool.task_s = average(pool.task_s, ran_s);
     }
 
-    fn block(&mut self, key: &PoolKey, ready_s: f64, now: f64) {
+    fn block(&mut self, key: &PoolKey, boot_time_s: f64, now: f64) {
         let pool = self.pools.entry(key.clone()).or_default();
-        pool.block_s = (pool.block_s * 2.0).clamp(ready_s / 2.0, ready_s * MAX_BLOCK);
+        pool.block_s = (pool.block_s * 2.0).clamp(boot_time_s / 2.0, boot_time_s * MAX_BLOCK);
         pool.blocked_until = now + pool.block_s;
         // What it can't give is asked of others soon.
-        self.next_scaling_at = self.next_scaling_at.min(now + self.heartbeat_interval_s / 5.0);
+        self.next_scaling_at = self
+            .next_scaling_at
+            .min(now + self.heartbeat_interval_s / 5.0);
     }
 }
 
-fn pool_key(host: &Worker) -> PoolKey {
+fn pool_key(worker: &Worker) -> PoolKey {
     PoolKey {
-        instance_type: host.instance_type.clone(),
-        zone: host.zone.clone(),
-        spot: host.spot,
+        instance_type: worker.instance_type.clone(),
+        zone: worker.zone.clone(),
+        spot: worker.spot,
     }
 }
 
-pub(super) fn is_in(host: &Worker, pool: &PoolKey) -> bool {
-    host.spot == pool.spot && host.zone == pool.zone && host.instance_type == pool.instance_type
+pub(super) fn is_in(worker: &Worker, pool: &PoolKey) -> bool {
+    worker.spot == pool.spot
+        && worker.zone == pool.zone
+        && worker.instance_type == pool.instance_type
 }
 
 impl Leader {
     /// Lists, scales, rents and deletes, as is due.
-    pub(super) fn poll_fleet(&mut self, confirmed: bool, out: &mut Effects, now: f64) {
+    pub(super) fn poll_fleet(&mut self, confirmed: bool, effects: &mut Effects, now: f64) {
         if !confirmed {
             return;
         }
-        self.list_instances(out, now);
-        self.delete_instances(out, now);
+        self.list_instances(effects, now);
+        self.delete_instances(effects, now);
         let fleet = &self.fleet;
         // Nothing is rented before the list is known and a round of reports has come, unless no
         // machine was ever asked for.
-        let informed =
-            fleet.listed_at.is_some() && (self.is_first_leader || now - fleet.started_at > 1.5 * fleet.heartbeat_interval_s);
+        let informed = fleet.listed_at.is_some()
+            && (self.is_first_leader || now - fleet.started_at > 1.5 * fleet.heartbeat_interval_s);
         if informed && now >= fleet.next_failure_check_at {
-            self.fleet.next_failure_check_at = now + self.fleet.heartbeat_interval_s / CHECKS_PER_HEARTBEAT;
+            self.fleet.next_failure_check_at =
+                now + self.fleet.heartbeat_interval_s / CHECKS_PER_HEARTBEAT;
             self.remove_failed_workers(now);
         }
         if informed && now >= self.fleet.next_scaling_at {
-            let ready_s = self.instance_types.iter().map(|flavor| flavor.boot_time_s);
-            let quickest_s = ready_s.fold(f64::INFINITY, f64::min).min(MAX_BOOT_TIME_S);
+            let boot_time_s = self
+                .instance_types
+                .iter()
+                .map(|instance_type| instance_type.boot_time_s);
+            let quickest_s = boot_time_s
+                .fold(f64::INFINITY, f64::min)
+                .min(MAX_BOOT_TIME_S);
             self.fleet.next_scaling_at = now + quickest_s / ROUNDS_PER_BOOT;
             self.run_autoscaler(now);
         }
-        self.send_provisioning_requests(out, now);
+        self.send_provisioning_requests(effects, now);
     }
 
-    fn list_instances(&mut self, out: &mut Effects, now: f64) {
+    fn list_instances(&mut self, effects: &mut Effects, now: f64) {
         let fleet = &mut self.fleet;
         if fleet.list_in_flight || now < fleet.next_list_at || !fleet.rate_limiter.take(1.0, now) {
             return;
         }
         fleet.list_in_flight = true;
-        let from = fleet.partial_listing.last().map(|machine| machine.name.clone());
+        let from = fleet
+            .partial_listing
+            .last()
+            .map(|machine| machine.name.clone());
         let within_s = 2.0 * fleet.heartbeat_interval_s;
-        out.call_cloud(
+        effects.call_cloud(
             CloudRequestKind::ListInstances(fleet.epoch),
             CloudRequest::ListInstances(from),
             within_s,
         );
     }
 
-    fn delete_instances(&mut self, out: &mut Effects, now: f64) {
+    fn delete_instances(&mut self, effects: &mut Effects, now: f64) {
         if self.fleet.delete_in_flight || now < self.fleet.next_delete_at {
             return;
         }
         let names: Vec<String> = self
             .workers
             .iter()
-            .filter(|host| permits::may_delete(host).is_ok() && !self.fleet.is_deleted(&host.name))
-            .map(|host| host.name.clone())
+            .filter(|worker| {
+                permits::may_delete(worker).is_ok() && !self.fleet.is_deleted(&worker.name)
+            })
+            .map(|worker| worker.name.clone())
             .take(MAX_INSTANCES_PER_DELETE)
             .collect();
         if names.is_empty() || !self.fleet.rate_limiter.take(1.0, now) {
             return;
         }
         self.fleet.delete_in_flight = true;
-        tracing::debug!(hosts = ?names, "deletion sent");
-        let ask = CloudRequestKind::DeleteInstances(self.epoch, names.clone());
-        out.call_cloud(
-            ask,
+        tracing::debug!(workers = ?names, "deletion sent");
+        let kind = CloudRequestKind::DeleteInstances(self.epoch, names.clone());
+        effects.call_cloud(
+            kind,
             CloudRequest::DeleteInstances(names),
             2.0 * self.fleet.heartbeat_interval_s,
         );
     }
 
-    fn send_provisioning_requests(&mut self, out: &mut Effects, now: f64) {
+    fn send_provisioning_requests(&mut self, effects: &mut Effects, now: f64) {
         let fleet = &mut self.fleet;
         if fleet.create_in_flight {
             return;
@@ -392,40 +418,44 @@
         let ready = fleet
             .provisioning
             .iter_mut()
-            .filter(|(_, rental)| matches!(rental.state, ProvisioningState::Ready(at) if now >= at))
-            .min_by_key(|(_, rental)| rental.queue_position);
-        let Some((bid, rental)) = ready else { return };
+            .filter(
+                |(_, request)| matches!(request.state, ProvisioningState::Ready(at) if now >= at),
+            )
+            .min_by_key(|(_, request)| request.queue_position);
+        let Some((idempotency_key, request)) = ready else {
+            return;
+        };
         let blocked = |pool: &Pool| now < pool.blocked_until;
-        if !rental.sent && fleet.pools.get(&rental.pool()).is_some_and(blocked) {
+        if !request.sent && fleet.pools.get(&request.pool()).is_some_and(blocked) {
             // The pool has turned out to be sold out; the next round asks elsewhere.
-            rental.state = ProvisioningState::Completing;
+            request.state = ProvisioningState::Completing;
             self.log.push(LogEntry::WriteKey {
-                write: WriteOp::delete(records::provisioning_key(bid)),
+                write: WriteOp::delete(records::provisioning_key(idempotency_key)),
             });
             return;
         }
         if !fleet.rate_limiter.take(1.0, now) {
             return;
         }
-        tracing::debug!(bid, pool = %rental.pool(), again = rental.sent, "rental sent");
-        rental.state = ProvisioningState::InFlight;
-        rental.sent = true;
+        tracing::debug!(idempotency_key, pool = %request.pool(), again = request.sent, "rental sent");
+        request.state = ProvisioningState::InFlight;
+        request.sent = true;
         fleet.create_in_flight = true;
         let call = CloudRequest::CreateInstances(CreateInstances {
-            idempotency_key: bid.clone(),
-            instance_type: rental.record.instance_type.clone(),
-            zone: rental.record.zone.clone(),
-            spot: rental.record.spot,
-            count: rental.record.count,
+            idempotency_key: idempotency_key.clone(),
+            instance_type: request.record.instance_type.clone(),
+            zone: request.record.zone.clone(),
+            spot: request.record.spot,
+            count: request.record.count,
         });
-        let ask = CloudRequestKind::CreateInstances(self.epoch, bid.clone());
-        out.call_cloud(ask, call, 2.0 * fleet.heartbeat_interval_s);
+        let kind = CloudRequestKind::CreateInstances(self.epoch, idempotency_key.clone());
+        effects.call_cloud(kind, call, 2.0 * fleet.heartbeat_interval_s);
     }
 
     /// Takes a page of the cloud's list.
-    pub fn on_instances_listed(&mut self, reply: CloudResponse, now: f64) {
+    pub fn on_instances_listed(&mut self, response: CloudResponse, now: f64) {
         self.fleet.list_in_flight = false;
-        let CloudResponse::Page(machines, more) = reply else {
+        let CloudResponse::Page(machines, more) = response else {
             self.fleet.partial_listing.clear();
             self.fleet.next_list_at = now + self.fleet.heartbeat_interval_s;
             return;
@@ -451,27 +481,27 @@
             return;
         }
         let lease_from = self.previous_leader_deadline;
-        let host = self.workers.entry(&machine.name, || {
-            let mut host = Worker::new(
+        let worker = self.workers.entry(&machine.name, || {
+            let mut worker = Worker::new(
                 &machine.name,
                 &machine.instance_type,
                 &machine.zone,
                 machine.spot,
                 now - machine.age_s,
             );
-            host.lease_renewed_at = lease_from;
-            host
+            worker.lease_renewed_at = lease_from;
+            worker
         });
-        if host.endpoint.is_empty() {
-            host.endpoint.clone_from(&machine.endpoint);
+        if worker.endpoint.is_empty() {
+            worker.endpoint.clone_from(&machine.endpoint);
         }
-        host.last_listed_at = Some(now);
+        worker.last_listed_at = Some(now);
         match machine.status {
-            InstanceStatus::Running if !host.listed_running => {
-                host.listed_running = true;
+            InstanceStatus::Running if !worker.listed_running => {
+                worker.listed_running = true;
                 self.dispatch_due.insert(machine.name.clone());
             }
-            InstanceStatus::Failed if !host.terminating => {
+            InstanceStatus::Failed if !worker.terminating => {
                 self.scale_in(&machine.name, ScaleInReason::Failed);
             }
             _ => {}
@@ -480,42 +510,47 @@
 
     /// Removes the records of rentals whose machines have all been seen.
     fn complete_provisioning(&mut self) {
-        for (bid, rental) in &mut self.fleet.provisioning {
-            let ProvisioningState::Created(names) = &rental.state else {
+        for (idempotency_key, request) in &mut self.fleet.provisioning {
+            let ProvisioningState::Created(names) = &request.state else {
                 continue;
             };
             let seen = names.iter().all(|name| {
-                self.workers.get(name).is_none_or(|host| {
-                    host.last_listed_at.is_some() || host.last_heartbeat_at.is_some()
+                self.workers.get(name).is_none_or(|worker| {
+                    worker.last_listed_at.is_some() || worker.last_heartbeat_at.is_some()
                 })
             });
             if seen {
-                rental.state = ProvisioningState::Completing;
+                request.state = ProvisioningState::Completing;
                 self.log.push(LogEntry::WriteKey {
-                    write: WriteOp::delete(records::provisioning_key(bid)),
+                    write: WriteOp::delete(records::provisioning_key(idempotency_key)),
                 });
             }
         }
     }
 
     /// Takes what came of a rental.
-    pub fn on_instances_created(&mut self, bid: &str, reply: CloudResponse, now: f64) {
+    pub fn on_instances_created(
+        &mut self,
+        idempotency_key: &str,
+        response: CloudResponse,
+        now: f64,
+    ) {
         self.fleet.create_in_flight = false;
-        let Some(rental) = self.fleet.provisioning.get_mut(bid) else {
+        let Some(request) = self.fleet.provisioning.get_mut(idempotency_key) else {
             return;
         };
-        let key = rental.pool();
-        let wanted = rental.record.count;
-        let ready_s = self
+        let key = request.pool();
+        let wanted = request.record.count;
+        let boot_time_s = self
             .instance_types
             .iter()
             .find(|f| f.name == key.instance_type)
             .map_or(self.fleet.heartbeat_interval_s, |f| f.boot_time_s);
-        match reply {
+        match response {
             CloudResponse::Created(names) => {
-                tracing::info!(bid, pool = %key, wanted, got = names.len(), "rented");
+                tracing::info!(idempotency_key, pool = %key, wanted, got = names.len(), "rented");
                 if names.len() < wanted as usize {
-                    self.fleet.block(&key, ready_s, now);
+                    self.fleet.block(&key, boot_time_s, now);
                 } else if let Some(pool) = self.fleet.pools.get_mut(&key) {
                     pool.block_s = 0.0;
                 }
@@ -526,28 +561,28 @@
                         });
                     }
                 }
-                if let Some(rental) = self.fleet.provisioning.get_mut(bid) {
-                    rental.state = ProvisioningState::Created(names);
+                if let Some(request) = self.fleet.provisioning.get_mut(idempotency_key) {
+                    request.state = ProvisioningState::Created(names);
                 }
                 self.complete_provisioning();
             }
             CloudResponse::InsufficientCapacity | CloudResponse::InvalidRequest => {
-                tracing::info!(bid, pool = %key, wanted, "rental refused");
-                rental.state = ProvisioningState::Completing;
-                self.fleet.block(&key, ready_s, now);
+                tracing::info!(idempotency_key, pool = %key, wanted, "rental refused");
+                request.state = ProvisioningState::Completing;
+                self.fleet.block(&key, boot_time_s, now);
                 self.log.push(LogEntry::WriteKey {
-                    write: WriteOp::delete(records::provisioning_key(bid)),
+                    write: WriteOp::delete(records::provisioning_key(idempotency_key)),
                 });
             }
             // It may have been carried out: the same name is asked again until there is an answer.
-            _ => rental.state = ProvisioningState::Ready(now + self.fleet.heartbeat_interval_s),
+            _ => request.state = ProvisioningState::Ready(now + self.fleet.heartbeat_interval_s),
         }
     }
 
     /// Takes what came of a deletion.
-    pub fn on_instances_deleted(&mut self, names: &[String], reply: &CloudResponse, now: f64) {
+    pub fn on_instances_deleted(&mut self, names: &[String], response: &CloudResponse, now: f64) {
         self.fleet.delete_in_flight = false;
-        if !matches!(reply, CloudResponse::Deleted) {
+        if !matches!(response, CloudResponse::Deleted) {
             self.fleet.next_delete_at = now + self.fleet.heartbeat_interval_s;
             return;
         }
@@ -557,7 +592,7 @@
                 continue;
             }
             self.drop_all_bindings(name, now);
-            tracing::info!(host = name, "machine deleted");
+            tracing::info!(worker = name, "machine deleted");
             self.log.push(LogEntry::RemoveWorker {
                 worker: name.clone(),
             });
@@ -566,22 +601,22 @@
 
     /// Marks a host as returning; it is deleted once the mark is written.
     pub(super) fn scale_in(&mut self, name: &str, reason: ScaleInReason) {
-        if let Some(host) = self.workers.get_mut(name)
-            && !host.terminating
+        if let Some(worker) = self.workers.get_mut(name)
+            && !worker.terminating
         {
-            tracing::info!(host = name, ?reason, "giving back a machine");
-            host.terminating = true;
+            tracing::info!(worker = name, ?reason, "giving back a machine");
+            worker.terminating = true;
             self.log.push(LogEntry::RecordTermination {
                 worker: name.to_owned(),
             });
         }
     }
 
-    pub(super) fn scale_out(&mut self, key: &PoolKey, rank: Option<PriorityClass>, count: u32) {
+    pub(super) fn scale_out(&mut self, key: &PoolKey, priority: Option<PriorityClass>, count: u32) {
         let mut left = count.min(MAX_INSTANCES_PER_ROUND);
         while left > 0 {
             self.fleet.requests_made += 1;
-            let bid = format!("r-{}-{}", self.epoch, self.fleet.requests_made);
+            let idempotency_key = format!("r-{}-{}", self.epoch, self.fleet.requests_made);
             let record = ProvisioningRecord {
                 instance_type: key.instance_type.clone(),
                 zone: key.zone.clone(),
@@ -590,15 +625,18 @@
             };
             left -= record.count;
             self.log.push(LogEntry::WriteKey {
-                write: WriteOp::put(records::provisioning_key(&bid), &record),
+                write: WriteOp::put(records::provisioning_key(&idempotency_key), &record),
             });
             let renting = ProvisioningRequest {
                 record,
                 state: ProvisioningState::Recording,
-                queue_position: (rank.unwrap_or(PriorityClass::BestEffort), self.fleet.requests_made),
+                queue_position: (
+                    priority.unwrap_or(PriorityClass::BestEffort),
+                    self.fleet.requests_made,
+                ),
                 sent: false,
             };
-            self.fleet.provisioning.insert(bid, renting);
+            self.fleet.provisioning.insert(idempotency_key, renting);
         }
     }
 }
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -27,23 +27,23 @@
     /// it. `is_open`: the open jobs that this node knows of besides the tables.
     pub fn on_heartbeat(
         &mut self,
-        report: &WorkerHeartbeat,
-        knowledge: &ViewFreshness,
+        heartbeat: &WorkerHeartbeat,
+        freshness: &ViewFreshness,
         is_open: impl Fn(&str) -> bool,
         now: f64,
     ) -> HeartbeatOutcome {
-        if report.token.epoch() > self.epoch {
-            self.emit(LeaderEvent::HigherEpochSeen(report.token.epoch()));
+        if heartbeat.token.epoch() > self.epoch {
+            self.emit(LeaderEvent::HigherEpochSeen(heartbeat.token.epoch()));
             return HeartbeatOutcome::NewerLeaderExists;
         }
-        let renewal = knowledge.may_renew();
+        let renewal = freshness.may_renew();
         self.decisions.count(PermitKind::RenewLease, renewal);
         if let Err(reason) = renewal {
             tracing::debug!(
-                host = report.worker,
+                worker = heartbeat.worker,
                 ?reason,
-                lease_age_s = knowledge.lease_age_s,
-                view_age_s = knowledge.view_age_s,
+                lease_age_s = freshness.lease_age_s,
+                view_age_s = freshness.view_age_s,
                 "lease not renewed"
             );
             return HeartbeatOutcome::LeaseNotRenewed;
@@ -51,145 +51,155 @@
         if self.recovery() {
             // Nothing can be stopped yet, however long it takes to load: workers with tasks of jobs
             // that are over don't have their leases renewed meanwhile.
-            let runs_closed = report
+            let runs_closed = heartbeat
                 .tasks
                 .iter()
-                .filter(|step| step.state != TaskState::Exited)
-                .filter_map(|step| TaskId::parse(&step.task))
+                .filter(|task_status| task_status.state != TaskState::Exited)
+                .filter_map(|task_status| TaskId::parse(&task_status.task))
                 .any(|task| !is_open(&task.job));
-            let known = self.buffered_heartbeats.contains_key(&report.worker);
-            if runs_closed || (!known && self.buffered_heartbeats.len() >= MAX_BUFFERED_HEARTBEATS) {
+            let known = self.buffered_heartbeats.contains_key(&heartbeat.worker);
+            if runs_closed || (!known && self.buffered_heartbeats.len() >= MAX_BUFFERED_HEARTBEATS)
+            {
                 return HeartbeatOutcome::LeaseNotRenewed;
             }
-            self.buffered_heartbeats.insert(report.worker.clone(), report.clone());
-            return self.respond_to_heartbeat(report, Vec::new(), knowledge);
+            self.buffered_heartbeats
+                .insert(heartbeat.worker.clone(), heartbeat.clone());
+            return self.respond_to_heartbeat(heartbeat, Vec::new(), freshness);
         }
-        let newer = self.apply_heartbeat(report, true, now);
-        self.revoke_pending_starts(&report.worker);
-        let Some(host) = self.workers.get(&report.worker).filter(|_| newer) else {
+        let newer = self.apply_heartbeat(heartbeat, true, now);
+        self.revoke_pending_starts(&heartbeat.worker);
+        let Some(worker) = self.workers.get(&heartbeat.worker).filter(|_| newer) else {
             // Late: an answer renews nothing, and its task list is old.
-            return self.respond_to_heartbeat(report, Vec::new(), knowledge);
+            return self.respond_to_heartbeat(heartbeat, Vec::new(), freshness);
         };
-        let may_start = knowledge.may_start().is_ok();
-        let orders = host.commands(may_start, MAX_COMMANDS);
-        if may_start && orders.len() < MAX_COMMANDS {
+        let may_start = freshness.may_start().is_ok();
+        let commands = worker.commands(may_start, MAX_COMMANDS);
+        if may_start && commands.len() < MAX_COMMANDS {
             // The answer carries all; the next report shows what came of it.
-            self.dispatch_due.remove(&report.worker);
+            self.dispatch_due.remove(&heartbeat.worker);
             self.last_dispatch
-                .insert(report.worker.clone(), (orders.clone(), now));
+                .insert(heartbeat.worker.clone(), (commands.clone(), now));
         }
-        self.respond_to_heartbeat(report, orders, knowledge)
+        self.respond_to_heartbeat(heartbeat, commands, freshness)
     }
 
     fn respond_to_heartbeat(
         &mut self,
-        report: &WorkerHeartbeat,
-        orders: Vec<Command>,
-        knowledge: &ViewFreshness,
+        heartbeat: &WorkerHeartbeat,
+        commands: Vec<Command>,
+        freshness: &ViewFreshness,
     ) -> HeartbeatOutcome {
-        let way = DeliveryPath::HeartbeatResponse(report.sequence);
-        HeartbeatOutcome::Commands(self.prepare_commands(&report.worker, orders, way, knowledge))
+        let way = DeliveryPath::HeartbeatResponse(heartbeat.sequence);
+        HeartbeatOutcome::Commands(self.prepare_commands(
+            &heartbeat.worker,
+            commands,
+            way,
+            freshness,
+        ))
     }
 
     /// Takes a report from whatever way. False: a newer one is known.
     pub(super) fn apply_heartbeat(
         &mut self,
-        report: &WorkerHeartbeat,
+        heartbeat: &WorkerHeartbeat,
         by_itself: bool,
         now: f64,
     ) -> bool {
         let since = self.previous_leader_deadline;
-        let known = self.workers.get(&report.worker).is_some();
-        if !known && self.fleet.is_deleted(&report.worker) {
+        let known = self.workers.get(&heartbeat.worker).is_some();
+        if !known && self.fleet.is_deleted(&heartbeat.worker) {
             return false;
         }
-        let host = self.workers.entry(&report.worker, || {
-            let mut host = Worker::new(
-                &report.worker,
-                &report.instance_type,
-                &report.zone,
-                report.spot,
+        let worker = self.workers.entry(&heartbeat.worker, || {
+            let mut worker = Worker::new(
+                &heartbeat.worker,
+                &heartbeat.instance_type,
+                &heartbeat.zone,
+                heartbeat.spot,
                 now,
             );
-            host.lease_renewed_at = since;
-            host
+            worker.lease_renewed_at = since;
+            worker
         });
         if !known {
-            tracing::info!(host = report.worker, "a machine nobody expected reports");
+            tracing::info!(
+                worker = heartbeat.worker,
+                "a machine nobody expected reports"
+            );
         }
-        if !host.is_newer(report) {
+        if !worker.is_newer(heartbeat) {
             // A copy, or overtaken by a direct answer. Should the worker still wait for our answer,
             // its lease counts from when it sent this, which was before the newest word we had.
-            if let Some(heard) = host.last_heartbeat_at.filter(|_| by_itself) {
-                host.lease_renewed_at = host.lease_renewed_at.max(heard);
+            if let Some(heard) = worker.last_heartbeat_at.filter(|_| by_itself) {
+                worker.lease_renewed_at = worker.lease_renewed_at.max(heard);
             }
             return false;
         }
         if by_itself {
-            host.lease_renewed_at = if host.token_acknowledged {
+            worker.lease_renewed_at = if worker.token_acknowledged {
                 now
             } else {
-                host.lease_renewed_at.max(now)
+                worker.lease_renewed_at.max(now)
             };
         }
-        let ours = report.token.epoch() == self.epoch;
-        let new_session = report.incarnation > host.incarnation;
+        let ours = heartbeat.token.epoch() == self.epoch;
+        let new_session = heartbeat.incarnation > worker.incarnation;
         if new_session {
-            if host.last_heartbeat_at.is_some() {
+            if worker.last_heartbeat_at.is_some() {
                 // It lost a session although we answered it: perhaps our answers don't arrive.
-                host.unreachable_since = Some(now);
+                worker.unreachable_since = Some(now);
             }
-            host.pending_starts.end_session();
-            host.idle_since = now;
+            worker.pending_starts.end_session();
+            worker.idle_since = now;
             // Its lease runs from its beginning, of which a direct answer may be the first word.
-            host.lease_renewed_at = host.lease_renewed_at.max(now);
+            worker.lease_renewed_at = worker.lease_renewed_at.max(now);
         } else if by_itself {
-            host.pending_starts.settle_responses(report.sequence);
+            worker.pending_starts.settle_responses(heartbeat.sequence);
         }
-        if host.last_heartbeat_at.is_none() {
+        if worker.last_heartbeat_at.is_none() {
             tracing::info!(
-                host = report.worker,
-                flavor = report.instance_type,
-                zone = report.zone,
-                spot = report.spot,
-                after_s = now - host.first_seen_at,
+                worker = heartbeat.worker,
+                instance_type = heartbeat.instance_type,
+                zone = heartbeat.zone,
+                spot = heartbeat.spot,
+                after_s = now - worker.first_seen_at,
                 "machine is up"
             );
-            host.idle_since = now;
+            worker.idle_since = now;
         }
-        host.incarnation = report.incarnation;
-        host.sequence = report.sequence;
-        host.first_heartbeat_at.get_or_insert(now);
-        host.last_heartbeat_at = Some(now);
+        worker.incarnation = heartbeat.incarnation;
+        worker.sequence = heartbeat.sequence;
+        worker.first_heartbeat_at.get_or_insert(now);
+        worker.last_heartbeat_at = Some(now);
         if ours {
-            host.observe_fence(report.token.fence());
+            worker.observe_fence(heartbeat.token.fence());
             // Only who has our Epoch shows that we are heard, too.
             self.last_heartbeat_at = Some(now);
         }
-        host.endpoint.clone_from(&report.endpoint);
-        host.reclaim_at = report.reclaim_in_s.map(|left| now + left);
-        if ours && !host.token_acknowledged {
+        worker.endpoint.clone_from(&heartbeat.endpoint);
+        worker.reclaim_at = heartbeat.reclaim_in_s.map(|left| now + left);
+        if ours && !worker.token_acknowledged {
             // From here on nobody else's answers renew its lease, or reach it at all.
-            host.token_acknowledged = true;
-            host.lease_renewed_at = now;
+            worker.token_acknowledged = true;
+            worker.lease_renewed_at = now;
             self.schedule_due = true;
         }
-        let mut steps: BTreeMap<TaskId, Vec<TaskStatus>> = BTreeMap::new();
-        for step in &report.tasks {
-            if let Some(task) = TaskId::parse(&step.task) {
-                steps.entry(task).or_default().push(step.clone());
+        let mut statuses: BTreeMap<TaskId, Vec<TaskStatus>> = BTreeMap::new();
+        for task_status in &heartbeat.tasks {
+            if let Some(task) = TaskId::parse(&task_status.task) {
+                statuses.entry(task).or_default().push(task_status.clone());
             }
         }
-        host.observed_tasks = steps;
-        let name = report.worker.clone();
+        worker.observed_tasks = statuses;
+        let name = heartbeat.worker.clone();
         if new_session {
             // A new session has killed and forgotten all tasks of the earlier ones.
-            let tenure = report.incarnation;
-            self.end_lost_bindings(&name, |binding| binding.incarnation < tenure);
+            let incarnation = heartbeat.incarnation;
+            self.end_lost_bindings(&name, |binding| binding.incarnation < incarnation);
             self.schedule_due = true;
         }
         self.reconcile_bindings(&name, now);
-        if report.reclaim_in_s.is_some() {
+        if heartbeat.reclaim_in_s.is_some() {
             self.evict_before_reclaim(&name, now);
         }
         self.dispatch_due.insert(name);
