--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -125,7 +125,7 @@
         epoch: u64,
         settings: Rc<Settings>,
         policy: Rc<Policy>,
-        flavors: Rc<Vec<InstanceType>>,
+        instance_types: Rc<Vec<InstanceType>>,
         hold_over_s: f64,
         rng: SmallRng,
         now: f64,
@@ -178,7 +178,7 @@
             rng,
             settings,
             policy,
-            instance_types: flavors,
+            instance_types,
         }
     }
 
@@ -192,13 +192,15 @@
     pub fn acknowledged_by(&mut self, label: &str, now: f64) {
         let seeds = &self.settings.peers;
         if !self.acknowledged_by.insert(label.to_owned())
-            || !seeds.iter().all(|seed| self.acknowledged_by.contains(&seed.label))
+            || !seeds
+                .iter()
+                .all(|seed| self.acknowledged_by.contains(&seed.label))
         {
             return;
         }
         self.previous_leader_deadline = self.previous_leader_deadline.min(now);
-        for host in self.workers.iter_mut() {
-            host.lease_renewed_at = host.lease_renewed_at.min(now);
+        for worker in self.workers.iter_mut() {
+            worker.lease_renewed_at = worker.lease_renewed_at.min(now);
         }
     }
 
@@ -208,24 +210,25 @@
     }
 
     /// Takes a new catalogue.
-    pub fn set_instance_types(&mut self, flavors: Rc<Vec<InstanceType>>) {
-        self.instance_types = flavors;
+    pub fn set_instance_types(&mut self, instance_types: Rc<Vec<InstanceType>>) {
+        self.instance_types = instance_types;
         self.schedule_due = true;
     }
 
     /// A job was opened, as the watch or the frontend shows it.
-    pub fn on_job_opened(&mut self, stamp: u64, spec: &JobSpec, now: f64, wall: f64) {
+    pub fn on_job_opened(&mut self, mod_revision: u64, spec: &JobSpec, now: f64, wall: f64) {
         if self.jobs.get(&spec.id).is_some() {
             return;
         }
         let since = now - (wall - spec.submitted_at).clamp(0.0, now.max(0.0) + 1e6);
-        let mut job = Job::new(spec.clone(), stamp, since);
+        let mut job = Job::new(spec.clone(), mod_revision, since);
         if job.deadline.is_none() && !job.is_service() {
             job.deadline = self.objective("finished", &spec.class).map(|s| since + s);
         }
         job.start_objective_s = self.objective("wait", &spec.class);
-        if let (Some(due), None) = (job.deadline, job.start_objective_s) {
-            job.latest_unhurried_start = due - RUNTIME_ESTIMATE_MARGIN * spec.expected_runtime_s;
+        if let (Some(deadline), None) = (job.deadline, job.start_objective_s) {
+            job.latest_unhurried_start =
+                deadline - RUNTIME_ESTIMATE_MARGIN * spec.expected_runtime_s;
         }
         self.jobs.insert(job);
         self.schedule_due = true;
@@ -266,8 +269,8 @@
     /// may be started, not even to exit at once.
     fn revoke_start_copies(&mut self, job: &Job) {
         for name in &job.workers_with_start_copies {
-            if let Some(host) = self.workers.get_mut(name) {
-                host.revoke_ended_jobs = true;
+            if let Some(worker) = self.workers.get_mut(name) {
+                worker.revoke_ended_jobs = true;
                 self.dispatch_due.insert(name.clone());
             }
         }
@@ -281,8 +284,8 @@
                 index: *index,
             };
             for name in names {
-                let host = self.workers.get_mut(name);
-                if let Some(binding) = host.and_then(|host| host.bindings.get_mut(&task)) {
+                let worker = self.workers.get_mut(name);
+                if let Some(binding) = worker.and_then(|worker| worker.bindings.get_mut(&task)) {
                     binding.eviction = Some((0.0, EvictionReason::JobEnded));
                     self.dispatch_due.insert(name.clone());
                 }
@@ -311,12 +314,12 @@
 
     /// Orders a stop of all bound tasks whose job is over.
     fn evict_orphans(&mut self) {
-        for host in self.workers.iter_mut() {
-            for (task, binding) in &mut host.bindings {
+        for worker in self.workers.iter_mut() {
+            for (task, binding) in &mut worker.bindings {
                 let over = self.jobs.get(&task.job).is_none();
                 if over && binding.eviction != Some((0.0, EvictionReason::JobEnded)) {
                     binding.eviction = Some((0.0, EvictionReason::JobEnded));
-                    self.dispatch_due.insert(host.name.clone());
+                    self.dispatch_due.insert(worker.name.clone());
                 }
             }
         }
@@ -335,10 +338,11 @@
         let there = self
             .workers
             .iter()
-            .filter(|host| {
-                !host.terminating && (host.last_heartbeat_at.is_some() || !host.bindings.is_empty())
+            .filter(|worker| {
+                !worker.terminating
+                    && (worker.last_heartbeat_at.is_some() || !worker.bindings.is_empty())
             })
-            .map(|host| host.first_heartbeat_at.unwrap_or(self.elected_at))
+            .map(|worker| worker.first_heartbeat_at.unwrap_or(self.elected_at))
             .min_by(f64::total_cmp);
         let Some(there) = there.filter(|_| !self.recovery()) else {
             return 0.0;
@@ -350,46 +354,48 @@
 
     /// When a session whose worker is silent has certainly ended: its lease has run out since the
     /// last answer that may have renewed it, by the slower of two clocks.
-    fn worker_lease_expires_at(&self, host: &Worker) -> f64 {
-        let workers = &self.settings.deployment.workers;
-        host.lease_renewed_at + workers.lease_s * (1.0 + 4.0 * DRIFT) + workers.heartbeat_interval_s / 5.0
+    fn worker_lease_expires_at(&self, worker: &Worker) -> f64 {
+        let worker_settings = &self.settings.deployment.workers;
+        worker.lease_renewed_at
+            + worker_settings.lease_s * (1.0 + 4.0 * DRIFT)
+            + worker_settings.heartbeat_interval_s / 5.0
     }
 
     /// Does all that is due and that `knowledge` allows.
-    pub fn poll(&mut self, knowledge: &ViewFreshness, out: &mut Effects, now: f64) {
+    pub fn poll(&mut self, freshness: &ViewFreshness, effects: &mut Effects, now: f64) {
         if now - self.last_polled_at > self.settings.deployment.workers.heartbeat_interval_s / 4.0 {
             tracing::info!(gap_s = now - self.last_polled_at, "this node stood still");
             self.awake_since = now;
         }
         self.last_polled_at = now;
         if self.recovery() {
-            self.poll_recovery(out, now);
+            self.poll_recovery(effects, now);
             return;
         }
         self.expire_worker_leases(now);
-        if knowledge.lease_held {
+        if freshness.lease_held {
             self.run_scheduling_cycle(now);
         }
-        self.commit_pending(out, now);
-        self.poll_fleet(knowledge.lease_held, out, now);
-        let starts = knowledge.may_start();
+        self.commit_pending(effects, now);
+        self.poll_fleet(freshness.lease_held, effects, now);
+        let starts = freshness.may_start();
         self.decisions.count(PermitKind::StartTasks, starts);
         let may_start = starts.is_ok();
         if may_start && !self.may_start {
             // Starts that had to wait.
-            let names = self.workers.iter().map(|host| host.name.clone());
+            let names = self.workers.iter().map(|worker| worker.name.clone());
             self.dispatch_due.extend(names);
         }
         if self.may_start != may_start {
             tracing::debug!(
                 ?starts,
-                view_age_s = knowledge.view_age_s,
-                lease_age_s = knowledge.lease_age_s,
+                view_age_s = freshness.view_age_s,
+                lease_age_s = freshness.lease_age_s,
                 "starts allowed or denied"
             );
         }
         self.may_start = may_start;
-        self.dispatch_commands(knowledge, out, now);
+        self.dispatch_commands(freshness, effects, now);
         self.log_decisions(now);
     }
 
@@ -398,8 +404,8 @@
         if now < self.next_decision_log_at {
             return;
         }
-        self.next_decision_log_at =
-            now + HEARTBEATS_PER_DECISION_LOG * self.settings.deployment.workers.heartbeat_interval_s;
+        self.next_decision_log_at = now
+            + HEARTBEATS_PER_DECISION_LOG * self.settings.deployment.workers.heartbeat_interval_s;
         self.decisions.log();
     }
 
@@ -408,19 +414,19 @@
         let dead: Vec<String> = self
             .workers
             .iter()
-            .filter(|host| host.bindings.values().any(|binding| !binding.unbinding))
-            .filter(|host| now > self.worker_lease_expires_at(host))
-            .map(|host| host.name.clone())
+            .filter(|worker| worker.bindings.values().any(|binding| !binding.unbinding))
+            .filter(|worker| now > self.worker_lease_expires_at(worker))
+            .map(|worker| worker.name.clone())
             .collect();
         for name in dead {
             tracing::info!(
-                host = name,
+                worker = name,
                 "session over: silent for longer than its lease"
             );
-            if let Some(host) = self.workers.get_mut(&name) {
-                host.token_acknowledged = false;
-                host.observed_tasks.clear();
-                host.pending_starts.end_session();
+            if let Some(worker) = self.workers.get_mut(&name) {
+                worker.token_acknowledged = false;
+                worker.observed_tasks.clear();
+                worker.pending_starts.end_session();
             }
             self.end_lost_bindings(&name, |_| true);
         }
@@ -428,37 +434,41 @@
 
     /// Ends bindings of tasks that are certainly no longer on the host.
     fn end_lost_bindings(&mut self, name: &str, is_lost: impl Fn(&Binding) -> bool) {
-        let Some(host) = self.workers.get(name) else {
+        let Some(worker) = self.workers.get(name) else {
             return;
         };
-        let lost: Vec<(TaskId, u64)> = host
+        let lost: Vec<(TaskId, u64)> = worker
             .bindings
             .iter()
             .filter(|(_, binding)| !binding.unbinding && is_lost(binding))
             .map(|(task, binding)| (task.clone(), binding.attempt))
             .collect();
         for (task, attempt) in lost {
-            tracing::debug!(host = name, %task, attempt, "binding lost");
+            tracing::debug!(worker = name, %task, attempt, "binding lost");
             self.end_binding(name, &task, attempt, false);
         }
     }
 
     /// Drops a binding from the tables, after its end is written down or its machine is gone.
     fn drop_binding(&mut self, name: &str, task: &TaskId, attempt: u64, now: f64) {
-        let Some(host) = self.workers.get_mut(name) else {
+        let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        if host.bindings.get(task).is_none_or(|b| b.attempt != attempt) {
+        if worker
+            .bindings
+            .get(task)
+            .is_none_or(|b| b.attempt != attempt)
+        {
             return;
         }
-        if let Some(binding) = host.bindings.remove(task) {
+        if let Some(binding) = worker.bindings.remove(task) {
             self.quotas
                 .release(&binding.team, binding.request.cpus, binding.request.gpus);
-            if host.bindings.is_empty() {
-                host.idle_since = now;
+            if worker.bindings.is_empty() {
+                worker.idle_since = now;
             }
             if let Some(job) = self.jobs.get_mut(&task.job) {
-                job.unbind(task.index, name, &host.zone, now);
+                job.unbind(task.index, name, &worker.zone, now);
                 job.running_tasks -= u32::from(binding.running_since.is_some());
             }
             self.schedule_due = true;
@@ -472,7 +482,7 @@
             .workers
             .get(name)
             .into_iter()
-            .flat_map(|host| &host.bindings)
+            .flat_map(|worker| &worker.bindings)
             .map(|(task, binding)| (task.clone(), binding.attempt))
             .collect();
         for (task, attempt) in bound {
@@ -482,12 +492,13 @@
 
     /// One pass of the scheduler, unless too much waits to be written down.
     fn run_scheduling_cycle(&mut self, now: f64) {
-        let due = self.schedule_due && now >= self.next_cycle_at;
-        if !due || self.instance_types.is_empty() || self.log.backlog() > MAX_BACKLOG {
+        let is_due = self.schedule_due && now >= self.next_cycle_at;
+        if !is_due || self.instance_types.is_empty() || self.log.backlog() > MAX_BACKLOG {
             return;
         }
         self.schedule_due = false;
-        self.next_cycle_at = now + self.settings.deployment.workers.heartbeat_interval_s / CYCLES_PER_HEARTBEAT;
+        self.next_cycle_at =
+            now + self.settings.deployment.workers.heartbeat_interval_s / CYCLES_PER_HEARTBEAT;
         let lease_s = self.settings.deployment.workers.lease_s;
         let limits = scheduler::CycleLimits {
             ageing_s: AGEING_LEASES * lease_s,
@@ -502,18 +513,18 @@
             now,
         );
         let plan = pass.run(&mut self.rng);
-        for (task, host) in plan.bindings {
-            self.bind(&task, &host, now);
+        for (task, worker) in plan.bindings {
+            self.bind(&task, &worker, now);
         }
         for (name, task) in plan.preemptions {
-            let host = self.workers.get_mut(&name);
-            if let Some(binding) = host.and_then(|host| host.bindings.get_mut(&task)) {
-                tracing::info!(host = name, %task, "preempted");
-                let flush_s = self
+            let worker = self.workers.get_mut(&name);
+            if let Some(binding) = worker.and_then(|worker| worker.bindings.get_mut(&task)) {
+                tracing::info!(worker = name, %task, "preempted");
+                let checkpoint_grace_s = self
                     .jobs
                     .get(&task.job)
                     .map_or(0.0, |job| job.spec.checkpoint_grace_s);
-                binding.eviction = Some((flush_s, EvictionReason::Preempted));
+                binding.eviction = Some((checkpoint_grace_s, EvictionReason::Preempted));
                 self.dispatch_due.insert(name);
             }
         }
@@ -521,11 +532,11 @@
     }
 
     fn bind(&mut self, task: &TaskId, name: &str, now: f64) {
-        let (Some(host), Some(job)) = (self.workers.get_mut(name), self.jobs.get_mut(&task.job))
+        let (Some(worker), Some(job)) = (self.workers.get_mut(name), self.jobs.get_mut(&task.job))
         else {
             return;
         };
-        if host.bindings.contains_key(task) || host.observed_tasks.contains_key(task) {
+        if worker.bindings.contains_key(task) || worker.observed_tasks.contains_key(task) {
             return;
         }
         // The tasks of a group find one another by a common attempt.
@@ -543,7 +554,7 @@
         let need = scheduler::resource_request(&job.spec);
         let binding = Binding {
             attempt,
-            incarnation: host.incarnation,
+            incarnation: worker.incarnation,
             request: need,
             team: job.spec.team.clone(),
             durable: false,
@@ -552,20 +563,23 @@
             eviction: None,
             running_since: None,
         };
-        tracing::debug!(host = name, %task, attempt, "bound");
-        host.bindings.insert(task.clone(), binding);
-        job.bind(task.index, name, &host.zone);
+        tracing::debug!(worker = name, %task, attempt, "bound");
+        worker.bindings.insert(task.clone(), binding);
+        job.bind(task.index, name, &worker.zone);
         self.quotas.charge(&job.spec.team, need.cpus, need.gpus);
         // Forecasts are for what belongs in the pool: neither replicas, which stay, nor work that
         // has only spilled over from the spot pools; nor probes of a job that fails everywhere.
-        let spilled = job.spec.spot && !host.spot;
+        let spilled = job.spec.spot && !worker.spot;
         let share = if job.is_service() || spilled || job.failures.is_crash_looping() {
             None
         } else {
-            let flavor = self.instance_types.iter().find(|f| f.name == host.instance_type);
-            flavor.map(|f| need.dominant_share(&Resources::of_instance_type(f)))
+            let instance_type = self
+                .instance_types
+                .iter()
+                .find(|f| f.name == worker.instance_type);
+            instance_type.map(|f| need.dominant_share(&Resources::of_instance_type(f)))
         };
-        self.fleet.record_start(host, share, now);
+        self.fleet.record_start(worker, share, now);
         self.log.push(LogEntry::Bind {
             worker: name.to_owned(),
             task: task.clone(),
--- a/src/coordination/leader/recovery.rs
+++ b/src/coordination/leader/recovery.rs
@@ -39,59 +39,59 @@
 }
 
 impl Leader {
-    pub(super) fn poll_recovery(&mut self, out: &mut Effects, now: f64) {
-        let patience_s = self.settings.deployment.workers.heartbeat_interval_s / 2.0;
-        let Some(loading) = &mut self.recovery else {
+    pub(super) fn poll_recovery(&mut self, effects: &mut Effects, now: f64) {
+        let request_timeout_s = self.settings.deployment.workers.heartbeat_interval_s / 2.0;
+        let Some(recovery) = &mut self.recovery else {
             return;
         };
-        if loading.in_flight || now < loading.retry_at {
+        if recovery.in_flight || now < recovery.retry_at {
             return;
         }
-        let Some(prefix) = loading.remaining_prefixes.last() else {
+        let Some(prefix) = recovery.remaining_prefixes.last() else {
             return;
         };
-        loading.in_flight = true;
+        recovery.in_flight = true;
         let call = KvRequest::List {
             prefix: (*prefix).to_owned(),
-            after: loading.after.clone(),
+            after: recovery.after.clone(),
         };
         self.request_budget.take_with_debt(1.0, now);
-        out.call_kv(
+        effects.call_kv(
             KvRequestKind::RecoveryRead(self.epoch),
             call,
-            patience_s,
+            request_timeout_s,
             now,
         );
     }
 
     /// Takes a page of records.
-    pub fn on_recovery_page(&mut self, reply: KvResponse, now: f64, wall: f64) {
-        let Some(loading) = &mut self.recovery else {
+    pub fn on_recovery_page(&mut self, response: KvResponse, now: f64, wall: f64) {
+        let Some(recovery) = &mut self.recovery else {
             return;
         };
-        loading.in_flight = false;
-        let KvResponse::Page(items, more, _) = reply else {
-            loading.retry_at = now + self.settings.deployment.workers.heartbeat_interval_s / 10.0;
+        recovery.in_flight = false;
+        let KvResponse::Page(items, more, _) = response else {
+            recovery.retry_at = now + self.settings.deployment.workers.heartbeat_interval_s / 10.0;
             return;
         };
-        loading.after = items.last().map(|item| item.key.clone());
+        recovery.after = items.last().map(|item| item.key.clone());
         let more = more && !items.is_empty();
-        loading.records.extend(items);
+        recovery.records.extend(items);
         if !more {
-            loading.after = None;
-            loading.remaining_prefixes.pop();
+            recovery.after = None;
+            recovery.remaining_prefixes.pop();
         }
-        if loading.remaining_prefixes.is_empty() {
+        if recovery.remaining_prefixes.is_empty() {
             self.finish_recovery(now, wall);
         }
     }
 
     fn finish_recovery(&mut self, now: f64, wall: f64) {
-        let Some(loading) = self.recovery.take() else {
+        let Some(recovery) = self.recovery.take() else {
             return;
         };
         let mut segments = Vec::new();
-        for item in &loading.records {
+        for item in &recovery.records {
             if item.key.starts_with(records::OPEN_PREFIX) {
                 if let Ok(spec) = cbor::from_value::<JobSpec>(&item.value)
                     && !self.closed_during_recovery.contains(&spec.id)
@@ -114,10 +114,11 @@
                     }
                     Err(error) => tracing::error!(key = item.key, %error, "unreadable segment"),
                 }
-            } else if let Some(bid) = item.key.strip_prefix(records::PROVISIONING_PREFIX)
+            } else if let Some(idempotency_key) =
+                item.key.strip_prefix(records::PROVISIONING_PREFIX)
                 && let Ok(record) = cbor::from_value::<ProvisioningRecord>(&item.value)
             {
-                self.fleet.inherit_provisioning(bid, record);
+                self.fleet.inherit_provisioning(idempotency_key, record);
             }
         }
         self.is_first_leader = segments.is_empty() && !self.fleet.is_provisioning();
@@ -141,14 +142,14 @@
         tracing::info!(
             epoch = self.epoch,
             jobs = self.jobs.len(),
-            hosts = self.workers.len(),
+            workers = self.workers.len(),
             segments = segments.len(),
             after_s = now - self.elected_at,
             "tables loaded"
         );
         self.finish_completed_jobs();
-        for (_, report) in std::mem::take(&mut self.buffered_heartbeats) {
-            let _ = self.apply_heartbeat(&report, true, now);
+        for (_, heartbeat) in std::mem::take(&mut self.buffered_heartbeats) {
+            let _ = self.apply_heartbeat(&heartbeat, true, now);
         }
         self.schedule_due = true;
     }
@@ -157,18 +158,18 @@
     fn replay_workers(&mut self, segment: &Segment, now: f64) {
         // An earlier leader may have answered reports until its hold-over ended.
         let lease_from = self.previous_leader_deadline;
-        for (number, flavor, zone, spot, endpoint, returning) in &segment.workers {
+        for (number, instance_type, zone, spot, endpoint, returning) in &segment.workers {
             let Some(name) = segment.worker_name(*number) else {
                 continue;
             };
-            let host = self.workers.entry(name, || {
-                let mut host = Worker::new(name, flavor, zone, *spot, now);
-                host.lease_renewed_at = lease_from;
-                host
+            let worker = self.workers.entry(name, || {
+                let mut worker = Worker::new(name, instance_type, zone, *spot, now);
+                worker.lease_renewed_at = lease_from;
+                worker
             });
-            host.endpoint.clone_from(endpoint);
-            host.terminating |= returning;
-            host.termination_recorded |= returning;
+            worker.endpoint.clone_from(endpoint);
+            worker.terminating |= returning;
+            worker.termination_recorded |= returning;
         }
     }
 
@@ -178,17 +179,18 @@
             let job = segment.job(job)?.0.clone();
             Some(TaskId { job, index })
         };
-        for (number, job, index, attempt, tenure) in &segment.bindings {
+        for (number, job, index, attempt, incarnation) in &segment.bindings {
             let (Some(name), Some(entry)) = (segment.worker_name(*number), segment.job(*job))
             else {
                 continue;
             };
-            let (Some(host), Some(task)) = (self.workers.get_mut(name), task(*job, *index)) else {
+            let (Some(worker), Some(task)) = (self.workers.get_mut(name), task(*job, *index))
+            else {
                 continue;
             };
             let binding = Binding {
                 attempt: *attempt,
-                incarnation: *tenure,
+                incarnation: *incarnation,
                 request: Resources {
                     cpus: entry.2.0,
                     gpus: entry.3.0,
@@ -201,19 +203,19 @@
                 eviction: None,
                 running_since: None,
             };
-            host.bindings.insert(task, binding);
+            worker.bindings.insert(task, binding);
         }
         for (number, job, index, attempt) in &segment.ended_bindings {
-            let host = segment
+            let worker = segment
                 .worker_name(*number)
                 .and_then(|n| self.workers.get_mut(n));
-            if let (Some(host), Some(task)) = (host, task(*job, *index))
-                && host
+            if let (Some(worker), Some(task)) = (worker, task(*job, *index))
+                && worker
                     .bindings
                     .get(&task)
                     .is_some_and(|b| b.attempt == *attempt)
             {
-                host.bindings.remove(&task);
+                worker.bindings.remove(&task);
             }
         }
         for number in &segment.removed_workers {
@@ -235,15 +237,15 @@
 
     /// Counts the bindings that the log has left.
     fn charge_inherited_bindings(&mut self) {
-        for host in self.workers.iter() {
-            for (task, binding) in &host.bindings {
+        for worker in self.workers.iter() {
+            for (task, binding) in &worker.bindings {
                 let need = binding.request;
                 self.quotas.charge(&binding.team, need.cpus, need.gpus);
                 if let Some(job) = self.jobs.get_mut(&task.job) {
-                    job.bind(task.index, &host.name, &host.zone);
+                    job.bind(task.index, &worker.name, &worker.zone);
                 }
             }
-            self.dispatch_due.insert(host.name.clone());
+            self.dispatch_due.insert(worker.name.clone());
         }
     }
 
@@ -260,7 +262,7 @@
         }
     }
 
-    pub(super) fn emit(&mut self, notice: LeaderEvent) {
-        self.events.push(notice);
+    pub(super) fn emit(&mut self, event: LeaderEvent) {
+        self.events.push(event);
     }
 }
--- a/src/coordination/leader/scaling.rs
+++ b/src/coordination/leader/scaling.rs
@@ -76,13 +76,15 @@
 impl Leader {
     /// One round of the autoscaler.
     pub(super) fn run_autoscaler(&mut self, now: f64) {
-        let flavors = self.instance_types.clone();
-        let mut offers = self.pool_offers(&flavors, now);
+        let instance_types = self.instance_types.clone();
+        let mut offers = self.pool_offers(&instance_types, now);
         let mut bins = self.provisioning_bins(&offers, now);
         let mut demand = vec![Demand::default(); offers.len()];
         self.fit_demand(&mut offers, &mut bins, &mut demand, now);
-        let stocks: Vec<PoolInventory> =
-            offers.iter().map(|offer| self.pool_inventory(offer, now)).collect();
+        let stocks: Vec<PoolInventory> = offers
+            .iter()
+            .map(|offer| self.pool_inventory(offer, now))
+            .collect();
         let figures: Vec<Figures> = (0..offers.len())
             .map(|i| self.policy_figures(&offers[i], &stocks[i], &demand[i]))
             .collect();
@@ -107,8 +109,8 @@
 
     /// Moves replicas together in each zone, while none waits.
     fn consolidate_zones(&mut self, offers: &[PoolOffer], figures: &[Figures], now: f64) {
-        let replicas_wait = self.pending_demand.iter().any(|unplaced| {
-            let job = self.jobs.get(&unplaced.job);
+        let replicas_wait = self.pending_demand.iter().any(|pending_demand| {
+            let job = self.jobs.get(&pending_demand.job);
             job.is_some_and(|job| job.is_service())
         });
         // A new leader first hears from everybody.
@@ -140,33 +142,35 @@
     }
 
     /// All pools, the cheap ones first.
-    fn pool_offers<'a>(&self, flavors: &'a [InstanceType], now: f64) -> Vec<PoolOffer<'a>> {
-        let mut offers: Vec<PoolOffer> = flavors
+    fn pool_offers<'a>(&self, instance_types: &'a [InstanceType], now: f64) -> Vec<PoolOffer<'a>> {
+        let mut offers: Vec<PoolOffer> = instance_types
             .iter()
-            .flat_map(|flavor| {
-                flavor
-                    .zones
-                    .iter()
-                    .flat_map(move |zone| [false, true].map(|spot| (flavor, zone.clone(), spot)))
+            .flat_map(|instance_type| {
+                instance_type.zones.iter().flat_map(move |zone| {
+                    [false, true].map(|spot| (instance_type, zone.clone(), spot))
+                })
             })
-            .filter(|(flavor, _, spot)| !spot || flavor.spot_price.is_some())
-            .map(|(flavor, zone, spot)| {
+            .filter(|(instance_type, _, spot)| !spot || instance_type.spot_price.is_some())
+            .map(|(instance_type, zone, spot)| {
                 let key = PoolKey {
-                    instance_type: flavor.name.clone(),
+                    instance_type: instance_type.name.clone(),
                     zone,
                     spot,
                 };
                 PoolOffer {
                     remaining: self.fleet.request_limit(&key),
                     // What would come up in a zone that is cut off could not be reached either.
-                    blocked: self.fleet.is_blocked(&key, now) || self.fleet.is_partitioned(&key.zone, now),
+                    blocked: self.fleet.is_blocked(&key, now)
+                        || self.fleet.is_partitioned(&key.zone, now),
                     price: if spot {
-                        flavor.spot_price.unwrap_or(flavor.on_demand_price)
+                        instance_type
+                            .spot_price
+                            .unwrap_or(instance_type.on_demand_price)
                     } else {
-                        flavor.on_demand_price
+                        instance_type.on_demand_price
                     },
                     key,
-                    instance_type: flavor,
+                    instance_type,
                 }
             })
             .collect();
@@ -177,21 +181,21 @@
     /// What a pool has.
     fn pool_inventory(&self, offer: &PoolOffer, now: f64) -> PoolInventory {
         let mut stock = PoolInventory::default();
-        for host in self.workers.iter() {
-            if host.terminating || host.reclaim_at.is_some() || !is_in(host, &offer.key) {
+        for worker in self.workers.iter() {
+            if worker.terminating || worker.reclaim_at.is_some() || !is_in(worker, &offer.key) {
                 continue;
             }
-            let overdue = host.last_heartbeat_at.is_none()
-                && !host.listed_running
-                && now - host.first_seen_at > fleet::BOOT_USUAL * offer.instance_type.boot_time_s;
+            let overdue = worker.last_heartbeat_at.is_none()
+                && !worker.listed_running
+                && now - worker.first_seen_at > fleet::BOOT_USUAL * offer.instance_type.boot_time_s;
             if overdue {
                 continue;
             }
             stock.machines += 1;
-            stock.busy += u32::from(!host.bindings.is_empty());
-            stock.idle += u32::from(host.bindings.is_empty() && host.is_schedulable());
-            stock.allocated = stock.allocated.plus(&host.allocated());
-            stock.service_usage = stock.service_usage.plus(&self.service_usage(host));
+            stock.busy += u32::from(!worker.bindings.is_empty());
+            stock.idle += u32::from(worker.bindings.is_empty() && worker.is_schedulable());
+            stock.allocated = stock.allocated.plus(&worker.allocated());
+            stock.service_usage = stock.service_usage.plus(&self.service_usage(worker));
         }
         stock.provisioning = self.fleet.instances_expected(&offer.key);
         stock.machines += stock.provisioning;
@@ -199,8 +203,9 @@
     }
 
     /// What replicas take of a host.
-    fn service_usage(&self, host: &Worker) -> Resources {
-        host.bindings
+    fn service_usage(&self, worker: &Worker) -> Resources {
+        worker
+            .bindings
             .iter()
             .filter(|(task, _)| self.jobs.get(&task.job).is_some_and(|job| job.is_service()))
             .fold(Resources::default(), |sum, (_, b)| sum.plus(&b.request))
@@ -209,7 +214,7 @@
     fn policy_figures(&self, offer: &PoolOffer, stock: &PoolInventory, demand: &Demand) -> Figures {
         self.policy.figures(&PoolState {
             spot: offer.key.spot,
-            ready_s: offer.instance_type.boot_time_s,
+            boot_time_s: offer.instance_type.boot_time_s,
             hourly: offer.price,
             cpus: offer.instance_type.cpus,
             busy: stock.busy,
@@ -236,17 +241,18 @@
             let Some((mut missing, need)) = self.headroom(offers, figures, zone) else {
                 continue;
             };
-            for host in self.workers.iter() {
-                let in_use = host.is_schedulable() && !host.spot && !host.bindings.is_empty();
-                let offer = offers.iter().find(|offer| is_in(host, &offer.key));
-                if let Some(offer) = offer.filter(|_| in_use && host.zone == *zone) {
-                    let free =
-                        Resources::of_instance_type(offer.instance_type).minus(&self.service_usage(host));
+            for worker in self.workers.iter() {
+                let in_use = worker.is_schedulable() && !worker.spot && !worker.bindings.is_empty();
+                let offer = offers.iter().find(|offer| is_in(worker, &offer.key));
+                if let Some(offer) = offer.filter(|_| in_use && worker.zone == *zone) {
+                    let free = Resources::of_instance_type(offer.instance_type)
+                        .minus(&self.service_usage(worker));
                     missing = missing.saturating_sub(free.count_fitting(&need));
                 }
             }
             for i in &here {
-                let each = Resources::of_instance_type(offers[*i].instance_type).count_fitting(&need);
+                let each =
+                    Resources::of_instance_type(offers[*i].instance_type).count_fitting(&need);
                 let unused = bins.iter().filter(|b| b.pool == *i && !b.used).count() as u32;
                 let there = stocks[*i].idle + unused;
                 while each > 0 && missing >= each && spare[*i] < there {
@@ -255,7 +261,8 @@
                 }
             }
             for i in &here {
-                let each = Resources::of_instance_type(offers[*i].instance_type).count_fitting(&need);
+                let each =
+                    Resources::of_instance_type(offers[*i].instance_type).count_fitting(&need);
                 if each > 0 && !offers[*i].blocked {
                     // Less than a machine's worth is none: in a small zone it would be dear.
                     spare[*i] += missing / each;
@@ -288,7 +295,9 @@
                 .workers
                 .iter()
                 .filter(|h| !h.terminating && h.last_heartbeat_at.is_none() && is_in(h, &offer.key))
-                .filter(|h| now - h.first_seen_at <= fleet::BOOT_USUAL * offer.instance_type.boot_time_s)
+                .filter(|h| {
+                    now - h.first_seen_at <= fleet::BOOT_USUAL * offer.instance_type.boot_time_s
+                })
                 .count() as u32;
             let expected = self.fleet.instances_expected(&offer.key);
             for _ in 0..booting + expected {
@@ -315,13 +324,13 @@
         let (freed, running) = self.cpus_freed_per_s();
         // The fewer tasks run, the less sure it is when they end.
         let margin = TURN_MARGIN * (1.0 + TURN_DOUBT / f64::from(running.max(1)).sqrt());
-        let ready_s = offers
+        let boot_time_s = offers
             .iter()
             .map(|offer| offer.instance_type.boot_time_s)
             .fold(f64::INFINITY, f64::min);
         let mut ahead = 0.0;
-        for unplaced in &self.pending_demand {
-            let Some(job) = self.jobs.get(&unplaced.job) else {
+        for pending_demand in &self.pending_demand {
+            let Some(job) = self.jobs.get(&pending_demand.job) else {
                 continue;
             };
             let spec = &job.spec;
@@ -329,22 +338,28 @@
             let mut zones = job.bound_per_zone.clone();
             // Work that may use spot machines waits for them as long as it can still be on time
             // with an ordinary machine rented later.
-            let time_s = RUNTIME_ESTIMATE_MARGIN * self.fleet.runtime_bias * spec.expected_runtime_s;
+            let time_s =
+                RUNTIME_ESTIMATE_MARGIN * self.fleet.runtime_bias * spec.expected_runtime_s;
             let patient = |offer: &PoolOffer| {
-                let ready_s = offer.instance_type.boot_time_s;
-                spec.spot && job.deadline.is_some_and(|due| now + ready_s + time_s < due)
+                let boot_time_s = offer.instance_type.boot_time_s;
+                spec.spot
+                    && job
+                        .deadline
+                        .is_some_and(|deadline| now + boot_time_s + time_s < deadline)
             };
             // What will have its turn in time on the machines there are, or sooner than a new one is
             // up, needs no others.
             let served = |ahead: f64| {
                 let turn_s = margin * ahead / freed.max(1e-6);
-                let on_time = job.deadline.is_some_and(|due| now + turn_s + time_s <= due);
-                let soon = turn_s <= ready_s;
+                let on_time = job
+                    .deadline
+                    .is_some_and(|deadline| now + turn_s + time_s <= deadline);
+                let soon = turn_s <= boot_time_s;
                 freed > 0.0 && !job.is_service() && (on_time || soon)
             };
             // Bins that have no room for one task have none for the next.
             let mut from = 0;
-            for _ in 0..unplaced.count.min(left) {
+            for _ in 0..pending_demand.count.min(left) {
                 left -= 1;
                 ahead += spec.cpus;
                 if served(ahead) {
@@ -362,12 +377,13 @@
                 let pool = &mut demand[bin.pool];
                 pool.priority = Some(
                     pool.priority
-                        .map_or(spec.priority, |rank| rank.min(spec.priority)),
+                        .map_or(spec.priority, |priority| priority.min(spec.priority)),
                 );
                 pool.pending += 1;
-                pool.oldest_s = pool.oldest_s.max(unplaced.age_s);
+                pool.oldest_s = pool.oldest_s.max(pending_demand.age_s);
                 pool.expected_runtime_s += spec.expected_runtime_s;
-                pool.machine_share += need.dominant_share(&Resources::of_instance_type(offer.instance_type));
+                pool.machine_share +=
+                    need.dominant_share(&Resources::of_instance_type(offer.instance_type));
             }
         }
         if left == 0 {
@@ -378,13 +394,14 @@
     /// CPUs that the tasks of arrays give back each second by ending, and how many tasks these are.
     fn cpus_freed_per_s(&self) -> (f64, u32) {
         let (mut freed, mut running) = (0.0, 0);
-        for host in self.workers.iter().filter(|host| host.is_schedulable()) {
-            for (task, binding) in &host.bindings {
+        for worker in self.workers.iter().filter(|worker| worker.is_schedulable()) {
+            for (task, binding) in &worker.bindings {
                 if let Some(job) = self.jobs.get(&task.job)
                     && !job.is_service()
                 {
                     let takes_s = self.fleet.runtime_bias * job.spec.expected_runtime_s;
-                    freed += binding.request.cpus / takes_s.max(self.fleet.heartbeat_interval_s / 2.0);
+                    freed +=
+                        binding.request.cpus / takes_s.max(self.fleet.heartbeat_interval_s / 2.0);
                     running += 1;
                 }
             }
@@ -411,7 +428,9 @@
         let pending = f64::from(demand.pending.max(1));
         let per_machine = match pool.machine_share {
             Some(share) => 1.0 / share,
-            None if demand.pending > 0 && demand.machine_share > 0.0 => pending / demand.machine_share,
+            None if demand.pending > 0 && demand.machine_share > 0.0 => {
+                pending / demand.machine_share
+            }
             None => 1.0,
         };
         let task_s = pool
@@ -471,19 +490,19 @@
         let mut idle: Vec<&Worker> = self
             .workers
             .iter()
-            .filter(|host| {
-                !cut && is_in(host, key)
-                    && !host.terminating
-                    && host.last_heartbeat_at.is_some()
-                    && host.bindings.is_empty()
-                    && now - host.idle_since > figures.cooldown_s
+            .filter(|worker| {
+                !cut && is_in(worker, key)
+                    && !worker.terminating
+                    && worker.last_heartbeat_at.is_some()
+                    && worker.bindings.is_empty()
+                    && now - worker.idle_since > figures.cooldown_s
             })
             .collect();
         idle.sort_by(|a, b| a.idle_since.total_cmp(&b.idle_since));
         let back: Vec<String> = idle
             .into_iter()
             .take(surplus)
-            .map(|host| host.name.clone())
+            .map(|worker| worker.name.clone())
             .collect();
         if !back.is_empty() {
             tracing::info!(pool = %key, count = back.len(), target = decision.target, "giving back idle machines");
--- a/src/coordination/scheduler/mod.rs
+++ b/src/coordination/scheduler/mod.rs
@@ -172,28 +172,30 @@
     /// Prepares a pass.
     pub fn new(
         jobs: &'a Jobs,
-        hosts: &'a Workers,
-        flavors: &[InstanceType],
+        workers: &'a Workers,
+        instance_types: &[InstanceType],
         quotas: &Quotas,
         limits: CycleLimits,
         now: f64,
     ) -> SchedulingCycle<'a> {
-        let kinds: HashMap<&str, &InstanceType> =
-            flavors.iter().map(|f| (f.name.as_str(), f)).collect();
+        let kinds: HashMap<&str, &InstanceType> = instance_types
+            .iter()
+            .map(|f| (f.name.as_str(), f))
+            .collect();
         let mut zones: Vec<&str> = Vec::new();
-        let slots = hosts
+        let capacities = workers
             .iter()
-            .filter(|host| host.is_schedulable() && !host.failures.is_cordoned())
-            .filter_map(|host| {
-                let flavor = kinds.get(host.instance_type.as_str())?;
-                let whole = Resources::of_instance_type(flavor);
+            .filter(|worker| worker.is_schedulable() && !worker.failures.is_cordoned())
+            .filter_map(|worker| {
+                let instance_type = kinds.get(worker.instance_type.as_str())?;
+                let whole = Resources::of_instance_type(instance_type);
                 Some(WorkerCapacity {
-                    worker: host,
-                    zone: number_of(&mut zones, &host.zone),
+                    worker,
+                    zone: number_of(&mut zones, &worker.zone),
                     total: whole,
-                    image_pull_gb_per_s: flavor.image_pull_gb_per_s,
-                    free: whole.minus(&host.allocated()),
-                    releasing: host.releasing(),
+                    image_pull_gb_per_s: instance_type.image_pull_gb_per_s,
+                    free: whole.minus(&worker.allocated()),
+                    releasing: worker.releasing(),
                     preemptible: None,
                 })
             })
@@ -202,7 +204,7 @@
         SchedulingCycle {
             jobs,
             quotas: quotas.clone(),
-            capacities: slots,
+            capacities,
             zones,
             assignments: Assignments::default(),
             jobs_within_quota: within_guarantee(jobs, quotas),
@@ -245,7 +247,7 @@
             not_starving: job.has_started()
                 || job.failures.is_crash_looping()
                 || self.now - job.submitted_at < self.limits.ageing_s,
-            late: job.deadline.is_some_and(|due| due < self.now),
+            late: job.deadline.is_some_and(|deadline| deadline < self.now),
             deadline: job.deadline.unwrap_or(job.submitted_at),
         }
     }
@@ -253,7 +255,7 @@
     fn schedule_job(&mut self, job: &'a Job, starving: bool, rng: &mut impl Rng) {
         let spec = &job.spec;
         let waiting = job.startable_count();
-        let mut placing = JobPlacement {
+        let mut placement = JobPlacement {
             spec,
             failures: &job.failures,
             request: resource_request(spec),
@@ -262,24 +264,24 @@
         };
         for (zone, count) in &job.bound_per_zone {
             let number = number_of(&mut self.zones, zone);
-            placing.tasks_per_zone.resize(self.zones.len(), 0);
-            placing.tasks_per_zone[number] = *count;
+            placement.tasks_per_zone.resize(self.zones.len(), 0);
+            placement.tasks_per_zone[number] = *count;
         }
         // The tasks of a group start together or not at all; what has been tried is taken back, and
         // only what is beyond the room there was counts as missing.
         let together = spec.kind == JobKind::Gang;
         let before = together.then(|| (self.assignments.bindings.len(), self.quotas.clone()));
-        let (placed, barred, limited) = self.reserve_tasks(job, &mut placing, rng);
+        let (placed, barred, limited) = self.reserve_tasks(job, &mut placement, rng);
         if let Some((first, quotas)) = before
             && placed < waiting
         {
             for (_, name) in self.assignments.bindings.drain(first..) {
-                if let Some(slot) = self.capacities.iter_mut().find(|s| s.worker.name == name) {
-                    slot.free = slot.free.plus(&placing.request);
+                if let Some(capacity) = self.capacities.iter_mut().find(|s| s.worker.name == name) {
+                    capacity.free = capacity.free.plus(&placement.request);
                 }
             }
             self.quotas = quotas;
-            placing.tasks_per_zone.fill(0);
+            placement.tasks_per_zone.fill(0);
         }
         if limited {
             // More room would not help: the team's limit holds them back.
@@ -292,12 +294,12 @@
         } else {
             PreemptionScope::Nowhere
         };
-        while missing > 0 && fits(&self.quotas) && self.make_room(&placing, stops, rng) {
+        while missing > 0 && fits(&self.quotas) && self.make_room(&placement, stops, rng) {
             self.quotas.charge(&spec.team, spec.cpus, spec.gpus);
             missing -= 1;
         }
         if starving && missing > 0 && placed == 0 {
-            self.reserve_freest_worker(&placing);
+            self.reserve_freest_worker(&placement);
         }
         let missing = (missing + barred).min(
             self.quotas
@@ -317,10 +319,10 @@
     fn reserve_tasks(
         &mut self,
         job: &Job,
-        placing: &mut JobPlacement,
+        placement: &mut JobPlacement,
         rng: &mut impl Rng,
     ) -> (u32, u32, bool) {
-        let spec = placing.spec;
+        let spec = placement.spec;
         let (mut placed, mut barred, mut expected) = (0, 0, 0);
         // Worth stopping others for: a start within the time that is asked for.
         let prompt = spec.kind == JobKind::Service
@@ -328,9 +330,9 @@
             && job
                 .start_objective_s
                 .is_some_and(|s| self.now - job.waiting_since < s / 2.0);
-        let mut candidates = self.score_workers(placing, rng);
-        if spec.one_zone && placing.tasks_per_zone.iter().all(|count| *count == 0) {
-            self.choose_zone(&mut candidates, &placing.request);
+        let mut candidates = self.score_workers(placement, rng);
+        if spec.one_zone && placement.tasks_per_zone.iter().all(|count| *count == 0) {
+            self.choose_zone(&mut candidates, &placement.request);
         }
         let startable = job.startable_count() as usize;
         for index in job.waiting_tasks().take(MAX_BINDS.min(startable)) {
@@ -344,15 +346,15 @@
                 job: spec.id.clone(),
                 index,
             };
-            let mut found = self.best_worker(&candidates, placing, &task);
+            let mut found = self.best_worker(&candidates, placement, &task);
             if found.is_none() && candidates.len() >= SAMPLE_SIZE {
                 // The sample is used up; the rest may still have room.
-                candidates = self.score_workers(placing, rng);
-                found = self.best_worker(&candidates, placing, &task);
+                candidates = self.score_workers(placement, rng);
+                found = self.best_worker(&candidates, placement, &task);
             }
             if prompt
                 && found.is_none_or(|c| candidates[c].slow_start)
-                && self.make_room(placing, PreemptionScope::WorkersWithImage, rng)
+                && self.make_room(placement, PreemptionScope::WorkersWithImage, rng)
             {
                 // Room at the image is free sooner than the image would be fetched elsewhere.
                 self.quotas.charge(&spec.team, spec.cpus, spec.gpus);
@@ -360,43 +362,49 @@
                 continue;
             }
             let Some(found) = found else {
-                let shown =
-                    |c: &ScoredWorker| self.capacities[c.capacity].worker.observed_tasks.contains_key(&task);
+                let shown = |c: &ScoredWorker| {
+                    self.capacities[c.capacity]
+                        .worker
+                        .observed_tasks
+                        .contains_key(&task)
+                };
                 if candidates.iter().any(shown) {
                     barred += 1;
                     continue;
                 }
                 break;
             };
-            let slot = candidates[found].capacity;
-            let chosen = &mut self.capacities[slot];
-            chosen.free = chosen.free.minus(&placing.request);
-            placing.tasks_per_zone[chosen.zone] += 1;
-            *placing.placed_per_worker.entry(slot).or_default() += 1;
+            let capacity = candidates[found].capacity;
+            let chosen = &mut self.capacities[capacity];
+            chosen.free = chosen.free.minus(&placement.request);
+            placement.tasks_per_zone[chosen.zone] += 1;
+            *placement.placed_per_worker.entry(capacity).or_default() += 1;
             self.quotas.charge(&spec.team, spec.cpus, spec.gpus);
-            self.assignments.bindings.push((task, chosen.worker.name.clone()));
+            self.assignments
+                .bindings
+                .push((task, chosen.worker.name.clone()));
             placed += 1;
         }
         (placed + expected, barred, false)
     }
 
     /// Whether the job's tasks may go to a host at all.
-    fn filter_worker(&self, placing: &JobPlacement, slot: &WorkerCapacity) -> bool {
-        let host = slot.worker;
-        let avoids = placing
+    fn filter_worker(&self, placement: &JobPlacement, capacity: &WorkerCapacity) -> bool {
+        let worker = capacity.worker;
+        let avoids = placement
             .failures
-            .avoids(&host.name, self.limits.avoid_s, self.now);
+            .avoids(&worker.name, self.limits.avoid_s, self.now);
         !avoids
-            && placing
+            && placement
                 .spec
-                .allows(&host.instance_type, &host.zone, host.spot)
-            && placing.zone_allows(slot.zone)
+                .allows(&worker.instance_type, &worker.zone, worker.spot)
+            && placement.zone_allows(capacity.zone)
     }
 
     /// Hosts with room for a task of the job; where there are many, a random sample.
-    fn score_workers(&mut self, placing: &JobPlacement, rng: &mut impl Rng) -> Vec<ScoredWorker> {
-        let spec = placing.spec;
-        let need = &placing.request;
+    fn score_workers(&mut self, placement: &JobPlacement, rng: &mut impl Rng) -> Vec<ScoredWorker> {
+        let spec = placement.spec;
+        let need = &placement.request;
         let kind = usize::from(spec.spot);
         let prompt_s = self
             .jobs
@@ -406,7 +414,10 @@
             return Vec::new();
         }
         let mut all: Vec<usize> = (0..self.capacities.len())
-            .filter(|i| self.capacities[*i].free.fits(need) && self.filter_worker(placing, &self.capacities[*i]))
+            .filter(|i| {
+                self.capacities[*i].free.fits(need)
+                    && self.filter_worker(placement, &self.capacities[*i])
+            })
             .collect();
         let anywhere = spec.instance_types.is_none() && spec.zone.is_none();
         if all.is_empty() && anywhere && !spec.one_zone && !spec.spread {
@@ -419,18 +430,18 @@
                 .collect();
         }
         all.into_iter()
-            .map(|slot| {
-                let host = self.capacities[slot].worker;
-                let image = host.cached_images.contains(&spec.image);
-                let fetch_s =
-                    IMAGE_PULL_MARGIN * spec.image_gb / self.capacities[slot].image_pull_gb_per_s.max(1e-6);
+            .map(|capacity| {
+                let worker = self.capacities[capacity].worker;
+                let image = worker.cached_images.contains(&spec.image);
+                let fetch_s = IMAGE_PULL_MARGIN * spec.image_gb
+                    / self.capacities[capacity].image_pull_gb_per_s.max(1e-6);
                 let waits = prompt_s.is_some_and(|prompt_s| fetch_s < prompt_s);
                 ScoredWorker {
-                    capacity: slot,
-                    failed_before: placing.failures.has_failed_on(&host.name),
+                    capacity,
+                    failed_before: placement.failures.has_failed_on(&worker.name),
                     has_image: image,
                     slow_start: spec.priority <= PriorityClass::Urgent && !image && !waits,
-                    on_demand: spec.spot && !host.spot,
+                    on_demand: spec.spot && !worker.spot,
                 }
             })
             .collect()
@@ -440,8 +451,8 @@
     fn choose_zone(&self, candidates: &mut Vec<ScoredWorker>, need: &Resources) {
         let mut room = vec![0; self.zones.len()];
         for candidate in candidates.iter() {
-            let slot = &self.capacities[candidate.capacity];
-            room[slot.zone] += slot.free.count_fitting(need);
+            let capacity = &self.capacities[candidate.capacity];
+            room[capacity.zone] += capacity.free.count_fitting(need);
         }
         let most = (0..room.len()).max_by_key(|zone| room[*zone]);
         candidates.retain(|c| Some(self.capacities[c.capacity].zone) == most);
@@ -453,33 +464,46 @@
     fn best_worker(
         &self,
         candidates: &[ScoredWorker],
-        placing: &JobPlacement,
+        placement: &JobPlacement,
         task: &TaskId,
     ) -> Option<usize> {
-        let spec = placing.spec;
+        let spec = placement.spec;
         candidates
             .iter()
             .enumerate()
             .filter(|(_, c)| {
-                let slot = &self.capacities[c.capacity];
-                slot.free.fits(&placing.request)
-                    && placing.zone_allows(slot.zone)
-                    && !slot.worker.observed_tasks.contains_key(task)
+                let capacity = &self.capacities[c.capacity];
+                capacity.free.fits(&placement.request)
+                    && placement.zone_allows(capacity.zone)
+                    && !capacity.worker.observed_tasks.contains_key(task)
             })
             .min_by(|(_, a), (_, b)| {
                 let key = |c: &ScoredWorker| {
-                    let slot = &self.capacities[c.capacity];
+                    let capacity = &self.capacities[c.capacity];
                     let replicas = if spec.spread {
-                        placing.tasks_per_zone[slot.zone]
+                        placement.tasks_per_zone[capacity.zone]
                     } else {
                         0
                     };
-                    let left = slot.free.minus(&placing.request).dominant_share(&slot.total);
-                    let mates = match placing.placed_per_worker.get(&c.capacity) {
+                    let left = capacity
+                        .free
+                        .minus(&placement.request)
+                        .dominant_share(&capacity.total);
+                    let mates = match placement.placed_per_worker.get(&c.capacity) {
                         Some(count) if !c.has_image && spec.kind == JobKind::Service => *count,
                         _ => 0,
                     };
-                    ((c.failed_before, c.slow_start, c.on_demand, replicas, !c.has_image, mates), left)
+                    (
+                        (
+                            c.failed_before,
+                            c.slow_start,
+                            c.on_demand,
+                            replicas,
+                            !c.has_image,
+                            mates,
+                        ),
+                        left,
+                    )
                 };
                 let (a, b) = (key(a), key(b));
                 a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))
@@ -489,22 +513,25 @@
 
     /// Keeps the freest host for a job that has waited for long, so that small tasks of others don't
     /// fill every gap before a large one fits.
-    fn reserve_freest_worker(&mut self, placing: &JobPlacement) {
+    fn reserve_freest_worker(&mut self, placement: &JobPlacement) {
         let freest = (0..self.capacities.len())
             .filter(|i| {
-                let slot = &self.capacities[*i];
-                slot.total.fits(&placing.request) && self.filter_worker(placing, slot)
+                let capacity = &self.capacities[*i];
+                capacity.total.fits(&placement.request) && self.filter_worker(placement, capacity)
             })
             .max_by(|a, b| {
                 let free = |i: usize| {
-                    let slot = &self.capacities[i];
-                    slot.free.plus(&slot.releasing).dominant_share(&slot.total)
+                    let capacity = &self.capacities[i];
+                    capacity
+                        .free
+                        .plus(&capacity.releasing)
+                        .dominant_share(&capacity.total)
                 };
                 free(*a).total_cmp(&free(*b)).then(b.cmp(a))
             });
         if let Some(i) = freest {
-            let slot = &mut self.capacities[i];
-            slot.free = slot.free.minus(&placing.request);
+            let capacity = &mut self.capacities[i];
+            capacity.free = capacity.free.minus(&placement.request);
         }
     }
 }
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -13,29 +13,37 @@
     /// can't wait any longer.
     pub(super) fn make_room(
         &mut self,
-        placing: &JobPlacement,
+        placement: &JobPlacement,
         stops: PreemptionScope,
         rng: &mut impl Rng,
     ) -> bool {
         let at_image = stops == PreemptionScope::WorkersWithImage;
         let usable: Vec<usize> = (0..self.capacities.len())
             .filter(|i| {
-                let slot = &self.capacities[*i];
-                (!at_image || slot.worker.cached_images.contains(&placing.spec.image))
-                    && self.filter_worker(placing, slot)
+                let capacity = &self.capacities[*i];
+                (!at_image
+                    || capacity
+                        .worker
+                        .cached_images
+                        .contains(&placement.spec.image))
+                    && self.filter_worker(placement, capacity)
             })
             .collect();
-        let need = &placing.request;
+        let need = &placement.request;
         for i in &usable {
-            let slot = &mut self.capacities[*i];
-            if slot.releasing != Resources::default() && slot.free.plus(&slot.releasing).fits(need) {
-                slot.releasing = slot.releasing.minus(need);
+            let capacity = &mut self.capacities[*i];
+            if capacity.releasing != Resources::default()
+                && capacity.free.plus(&capacity.releasing).fits(need)
+            {
+                capacity.releasing = capacity.releasing.minus(need);
                 return true;
             }
         }
-        let spec = placing.spec;
+        let spec = placement.spec;
         let within = self.jobs_within_quota.contains(&spec.id);
-        if stops == PreemptionScope::Nowhere || (spec.priority >= self.lowest_bound_priority && !within) {
+        if stops == PreemptionScope::Nowhere
+            || (spec.priority >= self.lowest_bound_priority && !within)
+        {
             return false;
         }
         let count = usable.len().min(SAMPLE_SIZE);
@@ -46,10 +54,13 @@
         let mut best: Option<(bool, f64, usize, usize)> = None;
         for i in sampled {
             self.list_preemptible(i);
-            let Some((count, lost)) = self.preemption_cost(i, placing, within) else {
+            let Some((count, lost)) = self.preemption_cost(i, placement, within) else {
                 continue;
             };
-            let fetch = !self.capacities[i].worker.cached_images.contains(&spec.image);
+            let fetch = !self.capacities[i]
+                .worker
+                .cached_images
+                .contains(&spec.image);
             let better = best.is_none_or(|(f, l, ..)| (fetch, lost) < (f, l));
             if better {
                 best = Some((fetch, lost, i, count));
@@ -61,7 +72,7 @@
         if self.assignments.preemptions.len() + count > MAX_PREEMPTIONS {
             return false;
         }
-        self.preempt(i, placing, within, count);
+        self.preempt(i, placement, within, count);
         true
     }
 
@@ -69,8 +80,8 @@
         if self.capacities[i].preemptible.is_some() {
             return;
         }
-        let host = self.capacities[i].worker;
-        let mut movable: Vec<PreemptionCandidate> = host
+        let worker = self.capacities[i].worker;
+        let mut preemptible: Vec<PreemptionCandidate> = worker
             .bindings
             .iter()
             .filter(|(_, b)| b.eviction.is_none() && !b.unbinding)
@@ -88,8 +99,8 @@
                 })
             })
             .collect();
-        movable.sort_by(|a, b| a.work_lost.total_cmp(&b.work_lost));
-        self.capacities[i].preemptible = Some(movable);
+        preemptible.sort_by(|a, b| a.work_lost.total_cmp(&b.work_lost));
+        self.capacities[i].preemptible = Some(preemptible);
     }
 
     /// Whether a task may be stopped for this job: it ranks lower, or its team has borrowed what
@@ -97,60 +108,60 @@
     fn may_preempt(
         &self,
         victim: &PreemptionCandidate,
-        placing: &JobPlacement,
+        placement: &JobPlacement,
         within: bool,
     ) -> bool {
         let need = &victim.request;
         let borrowed = || {
             within
                 && !victim.is_service
-                && victim.team != placing.spec.team
+                && victim.team != placement.spec.team
                 && self
                     .quotas
                     .exceeds_quota_without(victim.team, need.cpus, need.gpus)
         };
-        !victim.preempted && (victim.priority > placing.spec.priority || borrowed())
+        !victim.preempted && (victim.priority > placement.spec.priority || borrowed())
     }
 
     /// How many of a host's tasks would have to stop, the least work lost first, and the work lost.
     fn preemption_cost(
         &self,
         i: usize,
-        placing: &JobPlacement,
+        placement: &JobPlacement,
         within: bool,
     ) -> Option<(usize, f64)> {
-        let slot = &self.capacities[i];
-        let mut room = slot.free.plus(&slot.releasing);
+        let capacity = &self.capacities[i];
+        let mut room = capacity.free.plus(&capacity.releasing);
         let mut lost = 0.0;
         let mut count = 0;
-        for victim in slot.preemptible.iter().flatten() {
-            if room.fits(&placing.request) {
+        for victim in capacity.preemptible.iter().flatten() {
+            if room.fits(&placement.request) {
                 break;
             }
-            if self.may_preempt(victim, placing, within) {
+            if self.may_preempt(victim, placement, within) {
                 room = room.plus(&victim.request);
                 lost += victim.work_lost;
                 count += 1;
             }
         }
-        (count > 0 && room.fits(&placing.request)).then_some((count, lost))
+        (count > 0 && room.fits(&placement.request)).then_some((count, lost))
     }
 
-    fn preempt(&mut self, i: usize, placing: &JobPlacement, within: bool, count: usize) {
-        let mut movable = self.capacities[i].preemptible.take().unwrap_or_default();
+    fn preempt(&mut self, i: usize, placement: &JobPlacement, within: bool, count: usize) {
+        let mut preemptible = self.capacities[i].preemptible.take().unwrap_or_default();
         let mut left = count;
-        for victim in &mut movable {
-            if left > 0 && self.may_preempt(victim, placing, within) {
+        for victim in &mut preemptible {
+            if left > 0 && self.may_preempt(victim, placement, within) {
                 left -= 1;
                 victim.preempted = true;
-                let slot = &mut self.capacities[i];
-                slot.releasing = slot.releasing.plus(&victim.request);
-                let halt = (slot.worker.name.clone(), victim.task.clone());
+                let capacity = &mut self.capacities[i];
+                capacity.releasing = capacity.releasing.plus(&victim.request);
+                let halt = (capacity.worker.name.clone(), victim.task.clone());
                 self.assignments.preemptions.push(halt);
             }
         }
-        let slot = &mut self.capacities[i];
-        slot.releasing = slot.releasing.minus(&placing.request);
-        slot.preemptible = Some(movable);
+        let capacity = &mut self.capacities[i];
+        capacity.releasing = capacity.releasing.minus(&placement.request);
+        capacity.preemptible = Some(preemptible);
     }
 }
--- a/src/coordination/terminations.rs
+++ b/src/coordination/terminations.rs
@@ -28,13 +28,13 @@
     /// An empty queue for these peers.
     pub fn new(
         me: &str,
-        life: u64,
+        process_incarnation: u64,
         peers: impl Iterator<Item = String>,
         keep_s: f64,
     ) -> TerminationQueue {
         TerminationQueue {
             label: me.to_owned(),
-            process_incarnation: life,
+            process_incarnation,
             first_sequence: 0,
             queue: VecDeque::new(),
             retention_s: keep_s,
@@ -70,9 +70,9 @@
             acks: self
                 .on_message
                 .iter()
-                .map(|(label, (life, up_to))| TerminationAck {
+                .map(|(label, (process_incarnation, up_to))| TerminationAck {
                     label: label.clone(),
-                    process_incarnation: *life,
+                    process_incarnation: *process_incarnation,
                     up_to: *up_to,
                 })
                 .collect(),
@@ -81,23 +81,22 @@
 
     /// Takes a peer's word: what it has acknowledged need not be told any more, and what it tells is
     /// acknowledged with this node's next word.
-    pub fn on_message(&mut self, peer: &str, ends: &TerminationLog) {
+    pub fn on_message(&mut self, peer: &str, terminations: &TerminationLog) {
         let Some(mark) = self.acknowledged.get_mut(peer) else {
             return;
         };
-        let acks = ends
-            .acks
-            .iter()
-            .filter(|ack| ack.label == self.label && ack.process_incarnation == self.process_incarnation);
+        let acks = terminations.acks.iter().filter(|ack| {
+            ack.label == self.label && ack.process_incarnation == self.process_incarnation
+        });
         *mark = acks.map(|ack| ack.up_to).fold(*mark, u64::max);
         let all = self.acknowledged.values().copied().min().unwrap_or(0);
         while self.first_sequence < all && !self.queue.is_empty() {
             self.drop_first();
         }
-        let up_to = ends
+        let up_to = terminations
             .first_sequence
-            .saturating_add(ends.entries.len() as u64);
+            .saturating_add(terminations.entries.len() as u64);
         self.on_message
-            .insert(peer.to_owned(), (ends.process_incarnation, up_to));
+            .insert(peer.to_owned(), (terminations.process_incarnation, up_to));
     }
 }
--- a/src/coordination/watch.rs
+++ b/src/coordination/watch.rs
@@ -43,12 +43,17 @@
     /// A watch whose waits last `wait_s`; other calls may take `patience_s`.
     ///
     /// The shorter the waits, the better it is known up to when the content is current.
-    pub fn new(prefix: &'static str, ask: KvRequestKind, wait_s: f64, patience_s: f64) -> Watch {
+    pub fn new(
+        prefix: &'static str,
+        kind: KvRequestKind,
+        wait_s: f64,
+        request_timeout_s: f64,
+    ) -> Watch {
         Watch {
             prefix,
-            request_kind: ask,
+            request_kind: kind,
             wait_s,
-            request_timeout_s: patience_s,
+            request_timeout_s,
             revision: None,
             partial: Vec::new(),
             listing_revision: None,
@@ -72,7 +77,7 @@
     }
 
     /// Makes the next call if it is time.
-    pub fn poll(&mut self, out: &mut Effects, now: f64) {
+    pub fn poll(&mut self, effects: &mut Effects, now: f64) {
         if self.in_flight || now < self.retry_at {
             return;
         }
@@ -98,13 +103,13 @@
                 self.request_timeout_s,
             ),
         };
-        out.call_kv(self.request_kind.clone(), call, within_s, now);
+        effects.call_kv(self.request_kind.clone(), call, within_s, now);
     }
 
     /// Takes the answer to the call that was made at `sent`.
-    pub fn on_response(&mut self, reply: KvResponse, sent: f64, now: f64) -> Vec<WatchUpdate> {
+    pub fn on_response(&mut self, response: KvResponse, sent: f64, now: f64) -> Vec<WatchUpdate> {
         self.in_flight = false;
-        match reply {
+        match response {
             KvResponse::Page(items, more, revision) => {
                 let at = *self.listing_revision.get_or_insert(revision);
                 let progress = !items.is_empty();
@@ -127,8 +132,8 @@
                         WatchEvent::Put {
                             key,
                             value,
-                            mod_revision: stamp,
-                        } => WatchUpdate::Put(key, value, stamp),
+                            mod_revision,
+                        } => WatchUpdate::Put(key, value, mod_revision),
                         WatchEvent::Delete { key, .. } => WatchUpdate::Deleted(key),
                     })
                     .collect()
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -97,7 +97,7 @@
     cloud: SocketAddr,
     started: Instant,
     sweep_at: f64,
-    report_s: f64,
+    heartbeat_interval_s: f64,
     answers: Latency,
     state_calls: Latency,
 }
@@ -111,7 +111,7 @@
     };
     let users = listen(settings.bind)?;
     let controllers = listen(settings.peer_bind)?;
-    let report_s = settings.deployment.workers.heartbeat_interval_s;
+    let heartbeat_interval_s = settings.deployment.workers.heartbeat_interval_s;
     let quota = &settings.deployment.quota;
     // All that is not set aside for others is for those who come: workers, users and probes.
     let set_aside = quota.direct_sockets()
@@ -120,7 +120,7 @@
         + CLOUD_CONNS
         + (quota.max_sockets as f64 * SPARE_SHARE) as usize;
     let incoming = quota.max_sockets.saturating_sub(set_aside).max(1);
-    let idle_s = report_s * 20.0;
+    let idle_s = heartbeat_interval_s * 20.0;
     let mut clients = HashMap::new();
     clients.insert(
         Pool::State,
@@ -140,17 +140,17 @@
         "starting"
     );
     let settings = Rc::new(settings);
-    let life = SmallRng::from_os_rng().random();
+    let process_incarnation = SmallRng::from_os_rng().random();
     let mut daemon = Daemon {
-        controller: Controller::new(settings.clone(), Rc::new(policy), life),
-        server: Server::new(incoming, idle_s * 2.0, report_s * 4.0),
+        controller: Controller::new(settings.clone(), Rc::new(policy), process_incarnation),
+        server: Server::new(incoming, idle_s * 2.0, heartbeat_interval_s * 4.0),
         clients,
         waiting: HashMap::new(),
         next_call: 1,
         peers: settings
             .peers
             .iter()
-            .map(|seed| Outgoing::new(seed.address, report_s))
+            .map(|seed| Outgoing::new(seed.address, heartbeat_interval_s))
             .collect(),
         incoming: HashMap::new(),
         next_incoming: 1,
@@ -160,13 +160,13 @@
         cloud: settings.services.cloud,
         started: Instant::now(),
         sweep_at: 0.0,
-        report_s,
-        answers: Latency::new("answers", report_s * REPORTS_PER_LOG),
-        state_calls: Latency::new("state service", report_s * REPORTS_PER_LOG),
+        heartbeat_interval_s,
+        answers: Latency::new("answers", heartbeat_interval_s * REPORTS_PER_LOG),
+        state_calls: Latency::new("state service", heartbeat_interval_s * REPORTS_PER_LOG),
     };
     add_listener(&handle, users, Daemon::accept_user)?;
     add_listener(&handle, controllers, Daemon::accept_peer)?;
-    let tick = Duration::from_secs_f64(report_s / TICKS_PER_REPORT);
+    let tick = Duration::from_secs_f64(heartbeat_interval_s / TICKS_PER_REPORT);
     handle
         .insert_source(Timer::immediate(), move |_, _, daemon: &mut Daemon| {
             daemon.tick();
@@ -334,8 +334,13 @@
                     if request.path == REPORT_PATH {
                         self.server.close_if_crowded(to);
                     }
-                    self.controller
-                        .on_request(to, &request.method, &request.path, &request.body, now);
+                    self.controller.on_request(
+                        to,
+                        &request.method,
+                        &request.path,
+                        &request.body,
+                        now,
+                    );
                     // An answer that is there already goes out at once, and the next request in.
                     after = After::Keep;
                 }
@@ -356,7 +361,7 @@
             }
         }
         if now.monotonic >= self.sweep_at {
-            self.sweep_at = now.monotonic + self.report_s / 5.0;
+            self.sweep_at = now.monotonic + self.heartbeat_interval_s / 5.0;
             self.answers.drive(now.monotonic);
             self.state_calls.drive(now.monotonic);
             for id in self.server.overdue(now.monotonic) {
@@ -418,38 +423,41 @@
                 }
             }
             Effect::CallKv {
-                correlation_id: tag,
+                correlation_id,
                 request: call,
                 timeout_s: within_s,
             } => {
                 let request = call.http_request();
-                let waiting = Waiting::Store(tag, call, now.monotonic);
+                let waiting = Waiting::Store(correlation_id, call, now.monotonic);
                 self.send(Pool::State, self.state, request, waiting, within_s, now);
             }
             Effect::CallCloud {
-                correlation_id: tag,
+                correlation_id,
                 request: call,
                 timeout_s: within_s,
             } => {
                 let request = call.http_request();
-                let waiting = Waiting::Cloud(tag, call);
+                let waiting = Waiting::Cloud(correlation_id, call);
                 self.send(Pool::Cloud, self.cloud, request, waiting, within_s, now);
             }
             Effect::CallWorker {
-                correlation_id: tag,
+                correlation_id,
                 endpoint,
                 request: call,
                 timeout_s: within_s,
             } => match endpoint.parse::<SocketAddr>() {
                 Ok(to) => {
                     let request = call.http_request();
-                    let waiting = Waiting::Worker(tag);
+                    let waiting = Waiting::Worker(correlation_id);
                     self.send(Pool::Workers, to, request, waiting, within_s, now);
                 }
                 Err(_) => {
                     tracing::warn!(endpoint, "not an address");
-                    self.controller
-                        .on_worker_response(tag, WorkerResponse::NotSent, now);
+                    self.controller.on_worker_response(
+                        correlation_id,
+                        WorkerResponse::NotSent,
+                        now,
+                    );
                 }
             },
             Effect::BroadcastHeartbeat(heartbeat) => {
@@ -502,7 +510,7 @@
                 continue;
             };
             match waiting {
-                Waiting::Store(tag, call, sent) => {
+                Waiting::Store(correlation_id, call, sent) => {
                     if !matches!(call, KvRequest::Watch { .. }) {
                         self.state_calls.record(now.monotonic - sent);
                     }
@@ -513,25 +521,27 @@
                             KvResponse::OutcomeUnknown
                         }
                     };
-                    self.controller.on_kv_response(tag, reply, now);
+                    self.controller.on_kv_response(correlation_id, reply, now);
                 }
-                Waiting::Cloud(tag, call) => {
+                Waiting::Cloud(correlation_id, call) => {
                     let reply = match outcome {
                         Outcome::Answer(r) => call.response(r.status, &r.body),
                         Outcome::NotSent | Outcome::Unreached | Outcome::Silent => {
                             CloudResponse::OutcomeUnknown
                         }
                     };
-                    self.controller.on_cloud_response(tag, reply, now);
+                    self.controller
+                        .on_cloud_response(correlation_id, reply, now);
                 }
-                Waiting::Worker(tag) => {
+                Waiting::Worker(correlation_id) => {
                     let reply = match outcome {
                         Outcome::Answer(r) => WorkerRequest::response(r.status, &r.body),
                         Outcome::NotSent => WorkerResponse::NotSent,
                         Outcome::Unreached => WorkerResponse::Unreachable,
                         Outcome::Silent => WorkerResponse::OutcomeUnknown,
                     };
-                    self.controller.on_worker_response(tag, reply, now);
+                    self.controller
+                        .on_worker_response(correlation_id, reply, now);
                 }
             }
         }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -34,7 +34,7 @@
     /// Spot machines.
     pub spot: bool,
     /// Usual boot time.
-    pub ready_s: f64,
+    pub boot_time_s: f64,
     /// Price per hour.
     pub hourly: f64,
     /// CPUs of a machine.
@@ -100,7 +100,7 @@
 /// Figures of the settings that expressions may use.
 #[derive(Debug, Clone, Copy)]
 struct Platform {
-    report_s: f64,
+    heartbeat_interval_s: f64,
     lease_s: f64,
     list_lag_s: f64,
 }
@@ -130,7 +130,7 @@
             programs: Vec::new(),
             defaults: Vec::new(),
             platform: Platform {
-                report_s: d.workers.heartbeat_interval_s,
+                heartbeat_interval_s: d.workers.heartbeat_interval_s,
                 lease_s: d.workers.lease_s,
                 list_lag_s: d.cloud.list_lag_s,
             },
@@ -293,7 +293,7 @@
             for (busy, machines, waiting) in [(0, 0, 0), (3, 5, 0), (40, 40, 1000)] {
                 let pool = PoolState {
                     spot,
-                    ready_s: 30.0,
+                    boot_time_s: 30.0,
                     hourly: 1.0,
                     cpus: 8.0,
                     busy,
@@ -316,10 +316,10 @@
 ) -> Result<f64, String> {
     let mut context = Context::default();
     let numbers = [
-        ("report_s", platform.report_s),
+        ("report_s", platform.heartbeat_interval_s),
         ("lease_s", platform.lease_s),
         ("list_lag_s", platform.list_lag_s),
-        ("ready_s", pool.ready_s),
+        ("ready_s", pool.boot_time_s),
         ("hourly", pool.hourly),
         ("cpus", pool.cpus),
         ("busy", f64::from(pool.busy)),
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -99,7 +99,7 @@
 #[derive(Deserialize)]
 struct InstancePage {
     #[serde(rename = "Hosts")]
-    hosts: Vec<Instance>,
+    instances: Vec<Instance>,
     #[serde(rename = "More", default)]
     more: bool,
 }
@@ -107,7 +107,7 @@
 #[derive(Deserialize)]
 struct CreatedInstances {
     #[serde(rename = "Hosts")]
-    hosts: Vec<String>,
+    instances: Vec<String>,
 }
 
 /// A rental request.
@@ -133,7 +133,7 @@
 #[derive(Serialize)]
 struct Names<'a> {
     #[serde(rename = "Hosts")]
-    hosts: &'a [String],
+    instances: &'a [String],
 }
 
 /// A call to the cloud.
@@ -177,13 +177,13 @@
     pub fn http_request(&self) -> (&'static str, String, Vec<u8>) {
         match self {
             CloudRequest::ListInstanceTypes => ("GET", "/machine_types".to_owned(), Vec::new()),
-            CloudRequest::CreateInstances(rental) => {
-                ("POST", "/machines".to_owned(), cbor::encode(rental))
+            CloudRequest::CreateInstances(request) => {
+                ("POST", "/machines".to_owned(), cbor::encode(request))
             }
-            CloudRequest::DeleteInstances(hosts) => (
+            CloudRequest::DeleteInstances(instances) => (
                 "POST",
                 "/machines/delete".to_owned(),
-                cbor::encode(&Names { hosts }),
+                cbor::encode(&Names { instances }),
             ),
             CloudRequest::ListInstances(None) => {
                 ("GET", format!("/machines?Page={PAGE_SIZE}"), Vec::new())
@@ -207,12 +207,12 @@
             }
             (200, CloudRequest::CreateInstances(_)) => match cbor::decode::<CreatedInstances>(body)
             {
-                Ok(rented) => CloudResponse::Created(rented.hosts),
+                Ok(rented) => CloudResponse::Created(rented.instances),
                 Err(_) => CloudResponse::OutcomeUnknown,
             },
             (200, CloudRequest::DeleteInstances(_)) => CloudResponse::Deleted,
             (200, CloudRequest::ListInstances(_)) => match cbor::decode::<InstancePage>(body) {
-                Ok(page) => CloudResponse::Page(page.hosts, page.more),
+                Ok(page) => CloudResponse::Page(page.instances, page.more),
                 Err(_) => CloudResponse::OutcomeUnknown,
             },
             (503, CloudRequest::CreateInstances(_)) => {
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -122,13 +122,13 @@
     }
 
     /// Whether the job may use a machine of this type, zone and kind.
-    pub fn allows(&self, flavor: &str, zone: &str, spot: bool) -> bool {
+    pub fn allows(&self, instance_type: &str, zone: &str, spot: bool) -> bool {
         (self.spot || !spot)
             && self.zone.as_deref().is_none_or(|only| only == zone)
             && self
                 .instance_types
                 .as_ref()
-                .is_none_or(|flavors| flavors.iter().any(|f| f == flavor))
+                .is_none_or(|instance_types| instance_types.iter().any(|f| f == instance_type))
     }
 }
 
@@ -214,7 +214,7 @@
     if !(1..=MAX_TASKS).contains(&tasks) {
         return Err(InvalidJob::Invalid("Steps"));
     }
-    let flavors = match fields.get("Flavors") {
+    let instance_types = match fields.get("Flavors") {
         None => None,
         Some(Value::Array(items)) if !items.is_empty() && items.len() <= MAX_INSTANCE_TYPES => {
             Some(
@@ -230,7 +230,7 @@
         None => None,
         Some(value) => Some(Fields::text_of(value, "Grove")?),
     };
-    let due_s = match fields.get("DueS") {
+    let deadline_s = match fields.get("DueS") {
         None => None,
         Some(_) => Some(fields.amount("DueS")?),
     };
@@ -244,7 +244,7 @@
         cpus: fields.amount("Cores")?,
         gpus: fields.amount("Gpus")?,
         ram_gb: fields.amount("RamGb")?,
-        instance_types: flavors,
+        instance_types,
         zone,
         one_zone: fields.flag("OneZone")?,
         spread: fields.flag("Spread")?,
@@ -254,7 +254,7 @@
         expected_runtime_s: fields.amount("ExpectS")?,
         checkpoint_interval_s: fields.amount("SnapshotS")?,
         checkpoint_grace_s: fields.amount("FlushS")?,
-        deadline_s: due_s,
+        deadline_s,
         submitted_at: at,
     })
 }
--- a/src/protocol/kv.rs
+++ b/src/protocol/kv.rs
@@ -24,10 +24,10 @@
 
 impl Compare {
     /// The key has this version.
-    pub fn new(key: impl Into<String>, stamp: u64) -> Compare {
+    pub fn new(key: impl Into<String>, mod_revision: u64) -> Compare {
         Compare {
             key: key.into(),
-            mod_revision: stamp,
+            mod_revision,
         }
     }
 }
@@ -245,7 +245,7 @@
         match self {
             KvRequest::Get(key) => ("GET", format!("/keys/{key}"), Vec::new()),
             KvRequest::List {
-                prefix: under,
+                prefix,
                 after: from,
             } => {
                 let from = from
@@ -254,7 +254,7 @@
                     .unwrap_or_default();
                 (
                     "GET",
-                    format!("/keys?Under={under}{from}&Page={PAGE_SIZE}"),
+                    format!("/keys?Under={prefix}{from}&Page={PAGE_SIZE}"),
                     Vec::new(),
                 )
             }
@@ -264,15 +264,19 @@
                 "/holds".to_owned(),
                 cbor::encode(&GrantLeaseBody { ttl_ms: *ttl_ms }),
             ),
-            KvRequest::KeepAlive(hold) => ("POST", format!("/holds/{hold}/renew"), Vec::new()),
-            KvRequest::RevokeLease(hold) => ("DELETE", format!("/holds/{hold}"), Vec::new()),
+            KvRequest::KeepAlive(lease_id) => {
+                ("POST", format!("/holds/{lease_id}/renew"), Vec::new())
+            }
+            KvRequest::RevokeLease(lease_id) => {
+                ("DELETE", format!("/holds/{lease_id}"), Vec::new())
+            }
             KvRequest::Watch {
-                prefix: under,
+                prefix,
                 after: from,
                 wait_ms,
             } => (
                 "GET",
-                format!("/follow?Under={under}&From={from}&WaitMs={wait_ms}"),
+                format!("/follow?Under={prefix}&From={from}&WaitMs={wait_ms}"),
                 Vec::new(),
             ),
         }
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -217,8 +217,8 @@
     /// Reads the answer.
     pub fn response(status: u16, body: &[u8]) -> WorkerResponse {
         match (status, cbor::decode::<WorkerHeartbeat>(body)) {
-            (200, Ok(report)) => WorkerResponse::Executed(Box::new(report)),
-            (409, Ok(report)) => WorkerResponse::Rejected(Box::new(report)),
+            (200, Ok(heartbeat)) => WorkerResponse::Executed(Box::new(heartbeat)),
+            (409, Ok(heartbeat)) => WorkerResponse::Rejected(Box::new(heartbeat)),
             _ => WorkerResponse::OutcomeUnknown,
         }
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -215,7 +215,10 @@
         };
         let d = &self.deployment;
         for (field, value) in [
-            ("deployment.workers.report_s", d.workers.heartbeat_interval_s),
+            (
+                "deployment.workers.report_s",
+                d.workers.heartbeat_interval_s,
+            ),
             ("deployment.workers.lease_s", d.workers.lease_s),
             ("deployment.workers.cancel_s", d.workers.cancel_s),
             ("deployment.state.rps", d.state.rps),
--- a/tests/bindings.rs
+++ b/tests/bindings.rs
@@ -5,21 +5,21 @@
 use cedarladder::bookkeeping::pending_starts::CallOutcome;
 use cedarladder::bookkeeping::workers::{DeliveryPath, EvictionReason, RevocationReason, Worker};
 use cedarladder::protocol::worker::{Command, CommandKind, ExitReason, TaskState};
-use common::{binding, host, knowledge, spec, step, task};
+use common::{binding, freshness, spec, step, task, worker};
 
 type Setup = fn(&mut Worker);
 type Steps = fn(&mut Worker, &[Command]);
 
-fn bound(host: &mut Worker, change: impl Fn(&mut cedarladder::bookkeeping::workers::Binding)) {
+fn bound(worker: &mut Worker, change: impl Fn(&mut cedarladder::bookkeeping::workers::Binding)) {
     let mut b = binding(&spec("j-1", 4), 7);
     change(&mut b);
-    host.bindings.insert(task("j-1", 0), b);
+    worker.bindings.insert(task("j-1", 0), b);
 }
 
-fn shows(host: &mut Worker, attempt: u64, status: TaskState) {
+fn shows(worker: &mut Worker, attempt: u64, status: TaskState) {
     let task = task("j-1", 0);
     let cause = (status == TaskState::Exited).then_some(ExitReason::Completed);
-    let steps = host.observed_tasks.entry(task.clone()).or_default();
+    let steps = worker.observed_tasks.entry(task.clone()).or_default();
     steps.push(step(&task, attempt, status, cause));
 }
 
@@ -147,9 +147,9 @@
         ),
     ];
     for (name, setup, confirmed, expected) in cases {
-        let mut host = host("h", "a", false);
-        setup(&mut host);
-        let got: Vec<(CommandKind, u64)> = host
+        let mut worker = worker("h", "a", false);
+        setup(&mut worker);
+        let got: Vec<(CommandKind, u64)> = worker
             .commands(confirmed, 100)
             .into_iter()
             .map(|order| (order.kind, order.attempt))
@@ -159,9 +159,9 @@
 }
 
 /// Orders that go out directly, and what became of the call.
-fn sent_directly(host: &mut Worker, orders: &[Command], fate: CallOutcome) {
-    host.record_sent(orders, DeliveryPath::DirectCall, &knowledge());
-    host.record_call_outcome(orders, fate);
+fn sent_directly(worker: &mut Worker, orders: &[Command], fate: CallOutcome) {
+    worker.record_sent(orders, DeliveryPath::DirectCall, &freshness());
+    worker.record_call_outcome(orders, fate);
 }
 
 /// A direct start may arrive once more, answered or not, until the worker shows a higher fence. An attempt
@@ -172,7 +172,7 @@
     let answered: Steps = |h, o| sent_directly(h, o, CallOutcome::Answered);
     let unanswered: Steps = |h, o| sent_directly(h, o, CallOutcome::Unanswered);
     let in_answer: Steps = |h, o| {
-        h.record_sent(o, DeliveryPath::HeartbeatResponse(5), &knowledge());
+        h.record_sent(o, DeliveryPath::HeartbeatResponse(5), &freshness());
         h.pending_starts.settle_responses(6);
     };
     for (name, steps, cause, cleared) in [
@@ -197,28 +197,29 @@
             true,
         ),
     ] {
-        let mut host = host("h", "a", false);
-        bound(&mut host, |_| {});
-        let orders = host.commands(true, 10);
-        steps(&mut host, &orders);
+        let mut worker = worker("h", "a", false);
+        bound(&mut worker, |_| {});
+        let orders = worker.commands(true, 10);
+        steps(&mut worker, &orders);
         let task = task("j-1", 0);
-        host.bindings.remove(&task);
-        host.observed_tasks
+        worker.bindings.remove(&task);
+        worker
+            .observed_tasks
             .insert(task.clone(), vec![step(&task, 7, Exited, Some(cause))]);
-        assert_eq!(!host.commands(true, 10).is_empty(), cleared, "{name}");
+        assert_eq!(!worker.commands(true, 10).is_empty(), cleared, "{name}");
         let reason = (!cleared).then_some(RevocationReason::Clear);
-        assert_eq!(host.pending_revocation(), reason, "{name}");
+        assert_eq!(worker.pending_revocation(), reason, "{name}");
         // Once the worker shows a higher fence it may be cleared, and nothing is kept of it.
-        assert!(host.revoke_starts(RevocationReason::Clear));
-        assert_eq!(host.pending_revocation(), None, "{name}: revoked once");
+        assert!(worker.revoke_starts(RevocationReason::Clear));
+        assert_eq!(worker.pending_revocation(), None, "{name}: revoked once");
         assert_eq!(
-            !host.commands(true, 10).is_empty(),
+            !worker.commands(true, 10).is_empty(),
             cleared,
             "{name}: not shown yet"
         );
-        host.observe_fence(host.pending_starts.fence());
-        assert_eq!(host.commands(true, 10).len(), 1, "{name}: shown");
-        assert!(host.pending_starts.is_empty(), "{name}");
+        worker.observe_fence(worker.pending_starts.fence());
+        assert_eq!(worker.commands(true, 10).len(), 1, "{name}: shown");
+        assert!(worker.pending_starts.is_empty(), "{name}");
     }
 }
 
@@ -236,7 +237,7 @@
     let cases: [(&str, Steps, Arrival); 10] = [
         (
             "sent directly",
-            |h, o| h.record_sent(o, DeliveryPath::DirectCall, &knowledge()),
+            |h, o| h.record_sent(o, DeliveryPath::DirectCall, &freshness()),
             Arrival::Start,
         ),
         (
@@ -285,13 +286,13 @@
         ),
         (
             "in the answer to report 5",
-            |h, o| h.record_sent(o, DeliveryPath::HeartbeatResponse(5), &knowledge()),
+            |h, o| h.record_sent(o, DeliveryPath::HeartbeatResponse(5), &freshness()),
             Arrival::Start,
         ),
         (
             "a later report by itself settles it",
             |h, o| {
-                h.record_sent(o, DeliveryPath::HeartbeatResponse(5), &knowledge());
+                h.record_sent(o, DeliveryPath::HeartbeatResponse(5), &freshness());
                 h.pending_starts.settle_responses(6);
             },
             Arrival::Nothing,
@@ -299,21 +300,21 @@
         (
             "the same report does not",
             |h, o| {
-                h.record_sent(o, DeliveryPath::HeartbeatResponse(5), &knowledge());
+                h.record_sent(o, DeliveryPath::HeartbeatResponse(5), &freshness());
                 h.pending_starts.settle_responses(5);
             },
             Arrival::Start,
         ),
     ];
     for (name, steps, expected) in cases {
-        let mut host = host("h", "a", false);
-        bound(&mut host, |_| {});
-        let orders = host.commands(true, 10);
-        steps(&mut host, &orders);
+        let mut worker = worker("h", "a", false);
+        bound(&mut worker, |_| {});
+        let orders = worker.commands(true, 10);
+        steps(&mut worker, &orders);
         let task = task("j-1", 0);
-        let arrival = match host.pending_starts.may_arrive(&task, 7) {
+        let arrival = match worker.pending_starts.may_arrive(&task, 7) {
             false => Arrival::Nothing,
-            true if host.pending_starts.only_answered_copies(&task, 7) => Arrival::Copies,
+            true if worker.pending_starts.only_answered_copies(&task, 7) => Arrival::Copies,
             true => Arrival::Start,
         };
         assert_eq!(arrival, expected, "{name}");
@@ -323,23 +324,27 @@
 /// An answered halt says nothing of a start that is on its way.
 #[test]
 fn a_halt_settles_no_start() {
-    let mut host = host("h", "a", false);
-    bound(&mut host, |_| {});
-    let orders = host.commands(true, 10);
-    host.record_sent(&orders, DeliveryPath::DirectCall, &knowledge());
+    let mut worker = worker("h", "a", false);
+    bound(&mut worker, |_| {});
+    let orders = worker.commands(true, 10);
+    worker.record_sent(&orders, DeliveryPath::DirectCall, &freshness());
     let mut halt = orders.clone();
     halt[0].kind = CommandKind::Stop;
-    host.record_call_outcome(&halt, CallOutcome::Answered);
-    assert!(host.pending_starts.may_arrive(&task("j-1", 0), 7));
-    assert!(!host.pending_starts.only_answered_copies(&task("j-1", 0), 7));
+    worker.record_call_outcome(&halt, CallOutcome::Answered);
+    assert!(worker.pending_starts.may_arrive(&task("j-1", 0), 7));
+    assert!(
+        !worker
+            .pending_starts
+            .only_answered_copies(&task("j-1", 0), 7)
+    );
 }
 
 /// When the starts that went out are revoked, and whether the worker is told at once.
 #[test]
 fn revocations() {
     use cedarladder::protocol::worker::TaskState::Running;
-    fn halt(host: &mut Worker, reason: EvictionReason) {
-        let binding = host.bindings.get_mut(&task("j-1", 0)).expect("bound");
+    fn halt(worker: &mut Worker, reason: EvictionReason) {
+        let binding = worker.bindings.get_mut(&task("j-1", 0)).expect("bound");
         binding.eviction = Some((0.0, reason));
     }
     // Each: what becomes of a start that was sent directly, and the reason with its urgency.
@@ -390,12 +395,12 @@
         ),
     ];
     for (name, setup, expected) in cases {
-        let mut host = host("h", "a", false);
-        bound(&mut host, |_| {});
-        let orders = host.commands(true, 10);
-        sent_directly(&mut host, &orders, CallOutcome::Unanswered);
-        setup(&mut host);
-        let revocation = host.pending_revocation();
+        let mut worker = worker("h", "a", false);
+        bound(&mut worker, |_| {});
+        let orders = worker.commands(true, 10);
+        sent_directly(&mut worker, &orders, CallOutcome::Unanswered);
+        setup(&mut worker);
+        let revocation = worker.pending_revocation();
         let got = revocation.map(|reason| (reason, reason.is_urgent()));
         assert_eq!(got, expected, "{name}");
     }
@@ -404,18 +409,19 @@
 /// Starts of tasks that are long done don't pile up.
 #[test]
 fn many_pending_starts() {
-    let mut host = host("h", "a", false);
+    let mut worker = worker("h", "a", false);
     for n in 0..300 {
-        host.pending_starts.record_direct_call(task("j-1", n), 7);
-        host.pending_starts
+        worker.pending_starts.record_direct_call(task("j-1", n), 7);
+        worker
+            .pending_starts
             .record_call_outcome(&task("j-1", n), 7, CallOutcome::Answered);
     }
     assert_eq!(
-        host.pending_revocation(),
+        worker.pending_revocation(),
         Some(RevocationReason::TooManyPending)
     );
-    assert!(host.revoke_starts(RevocationReason::TooManyPending));
-    assert_eq!(host.pending_revocation(), None);
-    host.observe_fence(1);
-    assert!(host.pending_starts.is_empty());
+    assert!(worker.revoke_starts(RevocationReason::TooManyPending));
+    assert_eq!(worker.pending_revocation(), None);
+    worker.observe_fence(1);
+    assert!(worker.pending_starts.is_empty());
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -39,7 +39,7 @@
     Job::new(spec, 5, 0.0)
 }
 
-pub fn flavor(name: &str) -> InstanceType {
+pub fn instance_type(name: &str) -> InstanceType {
     InstanceType {
         name: name.into(),
         cpus: 8.0,
@@ -55,7 +55,7 @@
 }
 
 /// What a leader knows whose lease and view have just been confirmed.
-pub fn knowledge() -> ViewFreshness {
+pub fn freshness() -> ViewFreshness {
     ViewFreshness {
         is_leader: true,
         lease_held: true,
@@ -70,22 +70,22 @@
 }
 
 /// What a leader knows that has seen neither its lease nor the open jobs for so long.
-pub fn knowledge_of_age(age_s: f64) -> ViewFreshness {
+pub fn freshness_of_age(age_s: f64) -> ViewFreshness {
     ViewFreshness {
         lease_held: false,
         lease_age_s: age_s,
         view_age_s: age_s,
-        ..knowledge()
+        ..freshness()
     }
 }
 
 /// A host that is up and takes tasks.
-pub fn host(name: &str, zone: &str, spot: bool) -> Worker {
-    let mut host = Worker::new(name, "f", zone, spot, 0.0);
-    host.token_acknowledged = true;
-    host.last_heartbeat_at = Some(0.0);
-    host.incarnation = 1;
-    host
+pub fn worker(name: &str, zone: &str, spot: bool) -> Worker {
+    let mut worker = Worker::new(name, "f", zone, spot, 0.0);
+    worker.token_acknowledged = true;
+    worker.last_heartbeat_at = Some(0.0);
+    worker.incarnation = 1;
+    worker
 }
 
 pub fn binding(spec: &JobSpec, attempt: u64) -> Binding {
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -47,13 +47,24 @@
         sent: f64,
         now: f64,
     ) -> LeadershipChange {
-        self.election.on_response(&ask, &reply, sent, &mut self.out, now)
+        self.election
+            .on_response(&ask, &reply, sent, &mut self.out, now)
     }
     /// Wins with Epoch 42 at time 0.1; the lease was asked for at time 0.
     fn won(mut self) -> Bed {
         self.election.poll(true, 0.0, &mut self.out, 0.0);
-        self.reply(KvRequestKind::GrantLease, KvResponse::LeaseGranted(9), 0.0, 0.05);
-        let outcome = self.reply(KvRequestKind::Campaign, KvResponse::Committed(42), 0.05, 0.1);
+        self.reply(
+            KvRequestKind::GrantLease,
+            KvResponse::LeaseGranted(9),
+            0.0,
+            0.05,
+        );
+        let outcome = self.reply(
+            KvRequestKind::Campaign,
+            KvResponse::Committed(42),
+            0.05,
+            0.1,
+        );
         assert_eq!(outcome, LeadershipChange::Elected(42));
         self.calls();
         self
@@ -97,16 +108,21 @@
         bed.election.observe_leader(known, 0.0, 0.0);
         bed.election.poll(watching, 1.0, &mut bed.out, 1.0);
         let granted = bed.calls();
-        let Some(stamp) = takes else {
+        let Some(mod_revision) = takes else {
             assert_eq!(granted, vec![], "{name}");
             continue;
         };
         assert_eq!(granted, vec![KvRequest::GrantLease(2000)], "{name}");
-        bed.reply(KvRequestKind::GrantLease, KvResponse::LeaseGranted(9), 1.0, 1.1);
+        bed.reply(
+            KvRequestKind::GrantLease,
+            KvResponse::LeaseGranted(9),
+            1.0,
+            1.1,
+        );
         let [KvRequest::Txn(txn)] = &bed.calls()[..] else {
             panic!("{name}: a transaction");
         };
-        assert_eq!(txn.compares[0].mod_revision, stamp, "{name}");
+        assert_eq!(txn.compares[0].mod_revision, mod_revision, "{name}");
     }
 }
 
@@ -147,13 +163,19 @@
         ),
         (
             "the watch is late and shows an earlier leader",
-            |b| b.election.observe_leader(Some((record("n1", 5), 30)), 0.0, 1.0),
+            |b| {
+                b.election
+                    .observe_leader(Some((record("n1", 5), 30)), 0.0, 1.0)
+            },
             LeadershipChange::None,
             true,
         ),
         (
             "the watch shows a later leader",
-            |b| b.election.observe_leader(Some((record("n1", 5), 50)), 0.0, 1.0),
+            |b| {
+                b.election
+                    .observe_leader(Some((record("n1", 5), 50)), 0.0, 1.0)
+            },
             LeadershipChange::Deposed,
             false,
         ),
@@ -210,7 +232,11 @@
     }
     bed.reply(KvRequestKind::KeepAlive, KvResponse::LeaseOk, 1.5, 5.0);
     for (now, confirmed) in [(3.4, true), (3.5, false)] {
-        assert_eq!(bed.election.holds_lease(now), confirmed, "renewed, at {now}");
+        assert_eq!(
+            bed.election.holds_lease(now),
+            confirmed,
+            "renewed, at {now}"
+        );
     }
 }
 
@@ -231,8 +257,10 @@
     for (name, current_at, now, expected) in cases {
         let mut bed = Bed::new().won();
         bed.reply(KvRequestKind::KeepAlive, KvResponse::LeaseOk, 10.0, 10.1);
-        let knowledge = bed.election.view_freshness(current_at, f64::NEG_INFINITY, now);
-        let may_renew = knowledge.may_renew().is_ok();
+        let freshness = bed
+            .election
+            .view_freshness(current_at, f64::NEG_INFINITY, now);
+        let may_renew = freshness.may_renew().is_ok();
         assert_eq!(may_renew, expected, "{name}");
     }
     let not_elected = Bed::new().election.view_freshness(10.0, 10.0, 10.0);
@@ -245,9 +273,15 @@
 fn beaten_to_it() {
     let mut bed = Bed::new();
     bed.election.poll(true, 0.0, &mut bed.out, 0.0);
-    bed.election.observe_leader(Some((record("n1", 5), 7)), 0.0, 0.05);
+    bed.election
+        .observe_leader(Some((record("n1", 5), 7)), 0.0, 0.05);
     bed.calls();
-    bed.reply(KvRequestKind::GrantLease, KvResponse::LeaseGranted(9), 0.0, 0.1);
+    bed.reply(
+        KvRequestKind::GrantLease,
+        KvResponse::LeaseGranted(9),
+        0.0,
+        0.1,
+    );
     assert_eq!(bed.calls(), vec![KvRequest::RevokeLease(9)]);
     assert_eq!(bed.election.leader(), Some("n1"));
 }
@@ -257,9 +291,19 @@
 fn unanswered_take() {
     let mut bed = Bed::new();
     bed.election.poll(true, 0.0, &mut bed.out, 0.0);
-    bed.reply(KvRequestKind::GrantLease, KvResponse::LeaseGranted(9), 0.0, 0.1);
+    bed.reply(
+        KvRequestKind::GrantLease,
+        KvResponse::LeaseGranted(9),
+        0.0,
+        0.1,
+    );
     bed.calls();
-    bed.reply(KvRequestKind::Campaign, KvResponse::OutcomeUnknown, 0.1, 0.8);
+    bed.reply(
+        KvRequestKind::Campaign,
+        KvResponse::OutcomeUnknown,
+        0.1,
+        0.8,
+    );
     assert_eq!(bed.calls(), vec![KvRequest::RevokeLease(9)]);
     assert_eq!(bed.election.epoch(), None);
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -8,7 +8,7 @@
 use cedarladder::bookkeeping::quotas::Quotas;
 use cedarladder::bookkeeping::workers::Workers;
 use cedarladder::coordination::scheduler::{Assignments, CycleLimits, SchedulingCycle};
-use common::{flavor, host, job, spec};
+use common::{instance_type, job, spec, worker};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use world::World;
@@ -62,8 +62,8 @@
         let mut failures = JobFailures::default();
         for event in events {
             match event {
-                Some((host, at)) => {
-                    failures.record_failure(host, AVOID_S, *at);
+                Some((worker, at)) => {
+                    failures.record_failure(worker, AVOID_S, *at);
                 }
                 None => failures.record_success(),
             }
@@ -198,7 +198,7 @@
 }
 
 /// One pass for a job of six tasks, whose tasks failed on these hosts, beside empty hosts.
-fn pass(failed_on: &[&str], hosts: &[&str], now: f64) -> Assignments {
+fn pass(failed_on: &[&str], workers: &[&str], now: f64) -> Assignments {
     let mut jobs = Jobs::default();
     let mut broken = job(spec("j-000001", 6));
     for name in failed_on {
@@ -206,15 +206,15 @@
     }
     jobs.insert(broken);
     let mut table = Workers::default();
-    for name in hosts {
-        table.entry(name, || host(name, "a", false));
+    for name in workers {
+        table.entry(name, || worker(name, "a", false));
     }
     let quotas = Quotas::new(&[common::team("t", 0.0, 100.0)]);
     let limits = CycleLimits {
         ageing_s: 50.0,
         avoid_s: AVOID_S,
     };
-    let pass = SchedulingCycle::new(&jobs, &table, &[flavor("f")], &quotas, limits, now);
+    let pass = SchedulingCycle::new(&jobs, &table, &[instance_type("f")], &quotas, limits, now);
     pass.run(&mut SmallRng::seed_from_u64(1))
 }
 
@@ -272,12 +272,16 @@
             &[],
         ),
     ];
-    for (name, failed_on, hosts, now, expected, none_on) in cases {
-        let plan = pass(failed_on, hosts, now);
-        let missing = plan.pending_demand.iter().map(|unplaced| unplaced.count).sum();
+    for (name, failed_on, workers, now, expected, none_on) in cases {
+        let plan = pass(failed_on, workers, now);
+        let missing = plan
+            .pending_demand
+            .iter()
+            .map(|unplaced| unplaced.count)
+            .sum();
         assert_eq!((plan.bindings.len(), missing), expected, "{name}");
-        for (_, host) in &plan.bindings {
-            assert!(!none_on.contains(&host.as_str()), "{name}: {host}");
+        for (_, worker) in &plan.bindings {
+            assert!(!none_on.contains(&worker.as_str()), "{name}: {worker}");
         }
     }
 }
--- a/tests/frontend.rs
+++ b/tests/frontend.rs
@@ -49,15 +49,23 @@
                     let body: ciborium::Value = cbor::decode(&body).unwrap();
                     return (status, format!("{body:?}"));
                 }
-                Effect::CallKv { correlation_id: tag, request: call, .. } => {
-                    let (ask, _) = out.take_kv_request(tag).unwrap();
+                Effect::CallKv {
+                    correlation_id,
+                    request: call,
+                    ..
+                } => {
+                    let (ask, _) = out.take_kv_request(correlation_id).unwrap();
                     let reply = state_service(&call, truth);
                     match ask {
-                        KvRequestKind::RevisionCheck(call) => frontend.on_revision_check_completed(call, reply, out, 0.1),
+                        KvRequestKind::RevisionCheck(call) => {
+                            frontend.on_revision_check_completed(call, reply, out, 0.1)
+                        }
                         KvRequestKind::JobWrites(call) => {
                             frontend.on_writes_completed(call, reply, out, 0.1);
                         }
-                        KvRequestKind::JobLookup(id) => frontend.on_lookup_completed(&id, reply, out, 0.1),
+                        KvRequestKind::JobLookup(id) => {
+                            frontend.on_lookup_completed(&id, reply, out, 0.1)
+                        }
                         _ => unreachable!(),
                     }
                 }
@@ -69,7 +77,7 @@
 }
 
 fn state_service(call: &KvRequest, truth: Truth) -> KvResponse {
-    let stamp = |key: &str| {
+    let mod_revision = |key: &str| {
         let open = key == records::open_key(ID) && truth == Truth::Open;
         let over =
             key == records::finished_key(ID) && matches!(truth, Truth::Done | Truth::Aborted);
@@ -79,7 +87,7 @@
         KvRequest::Txn(Txn { compares: when, .. }) => {
             let failed: Vec<String> = when
                 .iter()
-                .filter(|c| stamp(&c.key) != c.mod_revision)
+                .filter(|c| mod_revision(&c.key) != c.mod_revision)
                 .map(|c| c.key.clone())
                 .collect();
             if failed.is_empty() {
@@ -88,7 +96,7 @@
                 KvResponse::CompareFailed(failed)
             }
         }
-        KvRequest::Get(key) if stamp(key) != 0 => {
+        KvRequest::Get(key) if mod_revision(key) != 0 => {
             let value = if truth == Truth::Open {
                 cbor::to_value(&spec(ID, 1))
             } else {
@@ -178,7 +186,9 @@
         .iter()
         .filter_map(|a| match a {
             Effect::Respond {
-                request_id: to, status: 404, ..
+                request_id: to,
+                status: 404,
+                ..
             } => Some(*to),
             _ => None,
         })
--- a/tests/golden/leaders.rs
+++ b/tests/golden/leaders.rs
@@ -38,10 +38,15 @@
 fn run_for_a_tick(node: &mut Controller, requests: &mut BTreeSet<Vec<u8>>, now: Now) {
     node.tick(now);
     for action in tell_types(node) {
-        if let Effect::CallKv { correlation_id: tag, request: call, .. } = action {
+        if let Effect::CallKv {
+            correlation_id,
+            request: call,
+            ..
+        } = action
+        {
             let (method, path, body) = call.http_request();
             requests.insert(http::write_request(method, STATE_SERVICE, &path, &body));
-            node.on_kv_response(tag, state_service(&call), now);
+            node.on_kv_response(correlation_id, state_service(&call), now);
         }
     }
 }
--- a/tests/golden/operator_files.rs
+++ b/tests/golden/operator_files.rs
@@ -32,7 +32,10 @@
         ),
         ("deployment.zones", deployment.zones.join(" ")),
         ("deployment.skew_ms", deployment.skew_ms.to_string()),
-        ("deployment.workers.report_s", workers.heartbeat_interval_s.to_string()),
+        (
+            "deployment.workers.report_s",
+            workers.heartbeat_interval_s.to_string(),
+        ),
         ("deployment.workers.lease_s", workers.lease_s.to_string()),
         ("deployment.workers.cancel_s", workers.cancel_s.to_string()),
         ("deployment.state.rps", state.rps.to_string()),
@@ -205,7 +208,7 @@
 fn pools() -> [(&'static str, PoolState); 2] {
     let ordinary = PoolState {
         spot: false,
-        ready_s: 20.0,
+        boot_time_s: 20.0,
         hourly: 1.25,
         cpus: 8.0,
         busy: 3,
--- a/tests/golden/records.rs
+++ b/tests/golden/records.rs
@@ -227,24 +227,26 @@
 #[test]
 fn built_segments_keep_their_bytes_and_their_counted_size() {
     let mut file = PinnedFile::open("built_segments");
-    let mut host = Worker::new("host-000231", "g8", "a", true, 0.0);
-    host.endpoint = "10.1.0.232:9000".into();
+    let mut worker = Worker::new("host-000231", "g8", "a", true, 0.0);
+    worker.endpoint = "10.1.0.232:9000".into();
     type Step = fn(&mut SegmentBuilder, &Worker);
     let steps: [(&str, Step); 8] = [
         ("empty", |_, _| {}),
-        ("kind", |builder, host| builder.describe_worker(host, false)),
-        ("returning host", |builder, host| {
-            builder.describe_worker(host, true)
+        ("kind", |builder, worker| {
+            builder.describe_worker(worker, false)
         }),
-        ("binding", |builder, host| {
+        ("returning host", |builder, worker| {
+            builder.describe_worker(worker, true)
+        }),
+        ("binding", |builder, worker| {
             let task = ("j-000412", 3);
-            builder.bind(&host.name, task, ("vision", NEED), (2, 1));
+            builder.bind(&worker.name, task, ("vision", NEED), (2, 1));
         }),
-        ("end", |builder, host| {
-            builder.end_binding(&host.name, "j-2", 4, 5)
+        ("end", |builder, worker| {
+            builder.end_binding(&worker.name, "j-2", 4, 5)
         }),
-        ("binding of a job named before", |builder, host| {
-            builder.bind(&host.name, ("j-2", 6), ("guest", NEED), (7, 8));
+        ("binding of a job named before", |builder, worker| {
+            builder.bind(&worker.name, ("j-2", 6), ("guest", NEED), (7, 8));
         }),
         ("gone host", |builder, _| {
             builder.remove_worker("host-000232")
@@ -257,13 +259,13 @@
     for count in 1..=steps.len() {
         let mut builder = SegmentBuilder::new(41, 17);
         for (_, step) in &steps[..count] {
-            step(&mut builder, &host);
+            step(&mut builder, &worker);
         }
         let case = steps[count - 1].0;
         file.pin_text(&format!("{case}, size"), &builder.bytes().to_string());
         file.pin(case, &cbor::encode(&builder.finish()));
     }
-    let size = SegmentBuilder::entry_bytes(&host, "j-000412", "vision");
+    let size = SegmentBuilder::entry_bytes(&worker, "j-000412", "vision");
     file.pin_text("size of any entry", &size.to_string());
     file.finish();
 }
--- a/tests/golden/users.rs
+++ b/tests/golden/users.rs
@@ -283,11 +283,15 @@
     let mut node = node();
     node.tick(START);
     for action in tell_types(&mut node) {
-        if let Effect::CallKv { correlation_id: tag, request: call, .. } = action
+        if let Effect::CallKv {
+            correlation_id,
+            request: call,
+            ..
+        } = action
             && matches!(call, KvRequest::List { .. })
         {
             let page = KvResponse::Page(Vec::new(), false, STAMP);
-            node.on_kv_response(tag, page, START);
+            node.on_kv_response(correlation_id, page, START);
         }
     }
     node.take_effects();
@@ -320,8 +324,12 @@
     let mut others = Vec::new();
     for action in node.take_effects() {
         match action {
-            Effect::CallCloud { correlation_id: tag, request: call, .. } => {
-                node.on_cloud_response(tag, call.response(200, &body), START);
+            Effect::CallCloud {
+                correlation_id,
+                request: call,
+                ..
+            } => {
+                node.on_cloud_response(correlation_id, call.response(200, &body), START);
             }
             other => others.push(other),
         }
@@ -340,13 +348,13 @@
         }
         _ => None,
     };
-    let stamp = |key: &str| value_of(key).map_or(0, |_| STAMP);
+    let mod_revision = |key: &str| value_of(key).map_or(0, |_| STAMP);
     match (truth, call) {
         (Truth::Out, _) => KvResponse::Unavailable,
         (_, KvRequest::Txn(txn)) => {
             let mut failed = Vec::new();
             for condition in &txn.compares {
-                if stamp(&condition.key) != condition.mod_revision {
+                if mod_revision(&condition.key) != condition.mod_revision {
                     failed.push(condition.key.clone());
                 }
             }
@@ -393,12 +401,16 @@
                     file.pin(case, &answer);
                     return;
                 }
-                Effect::CallKv { correlation_id: tag, request: call, .. } => {
+                Effect::CallKv {
+                    correlation_id,
+                    request: call,
+                    ..
+                } => {
                     calls += 1;
                     let (method, path, body) = call.http_request();
                     let request = http::write_request(method, STATE_SERVICE, &path, &body);
                     file.pin(&format!("{case}, call {calls}"), &request);
-                    node.on_kv_response(tag, state_service(&call, truth), START);
+                    node.on_kv_response(correlation_id, state_service(&call, truth), START);
                 }
                 _ => {}
             }
--- a/tests/golden/workers.rs
+++ b/tests/golden/workers.rs
@@ -24,7 +24,7 @@
 }
 
 /// An answer to a report, or, with a session, a direct command.
-pub fn two_orders(tenure: Option<u64>) -> CommandBatch {
+pub fn two_orders(incarnation: Option<u64>) -> CommandBatch {
     let order = |verb, step: &str, attempt, drain_s| Command {
         kind: verb,
         task: step.into(),
@@ -33,7 +33,7 @@
     };
     CommandBatch {
         token: token(),
-        incarnation: tenure,
+        incarnation,
         commands: vec![
             order(CommandKind::Start, "j-000412/4", 2, None),
             order(CommandKind::Stop, "j-000377/1", 1, Some(10.0)),
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -8,7 +8,7 @@
 use cedarladder::bookkeeping::write_ahead_log::{LogEntry, TxnLimits, WriteAheadLog};
 use cedarladder::protocol::cbor;
 use cedarladder::protocol::kv::{Txn, WriteOp};
-use common::{binding, host, job, spec, task};
+use common::{binding, job, spec, task, worker};
 
 const EPOCH: u64 = 3;
 const VALUE_BYTES: usize = 2048;
@@ -22,28 +22,28 @@
 
 /// A job with eight tasks, of which four are bound.
 fn tables() -> (Workers, Jobs) {
-    let mut hosts = Workers::default();
+    let mut workers = Workers::default();
     let mut jobs = Jobs::default();
     jobs.insert(job(spec("j-1", 8)));
     for (name, index) in [("h1", 0), ("h1", 1), ("h2", 2), ("h3", 4)] {
-        let known = hosts.entry(name, || host(name, "a", false));
+        let known = workers.entry(name, || worker(name, "a", false));
         let bound = binding(&spec("j-1", 8), 7);
         known.bindings.insert(task("j-1", index), bound);
     }
-    (hosts, jobs)
+    (workers, jobs)
 }
 
-fn bind(host: &str, index: u32) -> LogEntry {
+fn bind(worker: &str, index: u32) -> LogEntry {
     LogEntry::Bind {
-        worker: host.into(),
+        worker: worker.into(),
         task: task("j-1", index),
         attempt: 7,
     }
 }
 
-fn unbind(host: &str, index: u32, done: bool) -> LogEntry {
+fn unbind(worker: &str, index: u32, done: bool) -> LogEntry {
     LogEntry::Unbind {
-        worker: host.into(),
+        worker: worker.into(),
         task: task("j-1", index),
         attempt: 7,
         completed: done,
@@ -150,13 +150,13 @@
         ),
     ];
     for (name, changes, when, writes, entries) in cases {
-        let (mut ledger, (hosts, mut jobs)) = (ledger(), tables());
+        let (mut ledger, (workers, mut jobs)) = (ledger(), tables());
         jobs.get_mut("j-1").unwrap().complete(4);
         for change in changes {
             ledger.push(change);
         }
         let txn = ledger
-            .next_transaction(EPOCH, &hosts, &jobs, 100)
+            .next_transaction(EPOCH, &workers, &jobs, 100)
             .expect(name);
         let (got_when, got_writes) = keys(&txn);
         assert_eq!(got_when, when, "{name}");
@@ -170,7 +170,9 @@
         ];
         assert_eq!(got, entries, "{name}");
         assert!(
-            ledger.next_transaction(EPOCH, &hosts, &jobs, 100).is_none(),
+            ledger
+                .next_transaction(EPOCH, &workers, &jobs, 100)
+                .is_none(),
             "{name}: one at a time"
         );
     }
@@ -211,11 +213,11 @@
         ),
     ];
     for (name, steps, backlog, again) in cases {
-        let (mut ledger, (hosts, jobs)) = (ledger(), tables());
+        let (mut ledger, (workers, jobs)) = (ledger(), tables());
         ledger.push(bind("h1", 0));
         ledger.push(bind("h2", 2));
         let first = ledger
-            .next_transaction(EPOCH, &hosts, &jobs, 100)
+            .next_transaction(EPOCH, &workers, &jobs, 100)
             .expect(name);
         let witness = segment(&first);
         assert!(ledger.is_own_segment(&witness), "{name}");
@@ -225,7 +227,9 @@
         if again {
             ledger.push(bind("h1", 1));
             assert!(
-                ledger.next_transaction(EPOCH, &hosts, &jobs, 100).is_none(),
+                ledger
+                    .next_transaction(EPOCH, &workers, &jobs, 100)
+                    .is_none(),
                 "{name}"
             );
         }
@@ -242,18 +246,18 @@
 /// fits into a value, and the log always tells what is bound and done.
 #[test]
 fn the_log_tells_all_and_stays_small() {
-    let mut hosts = Workers::default();
+    let mut workers = Workers::default();
     let mut jobs = Jobs::default();
     jobs.insert(job(spec("j-1", 4000)));
     let mut ledger = ledger();
     let mut written: std::collections::BTreeMap<String, Segment> = Default::default();
-    let mut stamp = 10;
+    let mut mod_revision = 10;
     let mut changes = 0;
     for round in 0..400u32 {
         for i in 0..8 {
             let index = round * 8 + i;
             let name = format!("host-{:06}", index % 40);
-            let known = hosts.entry(&name, || host(&name, "a", false));
+            let known = workers.entry(&name, || worker(&name, "a", false));
             let mut bound = binding(&spec("j-1", 4000), 7);
             bound.running_since = None;
             known.bindings.insert(task("j-1", index), bound);
@@ -269,22 +273,20 @@
                 worker: "host-000003".into(),
             });
         }
-        while let Some(txn) = ledger.next_transaction(EPOCH, &hosts, &jobs, 100) {
-            stamp += 1;
+        while let Some(txn) = ledger.next_transaction(EPOCH, &workers, &jobs, 100) {
+            mod_revision += 1;
             let Some(WriteOp::Put { key, .. }) = txn.writes.first() else {
                 panic!("a segment");
             };
             written.insert(key.clone(), segment(&txn));
-            for change in ledger.complete_in_flight(stamp) {
+            for change in ledger.complete_in_flight(mod_revision) {
                 changes += 1;
                 match change {
-                    LogEntry::Unbind {
-                        worker: host, task, ..
-                    } => {
-                        hosts.get_mut(&host).unwrap().bindings.remove(&task);
+                    LogEntry::Unbind { worker, task, .. } => {
+                        workers.get_mut(&worker).unwrap().bindings.remove(&task);
                     }
-                    LogEntry::RecordTermination { worker: host } => {
-                        hosts.get_mut(&host).unwrap().termination_recorded = true
+                    LogEntry::RecordTermination { worker } => {
+                        workers.get_mut(&worker).unwrap().termination_recorded = true
                     }
                     _ => {}
                 }
@@ -317,7 +319,7 @@
             }
         }
     }
-    let expected: std::collections::BTreeSet<(String, u32)> = hosts
+    let expected: std::collections::BTreeSet<(String, u32)> = workers
         .iter()
         .flat_map(|h| h.bindings.keys().map(|t| (h.name.clone(), t.index)))
         .collect();
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -66,22 +66,41 @@
                             assert_eq!(retry_after_s.is_some(), refused, "{name}");
                             accepted += u32::from(status == 201);
                         }
-                        Effect::CallKv { correlation_id: tag, request: call, .. } => {
+                        Effect::CallKv {
+                            correlation_id,
+                            request: call,
+                            ..
+                        } => {
                             calls += 1;
-                            let (ask, _) = out.take_kv_request(tag).expect("a call");
+                            let (ask, _) = out.take_kv_request(correlation_id).expect("a call");
                             if let KvRequest::Txn(txn) = &call {
                                 assert!(txn.writes.len() <= limits.txn_ops, "{name}");
                                 changes += txn.writes.len();
                             }
                             match ask {
                                 KvRequestKind::RevisionCheck(call) => {
-                                    frontend.on_revision_check_completed(call, KvResponse::Committed(9), &mut out, now);
+                                    frontend.on_revision_check_completed(
+                                        call,
+                                        KvResponse::Committed(9),
+                                        &mut out,
+                                        now,
+                                    );
                                 }
                                 KvRequestKind::JobWrites(call) => {
-                                    frontend.on_writes_completed(call, KvResponse::Committed(9), &mut out, now);
+                                    frontend.on_writes_completed(
+                                        call,
+                                        KvResponse::Committed(9),
+                                        &mut out,
+                                        now,
+                                    );
                                 }
                                 KvRequestKind::JobLookup(id) => {
-                                    frontend.on_lookup_completed(&id, KvResponse::NotFound, &mut out, now);
+                                    frontend.on_lookup_completed(
+                                        &id,
+                                        KvResponse::NotFound,
+                                        &mut out,
+                                        now,
+                                    );
                                 }
                                 other => panic!("{name}: {other:?}"),
                             }
@@ -151,8 +170,8 @@
                 }
             }
             while back.front().is_some_and(|(at, ..)| *at <= now) {
-                let (_, tag, call) = back.pop_front().expect("a call");
-                let (ask, _) = out.take_kv_request(tag).expect("a call");
+                let (_, correlation_id, call) = back.pop_front().expect("a call");
+                let (ask, _) = out.take_kv_request(correlation_id).expect("a call");
                 match (ask, call) {
                     (KvRequestKind::RevisionCheck(check), KvRequest::Txn(txn)) => {
                         let failed: Vec<String> = txn
@@ -192,12 +211,20 @@
             frontend.send_due_requests(&mut out, now);
             for action in std::mem::take(&mut out.queue) {
                 match action {
-                    Effect::Respond { request_id: to, status, .. } => {
+                    Effect::Respond {
+                        request_id: to,
+                        status,
+                        ..
+                    } => {
                         let (since, over) = asked.remove(&to).expect("asked once");
                         assert_eq!(status, 200, "over: {over}, at {now}");
                         assert!(now - since < 1.0, "{} s, over: {over}", now - since);
                     }
-                    Effect::CallKv { correlation_id: tag, request: call, .. } => back.push_back((now + 0.02, tag, call)),
+                    Effect::CallKv {
+                        correlation_id,
+                        request: call,
+                        ..
+                    } => back.push_back((now + 0.02, correlation_id, call)),
                     other => panic!("{other:?}"),
                 }
             }
@@ -342,20 +369,33 @@
             for action in std::mem::take(&mut out.queue) {
                 match action {
                     Effect::Respond {
-                        request_id: to, status: 201, ..
+                        request_id: to,
+                        status: 201,
+                        ..
                     } => {
                         let since = asked.remove(&to).expect("asked for");
                         slowest_s = slowest_s.max(now - since);
                     }
-                    Effect::CallKv { correlation_id: tag, request: call, .. } => {
-                        let Some((KvRequestKind::JobWrites(number), _)) = out.take_kv_request(tag) else {
+                    Effect::CallKv {
+                        correlation_id,
+                        request: call,
+                        ..
+                    } => {
+                        let Some((KvRequestKind::JobWrites(number), _)) =
+                            out.take_kv_request(correlation_id)
+                        else {
                             continue;
                         };
                         let KvRequest::Txn(txn) = &call else {
                             panic!("{call:?}");
                         };
                         changes += txn.writes.len();
-                        frontend.on_writes_completed(number, KvResponse::Committed(9), &mut out, now);
+                        frontend.on_writes_completed(
+                            number,
+                            KvResponse::Committed(9),
+                            &mut out,
+                            now,
+                        );
                     }
                     _ => {}
                 }
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -40,7 +40,11 @@
         "nobody has acknowledged"
     );
     a.on_message("b", &b.next_message(2.0));
-    assert_eq!(jobs(&a.next_message(3.0)), ["j-000001", "j-000002"], "one has not");
+    assert_eq!(
+        jobs(&a.next_message(3.0)),
+        ["j-000001", "j-000002"],
+        "one has not"
+    );
     a.push(vec![ended(3)], 3.0);
     c.on_message("a", &word);
     a.on_message("c", &c.next_message(4.0));
--- a/tests/permits.rs
+++ b/tests/permits.rs
@@ -4,7 +4,7 @@
 
 use cedarladder::bookkeeping::invariants::{Invariant, uphold};
 use cedarladder::bookkeeping::permits::{Denial, ViewFreshness};
-use common::knowledge;
+use common::freshness;
 
 /// Each: what differs from a leader that has just been confirmed, whether it may start tasks, and whether
 /// it may renew leases. Views are good for starts for 4 s, the hold-over lasts 10 s.
@@ -59,10 +59,10 @@
         ),
     ];
     for (name, change, start, renew) in cases {
-        let mut knowledge = knowledge();
-        change(&mut knowledge);
-        assert_eq!(knowledge.may_start().err(), start, "{name}: start");
-        assert_eq!(knowledge.may_renew().err(), renew, "{name}: renew");
+        let mut freshness = freshness();
+        change(&mut freshness);
+        assert_eq!(freshness.may_start().err(), start, "{name}: start");
+        assert_eq!(freshness.may_renew().err(), renew, "{name}: renew");
     }
 }
 
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -10,7 +10,7 @@
 fn pool(spot: bool, busy: u32) -> PoolState {
     PoolState {
         spot,
-        ready_s: 20.0,
+        boot_time_s: 20.0,
         hourly: 1.0,
         cpus: 8.0,
         busy,
--- a/tests/reports.rs
+++ b/tests/reports.rs
@@ -14,7 +14,7 @@
 };
 use cedarladder::settings::Settings;
 use ciborium::Value;
-use common::{flavor, host, knowledge, knowledge_of_age, spec};
+use common::{freshness, freshness_of_age, instance_type, spec, worker};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use std::rc::Rc;
@@ -35,19 +35,19 @@
 fn loading() -> Leader {
     let settings = Rc::new(Settings::parse(include_str!("world/settings.toml")).expect("settings"));
     let policy = Rc::new(Policy::built_in(&settings));
-    let flavors = Rc::new(vec![flavor("f")]);
+    let instance_types = Rc::new(vec![instance_type("f")]);
     let rng = SmallRng::seed_from_u64(1);
-    Leader::new(EPOCH, settings, policy, flavors, 30.0, rng, 0.0)
+    Leader::new(EPOCH, settings, policy, instance_types, 30.0, rng, 0.0)
 }
 
-fn report(tenure: u64, tick: u64, epoch: u64) -> WorkerHeartbeat {
+fn report(incarnation: u64, tick: u64, epoch: u64) -> WorkerHeartbeat {
     WorkerHeartbeat {
         worker: "h".into(),
         endpoint: "10.1.0.1:9000".into(),
         instance_type: "f".into(),
         zone: "a".into(),
         spot: false,
-        incarnation: tenure,
+        incarnation,
         sequence: tick,
         token: FencingToken::new(epoch, 0),
         reclaim_in_s: None,
@@ -107,7 +107,7 @@
     for (name, reports, silence) in cases {
         let mut leader = leader();
         for (at, report) in reports {
-            let got = leader.on_heartbeat(&report, &knowledge(), |_| true, at);
+            let got = leader.on_heartbeat(&report, &freshness(), |_| true, at);
             assert_eq!(got, answer(Vec::new()), "{name}");
         }
         assert_eq!(leader.unresponsive_for(30.0), silence, "{name}");
@@ -122,8 +122,12 @@
         ("ours", EPOCH, false),
         ("a higher one", EPOCH + 1, true),
     ] {
-        let answer = leader().on_heartbeat(&report(1, 1, epoch), &knowledge(), |_| true, 1.0);
-        assert_eq!(answer == HeartbeatOutcome::NewerLeaderExists, expected, "{name}");
+        let answer = leader().on_heartbeat(&report(1, 1, epoch), &freshness(), |_| true, 1.0);
+        assert_eq!(
+            answer == HeartbeatOutcome::NewerLeaderExists,
+            expected,
+            "{name}"
+        );
     }
 }
 
@@ -179,12 +183,12 @@
         let mut leader = if loaded { leader() } else { loading() };
         let mut report = report(1, 1, EPOCH);
         report.tasks = steps;
-        let knowledge = if may_renew {
-            knowledge()
+        let freshness = if may_renew {
+            freshness()
         } else {
-            knowledge_of_age(11.0)
+            freshness_of_age(11.0)
         };
-        let got = leader.on_heartbeat(&report, &knowledge, |_| open, 1.0);
+        let got = leader.on_heartbeat(&report, &freshness, |_| open, 1.0);
         let expected = if renewed {
             answer(Vec::new())
         } else {
@@ -195,7 +199,7 @@
     // Once loaded, what belongs to no open job is stopped with the same answer.
     let mut report = report(1, 1, EPOCH);
     report.tasks = running();
-    let got = leader().on_heartbeat(&report, &knowledge_of_age(9.0), |_| false, 1.0);
+    let got = leader().on_heartbeat(&report, &freshness_of_age(9.0), |_| false, 1.0);
     let halt = Command {
         kind: CommandKind::Stop,
         task: "j-000001/0".into(),
@@ -220,7 +224,7 @@
     };
     let spec = spec("j-000001", 1);
     let mut builder = SegmentBuilder::new(EPOCH + 1, 1);
-    builder.describe_worker(&host("h", "a", false), false);
+    builder.describe_worker(&worker("h", "a", false), false);
     builder.bind("h", ("j-000001", 0), ("t", Resources::default()), (7, 1));
     let segment = cbor::to_value(&builder.finish());
     let mut leader = loading();
@@ -235,6 +239,6 @@
         state: TaskState::Running,
         exit_reason: None,
     }];
-    let got = leader.on_heartbeat(&report, &knowledge(), |_| true, 1.0);
+    let got = leader.on_heartbeat(&report, &freshness(), |_| true, 1.0);
     assert_eq!(got, answer(Vec::new()), "its task goes on");
 }
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -7,26 +7,26 @@
 use cedarladder::bookkeeping::workers::{Worker, Workers};
 use cedarladder::coordination::scheduler::{Assignments, CycleLimits, SchedulingCycle};
 use cedarladder::protocol::job::{JobKind, JobSpec, PriorityClass};
-use common::{binding, flavor, host, job, spec, task, team};
+use common::{binding, instance_type, job, spec, task, team, worker};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
 struct Scene {
     jobs: Jobs,
-    hosts: Workers,
+    workers: Workers,
     quotas: Quotas,
 }
 
 impl Scene {
-    fn new(hosts: Vec<Worker>, jobs: Vec<JobSpec>) -> Scene {
+    fn new(workers: Vec<Worker>, jobs: Vec<JobSpec>) -> Scene {
         let mut scene = Scene {
             jobs: Jobs::default(),
-            hosts: Workers::default(),
+            workers: Workers::default(),
             quotas: Quotas::new(&[team("t", 4.0, 12.0), team("u", 8.0, 0.0)]),
         };
-        for h in hosts {
+        for h in workers {
             let name = h.name.clone();
-            scene.hosts.entry(&name, || h);
+            scene.workers.entry(&name, || h);
         }
         for spec in jobs {
             scene.jobs.insert(job(spec));
@@ -37,25 +37,25 @@
     /// Binds a task that runs since some time.
     fn bind(mut self, name: &str, id: &str, index: u32, since: f64) -> Scene {
         let job = self.jobs.get_mut(id).unwrap();
-        let host = self.hosts.get_mut(name).unwrap();
+        let worker = self.workers.get_mut(name).unwrap();
         let mut b = binding(&job.spec, 1);
         b.running_since = Some(since);
         self.quotas.charge(&job.spec.team, job.spec.cpus, 0.0);
-        job.bind(index, name, &host.zone);
-        host.bindings.insert(task(id, index), b);
+        job.bind(index, name, &worker.zone);
+        worker.bindings.insert(task(id, index), b);
         self
     }
 
     fn run(&self) -> Assignments {
-        let flavors = [flavor("f")];
+        let instance_types = [instance_type("f")];
         let limits = CycleLimits {
             ageing_s: 50.0,
             avoid_s: 10.0,
         };
         let pass = SchedulingCycle::new(
             &self.jobs,
-            &self.hosts,
-            &flavors,
+            &self.workers,
+            &instance_types,
             &self.quotas,
             limits,
             100.0,
@@ -81,21 +81,21 @@
 
 #[test]
 fn placement() {
-    let ordinary = || vec![host("o-a", "a", false), host("o-b", "b", false)];
+    let ordinary = || vec![worker("o-a", "a", false), worker("o-b", "b", false)];
     let all = || {
-        let mut hosts = ordinary();
-        hosts.push(host("s-a", "a", true));
-        hosts
+        let mut workers = ordinary();
+        workers.push(worker("s-a", "a", true));
+        workers
     };
-    let mut warned = host("s-a", "a", true);
+    let mut warned = worker("s-a", "a", true);
     warned.reclaim_at = Some(110.0);
-    let mut faulty = host("o-a", "a", false);
+    let mut faulty = worker("o-a", "a", false);
     for _ in 0..3 {
         faulty.failures.record_failure("j-000009", true);
     }
-    let mut silent = host("o-a", "a", false);
+    let mut silent = worker("o-a", "a", false);
     silent.token_acknowledged = false;
-    let mut unreached = host("o-a", "a", false);
+    let mut unreached = worker("o-a", "a", false);
     unreached.unreachable_since = Some(90.0);
     let cases: Vec<Case> = vec![
         (
@@ -141,7 +141,7 @@
         (
             "spread: at most half, rounded up, in a zone",
             Scene::new(
-                vec![host("o-a", "a", false)],
+                vec![worker("o-a", "a", false)],
                 vec![with("j-1", 5, |s| {
                     s.spread = true;
                     s.cpus = 1.0;
@@ -165,7 +165,7 @@
         (
             "the team's limit counts what is bound and what is placed",
             Scene::new(
-                vec![host("o-a", "a", false), host("o-b", "b", false)],
+                vec![worker("o-a", "a", false), worker("o-b", "b", false)],
                 vec![spec("j-1", 5), spec("j-2", 9)],
             )
             .bind("o-a", "j-1", 0, 0.0),
@@ -197,7 +197,7 @@
         (
             "a group goes together or not at all; what is missing is beyond the room there is",
             Scene::new(
-                vec![host("o-a", "a", false)],
+                vec![worker("o-a", "a", false)],
                 vec![with("j-1", 5, |s| s.kind = JobKind::Gang)],
             ),
             vec![],
@@ -207,7 +207,7 @@
         (
             "higher priority stops the task that loses least",
             Scene::new(
-                vec![host("o-a", "a", false)],
+                vec![worker("o-a", "a", false)],
                 vec![
                     with("j-1", 4, |s| s.team = "u".into()),
                     with("j-2", 1, |s| s.priority = PriorityClass::Urgent),
@@ -224,7 +224,7 @@
         (
             "the same priority stops nothing",
             Scene::new(
-                vec![host("o-a", "a", false)],
+                vec![worker("o-a", "a", false)],
                 vec![
                     with("j-1", 4, |s| s.team = "u".into()),
                     with("j-2", 1, |s| s.team = "u".into()),
@@ -241,7 +241,7 @@
         (
             "a guarantee stops what another team has borrowed",
             Scene::new(
-                vec![host("o-a", "a", false)],
+                vec![worker("o-a", "a", false)],
                 vec![spec("j-1", 4), with("j-2", 1, |s| s.team = "u".into())],
             )
             .bind("o-a", "j-1", 0, 10.0)
@@ -255,7 +255,11 @@
     ];
     for (name, scene, binds, halts, unplaced) in cases {
         let plan = scene.run();
-        let got: Vec<&str> = plan.bindings.iter().map(|(_, host)| host.as_str()).collect();
+        let got: Vec<&str> = plan
+            .bindings
+            .iter()
+            .map(|(_, worker)| worker.as_str())
+            .collect();
         assert_eq!(got, binds, "{name}");
         let got: Vec<String> = plan
             .preemptions
@@ -316,7 +320,7 @@
     ];
     for (name, bound, jobs, expected) in cases {
         let mut scene = Scene::new(
-            vec![host("o-a", "a", false)],
+            vec![worker("o-a", "a", false)],
             vec![spec("j-9", bound.max(1))],
         );
         for index in 0..bound {
@@ -354,7 +358,7 @@
         job
     };
     let with_image = |name: &str| {
-        let mut h = host(name, "a", false);
+        let mut h = worker(name, "a", false);
         h.remember_image("img");
         h
     };
@@ -362,28 +366,28 @@
     let cases: Vec<Case> = vec![
         (
             "where the image is",
-            vec![host("o-1", "a", false), with_image("o-2")],
+            vec![worker("o-1", "a", false), with_image("o-2")],
             false,
             vec!["o-2", "o-2"],
             0,
         ),
         (
             "work makes way at the image",
-            vec![host("o-1", "a", false), with_image("o-2")],
+            vec![worker("o-1", "a", false), with_image("o-2")],
             true,
             vec![],
             2,
         ),
         (
             "each on another machine where it must be fetched",
-            vec![host("o-1", "a", false), host("o-2", "a", false)],
+            vec![worker("o-1", "a", false), worker("o-2", "a", false)],
             false,
             vec!["o-1", "o-2"],
             0,
         ),
     ];
-    for (name, hosts, full, binds, halts) in cases {
-        let mut scene = Scene::new(hosts, vec![]);
+    for (name, workers, full, binds, halts) in cases {
+        let mut scene = Scene::new(workers, vec![]);
         scene.jobs.insert(replicas(2));
         if full {
             scene.jobs.insert(Job::new(spec("j-9", 4), 5, 0.0));
@@ -392,7 +396,11 @@
             }
         }
         let plan = scene.run();
-        let got: Vec<&str> = plan.bindings.iter().map(|(_, host)| host.as_str()).collect();
+        let got: Vec<&str> = plan
+            .bindings
+            .iter()
+            .map(|(_, worker)| worker.as_str())
+            .collect();
         assert_eq!(got, binds, "{name}");
         assert_eq!(plan.preemptions.len(), halts, "{name}");
     }
@@ -401,13 +409,13 @@
 /// With many machines a pass looks at a sample of them, and still places.
 #[test]
 fn samples() {
-    let hosts = (0..2000)
-        .map(|i| host(&format!("h-{i:05}"), "a", false))
+    let workers = (0..2000)
+        .map(|i| worker(&format!("h-{i:05}"), "a", false))
         .collect();
     let jobs = (0..300)
         .map(|i| with(&format!("j-{i}"), 50, |s| s.team = "u".into()))
         .collect();
-    let plan = Scene::new(hosts, jobs).run();
+    let plan = Scene::new(workers, jobs).run();
     assert_eq!(plan.bindings.len(), 128, "bounded work in one pass");
 }
 
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -146,8 +146,8 @@
 #[test]
 fn broken_rules_are_found() {
     type Case = (&'static str, fn(&mut Truth), Option<Rule>);
-    fn on(truth: &mut Truth, host: &str, step: &str) {
-        let machine = truth.machines.get_mut(host).expect("a machine");
+    fn on(truth: &mut Truth, worker: &str, step: &str) {
+        let machine = truth.machines.get_mut(worker).expect("a machine");
         machine.steps.push(Step {
             name: step.to_owned(),
             attempt: 1,
@@ -216,9 +216,9 @@
     ];
     for (name, change, expected) in cases {
         let mut truth = Truth::new(1, Clock::new(0.1), 8.0);
-        for (host, zone) in [("h1", "a"), ("h2", "b")] {
-            let machine = Machine::new(host.to_owned(), zone, false, 0.0);
-            truth.machines.insert(host.to_owned(), machine);
+        for (worker, zone) in [("h1", "a"), ("h2", "b")] {
+            let machine = Machine::new(worker.to_owned(), zone, false, 0.0);
+            truth.machines.insert(worker.to_owned(), machine);
         }
         for id in ["j-1", "j-2"] {
             truth
--- a/tests/world/checks.rs
+++ b/tests/world/checks.rs
@@ -75,7 +75,7 @@
     pub(super) fn note_copy(&mut self, report: &WorkerHeartbeat) {
         if let Some(worker) = self.workers.get(&report.worker) {
             self.counts.old_reports += u32::from(report.sequence < worker.tick);
-            self.counts.old_sessions += u32::from(report.incarnation < worker.tenure);
+            self.counts.old_sessions += u32::from(report.incarnation < worker.incarnation);
         }
     }
 
@@ -251,12 +251,12 @@
     /// Workers of a zone that have lost a session to their lease.
     pub fn lost_sessions_in(&self, zone: &str) -> usize {
         let there = self.workers.values().filter(|w| w.zone == zone);
-        there.filter(|w| w.tenure > 1).count()
+        there.filter(|w| w.incarnation > 1).count()
     }
 
     /// Workers that have lost a session to their lease.
     pub fn lost_sessions(&self) -> usize {
-        self.workers.values().filter(|w| w.tenure > 1).count()
+        self.workers.values().filter(|w| w.incarnation > 1).count()
     }
 
     /// Replicas that run on no machine that can be reached.
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -325,19 +325,21 @@
                     self.after(0.05, What::Tick(i, life));
                 }
             }
-            What::StoreAt(i, life, tag, call) => self.store_call(i, life, tag, call),
-            What::StoreBack(i, life, tag, reply) => {
+            What::StoreAt(i, life, correlation_id, call) => {
+                self.store_call(i, life, correlation_id, call)
+            }
+            What::StoreBack(i, life, correlation_id, reply) => {
                 if self.lives[i] == life {
-                    self.with(i, |node| node.on_kv_response(tag, reply, now));
+                    self.with(i, |node| node.on_kv_response(correlation_id, reply, now));
                 }
             }
-            What::CloudAt(i, life, tag, call) => {
+            What::CloudAt(i, life, correlation_id, call) => {
                 let reply = self.cloud_call(&call);
-                self.after(0.1, What::CloudBack(i, life, tag, reply));
+                self.after(0.1, What::CloudBack(i, life, correlation_id, reply));
             }
-            What::CloudBack(i, life, tag, reply) => {
+            What::CloudBack(i, life, correlation_id, reply) => {
                 if self.lives[i] == life {
-                    self.with(i, |node| node.on_cloud_response(tag, reply, now));
+                    self.with(i, |node| node.on_cloud_response(correlation_id, reply, now));
                 }
             }
             What::WorkerAt(i, ..)
@@ -372,20 +374,27 @@
                 let body = cbor::encode(&*report);
                 self.request(i, What::Nobody, "POST", "/v1/report", &body);
             }
-            What::WorkerAt(i, life, tag, host, call) => {
-                self.worker_call(i, life, tag, &host, &call)
+            What::WorkerAt(i, life, correlation_id, host, call) => {
+                self.worker_call(i, life, correlation_id, &host, &call)
             }
-            What::HeldCommandAt(i, life, tag, host, call) => {
+            What::HeldCommandAt(i, life, correlation_id, host, call) => {
                 self.note_held_command(&host, &call);
-                self.worker_call(i, life, tag, &host, &call);
+                self.worker_call(i, life, correlation_id, &host, &call);
             }
-            What::WorkerBack(i, life, tag, reply) => {
+            What::WorkerBack(i, life, correlation_id, reply) => {
                 if self.lives[i] == life {
-                    self.calls.entry((i, life)).or_default().remove(&tag);
-                    self.with(i, |node| node.on_worker_response(tag, reply, now));
+                    self.calls
+                        .entry((i, life))
+                        .or_default()
+                        .remove(&correlation_id);
+                    self.with(i, |node| {
+                        node.on_worker_response(correlation_id, reply, now)
+                    });
                 }
             }
-            What::HeartbeatAt(i, heartbeat) => self.with(i, |node| node.on_peer_heartbeat(heartbeat, now)),
+            What::HeartbeatAt(i, heartbeat) => {
+                self.with(i, |node| node.on_peer_heartbeat(heartbeat, now))
+            }
             What::Wake(name) => self.wake(&name),
             What::ReportAt(i, name, report) => {
                 self.counts.reports += 1;
@@ -394,8 +403,8 @@
                 let body = cbor::encode(&*report);
                 self.request(i, back, "POST", "/v1/report", &body);
             }
-            What::ReportBack(name, tenure, tick, status, body) => {
-                self.report_answered(&name, (tenure, tick), status, &body);
+            What::ReportBack(name, incarnation, tick, status, body) => {
+                self.report_answered(&name, (incarnation, tick), status, &body);
             }
             What::User(user) => self.user_acts(user),
             What::UserAt(i, user, ask) => {
@@ -472,8 +481,8 @@
                     retry_after_s,
                 } => {
                     let answered = match self.answers.remove(&(i, to)) {
-                        Some(What::ReportBack(name, tenure, tick, ..)) => {
-                            What::ReportBack(name, tenure, tick, status, body)
+                        Some(What::ReportBack(name, incarnation, tick, ..)) => {
+                            What::ReportBack(name, incarnation, tick, status, body)
                         }
                         Some(What::UserBack(user, ask, ..)) => {
                             What::UserBack(user, ask, status, body)
@@ -490,51 +499,59 @@
                     self.deliver(0.001, answered);
                 }
                 Effect::CallKv {
-                    correlation_id: tag,
+                    correlation_id,
                     request: call,
                     timeout_s: within_s,
                 } => {
-                    let silent = What::StoreBack(i, life, tag, KvResponse::OutcomeUnknown);
+                    let silent =
+                        What::StoreBack(i, life, correlation_id, KvResponse::OutcomeUnknown);
                     self.after(within_s, silent);
                     self.count(&call);
                     if self.now < self.alone[i] || self.is_inside(i) {
                         continue;
                     }
-                    self.send(What::StoreAt(i, life, tag, call));
+                    self.send(What::StoreAt(i, life, correlation_id, call));
                 }
                 Effect::CallCloud {
-                    correlation_id: tag,
+                    correlation_id,
                     request: call,
                     timeout_s: within_s,
                 } => {
-                    let silent = What::CloudBack(i, life, tag, CloudResponse::OutcomeUnknown);
+                    let silent =
+                        What::CloudBack(i, life, correlation_id, CloudResponse::OutcomeUnknown);
                     self.after(within_s, silent);
                     if self.is_inside(i) {
                         continue;
                     }
-                    self.send(What::CloudAt(i, life, tag, call));
+                    self.send(What::CloudAt(i, life, correlation_id, call));
                 }
                 Effect::CallWorker {
-                    correlation_id: tag,
+                    correlation_id,
                     endpoint,
                     request: call,
                     timeout_s: within_s,
                 } => {
-                    let silent = What::WorkerBack(i, life, tag, WorkerResponse::OutcomeUnknown);
+                    let silent =
+                        What::WorkerBack(i, life, correlation_id, WorkerResponse::OutcomeUnknown);
                     self.after(within_s, silent);
                     self.counts.worker_calls += 1;
                     let open = self.calls.entry((i, life)).or_default();
-                    open.insert(tag);
+                    open.insert(correlation_id);
                     self.counts.most_calls = self.counts.most_calls.max(open.len());
                     if let Some(held_s) = self.holds_command(&call) {
-                        let held =
-                            What::HeldCommandAt(i, life, tag, endpoint.clone(), call.clone());
+                        let held = What::HeldCommandAt(
+                            i,
+                            life,
+                            correlation_id,
+                            endpoint.clone(),
+                            call.clone(),
+                        );
                         self.after(held_s, held);
                         if !self.held_commands.copies_only {
                             continue;
                         }
                     }
-                    self.send(What::WorkerAt(i, life, tag, endpoint, call));
+                    self.send(What::WorkerAt(i, life, correlation_id, endpoint, call));
                 }
                 Effect::BroadcastHeartbeat(_) if self.now < self.muted[i].max(self.alone[i]) => {}
                 Effect::BroadcastHeartbeat(heartbeat) => {
--- a/tests/world/recorder.rs
+++ b/tests/world/recorder.rs
@@ -63,11 +63,19 @@
                 self.bytes(body);
                 self.bytes(&retry_after_s.map_or(Vec::new(), |s| s.to_le_bytes().to_vec()));
             }
-            Effect::CallKv { request: call, timeout_s: within_s, .. } => {
+            Effect::CallKv {
+                request: call,
+                timeout_s: within_s,
+                ..
+            } => {
                 self.begin(Kind::ToStateService, now, controller);
                 self.request(call.http_request(), *within_s);
             }
-            Effect::CallCloud { request: call, timeout_s: within_s, .. } => {
+            Effect::CallCloud {
+                request: call,
+                timeout_s: within_s,
+                ..
+            } => {
                 self.begin(Kind::ToCloud, now, controller);
                 self.request(call.http_request(), *within_s);
             }
--- a/tests/world/store.rs
+++ b/tests/world/store.rs
@@ -17,7 +17,7 @@
 impl Store {
     pub(super) fn change(&mut self, writes: &[WriteOp]) -> u64 {
         self.revision += 1;
-        let stamp = self.revision;
+        let mod_revision = self.revision;
         for write in writes {
             match write {
                 WriteOp::Put {
@@ -25,28 +25,29 @@
                     value,
                     lease_id: hold,
                 } => {
-                    self.keys.insert(key.clone(), (value.clone(), stamp, *hold));
+                    self.keys
+                        .insert(key.clone(), (value.clone(), mod_revision, *hold));
                     let event = WatchEvent::Put {
                         key: key.clone(),
                         value: value.clone(),
-                        mod_revision: stamp,
+                        mod_revision,
                     };
-                    self.log.push((stamp, event));
+                    self.log.push((mod_revision, event));
                 }
                 WriteOp::Delete { key } => {
                     if self.keys.remove(key).is_some() {
                         self.log.push((
-                            stamp,
+                            mod_revision,
                             WatchEvent::Delete {
                                 key: key.clone(),
-                                mod_revision: stamp,
+                                mod_revision,
                             },
                         ));
                     }
                 }
             }
         }
-        stamp
+        mod_revision
     }
 
     pub(super) fn txn(&mut self, txn: &Txn) -> KvResponse {
@@ -60,7 +61,11 @@
                 return KvResponse::InvalidRequest;
             }
         }
-        let stamp_of = |key: &String| self.keys.get(key).map_or(0, |(_, stamp, _)| *stamp);
+        let stamp_of = |key: &String| {
+            self.keys
+                .get(key)
+                .map_or(0, |(_, mod_revision, _)| *mod_revision)
+        };
         let failed: Vec<String> = txn
             .compares
             .iter()
@@ -114,9 +119,9 @@
     pub(super) fn events(&self, under: &str, from: u64) -> Vec<WatchEvent> {
         self.log
             .iter()
-            .filter(|(stamp, event)| {
+            .filter(|(mod_revision, event)| {
                 let (WatchEvent::Put { key, .. } | WatchEvent::Delete { key, .. }) = event;
-                *stamp > from && key.starts_with(under)
+                *mod_revision > from && key.starts_with(under)
             })
             .map(|(_, event)| event.clone())
             .collect()
@@ -128,10 +133,10 @@
         }
         match call {
             KvRequest::Get(key) => match self.keys.get(key) {
-                Some((value, stamp, hold)) => KvResponse::Value(KeyValue {
+                Some((value, mod_revision, hold)) => KvResponse::Value(KeyValue {
                     key: key.clone(),
                     value: value.clone(),
-                    mod_revision: *stamp,
+                    mod_revision: *mod_revision,
                     lease_id: *hold,
                 }),
                 None => KvResponse::NotFound,
@@ -147,10 +152,10 @@
                     .filter(|(key, _)| {
                         key.starts_with(under.as_str()) && from.as_ref().is_none_or(|f| *key > f)
                     })
-                    .map(|(key, (value, stamp, hold))| KeyValue {
+                    .map(|(key, (value, mod_revision, hold))| KeyValue {
                         key: key.clone(),
                         value: value.clone(),
-                        mod_revision: *stamp,
+                        mod_revision: *mod_revision,
                         lease_id: *hold,
                     })
                     .collect();
@@ -182,11 +187,11 @@
 }
 
 impl World {
-    pub(super) fn store_call(&mut self, i: usize, life: u64, tag: u64, call: KvRequest) {
+    pub(super) fn store_call(&mut self, i: usize, life: u64, correlation_id: u64, call: KvRequest) {
         if self.now < self.refused[i] {
             self.after(
                 0.003,
-                What::StoreBack(i, life, tag, KvResponse::Unavailable),
+                What::StoreBack(i, life, correlation_id, KvResponse::Unavailable),
             );
             return;
         }
@@ -198,7 +203,9 @@
         {
             if self.lives[i] == life {
                 let until = self.now + wait_ms as f64 / 1000.0;
-                self.store.follows.push((i, life, tag, under, from, until));
+                self.store
+                    .follows
+                    .push((i, life, correlation_id, under, from, until));
             }
             return;
         }
@@ -210,12 +217,12 @@
             && !txn.writes.is_empty()
         {
             let newest = self.newest_txn.entry(i).or_default();
-            self.counts.overtaken_txns += u32::from(tag < *newest);
-            *newest = tag.max(*newest);
+            self.counts.overtaken_txns += u32::from(correlation_id < *newest);
+            *newest = correlation_id.max(*newest);
         }
         self.deliver(
             0.003 + self.weather.slow_s,
-            What::StoreBack(i, life, tag, reply),
+            What::StoreBack(i, life, correlation_id, reply),
         );
     }
 
@@ -225,7 +232,7 @@
         }
         let mut kept = Vec::new();
         for follow in std::mem::take(&mut self.store.follows) {
-            let (i, life, tag, under, from, until) = &follow;
+            let (i, life, correlation_id, under, from, until) = &follow;
             let waits = self.now < self.refused[*i]
                 || (under == OPEN_PREFIX && self.now < self.hung_watch[*i]);
             if waits {
@@ -237,7 +244,7 @@
                 kept.push(follow);
             } else {
                 let reply = KvResponse::Events(events, self.store.revision);
-                self.after(0.003, What::StoreBack(*i, *life, *tag, reply));
+                self.after(0.003, What::StoreBack(*i, *life, *correlation_id, reply));
             }
         }
         self.store.follows = kept;
--- a/tests/world/troubles.rs
+++ b/tests/world/troubles.rs
@@ -144,7 +144,7 @@
         let Some(worker) = self.workers.get(host) else {
             return;
         };
-        let same_session = commands.incarnation == Some(worker.tenure);
+        let same_session = commands.incarnation == Some(worker.incarnation);
         let too_late = |step: &str| {
             let user = self.users.iter().find(|u| u.id == job_of(step));
             let told = user.and_then(|u| u.told_cancelled);
@@ -398,9 +398,9 @@
         worker.lease_from = now;
         worker.next_report = now + 0.2;
         if forgets {
-            (worker.tenure, worker.tick, worker.token) = (1, 0, FencingToken::default());
+            (worker.incarnation, worker.tick, worker.token) = (1, 0, FencingToken::default());
         } else {
-            worker.tenure += 1;
+            worker.incarnation += 1;
         }
     }
 
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -15,7 +15,7 @@
     pub(super) zone: String,
     pub(super) spot: bool,
     pub(super) cpus: f64,
-    pub(super) tenure: u64,
+    pub(super) incarnation: u64,
     pub(super) tick: u64,
     pub(super) token: FencingToken,
     pub(super) lease_from: f64,
@@ -76,7 +76,7 @@
             instance_type: "f".into(),
             zone: self.zone.clone(),
             spot: self.spot,
-            incarnation: self.tenure,
+            incarnation: self.incarnation,
             sequence: self.tick,
             token: self.token,
             reclaim_in_s: None,
@@ -108,7 +108,7 @@
                 zone: machine.zone.clone(),
                 spot: machine.spot,
                 cpus: 8.0,
-                tenure: 1,
+                incarnation: 1,
                 tick: 0,
                 token: FencingToken::default(),
                 lease_from: self.now,
@@ -205,7 +205,7 @@
         };
         let unheard = worker.deaf_until.max(worker.unreached_until);
         let silent = worker.muted_until.max(worker.hung_until);
-        if (worker.tenure, tick) != key || now < unheard.max(silent) {
+        if (worker.incarnation, tick) != key || now < unheard.max(silent) {
             return;
         }
         let (at, zone) = (worker.at, worker.zone.clone());
@@ -258,7 +258,7 @@
         &mut self,
         i: usize,
         life: u64,
-        tag: u64,
+        correlation_id: u64,
         host: &str,
         call: &WorkerRequest,
     ) {
@@ -276,7 +276,7 @@
         };
         if now < worker.deaf_until.max(worker.hung_until) || cut {
             // Held, and delivered after the interruption.
-            let again = What::WorkerAt(i, life, tag, host.to_owned(), call.clone());
+            let again = What::WorkerAt(i, life, correlation_id, host.to_owned(), call.clone());
             let back = self
                 .cut
                 .as_ref()
@@ -288,7 +288,8 @@
         }
         let reply = match call {
             WorkerRequest::Commands(commands) => {
-                if commands.token < worker.token || commands.incarnation != Some(worker.tenure) {
+                if commands.token < worker.token || commands.incarnation != Some(worker.incarnation)
+                {
                     WorkerResponse::Rejected(Box::new(worker.report()))
                 } else {
                     if commands.token > worker.token {
@@ -302,7 +303,7 @@
                 }
             }
         };
-        self.deliver(0.003, What::WorkerBack(i, life, tag, reply));
+        self.deliver(0.003, What::WorkerBack(i, life, correlation_id, reply));
     }
 
     pub(super) fn execute(&mut self, name: &str, commands: &CommandBatch) {
@@ -438,7 +439,7 @@
         for worker in self.workers.values_mut() {
             if now > worker.lease_from + LEASE_S {
                 worker.tasks.clear();
-                worker.tenure += 1;
+                worker.incarnation += 1;
                 worker.lease_from = now;
                 worker.sent = None;
                 worker.next_report = now;
