--- a/src/bookkeeping/failure_attribution.rs
+++ b/src/bookkeeping/failure_attribution.rs
@@ -1,13 +1,13 @@
 //! Evidence from failed tasks.
 //!
 //! A task that fails does not tell whether its machine is faulty or its job was submitted with a
-//! mistake. Other tasks do: a job that fails on several machines without any success is suspect, and
+//! mistake. Other tasks do: a job that fails on several machines without any success is crash-looping, and
 //! its failures say nothing about the machines; a machine on which jobs fail that succeed elsewhere is
-//! faulty. Until that is known, a machine on which several jobs fail is suspect.
+//! faulty. Until that is known, a machine on which several jobs fail is cordoned.
 
 use std::collections::BTreeMap;
 
-/// Machines on which a job fails without a success in between before it is suspect.
+/// Machines on which a job fails without a success in between before it is crash-looping.
 const CRASH_LOOP_WORKERS: usize = 3;
 /// Failures that make a machine faulty.
 const QUARANTINE_FAILURES: u32 = 3;
@@ -16,14 +16,14 @@
 const UNPROVEN_FAILURES: u32 = 2;
 /// Machines remembered for a job, and jobs remembered for a machine.
 const MAX_REMEMBERED: usize = 64;
-/// The longest back-off between two probes of a suspect job, in units of the shortest, as a power of
+/// The longest back-off between two probes of a crash-looping job, in units of the shortest, as a power of
 /// two.
 const MAX_BACKOFF_POWER: u32 = 4;
 
 /// The failures of a job's tasks since the last success of one of them.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct JobFailures {
-    /// Hosts on which tasks failed, and when they first did.
+    /// Workers on which tasks failed, and when they first did.
     workers: BTreeMap<String, f64>,
     succeeded: bool,
     crash_looping: bool,
@@ -42,13 +42,13 @@
         self.succeeded
     }
 
-    /// Whether a task of the job has failed on a host since the last success.
+    /// Whether a task of the job has failed on a worker since the last success.
     pub fn has_failed_on(&self, worker: &str) -> bool {
         self.workers.contains_key(worker)
     }
 
-    /// Whether further tasks of the job should go to other hosts than this one. After `avoid_s` the
-    /// host is tried again: there may be no other.
+    /// Whether further tasks of the job should go to other workers than this one. After `avoid_s` the
+    /// worker is tried again: there may be no other.
     pub fn avoids(&self, worker: &str, avoid_s: f64, now: f64) -> bool {
         !self.crash_looping
             && self
@@ -57,12 +57,12 @@
                 .is_some_and(|at| now - at < avoid_s)
     }
 
-    /// The hosts on which tasks failed.
+    /// The workers on which tasks failed.
     pub fn workers(&self) -> impl Iterator<Item = &str> {
         self.workers.keys().map(String::as_str)
     }
 
-    /// Notes a failure. The job becomes suspect when it has failed on several hosts, or again on one
+    /// Notes a failure. The job becomes suspect when it has failed on several workers, or again on one
     /// that it had avoided for `avoid_s`. Returns whether it has just become suspect.
     pub fn record_failure(&mut self, worker: &str, avoid_s: f64, now: f64) -> bool {
         let again = self
@@ -105,7 +105,7 @@
     job_works_elsewhere: bool,
 }
 
-/// The failures on a host since the last task that completed there, by job.
+/// The failures on a worker since the last task that completed there, by job.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct WorkerFailures {
     jobs: BTreeMap<String, AttributedFailures>,
--- a/src/bookkeeping/invariants.rs
+++ b/src/bookkeeping/invariants.rs
@@ -10,13 +10,13 @@
 /// What must hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Invariant {
-    /// No start of a task goes out after a cancellation that this node knows of.
+    /// No start of a task goes out after a cancellation that this controller knows of.
     NoStartOfEndedJob,
     /// No attempt is cleared while a start of it may arrive and run it again.
     NoClearWhileStartMayArrive,
     /// Nobody is told that a job is aborted before that is written.
     NoAbortedWithoutCommit,
-    /// No lease of a worker is renewed beyond the hold-over.
+    /// No lease of a worker is renewed beyond the lease grace period.
     NoRenewalBeyondLeaseGrace,
     /// No binding is dropped whose start may still run.
     NoUnbindWhileStartMayArrive,
@@ -29,7 +29,7 @@
 pub fn uphold(invariant: Invariant, holds: bool, details: Arguments) -> bool {
     if !holds {
         let count = VIOLATIONS.fetch_add(1, Ordering::Relaxed) + 1;
-        tracing::error!(?invariant, count, %details, "invariant violated: refused");
+        tracing::error!(?invariant, count, %details, "invariant violated: action refused");
         debug_assert!(holds, "{invariant:?}: {details}");
     }
     holds
--- a/src/bookkeeping/jobs.rs
+++ b/src/bookkeeping/jobs.rs
@@ -55,7 +55,7 @@
     pub spec: JobSpec,
     /// Version of its key.
     pub mod_revision: u64,
-    /// When it came, on this node's steady clock.
+    /// When it came, on this controller's steady clock.
     pub submitted_at: f64,
     /// When it should be complete: its deadline, or its class's objective.
     pub deadline: Option<f64>,
@@ -65,9 +65,9 @@
     pub latest_unhurried_start: f64,
     /// Completed tasks, written down or about to be.
     pub completed: TaskSet,
-    /// Where tasks are bound; a task may show up on several hosts after failures.
+    /// Where tasks are bound; a task may show up on several workers after failures.
     pub bound_workers: BTreeMap<u32, Vec<String>>,
-    /// Hosts where its tasks have completed while copies of their starts may still arrive.
+    /// Workers where its tasks have completed while copies of their starts may still arrive.
     pub workers_with_start_copies: BTreeSet<String>,
     /// Tasks bound in each zone.
     pub bound_per_zone: HashMap<String, u32>,
@@ -79,7 +79,7 @@
     pub finishing: bool,
     /// What its failed tasks tell about it.
     pub failures: JobFailures,
-    /// The latest attempt, which the tasks of a group share.
+    /// The latest attempt, which the tasks of a gang share.
     pub gang_attempt: Option<u64>,
     /// No starts before this time.
     pub eligible_at: f64,
@@ -141,7 +141,7 @@
         self.is_service() && self.failures.workers().next().is_some()
     }
 
-    /// Number of tasks that may be placed now: all that wait, but of a suspect job only one at a
+    /// Number of tasks that may be placed now: all that wait, but of a crash-looping job only one at a
     /// time, as a probe.
     pub fn startable_count(&self) -> u32 {
         let waiting = self.waiting_count();
@@ -170,7 +170,7 @@
         new
     }
 
-    /// Notes that a task was bound to a host in a zone.
+    /// Notes that a task was bound to a worker in a zone.
     pub fn bind(&mut self, index: u32, worker: &str, zone: &str) {
         let workers = self.bound_workers.entry(index).or_default();
         if workers.is_empty() && self.completed.contains(index) {
--- a/src/bookkeeping/mod.rs
+++ b/src/bookkeeping/mod.rs
@@ -1,4 +1,4 @@
-//! What is known and what is written down: jobs, hosts, bindings, quotas and their records in the
+//! What is known and what is written down: jobs, workers, bindings, quotas and their records in the
 //! state service. Pure: no sockets, no clocks; times are passed in, in seconds of a steady clock.
 
 pub mod failure_attribution;
--- a/src/bookkeeping/pending_starts.rs
+++ b/src/bookkeeping/pending_starts.rs
@@ -1,9 +1,9 @@
 //! Starts that may still reach a worker, and the fence that revokes them.
 //!
-//! A direct command is executed whenever it arrives, as long as the worker's token and session match; that it
+//! A direct command is executed whenever it arrives, as long as the worker's token and incarnation match; that it
 //! got no answer, or that it was answered already, tells nothing about a copy that is still on its way. So
 //! every start that was sent directly counts as pending until the worker has shown a fence above the one that
-//! it was sent under. Starts in answers to reports need no fence: a worker has one report in flight at a
+//! it was sent under. Starts in answers to reports need no fence: a worker has one heartbeat in flight at a
 //! time, and drops answers to earlier ones.
 
 use crate::protocol::token::MAX_FENCE;
@@ -21,7 +21,7 @@
     Answered,
     /// No answer: it may be executed at any later time.
     Unanswered,
-    /// It certainly never left this node.
+    /// It certainly never left this controller.
     NotSent,
 }
 
@@ -34,7 +34,7 @@
     unanswered: bool,
     /// Fence of the direct command that carries it and is on its way now.
     in_flight_under: Option<u32>,
-    /// Report in whose answer it was sent; settled by the next report.
+    /// Report in whose answer it was sent; settled by the next heartbeat.
     in_response: Option<u64>,
 }
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// The starts of one worker's session that may still arrive.
+/// The starts of one worker's incarnation that may still arrive.
 #[derive(Debug, Clone, Default)]
 pub struct PendingStarts {
     /// Goes out with every message to the worker.
@@ -90,7 +90,7 @@
             .in_flight_under = Some(self.fence);
     }
 
-    /// A start goes out in the answer to a report.
+    /// A start goes out in the answer to a heartbeat.
     pub fn record_heartbeat_response(&mut self, task: TaskId, attempt: u64, tick: u64) {
         self.starts.entry((task, attempt)).or_default().in_response = Some(tick);
     }
@@ -115,7 +115,7 @@
         }
     }
 
-    /// A report that the worker sent by itself, the next one after those in whose answers starts went out:
+    /// A heartbeat that the worker sent by itself, the next one after those in whose answers starts went out:
     /// these have been executed or dropped.
     pub fn settle_responses(&mut self, tick: u64) {
         for start in self.starts.values_mut() {
@@ -140,7 +140,7 @@
         self.starts.retain(|_, start| !start.is_settled());
     }
 
-    /// A new session of the worker: no command of an earlier one is executed any more.
+    /// A new incarnation of the worker: no command of an earlier one is executed any more.
     pub fn end_session(&mut self) {
         self.starts.clear();
     }
--- a/src/bookkeeping/permits.rs
+++ b/src/bookkeeping/permits.rs
@@ -1,4 +1,4 @@
-//! Permits: whether an action may be taken on what this node knows now, and if not, why.
+//! Permits: whether an action may be taken on what this controller knows now, and if not, why.
 //!
 //! An action on knowledge that has become old is what breaks the rules of the protocol, so the age of what a
 //! decision rests on is part of it, and the reason for each denial is a type. The module knows no clocks:
@@ -20,7 +20,7 @@
 /// Why something may not be done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Denial {
-    /// This node does not lead.
+    /// This controller does not lead.
     NotLeader,
     /// The leader's lease in the state service may have run out.
     LeaseNotHeld,
@@ -36,13 +36,13 @@
     Evicted,
     /// The task is bound to the machine and wanted there.
     StillWanted,
-    /// The task was bound for another session of the worker.
+    /// The task was bound for another incarnation of the worker.
     IncarnationMismatch,
     /// The worker shows the attempt already.
     AlreadyObserved,
     /// The task has not exited.
     NotExited,
-    /// The machine is being given back.
+    /// The machine is being released.
     Terminating,
     /// A start of the attempt may still arrive at the worker.
     StartMayArrive,
@@ -50,7 +50,7 @@
     LeaseGraceExpired,
 }
 
-/// How old a node's knowledge may be.
+/// How old a controller's knowledge may be.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FreshnessLimits {
     /// For how long leases are renewed after the lease and the view were last confirmed.
@@ -59,10 +59,10 @@
     pub max_start_view_age_s: f64,
 }
 
-/// What a node knows, and how old that is.
+/// What a controller knows, and how old that is.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ViewFreshness {
-    /// This node leads, as far as it knows.
+    /// This controller leads, as far as it knows.
     pub is_leader: bool,
     /// It certainly holds the leader's lease.
     pub lease_held: bool,
@@ -77,8 +77,8 @@
 }
 
 impl ViewFreshness {
-    /// Whether orders to start tasks may go out. After an outage a lease has its full time again, while
-    /// jobs may have been cancelled before of which this node hasn't heard yet.
+    /// Whether commands to start tasks may go out. After an outage a lease has its full time again, while
+    /// jobs may have been cancelled before of which this controller hasn't heard yet.
     pub fn may_start(&self) -> Result<(), Denial> {
         if !self.is_leader {
             return Err(Denial::NotLeader);
@@ -204,12 +204,12 @@
     pub fn log(&mut self) {
         for ((action, denial), count) in std::mem::take(&mut self.counts) {
             match denial {
-                None => tracing::info!(?action, count, "allowed"),
-                Some(reason) => tracing::info!(?action, ?reason, count, "denied"),
+                None => tracing::info!(?action, count, "permits granted"),
+                Some(reason) => tracing::info!(?action, ?reason, count, "permits denied"),
             }
         }
         for (reason, count) in std::mem::take(&mut self.revocations) {
-            tracing::info!(?reason, count, "starts of workers revoked");
+            tracing::info!(?reason, count, "start revocations");
         }
     }
 }
--- a/src/bookkeeping/quotas.rs
+++ b/src/bookkeeping/quotas.rs
@@ -39,7 +39,7 @@
     }
 
     /// Whether the job's team may ever run it: one task of an array, all tasks of
-    /// a service or a group.
+    /// a service or a gang.
     pub fn can_ever_run(&self, spec: &JobSpec) -> bool {
         let Some((team, _)) = self.teams.get(&spec.team) else {
             return false;
--- a/src/bookkeeping/rate_limit.rs
+++ b/src/bookkeeping/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Token buckets, for the request budgets that several nodes share.
+//! Token buckets, for the request budgets that several controllers share.
 
 /// A rate with bursts of one second's worth.
 #[derive(Debug, Clone)]
@@ -53,9 +53,9 @@
     }
 }
 
-/// A node's rate out of a budget that all nodes share: its equal part, or all that the others have not
-/// used lately, whichever is more. `others`: the rate at which each other node uses the budget, if
-/// that is known; a node that was not heard is taken to use its equal part.
+/// A controller's rate out of a budget that all controllers share: its equal part, or all that the others have not
+/// used lately, whichever is more. `others`: the rate at which each other controller uses the budget, if
+/// that is known; a controller that was not heard is taken to use its equal part.
 pub fn fair_share_rate(budget: f64, others: &[Option<f64>]) -> f64 {
     let equal = budget / (others.len() + 1) as f64;
     let in_use = |rate: &Option<f64>| match rate {
--- a/src/bookkeeping/records.rs
+++ b/src/bookkeeping/records.rs
@@ -4,7 +4,7 @@
 
 /// Who leads.
 pub const LEADER_KEY: &str = "leader";
-/// The catalogue, kept for nodes that start while the cloud is out.
+/// The instance catalog, kept for controllers that start while the cloud is out.
 pub const INSTANCE_CATALOG_KEY: &str = "catalogue";
 /// Prefix of open jobs.
 pub const OPEN_PREFIX: &str = "open/";
@@ -12,7 +12,7 @@
 pub const FINISHED_PREFIX: &str = "over/";
 /// Prefix of the log's segments.
 pub const LOG_PREFIX: &str = "log/";
-/// Prefix of rentals.
+/// Prefix of provisioning requests.
 pub const PROVISIONING_PREFIX: &str = "rental/";
 
 /// Key of an open job.
@@ -27,7 +27,7 @@
 pub fn log_key(slot: u32) -> String {
     format!("{LOG_PREFIX}{slot:05}")
 }
-/// Key of a rental.
+/// Key of a provisioning request.
 pub fn provisioning_key(idempotency_key: &str) -> String {
     format!("{PROVISIONING_PREFIX}{idempotency_key}")
 }
@@ -35,10 +35,10 @@
 /// Value of `leader`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// The leading node.
+    /// The leading controller.
     #[serde(rename = "Label")]
     pub label: String,
-    /// Tells one life of the node's process from another.
+    /// Tells one life of the controller's process from another.
     #[serde(rename = "Life")]
     pub process_incarnation: u64,
 }
--- a/src/bookkeeping/ring.rs
+++ b/src/bookkeeping/ring.rs
@@ -15,7 +15,7 @@
 /// Something that the log must keep until it is over.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LiveEntry {
-    /// What a host is, and whether it returns.
+    /// What a worker is, and whether it returns.
     Worker(String),
     /// A binding.
     Binding(String, TaskId),
@@ -126,7 +126,7 @@
         }
     }
 
-    /// A host is gone, with all that was bound to it.
+    /// A worker is gone, with all that was bound to it.
     pub fn remove_worker(&mut self, worker: &str) {
         self.remove(&LiveEntry::Worker(worker.to_owned()));
         let first = TaskId {
--- a/src/bookkeeping/segment.rs
+++ b/src/bookkeeping/segment.rs
@@ -19,11 +19,11 @@
 
 /// A job: id, team and what a task takes, so that it can be counted even after the job is over.
 pub type JobEntry = (String, String, Amount, Amount, Amount);
-/// What a host is: number of the name, type, zone, spot, worker's address, returning.
+/// What a worker is: number of the name, type, zone, spot, worker's address, returning.
 pub type WorkerEntry = (u32, String, String, bool, String, bool);
-/// A binding: numbers of host and job, task, attempt, session.
+/// A binding: numbers of worker and job, task, attempt, incarnation.
 pub type BindingEntry = (u32, u32, u32, u64, u64);
-/// The end of a binding: numbers of host and job, task, attempt.
+/// The end of a binding: numbers of worker and job, task, attempt.
 pub type EndedBindingEntry = (u32, u32, u32, u64);
 /// Completed tasks: number of the job, of the chunk, and a bitmap in hexadecimal.
 pub type CompletedEntry = (u32, u32, String);
@@ -37,13 +37,13 @@
     /// The leader that wrote it.
     #[serde(rename = "Epoch")]
     pub epoch: u64,
-    /// Names of hosts.
+    /// Names of workers.
     #[serde(rename = "H", default)]
     pub worker_names: Vec<String>,
     /// Jobs.
     #[serde(rename = "J", default)]
     pub jobs: Vec<JobEntry>,
-    /// What hosts are.
+    /// What workers are.
     #[serde(rename = "K", default)]
     pub workers: Vec<WorkerEntry>,
     /// Bindings.
@@ -52,7 +52,7 @@
     /// Ends of bindings.
     #[serde(rename = "E", default)]
     pub ended_bindings: Vec<EndedBindingEntry>,
-    /// Hosts that are gone, with all bindings.
+    /// Workers that are gone, with all bindings.
     #[serde(rename = "G", default)]
     pub removed_workers: Vec<u32>,
     /// Completed tasks.
@@ -61,7 +61,7 @@
 }
 
 impl Segment {
-    /// Whether a host's or job's number, if the entry has one, names something.
+    /// Whether a worker's or job's number, if the entry has one, names something.
     pub fn worker_name(&self, number: u32) -> Option<&str> {
         self.worker_names.get(number as usize).map(String::as_str)
     }
@@ -195,7 +195,7 @@
         number
     }
 
-    /// Says what a host is.
+    /// Says what a worker is.
     pub fn describe_worker(&mut self, worker: &Worker, returning: bool) {
         let number = self.worker_number(&worker.name);
         self.segment.workers.retain(|kind| kind.0 != number);
@@ -252,7 +252,7 @@
             .push((worker, job, index, attempt));
     }
 
-    /// Adds a host that is gone.
+    /// Adds a worker that is gone.
     pub fn remove_worker(&mut self, worker: &str) {
         let worker = self.worker_number(worker);
         self.bytes += digits(worker.into()) + 1;
--- a/src/bookkeeping/workers.rs
+++ b/src/bookkeeping/workers.rs
@@ -1,4 +1,4 @@
-//! Hosts, the tasks bound to them and what their workers say.
+//! Workers, the tasks bound to them and what their workers say.
 
 use crate::bookkeeping::failure_attribution::WorkerFailures;
 use crate::bookkeeping::pending_starts::{CallOutcome, PendingStarts};
@@ -89,18 +89,18 @@
     }
 }
 
-/// Why a task is to leave its host.
+/// Why a task is to leave its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EvictionReason {
     /// Its job is over.
     JobEnded,
     /// Its room is needed by work that goes first.
     Preempted,
-    /// The host goes away.
+    /// The worker goes away.
     Drained,
 }
 
-/// A task bound to a host.
+/// A task bound to a worker.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Binding {
     /// Attempt.
@@ -137,18 +137,18 @@
 }
 
 impl RevocationReason {
-    /// Whether the worker is told at once, rather than with the answer to its next report.
+    /// Whether the worker is told at once, rather than with the answer to its next heartbeat.
     pub fn is_urgent(self) -> bool {
         matches!(self, RevocationReason::JobEnded | RevocationReason::Evicted)
     }
 }
 
-/// The way on which orders go to a worker.
+/// The way on which commands go to a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DeliveryPath {
     /// In a direct command.
     DirectCall,
-    /// In the answer to the report with this tick.
+    /// In the answer to the heartbeat with this tick.
     HeartbeatResponse(u64),
 }
 
@@ -171,13 +171,13 @@
     pub draining: bool,
     /// Marked in the state service as returning, so that the delete may be sent.
     pub termination_recorded: bool,
-    /// Latest session seen; 0: no report so far.
+    /// Latest incarnation seen; 0: no report so far.
     pub incarnation: u64,
-    /// Latest report seen of that session.
+    /// Latest heartbeat seen of that incarnation.
     pub sequence: u64,
-    /// The worker has this leader's Epoch.
+    /// The worker has this leader's epoch.
     pub token_acknowledged: bool,
-    /// Tasks in the latest report.
+    /// Tasks in the latest heartbeat.
     pub observed_tasks: BTreeMap<TaskId, Vec<TaskStatus>>,
     /// The worker's lease cannot run beyond this plus `lease_s`.
     pub lease_renewed_at: f64,
@@ -185,7 +185,7 @@
     pub first_heartbeat_at: Option<f64>,
     /// When its worker was last heard.
     pub last_heartbeat_at: Option<f64>,
-    /// Since when the latest direct call has had no answer, or a lost session none yet: reports may
+    /// Since when the latest direct call has had no answer, or a lost incarnation none yet: reports may
     /// arrive from a machine that no answer or command reaches.
     pub unreachable_since: Option<f64>,
     /// When the cloud takes it away.
@@ -210,11 +210,11 @@
     pub listed_running: bool,
 }
 
-/// Images remembered of each host.
+/// Images remembered of each worker.
 const MAX_CACHED_IMAGES: usize = 16;
 
 impl Worker {
-    /// A host of which only the name and the kind are known.
+    /// A worker of which only the name and the kind are known.
     pub fn new(name: &str, instance_type: &str, zone: &str, spot: bool, now: f64) -> Worker {
         Worker {
             name: name.to_owned(),
@@ -253,7 +253,7 @@
             .fold(Resources::default(), |sum, b| sum.plus(&b.request))
     }
 
-    /// What the bindings that are being stopped will give back.
+    /// What the bindings that are being stopped will release.
     pub fn releasing(&self) -> Resources {
         self.bindings
             .values()
@@ -271,12 +271,12 @@
             && self.last_heartbeat_at.is_some()
     }
 
-    /// Whether a report is newer than all seen.
+    /// Whether a heartbeat is newer than all seen.
     pub fn is_newer(&self, heartbeat: &WorkerHeartbeat) -> bool {
         (heartbeat.incarnation, heartbeat.sequence) > (self.incarnation, self.sequence)
     }
 
-    /// Whether a binding's attempt is in the latest report, and how.
+    /// Whether a binding's attempt is in the latest heartbeat, and how.
     pub fn observed_task(&self, task: &TaskId, attempt: u64) -> Option<&TaskStatus> {
         self.observed_tasks
             .get(task)?
@@ -284,13 +284,13 @@
             .find(|task_status| task_status.attempt == attempt)
     }
 
-    /// Whether the latest report shows an attempt as exited.
+    /// Whether the latest heartbeat shows an attempt as exited.
     pub fn has_exited(&self, task: &TaskId, attempt: u64) -> bool {
         self.observed_task(task, attempt)
             .is_some_and(|task_status| task_status.state == TaskState::Exited)
     }
 
-    /// Remembers that the host has an image.
+    /// Remembers that the worker has an image.
     pub fn remember_image(&mut self, image: &str) {
         self.cached_images.retain(|known| known != image);
         self.cached_images.push(image.to_owned());
@@ -376,13 +376,13 @@
                 fence,
                 given = self.pending_starts.fence(),
                 "Epoch: the worker shows a fence that it was not given; it is taken over. Look for a \
-                 second controller with this node's label"
+                 second controller with this label"
             );
         }
         self.pending_starts.observe_fence(fence);
     }
 
-    /// Notes orders that go out.
+    /// Notes commands that go out.
     pub fn record_sent(
         &mut self,
         commands: &[Command],
@@ -399,7 +399,7 @@
                 incarnation = self.incarnation,
                 fence = self.pending_starts.fence(),
                 view_age_s = freshness.view_age_s,
-                "order sent"
+                "command sent"
             );
             if command.kind != CommandKind::Start {
                 continue;
@@ -430,7 +430,7 @@
                     task = command.task,
                     attempt = command.attempt,
                     fence = self.pending_starts.fence(),
-                    "start without answer: it may still arrive"
+                    "start outcome unknown"
                 );
             }
             if let Some(task) = TaskId::parse(&command.task) {
@@ -440,7 +440,7 @@
         }
     }
 
-    /// The orders that turn what the latest report shows into what is wanted. Starts only where
+    /// The commands that turn what the latest heartbeat shows into what is wanted. Starts only where
     /// `may_start`, which needs a confirmed leader.
     pub fn commands(&self, may_start: bool, limit: usize) -> Vec<Command> {
         let mut commands = Vec::new();
@@ -504,34 +504,34 @@
     }
 }
 
-/// All hosts.
+/// All workers.
 #[derive(Debug, Default)]
 pub struct Workers {
     workers: BTreeMap<String, Worker>,
 }
 
 impl Workers {
-    /// A host.
+    /// A worker.
     pub fn get(&self, name: &str) -> Option<&Worker> {
         self.workers.get(name)
     }
-    /// A host, to be changed.
+    /// A worker, to be changed.
     pub fn get_mut(&mut self, name: &str) -> Option<&mut Worker> {
         self.workers.get_mut(name)
     }
-    /// A host, made if it is unknown.
+    /// A worker, made if it is unknown.
     pub fn entry(&mut self, name: &str, make: impl FnOnce() -> Worker) -> &mut Worker {
         self.workers.entry(name.to_owned()).or_insert_with(make)
     }
-    /// Drops a host.
+    /// Drops a worker.
     pub fn remove(&mut self, name: &str) -> Option<Worker> {
         self.workers.remove(name)
     }
-    /// All hosts, by name.
+    /// All workers, by name.
     pub fn iter(&self) -> impl Iterator<Item = &Worker> {
         self.workers.values()
     }
-    /// All hosts, to be changed.
+    /// All workers, to be changed.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Worker> {
         self.workers.values_mut()
     }
--- a/src/bookkeeping/write_ahead_log.rs
+++ b/src/bookkeeping/write_ahead_log.rs
@@ -1,14 +1,14 @@
 //! The leader's writes: a queue of changes, folded into one transaction at a time.
 //!
-//! Bindings, their ends, marks of hosts and completed tasks go to a write-ahead log, a ring of keys
+//! Bindings, their ends, marks of workers and completed tasks go to a write-ahead log, a ring of keys
 //! `log/<slot>`. Each transaction overwrites the oldest slot with a new segment, into which it
 //! carries what the old one had that still counts; the ring grows only while too little of it is
-//! free. Jobs that end and rentals are keys of their own, written in the same transaction.
+//! free. Jobs that end and provisioning requests are keys of their own, written in the same transaction.
 //!
-//! Every transaction is conditional on the Stamps of `leader`, of the slot, and of `open/<id>` of
+//! Every transaction is conditional on the mod revisions of `leader`, of the slot, and of `open/<id>` of
 //! every job that it binds tasks of or ends. So a deposed leader writes nothing and a cancel wins.
 //! A condition that has failed once can never hold again, and nothing else is written before the
-//! fate of a transaction is known; so none is ever applied late or twice.
+//! outcome of a transaction is known; so none is ever applied late or twice.
 
 use super::jobs::Jobs;
 use super::records::{self, FinishedRecord, JobOutcome};
@@ -22,9 +22,9 @@
 /// One change that is to be written down.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LogEntry {
-    /// A task is bound to a host.
+    /// A task is bound to a worker.
     Bind {
-        /// Host.
+        /// Worker.
         worker: String,
         /// Task.
         task: TaskId,
@@ -33,7 +33,7 @@
     },
     /// A binding has ended; `done` tasks are recorded in the same transaction.
     Unbind {
-        /// Host.
+        /// Worker.
         worker: String,
         /// Task.
         task: TaskId,
@@ -47,14 +47,14 @@
         /// Job id.
         job: String,
     },
-    /// A host is to be given back.
+    /// A worker is to be released.
     RecordTermination {
-        /// Host.
+        /// Worker.
         worker: String,
     },
-    /// A host is gone, with all bindings.
+    /// A worker is gone, with all bindings.
     RemoveWorker {
-        /// Host.
+        /// Worker.
         worker: String,
     },
     /// Any other key is put or removed.
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Binds that became void before they were sent: host, task and attempt.
+    /// Binds that became void before they were sent: worker, task and attempt.
     pub fn take_rejected_bindings(&mut self) -> Vec<(String, TaskId, u64)> {
         std::mem::take(&mut self.rejected_bindings)
     }
@@ -158,7 +158,7 @@
         self.queue.len() + self.in_flight.as_ref().map_or(0, |t| t.entries.len())
     }
 
-    /// Whether a transaction is on its way, or its fate unknown.
+    /// Whether a transaction is on its way, or its outcome unknown.
     pub fn is_busy(&self) -> bool {
         self.in_flight.is_some()
     }
@@ -168,7 +168,7 @@
         self.ring.slots.len()
     }
 
-    /// The transaction whose fate is unknown, to be sent once more as it was.
+    /// The transaction whose outcome is unknown, to be sent once more as it was.
     pub fn retry_of_unknown(&self) -> Option<Txn> {
         let sent = self
             .in_flight
@@ -374,7 +374,7 @@
             .is_some_and(|sent| sent.outcome_unknown)
     }
 
-    /// The key that tells whether a transaction of unknown fate was executed.
+    /// The key that tells whether a transaction of unknown outcome was executed.
     pub fn read_back_key(&self) -> Option<String> {
         Some(records::log_key(self.in_flight.as_ref()?.slot))
     }
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -1,4 +1,4 @@
-//! One node: takes requests, answers and the passing of time, and says what is to be done.
+//! One controller: takes requests, answers and the passing of time, and says what is to be done.
 
 use super::effects::{CloudRequestKind, CorrelationId, Effect, Effects, KvRequestKind};
 use super::election::{Election, ElectionTimeouts, LeadershipChange};
@@ -32,13 +32,13 @@
 /// The times of an input.
 #[derive(Debug, Clone, Copy)]
 pub struct Now {
-    /// Steady clock, in seconds since the node started.
+    /// Steady clock, in seconds since the controller started.
     pub monotonic: f64,
     /// Time of day, in seconds.
     pub wall: f64,
 }
 
-/// A node.
+/// A controller.
 pub struct Controller {
     settings: Rc<Settings>,
     policy: Rc<Policy>,
@@ -52,13 +52,13 @@
     quotas: Quotas,
     peers: Peers,
     terminations: TerminationQueue,
-    /// Workers that knocked here while another node leads, and when.
+    /// Workers that came here while another controller leads, and when.
     redirected: BTreeMap<String, f64>,
     heartbeat_at: f64,
     /// When the users' changes were last shared out.
     write_budget_shared_at: f64,
     state_service_ok_at: Option<f64>,
-    /// When the state service last refused this node, or left a call of it unanswered.
+    /// When the state service last refused this controller, or left a call of it unanswered.
     state_service_failed_at: f64,
     lease_grace_s: f64,
     rng: SmallRng,
@@ -67,15 +67,15 @@
 /// Workers that were redirected lately and are remembered.
 const MAX_REDIRECTED: usize = 4096;
 
-/// Waits of the watch on the open jobs in a report interval: the longest time by which the view of them
+/// Waits of the watch on the open jobs in a heartbeat interval: the longest time by which the view of them
 /// is less current than it could be.
 const WATCHES_PER_HEARTBEAT: f64 = 4.0;
 
-/// Report intervals of silence from all workers that are more than chance.
+/// Heartbeat intervals of silence from all workers that are more than chance.
 const UNREACHABLE_HEARTBEATS: f64 = 1.6;
 
 impl Controller {
-    /// A node that has just started; `seed` tells this life from others.
+    /// A controller that has just started; `seed` tells this life from others.
     pub fn new(settings: Rc<Settings>, policy: Rc<Policy>, seed: u64) -> Controller {
         let worker_settings = &settings.deployment.workers;
         let times = ElectionTimeouts::new(worker_settings);
@@ -125,7 +125,7 @@
         std::mem::take(&mut self.effects.queue)
     }
 
-    /// Whether this node leads, confirmed or held over.
+    /// Whether this controller leads, confirmed or within the lease grace period.
     pub fn is_leader(&self) -> bool {
         self.leader.is_some()
     }
@@ -160,7 +160,7 @@
         let spec = match job::parse_submission(body, now.wall) {
             Ok(spec) => spec,
             Err(error) => {
-                tracing::debug!(%error, "malformed submission");
+                tracing::debug!(%error, "submission rejected");
                 self.effects
                     .respond_error(to, 400, &error.to_string(), None);
                 return;
@@ -207,8 +207,8 @@
         let own = self
             .state_service_ok_at
             .is_some_and(|at| now - at < window_s);
-        // A node that the state service refuses says so only while a peer is served: removals
-        // back off for long, and during an outage all nodes are equally good.
+        // A controller that the state service refuses says so only while a peer is served: removals
+        // back off for long, and during an outage all controllers are equally good.
         let better = self.peers.any_served(window_s, now);
         if self.catalog.instance_types().is_some()
             && self.jobs_watch.is_complete()
@@ -224,7 +224,7 @@
         let heartbeat = match read_worker_heartbeat(body) {
             Ok(heartbeat) => heartbeat,
             Err(error) => {
-                tracing::warn!(%error, "report refused");
+                tracing::warn!(%error, "worker heartbeat rejected");
                 self.effects
                     .respond_error(to, 400, &error.to_string(), None);
                 return;
@@ -240,7 +240,7 @@
                 HeartbeatOutcome::Commands(answer)
                     if is_within_hold_over(&freshness, &heartbeat) =>
                 {
-                    // What else follows from it waits for the next tick: reports are many.
+                    // What else follows from it waits for the next tick: heartbeats are many.
                     self.effects.respond(to, 200, &answer);
                     return;
                 }
@@ -260,14 +260,14 @@
         self.effects.respond(to, 421, &NotLeader { leader_hint });
     }
 
-    /// What this node knows, and how old that is.
+    /// What this controller knows, and how old that is.
     fn view_freshness(&self, now: f64) -> ViewFreshness {
         let view_at = self.jobs_watch.current_at();
         self.election
             .view_freshness(view_at, self.state_service_failed_at, now)
     }
 
-    /// The node to which workers are sent: the leader, unless that is this node or it is not
+    /// The controller to which workers are sent: the leader, unless that is this controller or it is not
     /// certain that it still leads.
     fn leader_hint(&self, now: f64) -> Option<String> {
         let known = match self.peers.latest_leader(self.heartbeat_interval_s(), now) {
@@ -372,7 +372,7 @@
         }
     }
 
-    /// Tells the leader of the jobs that the frontend has learnt to be over: from its own transactions,
+    /// Tells the leader of the jobs that the job API has learnt to be over: from its own transactions,
     /// from a look, or from a peer, long before the watch may tell.
     fn tell_leader_of_finished_jobs(&mut self) {
         for id in self.job_api.take_finished() {
@@ -453,7 +453,7 @@
             tracing::warn!(
                 label = heartbeat.label,
                 epoch = heartbeat.epoch,
-                "heartbeat refused: epoch: above what the state service can count; restart that node"
+                "peer heartbeat rejected: epoch above what the state service can count; restart that controller"
             );
             return;
         }
@@ -532,7 +532,7 @@
                 }
                 self.job_api.on_job_opened(mod_revision, spec);
             }
-            Err(error) => tracing::error!(id, %error, "unreadable job"),
+            Err(error) => tracing::error!(id, %error, "job record unreadable"),
         }
     }
 
@@ -576,7 +576,7 @@
         match change {
             LeadershipChange::None => {}
             LeadershipChange::Elected(epoch) => {
-                tracing::info!(epoch, "this node leads");
+                tracing::info!(epoch, "leadership acquired");
                 let instance_types = self.catalog.instance_types().cloned().unwrap_or_default();
                 let mut leader = Leader::new(
                     epoch,
@@ -594,7 +594,7 @@
             }
             LeadershipChange::Deposed => {
                 if let Some(leader) = self.leader.take() {
-                    tracing::info!(epoch = leader.epoch(), "this node no longer leads");
+                    tracing::info!(epoch = leader.epoch(), "leadership lost");
                 }
             }
         }
@@ -618,7 +618,7 @@
         self.poll_leader(t);
     }
 
-    /// Leader's work, and what it has to tell the rest of the node.
+    /// Leader's work, and what it has to tell the rest of the controller.
     fn poll_leader(&mut self, now: f64) {
         self.jobs_watch.poll(&mut self.effects, now);
         self.leader_watch.poll(&mut self.effects, now);
@@ -678,7 +678,7 @@
     }
 
     /// Takes the part of the users' changes that peers don't use, and returns the rate at which this
-    /// node has used it since the last time.
+    /// controller has used it since the last time.
     fn share_write_budget(&mut self, now: f64) -> f64 {
         let window_s = self.heartbeat_interval_s() * 2.0;
         let others: Vec<Option<f64>> = self
@@ -698,7 +698,7 @@
         self.job_api.take_writes_made() / since_s
     }
 
-    /// A leader that workers can't reach gives up its lease, when they knock at its peers or when
+    /// A leader that workers can't reach gives up its lease, when they come to its peers or when
     /// the peers are silent too.
     fn resign_if_partitioned(&mut self, now: f64) {
         let Some(leader) = &self.leader else { return };
@@ -712,14 +712,14 @@
         let alone = self.peers.none_fresh(fresh, now);
         let knocked = self.peers.any_redirected(fresh, now);
         if knocked || (alone && silent_s > self.settings.deployment.workers.lease_s / 2.0) {
-            tracing::info!("workers can't reach this node: giving up the lead");
+            tracing::info!("leadership resigned: workers cannot reach this controller");
             let change = self.election.resign(&mut self.effects, now);
             self.apply_leadership_change(change, now);
         }
     }
 }
 
-/// Why a report is refused.
+/// Why a heartbeat is refused.
 #[derive(Debug, thiserror::Error)]
 enum HeartbeatError {
     #[error("not a report: {0}")]
@@ -738,7 +738,7 @@
 fn is_within_hold_over(freshness: &ViewFreshness, heartbeat: &WorkerHeartbeat) -> bool {
     let age_s = freshness.lease_age_s.max(freshness.view_age_s);
     let within = age_s <= freshness.limits.lease_grace_s;
-    let details = format_args!("host {}, after {age_s} s", heartbeat.worker);
+    let details = format_args!("worker {}, after {age_s} s", heartbeat.worker);
     invariants::uphold(Invariant::NoRenewalBeyondLeaseGrace, within, details)
 }
 
--- a/src/coordination/effects.rs
+++ b/src/coordination/effects.rs
@@ -73,19 +73,19 @@
     KeepAlive,
     /// The end of a lease.
     RevokeLease,
-    /// The frontend's comparison for polls, by its number.
+    /// The job API's comparison for polls, by its number.
     RevisionCheck(u64),
-    /// The frontend's submits and cancels, by their number.
+    /// The job API's submits and cancels, by their number.
     JobWrites(u64),
-    /// The frontend's look at one job.
+    /// The job API's look at one job.
     JobLookup(String),
-    /// The leader's reading of all its records, for this Epoch.
+    /// The leader's reading of all its records, for this epoch.
     RecoveryRead(u64),
-    /// The leader's transaction, for this Epoch.
+    /// The leader's transaction, for this epoch.
     LogAppend(u64),
-    /// The leader's look at the log, to learn the fate of its transaction.
+    /// The leader's look at the log, to learn the outcome of its transaction.
     LogReadBack(u64),
-    /// The stored catalogue.
+    /// The stored instance catalog.
     InstanceCatalog,
     /// A call whose answer does not matter.
     Ignored,
@@ -94,24 +94,24 @@
 /// Which part asked the cloud, and for what.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudRequestKind {
-    /// The catalogue.
+    /// The instance catalog.
     ListInstanceTypes,
-    /// The list, for this Epoch.
+    /// The list, for this epoch.
     ListInstances(u64),
-    /// A rental, for this Epoch.
+    /// A provisioning request, for this epoch.
     CreateInstances(u64, String),
-    /// A deletion, for this Epoch.
+    /// A deletion, for this epoch.
     DeleteInstances(u64, Vec<String>),
 }
 
 /// A direct call to a worker.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WorkerRequestContext {
-    /// The leader's Epoch.
+    /// The leader's epoch.
     pub epoch: u64,
-    /// The host.
+    /// The worker.
     pub worker: String,
-    /// The orders sent.
+    /// The commands sent.
     pub commands: Vec<crate::protocol::worker::Command>,
 }
 
@@ -221,7 +221,7 @@
     /// Logs what was refused since the last time.
     pub fn log_refusals(&mut self) {
         for ((status, reason), count) in std::mem::take(&mut self.refusals) {
-            tracing::info!(status, reason, count, "refused");
+            tracing::info!(status, reason, count, "requests rejected");
         }
     }
 
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -28,7 +28,7 @@
     /// Who renews a worker's lease must know of every cancellation that could be due. A leader whose
     /// view of the open jobs is no longer current hears of none; the tasks of a job that was cancelled
     /// right after it was so must be gone in time all the same: their workers' leases, renewed until
-    /// the hold-over ends, must have run out by then.
+    /// the lease grace period ends, must have run out by then.
     pub fn new(worker_settings: &WorkerSettings) -> ElectionTimeouts {
         let lease_s = worker_settings.lease_s;
         let life_s = (lease_s / 5.0).max(0.1);
@@ -43,7 +43,7 @@
     }
 }
 
-/// Report intervals for which a view of the open jobs is new enough for starts.
+/// Heartbeat intervals for which a view of the open jobs is new enough for starts.
 const MAX_START_VIEW_HEARTBEATS: f64 = 2.0;
 /// Share of the lease's life after which it is renewed.
 const KEEP_ALIVE_SHARE: f64 = 1.0 / 4.0;
@@ -63,13 +63,13 @@
 pub enum LeadershipChange {
     /// Nothing new.
     None,
-    /// This node leads, with this Epoch.
+    /// This controller leads, with this epoch.
     Elected(u64),
-    /// This node no longer leads.
+    /// This controller no longer leads.
     Deposed,
 }
 
-/// This node's part in the election.
+/// This controller's part in the election.
 #[derive(Debug)]
 pub struct Election {
     own_record: LeaderRecord,
@@ -77,7 +77,7 @@
     state: ElectionState,
     /// The leader as the watch shows it, with the key's version.
     observed_leader: Option<(LeaderRecord, u64)>,
-    /// Highest Epoch known from anywhere.
+    /// Highest epoch known from anywhere.
     highest_epoch: u64,
     elected_at: f64,
     renewed_at: f64,
@@ -87,7 +87,7 @@
 }
 
 impl Election {
-    /// `life` tells this process from earlier ones of the same node.
+    /// `life` tells this process from earlier ones of the same controller.
     pub fn new(label: &str, process_incarnation: u64, times: ElectionTimeouts) -> Election {
         Election {
             own_record: LeaderRecord {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// The Epoch with which this node leads, confirmed or held over.
+    /// The epoch with which this controller leads, confirmed or within the lease grace period.
     pub fn epoch(&self) -> Option<u64> {
         match self.state {
             ElectionState::Leader { epoch, .. } => Some(epoch),
@@ -114,13 +114,13 @@
         }
     }
 
-    /// Whether this node leads and certainly holds the lease.
+    /// Whether this controller leads and certainly holds the lease.
     pub fn holds_lease(&self, now: f64) -> bool {
         self.epoch().is_some()
             && now < self.renewed_at + self.timeouts.leader_lease_s * (1.0 - 2.0 * DRIFT)
     }
 
-    /// What this node knows, with a view of the open jobs that was current at `view_at` and a state
+    /// What this controller knows, with a view of the open jobs that was current at `view_at` and a state
     /// service that last refused a call, or left one unanswered, at `doubt_at`.
     pub fn view_freshness(&self, view_at: f64, doubt_at: f64, now: f64) -> ViewFreshness {
         ViewFreshness {
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Highest Epoch known from anywhere.
+    /// Highest epoch known from anywhere.
     pub fn highest_epoch(&self) -> u64 {
         self.highest_epoch
     }
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Takes an Epoch seen in a report or at a peer.
+    /// Takes an epoch seen in a heartbeat or at a peer.
     pub fn observe_epoch(&mut self, epoch: u64) -> LeadershipChange {
         self.highest_epoch = self.highest_epoch.max(epoch);
         match self.state {
@@ -216,7 +216,7 @@
         LeadershipChange::Deposed
     }
 
-    /// Gives up the lease, so that a node that workers can reach may lead.
+    /// Gives up the lease, so that a controller that workers can reach may lead.
     pub fn resign(&mut self, effects: &mut Effects, now: f64) -> LeadershipChange {
         let ElectionState::Leader { lease_id, .. } = self.state else {
             return LeadershipChange::None;
@@ -231,7 +231,7 @@
         self.step_down()
     }
 
-    /// The version of the key that this node may replace, if it may: no leader, or its own label.
+    /// The version of the key that this controller may replace, if it may: no leader, or its own label.
     fn replaceable_revision(&self) -> Option<u64> {
         match &self.observed_leader {
             None => Some(0),
@@ -261,7 +261,7 @@
                 }
                 // It holds the lease and is of no use: another may have a view that is current.
                 if now > self.elected_at.max(current_at) + self.timeouts.lease_grace_s {
-                    tracing::info!("the open jobs can't be followed: giving up the lead");
+                    tracing::info!("leadership resigned: the open jobs cannot be watched");
                     return self.resign(effects, now);
                 }
                 if !self.keep_alive_in_flight && now >= self.keep_alive_at {
@@ -274,7 +274,7 @@
                     );
                 }
             }
-            // One's own label, without leading: an earlier life of this node, or an answer that was
+            // One's own label, without leading: an earlier life of this controller, or an answer that was
             // lost. Nobody else acts by it, so it can be replaced at once.
             ElectionState::Follower
                 if watching && now >= self.campaign_at && self.replaceable_revision().is_some() =>
@@ -309,7 +309,7 @@
                     self.back_off(now);
                     return LeadershipChange::None;
                 };
-                // Another may have taken the lead while the lease was on its way.
+                // Another may have taken leadership while the lease was on its way.
                 let Some(mod_revision) = self.replaceable_revision() else {
                     effects.call_kv(
                         KvRequestKind::RevokeLease,
@@ -405,7 +405,7 @@
     if !usable {
         tracing::error!(
             epoch,
-            "leader: its Stamp is too high for tokens; move to a new state service"
+            "leader: its mod revision is too high for fencing tokens; move to a new state service"
         );
     }
     usable
--- a/src/coordination/instance_catalog.rs
+++ b/src/coordination/instance_catalog.rs
@@ -1,4 +1,4 @@
-//! The machine types, as the cloud tells them and as the state service keeps them for nodes that start while
+//! The instance types, as the cloud tells them and as the state service keeps them for controllers that start while
 //! the cloud is out.
 
 use super::effects::{CloudRequestKind, Effects, KvRequestKind};
@@ -11,10 +11,10 @@
 
 /// Leases between two questions to the cloud that was answered.
 const LEASES_PER_CATALOG_REFRESH: f64 = 2.0;
-/// Report intervals in which a call must be answered.
+/// Heartbeat intervals in which a call must be answered.
 const REQUEST_TIMEOUT_HEARTBEATS: f64 = 2.0;
 
-/// What is known of the machine types.
+/// What is known of the instance types.
 #[derive(Debug)]
 pub struct InstanceCatalog {
     lease_s: f64,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The machine types, once they are known.
+    /// The instance types, once they are known.
     pub fn instance_types(&self) -> Option<&Rc<Vec<InstanceType>>> {
         self.instance_types.as_ref()
     }
@@ -112,7 +112,7 @@
     }
 }
 
-/// Whether two catalogues differ in their prices at most.
+/// Whether two instance catalogs differ in their prices at most.
 fn same_types(a: &[InstanceType], b: &[InstanceType]) -> bool {
     let plain = |instance_types: &[InstanceType]| {
         instance_types
--- a/src/coordination/job_api/batches.rs
+++ b/src/coordination/job_api/batches.rs
@@ -1,4 +1,4 @@
-//! Transactions of the frontend that are on their way.
+//! Transactions of the job API that are on their way.
 
 use super::pending_request::PendingRequest;
 use std::collections::HashMap;
--- a/src/coordination/job_api/mod.rs
+++ b/src/coordination/job_api/mod.rs
@@ -1,8 +1,8 @@
-//! The user API: submits, polls and cancels, the same on every node.
+//! The user API: submits, polls and cancels, the same on every controller.
 //!
 //! A final state never changes and is answered from memory. Any other answer is confirmed by the
 //! state service, many at a time: open jobs never change their key, so a comparison of versions
-//! shows that they are still open. So no node can give an older answer than another has given.
+//! shows that they are still open. So no controller can give an older answer than another has given.
 
 mod batches;
 mod pending_request;
@@ -55,14 +55,14 @@
 
 /// Requests that may wait; more are refused at once.
 const MAX_WAITING: usize = 2_000;
-/// Share of a node's requests for comparisons, which answer many polls each; the rest is for looks.
+/// Share of a controller's requests for comparisons, which answer many polls each; the rest is for looks.
 const CHECK_SHARE: f64 = 0.5;
 /// Users wait so long for the answer to a poll; an answer that comes later is of no use to them.
 const POLL_PATIENCE_S: f64 = 2.0;
 /// Jobs looked up at a time.
 const MAX_LOOKUPS: usize = 8;
 
-/// A node's frontend.
+/// A controller's job API.
 #[derive(Debug)]
 pub struct JobApi {
     /// Open jobs, as the watch shows them; perhaps late.
@@ -94,7 +94,7 @@
 const RETRY_AFTER_S: u32 = 1;
 
 impl JobApi {
-    /// A frontend that may use this share of the state service's limits.
+    /// A job API that may use this share of the state service's limits.
     pub fn new(limits: &StateLimits, share: f64, request_timeout_s: f64) -> JobApi {
         let rate = |all: f64| TokenBucket::new(all * share, burst_of(all * share));
         JobApi {
@@ -143,7 +143,7 @@
         self.terminal_states.insert(id, record);
     }
 
-    /// Notes how a job ended by this node's doing, which is written down.
+    /// Notes how a job ended by this controller's doing, which is written down.
     pub fn announce_finished(&mut self, id: &str, record: FinishedRecord) {
         self.terminal_states.announce(id, record);
         self.on_job_finished(id, record);
@@ -192,7 +192,7 @@
         std::mem::take(&mut self.writes_made)
     }
 
-    /// Sets the changes a second that this node may make for its users.
+    /// Sets the changes a second that this controller may make for its users.
     pub fn set_write_rate(&mut self, per_s: f64, now: f64) {
         self.write_budget.set_rate(per_s, burst_of(per_s), now);
     }
@@ -305,7 +305,7 @@
     pub fn send_due_requests(&mut self, effects: &mut Effects, now: f64) {
         self.expire_requests(effects, now);
         // Looks go first: comparisons take as many polls as there are, and can wait for company. The
-        // other way round, a node that many users ask would never come to look.
+        // other way round, a controller that many users ask would never come to look.
         while self.lookups_in_flight < MAX_LOOKUPS && !self.lookup_queue.is_empty() {
             if !self.request_budget.take(2.0, now) {
                 break;
@@ -544,7 +544,7 @@
                             job = pending.id,
                             class = spec.class,
                             tasks = spec.tasks,
-                            "accepted"
+                            "job accepted"
                         );
                         opened.push((*mod_revision, spec.clone()));
                         effects.respond_job_status(
@@ -560,7 +560,7 @@
                             outcome: JobOutcome::Aborted,
                             completed_tasks: done,
                         };
-                        tracing::debug!(job = pending.id, "cancelled");
+                        tracing::debug!(job = pending.id, "job cancelled");
                         self.announce_finished(&pending.id, record);
                         self.respond_finished(
                             pending.request_id,
--- a/src/coordination/job_api/terminal_states.rs
+++ b/src/coordination/job_api/terminal_states.rs
@@ -1,4 +1,4 @@
-//! How jobs have ended, as this node has learnt. An end is for ever.
+//! How jobs have ended, as this controller has learnt. An end is for ever.
 
 use crate::bookkeeping::records::{FinishedRecord, JobOutcome};
 use crate::protocol::peer::{MAX_TERMINATIONS, Termination};
@@ -12,9 +12,9 @@
 pub(super) struct TerminalStateCache {
     records: HashMap<String, FinishedRecord>,
     order: VecDeque<String>,
-    /// Jobs that have ended by this node's doing, for its next word to the peers.
+    /// Jobs that have ended by this controller's doing, for its next word to the peers.
     unannounced: Vec<Termination>,
-    /// Jobs learnt to be over, for this node's leader.
+    /// Jobs learnt to be over, for this controller's leader.
     newly_finished: Vec<String>,
 }
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Notes for the peers that a job has ended by this node's doing.
+    /// Notes for the peers that a job has ended by this controller's doing.
     pub(super) fn announce(&mut self, id: &str, record: FinishedRecord) {
         if self.unannounced.len() < MAX_TERMINATIONS {
             self.unannounced.push(Termination {
--- a/src/coordination/leader/binding_reconciliation.rs
+++ b/src/coordination/leader/binding_reconciliation.rs
@@ -8,7 +8,7 @@
 use crate::bookkeeping::write_ahead_log::LogEntry;
 use crate::protocol::worker::{ExitReason, TaskId, TaskState};
 
-/// What a report tells of a bound task.
+/// What a heartbeat tells of a bound task.
 enum Finding {
     /// It has begun to run.
     Began,
@@ -20,7 +20,7 @@
     Absent,
 }
 
-/// What the latest report of a host tells of a task that is bound there.
+/// What the latest heartbeat of a worker tells of a task that is bound there.
 fn finding(
     worker: &Worker,
     task: &TaskId,
@@ -51,7 +51,7 @@
 }
 
 impl Leader {
-    /// Compares a host's bindings with its latest report.
+    /// Compares a worker's bindings with its latest heartbeat.
     pub(super) fn reconcile_bindings(&mut self, name: &str, now: f64) {
         let Some(worker) = self.workers.get(name) else {
             return;
@@ -77,7 +77,7 @@
     }
 
     fn on_task_started(&mut self, name: &str, task: &TaskId, attempt: u64, now: f64) {
-        tracing::debug!(worker = name, %task, attempt, "running");
+        tracing::debug!(worker = name, %task, attempt, "task running");
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
@@ -90,14 +90,14 @@
         }
     }
 
-    /// Ends a binding whose task has exited, or is not on its host and won't be.
+    /// Ends a binding whose task has exited, or is not on its worker and won't be.
     pub(super) fn end_binding(&mut self, name: &str, task: &TaskId, attempt: u64, done: bool) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
         let exited = worker.has_exited(task, attempt);
         let gone = exited || !worker.pending_starts.may_arrive(task, attempt);
-        let details = format_args!("host {name}, task {task}, attempt {attempt}");
+        let details = format_args!("worker {name}, task {task}, attempt {attempt}");
         if !invariants::uphold(Invariant::NoUnbindWhileStartMayArrive, gone, details) {
             return;
         }
@@ -106,7 +106,7 @@
             && !binding.unbinding
         {
             binding.unbinding = true;
-            tracing::debug!(worker = name, %task, attempt, exited, "binding ends");
+            tracing::debug!(worker = name, %task, attempt, exited, "binding ended");
             self.log.push(LogEntry::Unbind {
                 worker: name.to_owned(),
                 task: task.clone(),
@@ -125,7 +125,7 @@
         ran: bool,
         now: f64,
     ) {
-        tracing::debug!(worker = name, %task, attempt, ?cause, "exited");
+        tracing::debug!(worker = name, %task, attempt, ?cause, "task exited");
         let mut done = false;
         match cause {
             ExitReason::Completed => {
@@ -151,7 +151,7 @@
             | ExitReason::AttemptConflict => {}
         }
         // The end of the job goes first: should only it be written, the binding still is in the
-        // records and ends by the worker's next report.
+        // records and ends by the worker's next heartbeat.
         if done {
             self.finish_job(&task.job);
         }
@@ -177,7 +177,7 @@
                 && binding.running_since.is_some()
                 && (spec.expected_runtime_s - ran_s).max(0.0) < left_s;
             if !finishes {
-                tracing::debug!(worker = name, %task, "drained: the machine is about to be taken");
+                tracing::debug!(worker = name, %task, "task evicted: instance reclaim announced");
                 let grace_s = if spec.checkpoint_grace_s <= left_s {
                     spec.checkpoint_grace_s
                 } else {
--- a/src/coordination/leader/commit.rs
+++ b/src/coordination/leader/commit.rs
@@ -13,7 +13,7 @@
 
 impl Leader {
     /// Sends the next transaction if there is one and the budget has room for it; or once more the
-    /// one whose fate is unknown.
+    /// one whose outcome is unknown.
     pub(super) fn commit_pending(&mut self, effects: &mut Effects, now: f64) {
         if self.recovery()
             || self.commit_in_flight
@@ -79,13 +79,15 @@
                 self.next_commit_at = now + heartbeat_interval_s / 10.0;
             }
             KvResponse::InvalidRequest => {
-                tracing::error!("the state service calls a transaction malformed");
+                tracing::error!(
+                    "commit rejected: the state service calls the transaction malformed"
+                );
                 self.log.requeue_in_flight();
                 self.next_commit_at = now + heartbeat_interval_s;
             }
             // It may have been applied, or may yet be.
             _ => {
-                tracing::info!("transaction without answer");
+                tracing::info!("commit outcome unknown");
                 self.log.mark_outcome_unknown();
             }
         }
@@ -98,7 +100,7 @@
         effects.call_kv(kind, KvRequest::Get(key), self.request_timeout_s(), now);
     }
 
-    /// Takes the look that tells whether a transaction of unknown fate was executed.
+    /// Takes the look that tells whether a transaction of unknown outcome was executed.
     pub fn on_read_back(&mut self, response: KvResponse, effects: &mut Effects, now: f64) {
         self.commit_in_flight = false;
         let ours = match &response {
@@ -130,12 +132,12 @@
 
     /// A transaction met conditions that do not hold, and so never will.
     fn on_compare_failed(&mut self, failed: &[String]) {
-        tracing::info!(?failed, "transaction refused by its conditions");
+        tracing::info!(?failed, "commit rejected: compare failed");
         if failed
             .iter()
             .any(|key| key.starts_with(records::LOG_PREFIX))
         {
-            // Somebody else writes the log: whoever it is, this node should not.
+            // Somebody else writes the log: whoever it is, this controller should not.
             self.emit(LeaderEvent::Deposed);
             return;
         }
@@ -174,7 +176,7 @@
                 ..
             } => self.drop_binding(worker, task, *attempt, now),
             LogEntry::FinishJob { job } => {
-                tracing::debug!(job, "done");
+                tracing::debug!(job, "job completed");
                 // The watch may have told of it first.
                 if let Some(known) = self.jobs.remove(job) {
                     let record = FinishedRecord {
--- a/src/coordination/leader/consolidation.rs
+++ b/src/coordination/leader/consolidation.rs
@@ -1,4 +1,4 @@
-//! Replicas moved together, so that a machine that few are left on can be given back.
+//! Replicas moved together, so that a machine that few are left on can be released.
 
 use super::Leader;
 use crate::bookkeeping::workers::{EvictionReason, Resources, Worker};
@@ -7,7 +7,7 @@
 const SPARSE: f64 = 0.5;
 
 impl Leader {
-    /// Empties one sparsely used ordinary machine of a zone, if its replicas find room on others
+    /// Empties one sparsely used on-demand machine of a zone, if its replicas find room on others
     /// beside the `keep` replicas to come for which room is kept there.
     pub(super) fn consolidate(&mut self, zone: &str, keep: u32, need: &Resources) {
         for worker in self.workers.iter_mut() {
@@ -49,7 +49,7 @@
             return;
         }
         let name = worker.name.clone();
-        tracing::info!(worker = name, moved, "moving replicas together");
+        tracing::info!(worker = name, moved, "consolidation started");
         if let Some(worker) = self.workers.get_mut(&name) {
             worker.draining = true;
             for (task, binding) in &mut worker.bindings {
--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -1,4 +1,4 @@
-//! Direct commands to workers: probes of late workers, and orders that cannot wait for a report.
+//! Direct commands to workers: probes of late workers, and commands that cannot wait for a heartbeat.
 
 use super::heartbeats::MAX_COMMANDS;
 use super::{Leader, LeaderEvent};
@@ -8,7 +8,7 @@
 use crate::coordination::effects::{Effects, WorkerRequestContext};
 use crate::protocol::worker::{Command, CommandKind, WorkerRequest, WorkerResponse};
 
-/// Report intervals without a report after which a worker is asked directly. They come with a
+/// Heartbeat intervals without a heartbeat after which a worker is asked directly. They come with a
 /// quarter more at most.
 const PROBE_AFTER_HEARTBEATS: f64 = 1.3;
 
@@ -25,9 +25,9 @@
 }
 
 impl Leader {
-    /// Sends direct commands where the workers don't yet do what is wanted, and this leader's Epoch
+    /// Sends direct commands where the workers don't yet do what is wanted, and this leader's epoch
     /// where it is not known yet. Calls at a time are bounded, and workers that may not answer get a
-    /// part of them only: a zone that is cut off must not keep commands from the others.
+    /// part of them only: a zone that is partitioned must not keep commands from the others.
     pub(super) fn dispatch_commands(
         &mut self,
         freshness: &ViewFreshness,
@@ -69,14 +69,14 @@
         }
     }
 
-    /// Whether a worker has missed its latest report, or could not be reached.
+    /// Whether a worker has missed its latest heartbeat, or could not be reached.
     fn has_missed_heartbeat(&self, worker: &Worker, now: f64) -> bool {
         let heartbeat_interval_s = self.settings.deployment.workers.heartbeat_interval_s;
         let late = |at| now - at > PROBE_AFTER_HEARTBEATS * heartbeat_interval_s;
         worker.unreachable_since.is_some() || worker.last_heartbeat_at.is_some_and(late)
     }
 
-    /// Workers that have missed their latest report are asked directly.
+    /// Workers that have missed their latest heartbeat are asked directly.
     fn probe_late_workers(&mut self, now: f64) {
         let missed = self
             .workers
@@ -100,14 +100,14 @@
             .filter(|_| worker.token_acknowledged);
         let revokes = revocation.is_some_and(|reason| reason.is_urgent());
         let waits = worker.token_acknowledged && worker.awaits_fence();
-        // It is asked before it is thought silent: a report may only be on its way from a node that does
+        // It is asked before it is thought silent: a heartbeat may only be on its way from a controller that does
         // not answer it.
         let probe = worker.token_acknowledged && !worker.termination_recorded && missed;
         let up = worker.last_heartbeat_at.is_some()
             || worker.listed_running
             || !worker.bindings.is_empty();
         let greet = !worker.token_acknowledged && !worker.termination_recorded && up;
-        // Clears can wait for the next report.
+        // Clears can wait for the next heartbeat.
         let pressing = commands
             .iter()
             .any(|command| command.kind != CommandKind::Clear);
@@ -187,7 +187,7 @@
         let heartbeat = match response {
             WorkerResponse::Executed(heartbeat) => heartbeat,
             WorkerResponse::Rejected(heartbeat) => {
-                // Its session is known now: the next call can follow at once.
+                // Its incarnation is known now: the next call can follow at once.
                 self.last_dispatch.remove(&kind.worker);
                 heartbeat
             }
@@ -196,14 +196,11 @@
             | WorkerResponse::OutcomeUnknown => return,
         };
         if heartbeat.worker != kind.worker {
-            tracing::warn!(
-                worker = kind.worker,
-                "another worker answers at its address"
-            );
+            tracing::warn!(worker = kind.worker, "unexpected worker at endpoint");
             return;
         }
         if let Err(error) = heartbeat.token.check() {
-            tracing::error!(worker = kind.worker, %error, "answer of a worker refused");
+            tracing::error!(worker = kind.worker, %error, "worker response rejected");
             return;
         }
         if heartbeat.token.epoch() > self.epoch {
--- a/src/coordination/leader/failure_attribution.rs
+++ b/src/coordination/leader/failure_attribution.rs
@@ -8,11 +8,11 @@
 use rand::Rng;
 use std::collections::BTreeSet;
 
-/// The shortest wait of a suspect job between two probes, in report intervals.
+/// The shortest wait of a crash-looping job between two probes, in heartbeat intervals.
 const PROBE_HEARTBEATS: f64 = 1.0;
 /// By how much that wait varies, so that jobs that became suspect together don't probe together.
 const JITTER: f64 = 0.25;
-/// Report intervals for which a replica must run to show that its job works.
+/// Heartbeat intervals for which a replica must run to show that its job works.
 const STEADY_HEARTBEATS: f64 = 2.0;
 
 impl Leader {
@@ -33,8 +33,8 @@
         }
     }
 
-    /// A task of a job has completed on a host: both work, so where the job failed before, that was
-    /// the machine's fault, unless the job is suspect.
+    /// A task of a job has completed on a worker: both work, so where the job failed before, that was
+    /// the machine's fault, unless the job is crash-looping.
     pub(super) fn record_success(&mut self, worker: &str, job: &str) {
         if let Some(worker) = self.workers.get_mut(worker) {
             worker.failures.record_success();
@@ -43,7 +43,7 @@
             return;
         };
         if job.failures.is_crash_looping() {
-            tracing::info!(job = job.spec.id, "a task completed: no longer suspect");
+            tracing::info!(job = job.spec.id, "job no longer crash-looping");
             job.eligible_at = 0.0;
             self.schedule_due = true;
         } else {
@@ -56,7 +56,7 @@
         job.failures.record_success();
     }
 
-    /// A replica of a failing service runs on a host: it never completes, so having run for a while is
+    /// A replica of a failing service runs on a worker: it never completes, so having run for a while is
     /// its success.
     pub(super) fn record_steady_replica(&mut self, worker: &str, job: &str, for_s: f64) {
         let steady_s = STEADY_HEARTBEATS * self.settings.deployment.workers.heartbeat_interval_s;
@@ -89,7 +89,7 @@
             tracing::info!(
                 job = job.spec.id,
                 wait_s,
-                "suspect: fails on several machines"
+                "job crash-looping: next attempt backed off"
             );
         }
         if newly_crash_looping {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Jobs that are suspect, for the leader after this one.
+    /// Jobs that are crash-looping, for the leader after this one.
     pub fn crash_looping_jobs(&self) -> Vec<String> {
         let crash_looping = self
             .jobs
@@ -113,13 +113,13 @@
         ids.take(MAX_CRASH_LOOPING_JOBS).collect()
     }
 
-    /// Takes over the jobs that an earlier leader has told to be suspect: they begin with a probe. What
+    /// Takes over the jobs that an earlier leader has told to be crash-looping: they begin with a probe. What
     /// it did not tell is found out once more, at the price of the job's whole width.
     pub fn inherit_crash_looping(&mut self, crash_looping_jobs: BTreeSet<String>) {
         self.inherited_crash_looping = crash_looping_jobs;
     }
 
-    /// Marks the inherited suspects, once the open jobs are known.
+    /// Marks the inherited crash-looping jobs, once the open jobs are known.
     pub(super) fn mark_inherited_crash_looping(&mut self) {
         for id in std::mem::take(&mut self.inherited_crash_looping) {
             if let Some(job) = self.jobs.get_mut(&id) {
--- a/src/coordination/leader/failure_detection.rs
+++ b/src/coordination/leader/failure_detection.rs
@@ -1,26 +1,26 @@
-//! Machines that are of no use: silent, faulty, taken, or never up; and zones that are cut off.
+//! Machines that are of no use: silent, faulty, taken, or never up; and zones that are partitioned.
 
 use super::Leader;
 use super::fleet::ScaleInReason;
 use crate::bookkeeping::workers::Worker;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Usual boot times after which a machine that is not up is given back.
+/// Usual boot times after which a machine that is not up is released.
 const BOOT_TIMEOUT_FACTOR: f64 = 2.5;
-/// Report intervals without a report that are more than chance.
+/// Heartbeat intervals without a heartbeat that are more than chance.
 const MISSED_HEARTBEATS: f64 = 1.5;
-/// Report intervals without any report, from whatever worker, that are more than chance.
+/// Heartbeat intervals without any heartbeat, from whatever worker, that are more than chance.
 const QUIET_HEARTBEATS: f64 = 1.25;
 /// Machines that may fall silent together by chance.
 const MIN_ZONE_WORKERS: usize = 6;
-/// Report intervals after which a report is late. They come with a quarter more at most, so that
+/// Heartbeat intervals after which a heartbeat is late. They come with a quarter more at most, so that
 /// even if all machines report at the same moment three in ten are late at most.
 const LATE_HEARTBEATS: f64 = 1.1;
-/// Share of a zone's machines that are late, from which the zone is taken to be cut off.
+/// Share of a zone's machines that are late, from which the zone is taken to be partitioned.
 const LATE_SHARE: f64 = 0.35;
-/// Worker leases for which the machines of a zone that is cut off are kept.
+/// Worker leases for which the machines of a zone that is partitioned are kept.
 const PARTITION_LEASES: f64 = 3.0;
-/// Report intervals that workers take to come again: a report without answer, and another node.
+/// Heartbeat intervals that workers take to come again: a heartbeat without answer, and another controller.
 const RECONNECT_HEARTBEATS: f64 = 2.5;
 
 impl Leader {
@@ -52,7 +52,7 @@
         })
     }
 
-    /// Zones of which so many machines are late with their reports at once that they are cut off, not
+    /// Zones of which so many machines are late with their reports at once that they are partitioned, not
     /// so many dead machines. What runs there may go on, and comes back with the zone; a deletion
     /// would only add a boot. This shows before the first of them counts as silent.
     ///
@@ -89,20 +89,20 @@
                 .insert(zone.clone(), now)
                 .is_none()
             {
-                tracing::info!(zone, "zone cut off");
+                tracing::info!(zone, "zone partitioned");
             }
         }
         let over_s = RECONNECT_HEARTBEATS * self.fleet.heartbeat_interval_s;
         self.fleet.partitioned_zones.retain(|zone, at| {
             let cut = now - *at < over_s;
             if !cut {
-                tracing::info!(zone, "zone is back");
+                tracing::info!(zone, "zone reconnected");
             }
             cut
         });
     }
 
-    /// Gives back machines that are of no use: silent, faulty, taken, or never up.
+    /// Releases machines that are of no use: silent, faulty, taken, or never up.
     pub(super) fn remove_failed_workers(&mut self, now: f64) {
         let lease_s = self.settings.deployment.workers.lease_s;
         let up = self
@@ -110,8 +110,8 @@
             .iter()
             .filter(|h| h.last_heartbeat_at.is_some())
             .count();
-        // When most have missed their latest reports it is this node that is cut off. Counting only
-        // those past the longer limit would give back the first few that pass it.
+        // When most have missed their latest reports it is this controller that is partitioned. Counting only
+        // those past the longer limit would release the first few that pass it.
         let missed_s = MISSED_HEARTBEATS * self.fleet.heartbeat_interval_s;
         let unheard = self
             .workers
@@ -122,7 +122,7 @@
                     .is_some_and(|at| now - at > missed_s)
             })
             .count();
-        // So it may be when nobody at all is heard; should this last, the lead is given up.
+        // So it may be when nobody at all is heard; should this last, leadership is given up.
         let quiet_s = self.last_heartbeat_at.map_or(0.0, |at| now - at);
         let nobody =
             quiet_s > QUIET_HEARTBEATS * self.fleet.heartbeat_interval_s && quiet_s < lease_s;
@@ -133,7 +133,7 @@
             .count();
         self.update_partitioned_zones(now);
         // Zones that fall silent together are no failure of each: this shows before most machines have
-        // missed enough. Should it last, and this node still lead, the machines are dead.
+        // missed enough. Should it last, and this controller still lead, the machines are dead.
         let all_cut = self
             .fleet
             .all_partitioned_since
--- a/src/coordination/leader/fencing.rs
+++ b/src/coordination/leader/fencing.rs
@@ -1,4 +1,4 @@
-//! Orders that leave for a worker, by whatever way: starts that went out before are revoked with them where
+//! Commands that leave for a worker, by whatever way: starts that went out before are revoked with them where
 //! that is due, and what must hold is checked.
 
 use super::Leader;
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Makes the message with these orders, and notes that they go out.
+    /// Makes the message with these commands, and notes that they go out.
     pub(super) fn prepare_commands(
         &mut self,
         name: &str,
@@ -70,7 +70,7 @@
     }
 }
 
-/// The session that direct commands are for.
+/// The incarnation that direct commands are for.
 fn target_incarnation(worker: &Worker) -> u64 {
     let bound = worker.bindings.values().map(|binding| binding.incarnation);
     worker.incarnation.max(bound.max().unwrap_or(1)).max(1)
@@ -83,7 +83,7 @@
         return command.kind != CommandKind::Start;
     };
     let attempt = command.attempt;
-    let details = format_args!("host {}, task {task}, attempt {attempt}", worker.name);
+    let details = format_args!("worker {}, task {task}, attempt {attempt}", worker.name);
     match command.kind {
         CommandKind::Start => {
             let open = jobs.get(&task.job).is_some();
--- a/src/coordination/leader/fleet.rs
+++ b/src/coordination/leader/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet: what is rented, what is given back, and the cloud's list.
+//! The fleet: what is rented, what is released, and the cloud's list.
 
 use super::Leader;
 use crate::bookkeeping::permits;
@@ -17,16 +17,16 @@
 use crate::settings::Settings;
 use std::collections::{BTreeMap, HashMap};
 
-/// Why a machine is given back.
+/// Why a machine is released.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ScaleInReason {
     /// The cloud takes it.
     Reclaimed,
     /// It has not come up in time.
     BootTimedOut,
-    /// It has missed its reports, and left direct calls unanswered.
+    /// It has missed its heartbeats, and left direct calls unanswered.
     Unresponsive,
-    /// Its reports arrive, but no answer or command reaches it.
+    /// Its heartbeats arrive, but no answer or command reaches it.
     Unreachable,
     /// Tasks of several jobs fail on it that succeed elsewhere.
     FailsTasks,
@@ -58,7 +58,7 @@
     }
 }
 
-/// How far a rental has come.
+/// How far a provisioning request has come.
 #[derive(Debug, Clone, PartialEq)]
 enum ProvisioningState {
     /// Its record is being written.
@@ -121,7 +121,7 @@
     Some(known.map_or(value, |known| known + (value - known) * SMOOTHING))
 }
 
-/// State of renting and giving back.
+/// State of renting and releasing.
 #[derive(Debug)]
 pub struct Fleet {
     epoch: u64,
@@ -144,7 +144,7 @@
     next_delete_at: f64,
     next_scaling_at: f64,
     next_failure_check_at: f64,
-    /// Zones that are taken to be cut off, and when that was last so.
+    /// Zones that are taken to be partitioned, and when that was last so.
     pub(super) partitioned_zones: BTreeMap<String, f64>,
     /// Since when all zones have been silent at once.
     pub(super) all_partitioned_since: Option<f64>,
@@ -152,14 +152,14 @@
     pub(super) heartbeat_interval_s: f64,
 }
 
-/// Share of the cloud's limit that the leader uses; the rest is for the catalogue and for a leader
+/// Share of the cloud's limit that the leader uses; the rest is for the instance catalog and for a leader
 /// that has just been deposed.
 const CLOUD_SHARE: f64 = 0.8;
 /// Seconds' worth of the leader's share that may be used at once.
 const CLOUD_BURST_S: f64 = 1.5;
 /// Usual boot times within which most machines are up. Those that are not are no longer counted on.
 pub(super) const BOOT_USUAL: f64 = 1.5;
-/// Looks for machines to be given back in a report interval.
+/// Looks for machines to be released in a heartbeat interval.
 const CHECKS_PER_HEARTBEAT: f64 = 8.0;
 /// Rounds of the autoscaler in the time of the quickest boot.
 const ROUNDS_PER_BOOT: f64 = 5.0;
@@ -206,7 +206,7 @@
         self.deleted_at.contains_key(name)
     }
 
-    /// Takes over a rental that an earlier leader wrote down.
+    /// Takes over a provisioning request that an earlier leader wrote down.
     pub(super) fn inherit_provisioning(
         &mut self,
         idempotency_key: &str,
@@ -222,7 +222,7 @@
             .insert(idempotency_key.to_owned(), renting);
     }
 
-    /// A rental's record was written or removed.
+    /// A provisioning request's record was written or removed.
     pub(super) fn on_record_written(&mut self, write: &WriteOp) {
         match write {
             WriteOp::Put { key, .. } => {
@@ -246,18 +246,18 @@
         pool.is_some_and(|pool| now < pool.blocked_until)
     }
 
-    /// Whether a zone is cut off, or has just come back.
+    /// Whether a zone is partitioned, or has just come back.
     pub(super) fn was_partitioned(&self, zone: &str) -> bool {
         self.partitioned_zones.contains_key(zone)
     }
 
-    /// Whether a zone is cut off now, as far as the last look told.
+    /// Whether a zone is partitioned now, as far as the last look told.
     pub(super) fn is_partitioned(&self, zone: &str, now: f64) -> bool {
         let cut = self.partitioned_zones.get(zone);
         cut.is_some_and(|at| now - at < self.heartbeat_interval_s / CHECKS_PER_HEARTBEAT * 2.0)
     }
 
-    /// Whether any rental is not settled.
+    /// Whether any provisioning request is not settled.
     pub(super) fn is_provisioning(&self) -> bool {
         !self.provisioning.is_empty()
     }
@@ -401,7 +401,7 @@
             return;
         }
         self.fleet.delete_in_flight = true;
-        tracing::debug!(workers = ?names, "deletion sent");
+        tracing::debug!(workers = ?names, "delete request sent");
         let kind = CloudRequestKind::DeleteInstances(self.epoch, names.clone());
         effects.call_cloud(
             kind,
@@ -437,7 +437,7 @@
         if !fleet.rate_limiter.take(1.0, now) {
             return;
         }
-        tracing::debug!(idempotency_key, pool = %request.pool(), again = request.sent, "rental sent");
+        tracing::debug!(idempotency_key, pool = %request.pool(), again = request.sent, "provisioning request sent");
         request.state = ProvisioningState::InFlight;
         request.sent = true;
         fleet.create_in_flight = true;
@@ -508,7 +508,7 @@
         }
     }
 
-    /// Removes the records of rentals whose machines have all been seen.
+    /// Removes the records of provisioning requests whose machines have all been seen.
     fn complete_provisioning(&mut self) {
         for (idempotency_key, request) in &mut self.fleet.provisioning {
             let ProvisioningState::Created(names) = &request.state else {
@@ -528,7 +528,7 @@
         }
     }
 
-    /// Takes what came of a rental.
+    /// Takes what came of a provisioning request.
     pub fn on_instances_created(
         &mut self,
         idempotency_key: &str,
@@ -548,7 +548,7 @@
             .map_or(self.fleet.heartbeat_interval_s, |f| f.boot_time_s);
         match response {
             CloudResponse::Created(names) => {
-                tracing::info!(idempotency_key, pool = %key, wanted, got = names.len(), "rented");
+                tracing::info!(idempotency_key, pool = %key, wanted, got = names.len(), "instances created");
                 if names.len() < wanted as usize {
                     self.fleet.block(&key, boot_time_s, now);
                 } else if let Some(pool) = self.fleet.pools.get_mut(&key) {
@@ -567,7 +567,7 @@
                 self.complete_provisioning();
             }
             CloudResponse::InsufficientCapacity | CloudResponse::InvalidRequest => {
-                tracing::info!(idempotency_key, pool = %key, wanted, "rental refused");
+                tracing::info!(idempotency_key, pool = %key, wanted, "provisioning request rejected");
                 request.state = ProvisioningState::Completing;
                 self.fleet.block(&key, boot_time_s, now);
                 self.log.push(LogEntry::WriteKey {
@@ -592,19 +592,19 @@
                 continue;
             }
             self.drop_all_bindings(name, now);
-            tracing::info!(worker = name, "machine deleted");
+            tracing::info!(worker = name, "instance deleted");
             self.log.push(LogEntry::RemoveWorker {
                 worker: name.clone(),
             });
         }
     }
 
-    /// Marks a host as returning; it is deleted once the mark is written.
+    /// Marks a worker as returning; it is deleted once the mark is written.
     pub(super) fn scale_in(&mut self, name: &str, reason: ScaleInReason) {
         if let Some(worker) = self.workers.get_mut(name)
             && !worker.terminating
         {
-            tracing::info!(worker = name, ?reason, "giving back a machine");
+            tracing::info!(worker = name, ?reason, "scale-in");
             worker.terminating = true;
             self.log.push(LogEntry::RecordTermination {
                 worker: name.to_owned(),
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Reports of workers: what they tell, and the orders that answer them.
+//! Heartbeats of workers: what they tell, and the commands that answer them.
 
 use super::{Leader, LeaderEvent, MAX_BUFFERED_HEARTBEATS};
 use crate::bookkeeping::permits::{PermitKind, ViewFreshness};
@@ -14,17 +14,17 @@
 /// What to answer a worker.
 #[derive(Debug, PartialEq)]
 pub enum HeartbeatOutcome {
-    /// 200 with these orders.
+    /// 200 with these commands.
     Commands(CommandBatch),
     /// Nothing that renews its lease: what runs there may be cancelled.
     LeaseNotRenewed,
-    /// The worker has seen a higher Epoch: 421.
+    /// The worker has seen a higher epoch: 421.
     NewerLeaderExists,
 }
 
 impl Leader {
-    /// Takes a report that a worker sent by itself. The answer renews its lease, if `knowledge` allows
-    /// it. `is_open`: the open jobs that this node knows of besides the tables.
+    /// Takes a heartbeat that a worker sent by itself. The answer renews its lease, if `knowledge` allows
+    /// it. `is_open`: the open jobs that this controller knows of besides the tables.
     pub fn on_heartbeat(
         &mut self,
         heartbeat: &WorkerHeartbeat,
@@ -44,7 +44,7 @@
                 ?reason,
                 lease_age_s = freshness.lease_age_s,
                 view_age_s = freshness.view_age_s,
-                "lease not renewed"
+                "worker lease not renewed"
             );
             return HeartbeatOutcome::LeaseNotRenewed;
         }
@@ -75,7 +75,7 @@
         let may_start = freshness.may_start().is_ok();
         let commands = worker.commands(may_start, MAX_COMMANDS);
         if may_start && commands.len() < MAX_COMMANDS {
-            // The answer carries all; the next report shows what came of it.
+            // The answer carries all; the next heartbeat shows what came of it.
             self.dispatch_due.remove(&heartbeat.worker);
             self.last_dispatch
                 .insert(heartbeat.worker.clone(), (commands.clone(), now));
@@ -98,7 +98,7 @@
         ))
     }
 
-    /// Takes a report from whatever way. False: a newer one is known.
+    /// Takes a heartbeat from whatever way. False: a newer one is known.
     pub(super) fn apply_heartbeat(
         &mut self,
         heartbeat: &WorkerHeartbeat,
@@ -122,10 +122,7 @@
             worker
         });
         if !known {
-            tracing::info!(
-                worker = heartbeat.worker,
-                "a machine nobody expected reports"
-            );
+            tracing::info!(worker = heartbeat.worker, "unknown worker registered");
         }
         if !worker.is_newer(heartbeat) {
             // A copy, or overtaken by a direct answer. Should the worker still wait for our answer,
@@ -146,7 +143,7 @@
         let new_session = heartbeat.incarnation > worker.incarnation;
         if new_session {
             if worker.last_heartbeat_at.is_some() {
-                // It lost a session although we answered it: perhaps our answers don't arrive.
+                // It lost an incarnation although we answered it: perhaps our answers don't arrive.
                 worker.unreachable_since = Some(now);
             }
             worker.pending_starts.end_session();
@@ -163,7 +160,7 @@
                 zone = heartbeat.zone,
                 spot = heartbeat.spot,
                 after_s = now - worker.first_seen_at,
-                "machine is up"
+                "worker registered"
             );
             worker.idle_since = now;
         }
@@ -173,7 +170,7 @@
         worker.last_heartbeat_at = Some(now);
         if ours {
             worker.observe_fence(heartbeat.token.fence());
-            // Only who has our Epoch shows that we are heard, too.
+            // Only who has our epoch shows that we are heard, too.
             self.last_heartbeat_at = Some(now);
         }
         worker.endpoint.clone_from(&heartbeat.endpoint);
@@ -193,7 +190,7 @@
         worker.observed_tasks = statuses;
         let name = heartbeat.worker.clone();
         if new_session {
-            // A new session has killed and forgotten all tasks of the earlier ones.
+            // A new incarnation has killed and forgotten all tasks of the earlier ones.
             let incarnation = heartbeat.incarnation;
             self.end_lost_bindings(&name, |binding| binding.incarnation < incarnation);
             self.schedule_due = true;
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -1,4 +1,4 @@
-//! What the leading node does: it rebuilds its tables from the state service, takes reports, binds
+//! What the leading controller does: it rebuilds its tables from the state service, takes heartbeats, binds
 //! tasks, and reconciles workers and fleet with what is wanted.
 
 mod binding_reconciliation;
@@ -36,11 +36,11 @@
 
 pub use heartbeats::HeartbeatOutcome;
 
-/// Attempts within one Epoch.
+/// Attempts within one epoch.
 const ATTEMPT_COUNTER_BITS: u32 = 24;
 /// Share of the state service's limits that the leader's own writes may use.
 pub const LEADER_STATE_SHARE: f64 = 0.5;
-/// Reports kept while the tables are being loaded.
+/// Heartbeats kept while the tables are being loaded.
 const MAX_BUFFERED_HEARTBEATS: usize = 4096;
 /// Binds are put off while more changes than this wait to be written.
 const MAX_BACKLOG: usize = 600;
@@ -48,25 +48,25 @@
 const RUNTIME_ESTIMATE_MARGIN: f64 = 1.5;
 /// Leases for which a job waits without a start before it goes first among its equals.
 const AGEING_LEASES: f64 = 6.0;
-/// Leases for which a job's tasks avoid a host on which one of them has failed.
+/// Leases for which a job's tasks avoid a worker on which one of them has failed.
 const AVOID_LEASES: f64 = 1.0;
-/// Report intervals between two logs of what was allowed and denied.
+/// Heartbeat intervals between two logs of what was allowed and denied.
 const HEARTBEATS_PER_DECISION_LOG: f64 = 24.0;
-/// Passes of the scheduler in a report interval, at most.
+/// Passes of the scheduler in a heartbeat interval, at most.
 const CYCLES_PER_HEARTBEAT: f64 = 25.0;
 
-/// Something that the rest of the node must learn.
+/// Something that the rest of the controller must learn.
 #[derive(Debug, PartialEq)]
 pub enum LeaderEvent {
     /// A job has ended.
     JobFinished(String, FinishedRecord),
-    /// Another leader's Epoch was seen.
+    /// Another leader's epoch was seen.
     HigherEpochSeen(u64),
     /// A transaction found the leader's key changed.
     Deposed,
 }
 
-/// The leader's tables and pipelines, for one Epoch.
+/// The leader's tables and pipelines, for one epoch.
 pub struct Leader {
     epoch: u64,
     elected_at: f64,
@@ -80,24 +80,24 @@
     recovery: Option<Recovery>,
     buffered_heartbeats: BTreeMap<String, WorkerHeartbeat>,
     closed_during_recovery: HashSet<String>,
-    /// Jobs that an earlier leader has told to be suspect.
+    /// Jobs that an earlier leader has told to be crash-looping.
     inherited_crash_looping: BTreeSet<String>,
     listing_during_recovery: Option<(u64, BTreeSet<String>)>,
     attempts: u64,
     request_budget: TokenBucket,
     write_budget: TokenBucket,
-    /// A transaction, or a look at its fate, is on its way.
+    /// A transaction, or a look at its outcome, is on its way.
     commit_in_flight: bool,
     /// No transaction before this time.
     next_commit_at: f64,
-    /// The conditions that a transaction of unknown fate met.
+    /// The conditions that a transaction of unknown outcome met.
     failed_compares: Vec<String>,
     schedule_due: bool,
     next_cycle_at: f64,
     /// Starts may go out, as of the last time.
     may_start: bool,
     dispatch_due: BTreeSet<String>,
-    /// Hosts with a direct call on its way, and whether it may well not be answered.
+    /// Workers with a direct call on its way, and whether it may well not be answered.
     calls_in_flight: HashMap<String, bool>,
     last_dispatch: HashMap<String, (Vec<Command>, f64)>,
     pending_demand: Vec<scheduler::PendingDemand>,
@@ -107,10 +107,10 @@
     is_first_leader: bool,
     /// Until then an earlier leader may have renewed leases.
     previous_leader_deadline: f64,
-    /// Nodes that know this Epoch, or a higher one.
+    /// Controllers that know this epoch, or a higher one.
     acknowledged_by: BTreeSet<String>,
     last_heartbeat_at: Option<f64>,
-    /// When this node last did its work, and since when it has done so without a gap: nobody counts
+    /// When this controller last did its work, and since when it has done so without a gap: nobody counts
     /// as silent for the time in which it did not listen.
     last_polled_at: f64,
     awake_since: f64,
@@ -182,12 +182,12 @@
         }
     }
 
-    /// The Epoch.
+    /// The epoch.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// A node has shown that it knows this Epoch, or a higher one: it no longer holds over for an
+    /// A controller has shown that it knows this epoch, or a higher one: it no longer answers heartbeats, under the grace period, for an
     /// earlier one, and never will again. Once all have, nobody else renews any lease.
     pub fn acknowledged_by(&mut self, label: &str, now: f64) {
         let seeds = &self.settings.peers;
@@ -204,18 +204,18 @@
         }
     }
 
-    /// What the rest of the node must learn.
+    /// What the rest of the controller must learn.
     pub fn take_events(&mut self) -> Vec<LeaderEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Takes a new catalogue.
+    /// Takes a new instance catalog.
     pub fn set_instance_types(&mut self, instance_types: Rc<Vec<InstanceType>>) {
         self.instance_types = instance_types;
         self.schedule_due = true;
     }
 
-    /// A job was opened, as the watch or the frontend shows it.
+    /// A job was opened, as the watch or the job API shows it.
     pub fn on_job_opened(&mut self, mod_revision: u64, spec: &JobSpec, now: f64, wall: f64) {
         if self.jobs.get(&spec.id).is_some() {
             return;
@@ -257,7 +257,7 @@
                 job = id,
                 bound = job.bound_workers.len(),
                 copies_on = job.workers_with_start_copies.len(),
-                "job over: its tasks are stopped"
+                "job ended: tasks evicted"
             );
             self.log.forget_job(id);
             self.evict_tasks_of(&job);
@@ -276,7 +276,7 @@
         }
     }
 
-    /// Orders a stop of a job's bound tasks after its end.
+    /// Requests a stop of a job's bound tasks after its end.
     fn evict_tasks_of(&mut self, job: &Job) {
         for (index, names) in &job.bound_workers {
             let task = TaskId {
@@ -312,7 +312,7 @@
         }
     }
 
-    /// Orders a stop of all bound tasks whose job is over.
+    /// Requests a stop of all bound tasks whose job is over.
     fn evict_orphans(&mut self) {
         for worker in self.workers.iter_mut() {
             for (task, binding) in &mut worker.bindings {
@@ -347,12 +347,12 @@
         let Some(there) = there.filter(|_| !self.recovery()) else {
             return 0.0;
         };
-        // After a takeover, workers need a moment to find the new leader.
+        // After a failover, workers need a moment to find the new leader.
         let from = self.elected_at + 2.0 * self.settings.deployment.workers.heartbeat_interval_s;
         now - self.last_heartbeat_at.unwrap_or(from).max(from).max(there)
     }
 
-    /// When a session whose worker is silent has certainly ended: its lease has run out since the
+    /// When an incarnation whose worker is silent has certainly ended: its lease has run out since the
     /// last answer that may have renewed it, by the slower of two clocks.
     fn worker_lease_expires_at(&self, worker: &Worker) -> f64 {
         let worker_settings = &self.settings.deployment.workers;
@@ -364,7 +364,7 @@
     /// Does all that is due and that `knowledge` allows.
     pub fn poll(&mut self, freshness: &ViewFreshness, effects: &mut Effects, now: f64) {
         if now - self.last_polled_at > self.settings.deployment.workers.heartbeat_interval_s / 4.0 {
-            tracing::info!(gap_s = now - self.last_polled_at, "this node stood still");
+            tracing::info!(gap_s = now - self.last_polled_at, "event loop stalled");
             self.awake_since = now;
         }
         self.last_polled_at = now;
@@ -391,7 +391,7 @@
                 ?starts,
                 view_age_s = freshness.view_age_s,
                 lease_age_s = freshness.lease_age_s,
-                "starts allowed or denied"
+                "permission to start tasks changed"
             );
         }
         self.may_start = may_start;
@@ -419,10 +419,7 @@
             .map(|worker| worker.name.clone())
             .collect();
         for name in dead {
-            tracing::info!(
-                worker = name,
-                "session over: silent for longer than its lease"
-            );
+            tracing::info!(worker = name, "worker lease expired");
             if let Some(worker) = self.workers.get_mut(&name) {
                 worker.token_acknowledged = false;
                 worker.observed_tasks.clear();
@@ -432,7 +429,7 @@
         }
     }
 
-    /// Ends bindings of tasks that are certainly no longer on the host.
+    /// Ends bindings of tasks that are certainly no longer on the worker.
     fn end_lost_bindings(&mut self, name: &str, is_lost: impl Fn(&Binding) -> bool) {
         let Some(worker) = self.workers.get(name) else {
             return;
@@ -519,7 +516,7 @@
         for (name, task) in plan.preemptions {
             let worker = self.workers.get_mut(&name);
             if let Some(binding) = worker.and_then(|worker| worker.bindings.get_mut(&task)) {
-                tracing::info!(worker = name, %task, "preempted");
+                tracing::info!(worker = name, %task, "task preempted");
                 let checkpoint_grace_s = self
                     .jobs
                     .get(&task.job)
@@ -539,7 +536,7 @@
         if worker.bindings.contains_key(task) || worker.observed_tasks.contains_key(task) {
             return;
         }
-        // The tasks of a group find one another by a common attempt.
+        // The tasks of a gang find one another by a common attempt.
         let mates = match job.gang_attempt {
             Some(attempt) if job.spec.kind == JobKind::Gang && !job.bound_workers.is_empty() => {
                 Some(attempt)
@@ -563,7 +560,7 @@
             eviction: None,
             running_since: None,
         };
-        tracing::debug!(worker = name, %task, attempt, "bound");
+        tracing::debug!(worker = name, %task, attempt, "task bound");
         worker.bindings.insert(task.clone(), binding);
         job.bind(task.index, name, &worker.zone);
         self.quotas.charge(&job.spec.team, need.cpus, need.gpus);
--- a/src/coordination/leader/recovery.rs
+++ b/src/coordination/leader/recovery.rs
@@ -1,4 +1,4 @@
-//! Reading the records after a takeover: open jobs, the log, and rentals.
+//! Reading the records after a failover: open jobs, the log, and provisioning requests.
 
 use super::{Leader, LeaderEvent};
 use crate::bookkeeping::records::{self, ProvisioningRecord};
@@ -112,7 +112,7 @@
                         }
                         segments.push((item, segment));
                     }
-                    Err(error) => tracing::error!(key = item.key, %error, "unreadable segment"),
+                    Err(error) => tracing::error!(key = item.key, %error, "log segment unreadable"),
                 }
             } else if let Some(idempotency_key) =
                 item.key.strip_prefix(records::PROVISIONING_PREFIX)
@@ -123,7 +123,7 @@
         }
         self.is_first_leader = segments.is_empty() && !self.fleet.is_provisioning();
         segments.sort_by_key(|(_, segment)| segment.seq);
-        // What a host is may have been carried into a later segment than its bindings stand in.
+        // What a worker is may have been carried into a later segment than its bindings stand in.
         for (_, segment) in &segments {
             self.replay_workers(segment, now);
         }
@@ -145,7 +145,7 @@
             workers = self.workers.len(),
             segments = segments.len(),
             after_s = now - self.elected_at,
-            "tables loaded"
+            "recovery completed"
         );
         self.finish_completed_jobs();
         for (_, heartbeat) in std::mem::take(&mut self.buffered_heartbeats) {
@@ -154,9 +154,9 @@
         self.schedule_due = true;
     }
 
-    /// Repeats what a segment of the log says of hosts.
+    /// Repeats what a segment of the log says of workers.
     fn replay_workers(&mut self, segment: &Segment, now: f64) {
-        // An earlier leader may have answered reports until its hold-over ended.
+        // An earlier leader may have answered reports until its lease grace period ended.
         let lease_from = self.previous_leader_deadline;
         for (number, instance_type, zone, spot, endpoint, returning) in &segment.workers {
             let Some(name) = segment.worker_name(*number) else {
--- a/src/coordination/leader/scaling.rs
+++ b/src/coordination/leader/scaling.rs
@@ -159,7 +159,7 @@
                 };
                 PoolOffer {
                     remaining: self.fleet.request_limit(&key),
-                    // What would come up in a zone that is cut off could not be reached either.
+                    // What would come up in a zone that is partitioned could not be reached either.
                     blocked: self.fleet.is_blocked(&key, now)
                         || self.fleet.is_partitioned(&key.zone, now),
                     price: if spot {
@@ -202,7 +202,7 @@
         stock
     }
 
-    /// What replicas take of a host.
+    /// What replicas take of a worker.
     fn service_usage(&self, worker: &Worker) -> Resources {
         worker
             .bindings
@@ -264,7 +264,7 @@
                 let each =
                     Resources::of_instance_type(offers[*i].instance_type).count_fitting(&need);
                 if each > 0 && !offers[*i].blocked {
-                    // Less than a machine's worth is none: in a small zone it would be dear.
+                    // Less than a machine's worth is none: in a small zone it would be expensive.
                     spare[*i] += missing / each;
                     missing = 0;
                 }
@@ -320,7 +320,7 @@
         now: f64,
     ) {
         let mut left = MAX_FITTED;
-        // Room that running tasks will give back each second, and who is ahead for it.
+        // Room that running tasks will release each second, and who is ahead for it.
         let (freed, running) = self.cpus_freed_per_s();
         // The fewer tasks run, the less sure it is when they end.
         let margin = TURN_MARGIN * (1.0 + TURN_DOUBT / f64::from(running.max(1)).sqrt());
@@ -337,7 +337,7 @@
             let need = scheduler::resource_request(spec);
             let mut zones = job.bound_per_zone.clone();
             // Work that may use spot machines waits for them as long as it can still be on time
-            // with an ordinary machine rented later.
+            // with an on-demand machine rented later.
             let time_s =
                 RUNTIME_ESTIMATE_MARGIN * self.fleet.runtime_bias * spec.expected_runtime_s;
             let patient = |offer: &PoolOffer| {
@@ -387,11 +387,11 @@
             }
         }
         if left == 0 {
-            tracing::info!(fitted = MAX_FITTED, "more tasks wait than a round looks at");
+            tracing::info!(fitted = MAX_FITTED, "demand truncated for this round");
         }
     }
 
-    /// CPUs that the tasks of arrays give back each second by ending, and how many tasks these are.
+    /// CPUs that the tasks of arrays free each second by ending, and how many tasks these are.
     fn cpus_freed_per_s(&self) -> (f64, u32) {
         let (mut freed, mut running) = (0.0, 0);
         for worker in self.workers.iter().filter(|worker| worker.is_schedulable()) {
@@ -478,14 +478,14 @@
                 machines,
                 busy,
                 pending = demand.pending,
-                "scaling"
+                "scaling decision"
             );
         }
         if decision.target > machines && !offer.blocked && stock.provisioning == 0 {
             self.scale_out(key, demand.priority, decision.target - machines);
         }
         let surplus = machines.saturating_sub(decision.target) as usize;
-        // Machines in a zone that is cut off are idle only for want of somebody to ask them.
+        // Machines in a zone that is partitioned are idle only for want of somebody to ask them.
         let cut = self.fleet.was_partitioned(&key.zone);
         let mut idle: Vec<&Worker> = self
             .workers
@@ -505,7 +505,7 @@
             .map(|worker| worker.name.clone())
             .collect();
         if !back.is_empty() {
-            tracing::info!(pool = %key, count = back.len(), target = decision.target, "giving back idle machines");
+            tracing::info!(pool = %key, count = back.len(), target = decision.target, "scale-in of idle workers");
         }
         back
     }
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -41,7 +41,7 @@
             .any(|heartbeat| heartbeat.state_service_ok)
     }
 
-    /// Whether workers have lately come to some peer while this node leads.
+    /// Whether workers have lately come to some peer while this controller leads.
     pub fn any_redirected(&self, within_s: f64, now: f64) -> bool {
         self.fresh(within_s, now)
             .any(|heartbeat| heartbeat.redirected_workers > 0)
@@ -55,7 +55,7 @@
         Some((latest.epoch, latest.leader.as_deref()))
     }
 
-    /// Jobs that leaders have told to be suspect.
+    /// Jobs that leaders have told to be crash-looping.
     pub fn crash_looping_jobs(&self, within_s: f64, now: f64) -> BTreeSet<String> {
         let told = self.fresh(within_s, now);
         told.flat_map(|heartbeat| heartbeat.crash_looping_jobs.iter().cloned())
--- a/src/coordination/scheduler/mod.rs
+++ b/src/coordination/scheduler/mod.rs
@@ -13,7 +13,7 @@
 use rand::seq::index::sample;
 use std::collections::{HashMap, HashSet};
 
-/// Hosts looked at for one job; where there are more, a random sample stands for all.
+/// Workers looked at for one job; where there are more, a random sample stands for all.
 const SAMPLE_SIZE: usize = 64;
 /// Tasks placed in one pass.
 const MAX_BINDS: usize = 128;
@@ -36,9 +36,9 @@
 /// What a pass decided.
 #[derive(Debug, Default, PartialEq)]
 pub struct Assignments {
-    /// Tasks and their hosts.
+    /// Tasks and their workers.
     pub bindings: Vec<(TaskId, String)>,
-    /// Bound tasks to be stopped for others: host and task.
+    /// Bound tasks to be stopped for others: worker and task.
     pub preemptions: Vec<(String, TaskId)>,
     /// What found no room.
     pub pending_demand: Vec<PendingDemand>,
@@ -79,7 +79,7 @@
     preempted: bool,
 }
 
-/// A host that a job's tasks may go to, with what does not change while they are placed.
+/// A worker that a job's tasks may go to, with what does not change while they are placed.
 struct ScoredWorker {
     capacity: usize,
     /// A task of the job has failed there.
@@ -87,7 +87,7 @@
     has_image: bool,
     /// It would have to fetch the image, which what must start soon can't wait for.
     slow_start: bool,
-    /// Ordinary, though the job may use spot machines.
+    /// On-demand, though the job may use spot machines.
     on_demand: bool,
 }
 
@@ -98,7 +98,7 @@
     request: Resources,
     /// Its tasks in each zone, by the zone's number.
     tasks_per_zone: Vec<u32>,
-    /// Its tasks on each host, by the slot's number, as far as placed in this pass.
+    /// Its tasks on each worker, by the slot's number, as far as placed in this pass.
     placed_per_worker: HashMap<usize, u32>,
 }
 
@@ -129,7 +129,7 @@
     zones: Vec<&'a str>,
     assignments: Assignments,
     jobs_within_quota: HashSet<String>,
-    /// Needs that found no free room on ordinary machines, or on any: room only shrinks in a pass.
+    /// Needs that found no free room on on-demand machines, or on any: room only shrinks in a pass.
     unsatisfiable: [Option<Resources>; 2],
     /// The lowest rank that has tasks bound.
     lowest_bound_priority: PriorityClass,
@@ -142,7 +142,7 @@
 pub struct CycleLimits {
     /// A job that has waited for so long without a start goes first among its equals.
     pub ageing_s: f64,
-    /// For so long a job's tasks avoid a host on which one of them has failed.
+    /// For so long a job's tasks avoid a worker on which one of them has failed.
     pub avoid_s: f64,
 }
 
@@ -267,7 +267,7 @@
             placement.tasks_per_zone.resize(self.zones.len(), 0);
             placement.tasks_per_zone[number] = *count;
         }
-        // The tasks of a group start together or not at all; what has been tried is taken back, and
+        // The tasks of a gang start together or not at all; what has been tried is taken back, and
         // only what is beyond the room there was counts as missing.
         let together = spec.kind == JobKind::Gang;
         let before = together.then(|| (self.assignments.bindings.len(), self.quotas.clone()));
@@ -388,7 +388,7 @@
         (placed + expected, barred, false)
     }
 
-    /// Whether the job's tasks may go to a host at all.
+    /// Whether the job's tasks may go to a worker at all.
     fn filter_worker(&self, placement: &JobPlacement, capacity: &WorkerCapacity) -> bool {
         let worker = capacity.worker;
         let avoids = placement
@@ -401,7 +401,7 @@
             && placement.zone_allows(capacity.zone)
     }
 
-    /// Hosts with room for a task of the job; where there are many, a random sample.
+    /// Workers with room for a task of the job; where there are many, a random sample.
     fn score_workers(&mut self, placement: &JobPlacement, rng: &mut impl Rng) -> Vec<ScoredWorker> {
         let spec = placement.spec;
         let need = &placement.request;
@@ -460,7 +460,7 @@
 
     /// The candidate that a task goes to: for jobs that may use spot machines those first; fewer
     /// replicas in the zone; the image at hand; then the fullest. Replicas that must fetch their
-    /// image do so each on another host, so that later ones find it on many.
+    /// image do so each on another worker, so that later ones find it on many.
     fn best_worker(
         &self,
         candidates: &[ScoredWorker],
@@ -511,7 +511,7 @@
             .map(|(number, _)| number)
     }
 
-    /// Keeps the freest host for a job that has waited for long, so that small tasks of others don't
+    /// Keeps the freest worker for a job that has waited for long, so that small tasks of others don't
     /// fill every gap before a large one fits.
     fn reserve_freest_worker(&mut self, placement: &JobPlacement) {
         let freest = (0..self.capacities.len())
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -9,7 +9,7 @@
 use rand::seq::index::sample;
 
 impl<'a> SchedulingCycle<'a> {
-    /// Finds room that is about to be given up, or stops tasks of lower standing for it, if the job
+    /// Finds room that is about to be given up, or stops tasks of lower priority for it, if the job
     /// can't wait any longer.
     pub(super) fn make_room(
         &mut self,
@@ -123,7 +123,7 @@
         !victim.preempted && (victim.priority > placement.spec.priority || borrowed())
     }
 
-    /// How many of a host's tasks would have to stop, the least work lost first, and the work lost.
+    /// How many of a worker's tasks would have to stop, the least work lost first, and the work lost.
     fn preemption_cost(
         &self,
         i: usize,
--- a/src/coordination/terminations.rs
+++ b/src/coordination/terminations.rs
@@ -7,11 +7,11 @@
 use crate::protocol::peer::{MAX_TERMINATIONS, Termination, TerminationAck, TerminationLog};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What this node has to tell, and what it has heard.
+/// What this controller has to tell, and what it has heard.
 #[derive(Debug)]
 pub struct TerminationQueue {
     label: String,
-    /// Tells this process from earlier ones of the same node, whose numbers are others.
+    /// Tells this process from earlier ones of the same controller, whose numbers are others.
     process_incarnation: u64,
     /// Number of the first end in the queue.
     first_sequence: u64,
@@ -56,7 +56,7 @@
         self.first_sequence += 1;
     }
 
-    /// What goes into this node's next word to its peers.
+    /// What goes into this controller's next word to its peers.
     pub fn next_message(&mut self, now: f64) -> TerminationLog {
         while let Some((since, _)) = self.queue.front()
             && now - since > self.retention_s
@@ -80,7 +80,7 @@
     }
 
     /// Takes a peer's word: what it has acknowledged need not be told any more, and what it tells is
-    /// acknowledged with this node's next word.
+    /// acknowledged with this controller's next word.
     pub fn on_message(&mut self, peer: &str, terminations: &TerminationLog) {
         let Some(mark) = self.acknowledged.get_mut(peer) else {
             return;
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -23,7 +23,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Why a node can't run.
+/// Why a controller can't run.
 #[derive(Debug, thiserror::Error)]
 pub enum DaemonError {
     /// An address can't be listened at.
@@ -54,11 +54,11 @@
 const CLOUD_BODY: usize = 1024 * 1024;
 /// Longest answer of a worker.
 const WORKER_BODY: usize = 2 * http::MAX_REQUEST_BODY;
-/// Connections that may wait to be accepted: after a takeover all workers and users come at once.
+/// Connections that may wait to be accepted: after a failover all workers and users come at once.
 const BACKLOG: i32 = 4096;
-/// Report intervals between two logs of the latencies.
+/// Heartbeat intervals between two logs of the latencies.
 const REPORTS_PER_LOG: f64 = 24.0;
-/// Ticks in a report interval.
+/// Ticks in a heartbeat interval.
 const TICKS_PER_REPORT: f64 = 100.0;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -102,7 +102,7 @@
     state_calls: Latency,
 }
 
-/// Runs a node until it is killed.
+/// Runs a controller until it is killed.
 pub fn run(settings: Settings, policy: Policy) -> Result<(), DaemonError> {
     let mut event_loop: EventLoop<'static, Daemon> = EventLoop::try_new()?;
     let handle = event_loop.handle();
@@ -137,7 +137,7 @@
     tracing::info!(
         label = settings.label,
         version = env!("CARGO_PKG_VERSION"),
-        "starting"
+        "controller starting"
     );
     let settings = Rc::new(settings);
     let process_incarnation = SmallRng::from_os_rng().random();
@@ -222,7 +222,7 @@
                 self.tokens.insert(source, token);
             }
             Err(error) => {
-                tracing::warn!(%error, "a connection could not be registered");
+                tracing::warn!(%error, "connection registration failed");
                 self.forget(source);
             }
         }
@@ -452,7 +452,7 @@
                     self.send(Pool::Workers, to, request, waiting, within_s, now);
                 }
                 Err(_) => {
-                    tracing::warn!(endpoint, "not an address");
+                    tracing::warn!(endpoint, "worker endpoint invalid");
                     self.controller.on_worker_response(
                         correlation_id,
                         WorkerResponse::NotSent,
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -200,7 +200,7 @@
                 .and_then(|program| evaluate(program, &self.platform, pool, least, most));
             own.unwrap_or_else(|what| {
                 if !self.complained.replace(true) {
-                    tracing::error!(name, what, "policy: the default is used");
+                    tracing::error!(name, what, "policy expression failed: default used");
                 }
                 self.defaults
                     .get(i)
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -3,14 +3,14 @@
 use super::cbor;
 use serde::{Deserialize, Serialize};
 
-/// The most machines of one rental request.
+/// The most machines of one provisioning request.
 pub const MAX_INSTANCES_PER_CREATE: u32 = 50;
 /// The most names of one deletion.
 pub const MAX_INSTANCES_PER_DELETE: usize = 100;
 /// Machines in a page of the list.
 pub const PAGE_SIZE: u32 = 500;
 
-/// A machine type.
+/// An instance type.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct InstanceType {
     /// Name.
@@ -31,7 +31,7 @@
     /// Image fetch rate.
     #[serde(rename = "PullGbPerS", default, deserialize_with = "cbor::amount")]
     pub image_pull_gb_per_s: f64,
-    /// Ordinary price per hour.
+    /// On-demand price per hour.
     #[serde(rename = "Hourly", deserialize_with = "cbor::amount")]
     pub on_demand_price: f64,
     /// Present spot price per hour.
@@ -110,7 +110,7 @@
     instances: Vec<String>,
 }
 
-/// A rental request.
+/// A provisioning request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CreateInstances {
     /// Name of the request; never used twice.
@@ -139,7 +139,7 @@
 /// A call to the cloud.
 #[derive(Debug, Clone)]
 pub enum CloudRequest {
-    /// The catalogue.
+    /// The instance catalog.
     ListInstanceTypes,
     /// Rent machines.
     CreateInstances(CreateInstances),
@@ -152,7 +152,7 @@
 /// What came of a call to the cloud.
 #[derive(Debug, Clone)]
 pub enum CloudResponse {
-    /// The catalogue.
+    /// The instance catalog.
     InstanceTypes(Vec<InstanceType>),
     /// The names of the machines rented.
     Created(Vec<String>),
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -9,7 +9,7 @@
 pub const MAX_TASKS: u64 = 100_000;
 /// The longest text we take in a field.
 const MAX_TEXT: usize = 200;
-/// The most machine types a job may name.
+/// The most instance types a job may name.
 const MAX_INSTANCE_TYPES: usize = 64;
 /// The largest amount we take in a field; far beyond any machine, and safe in sums.
 const MAX_AMOUNT: f64 = 1e9;
@@ -55,7 +55,7 @@
     /// Team whose guarantee and limit apply.
     #[serde(rename = "Owner")]
     pub team: String,
-    /// Array or standing.
+    /// Array or service.
     #[serde(rename = "Shape")]
     pub kind: JobKind,
     /// Priority.
@@ -73,7 +73,7 @@
     /// Memory of each task.
     #[serde(rename = "RamGb", deserialize_with = "cbor::amount")]
     pub ram_gb: f64,
-    /// Allowed machine types; none: any.
+    /// Allowed instance types; none: any.
     #[serde(rename = "Flavors")]
     pub instance_types: Option<Vec<String>>,
     /// The only allowed zone.
@@ -106,7 +106,7 @@
     /// Deadline from submission.
     #[serde(rename = "DueS", default, deserialize_with = "cbor::optional_amount")]
     pub deadline_s: Option<f64>,
-    /// Time of day at which a node took the job, in seconds; our own addition.
+    /// Time of day at which a controller took the job, in seconds; our own addition.
     #[serde(rename = "At", default, deserialize_with = "cbor::amount")]
     pub submitted_at: f64,
 }
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -7,7 +7,7 @@
 /// The most jobs whose counts fit into one message.
 pub const MAX_JOB_COUNTS: usize = 2000;
 
-/// The most suspect jobs that fit into one message; the others are found to be so once more.
+/// The most crash-looping jobs that fit into one message; the others are found to be so once more.
 pub const MAX_CRASH_LOOPING_JOBS: usize = 500;
 /// The most ends of jobs that fit into one message; others are looked up when somebody asks.
 pub const MAX_TERMINATIONS: usize = 1000;
@@ -34,7 +34,7 @@
     pub done: u32,
 }
 
-/// Up to which number a node has heard of a peer's ends.
+/// Up to which number a controller has heard of a peer's ends.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct TerminationAck {
     /// The peer.
@@ -48,7 +48,7 @@
 /// Terminations of jobs that some peer has not acknowledged yet; peers need not look them up.
 #[derive(Debug, Clone, Default, PartialEq, Archive, Serialize, Deserialize)]
 pub struct TerminationLog {
-    /// Tells this process from earlier ones of the same node.
+    /// Tells this process from earlier ones of the same controller.
     pub process_incarnation: u64,
     /// Number of the first of the list.
     pub first_sequence: u64,
@@ -58,26 +58,26 @@
     pub acks: Vec<TerminationAck>,
 }
 
-/// A node's regular word to its peers.
+/// A controller's regular word to its peers.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct PeerHeartbeat {
     /// Sender.
     pub label: String,
-    /// Highest Epoch the sender knows.
+    /// Highest epoch the sender knows.
     pub epoch: u64,
     /// Who it thinks leads.
     pub leader: Option<String>,
     /// Whether the state service answered it lately.
     pub state_service_ok: bool,
-    /// Workers that knocked at it lately although another node leads.
+    /// Workers that came to it lately although another controller leads.
     pub redirected_workers: u32,
     /// From the leader: display counts of the open jobs.
     pub counts: Vec<JobCounts>,
-    /// From the leader: jobs that are suspect, since their tasks fail on several machines.
+    /// From the leader: jobs that are crash-looping, since their tasks fail on several machines.
     pub crash_looping_jobs: Vec<String>,
-    /// Changes a second that this node has lately made in the state service for its users.
+    /// Changes a second that this controller has lately made in the state service for its users.
     pub changes_per_s: f64,
-    /// Jobs that have ended by this node's doing.
+    /// Jobs that have ended by this controller's doing.
     pub terminations: TerminationLog,
 }
 
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -1,4 +1,4 @@
-//! The worker protocol: reports, orders and direct commands.
+//! The worker protocol: heartbeats, commands and direct commands.
 
 use super::cbor;
 use super::token::FencingToken;
@@ -74,7 +74,7 @@
     Unknown,
 }
 
-/// One task in a report.
+/// One task in a heartbeat.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TaskStatus {
     /// Task, in wire form.
@@ -112,7 +112,7 @@
     /// Session.
     #[serde(rename = "Tenure")]
     pub incarnation: u64,
-    /// Order within the session.
+    /// Order within the incarnation.
     #[serde(rename = "Tick")]
     pub sequence: u64,
     /// Highest token the worker has seen.
@@ -139,7 +139,7 @@
     /// Stop a task.
     #[serde(rename = "halt")]
     Stop,
-    /// Drop an exited task from the reports.
+    /// Drop an exited task from the heartbeats.
     Clear,
 }
 
@@ -160,7 +160,7 @@
     pub grace_s: Option<f64>,
 }
 
-/// Answer to a report, and the body of direct commands.
+/// Answer to a heartbeat, and the body of direct commands.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CommandBatch {
     /// Token.
@@ -177,7 +177,7 @@
 /// Body of a 421.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct NotLeader {
-    /// The node to report to.
+    /// The controller to report to.
     #[serde(rename = "Foreman", skip_serializing_if = "Option::is_none", default)]
     pub leader_hint: Option<String>,
 }
@@ -194,7 +194,7 @@
 pub enum WorkerResponse {
     /// Executed (or shown).
     Executed(Box<WorkerHeartbeat>),
-    /// Nothing executed: token or session do not match.
+    /// Nothing executed: token or incarnation do not match.
     Rejected(Box<WorkerHeartbeat>),
     /// The call was never sent, for want of a connection to spare.
     NotSent,
--- a/tests/permits.rs
+++ b/tests/permits.rs
@@ -70,7 +70,7 @@
 #[test]
 #[cfg_attr(
     debug_assertions,
-    should_panic(expected = "NoStartOfClosedJob: host h")
+    should_panic(expected = "NoStartOfEndedJob: worker h")
 )]
 fn violations() {
     let invariant = Invariant::NoStartOfEndedJob;
