--- a/src/coordination/leader/commit.rs
+++ b/src/coordination/leader/commit.rs
@@ -166,7 +166,7 @@
                     && binding.attempt == *attempt
                 {
                     binding.durable = true;
-                    self.dispatch_due.insert(worker.clone());
+                    self.dispatcher.mark_due(worker);
                 }
             }
             LogEntry::Unbind {
@@ -196,8 +196,7 @@
                 // A record that was read again meanwhile may have brought bindings back.
                 self.drop_all_bindings(worker, now);
                 self.workers.remove(worker);
-                self.dispatch_due.remove(worker);
-                self.last_dispatch.remove(worker);
+                self.dispatcher.remove_worker(worker);
             }
             LogEntry::WriteKey { write } => self.fleet.on_record_written(write),
         }
--- a/src/coordination/leader/consolidation.rs
+++ b/src/coordination/leader/consolidation.rs
@@ -60,7 +60,7 @@
                     reason: EvictionReason::Drained,
                 });
             }
-            self.dispatch_due.insert(name);
+            self.dispatcher.mark_due(&name);
         }
     }
 }
--- a/src/coordination/leader/fencing.rs
+++ b/src/coordination/leader/fencing.rs
@@ -23,7 +23,7 @@
     /// Raises a worker's fence if starts are to be revoked. What is on its way to it in a direct call would
     /// be lost; only urgent revocations don't wait for that.
     pub(super) fn revoke_pending_starts(&mut self, name: &str) {
-        let in_call = self.calls_in_flight.contains_key(name);
+        let in_call = self.dispatcher.is_in_flight(name);
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
--- a/src/coordination/leader/fleet.rs
+++ b/src/coordination/leader/fleet.rs
@@ -503,7 +503,7 @@
         match machine.status {
             InstanceStatus::Running if !worker.listed_running => {
                 worker.listed_running = true;
-                self.dispatch_due.insert(machine.name.clone());
+                self.dispatcher.mark_due(&machine.name);
             }
             InstanceStatus::Failed if !worker.terminating => {
                 self.scale_in(&machine.name, ScaleInReason::Failed);
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -76,9 +76,7 @@
         let commands = worker.commands(may_start, MAX_COMMANDS);
         if may_start && commands.len() < MAX_COMMANDS {
             // The answer carries all; the next heartbeat shows what came of it.
-            self.dispatch_due.remove(&heartbeat.worker);
-            self.last_dispatch
-                .insert(heartbeat.worker.clone(), (commands.clone(), now));
+            self.dispatcher.sent(&heartbeat.worker, &commands, now);
         }
         self.respond_to_heartbeat(heartbeat, commands, freshness)
     }
@@ -199,7 +197,7 @@
         if heartbeat.reclaim_in_s.is_some() {
             self.evict_before_reclaim(&name, now);
         }
-        self.dispatch_due.insert(name);
+        self.dispatcher.mark_due(&name);
         true
     }
 }
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -26,12 +26,13 @@
 use crate::protocol::cloud::InstanceType;
 use crate::protocol::job::{JobKind, JobSpec};
 use crate::protocol::peer::{JobCounts, MAX_JOB_COUNTS};
-use crate::protocol::worker::{Command, TaskId, WorkerHeartbeat};
+use crate::protocol::worker::{TaskId, WorkerHeartbeat};
 use crate::settings::{DRIFT, Settings};
+use dispatch::CommandDispatcher;
 use fleet::Fleet;
 use rand::rngs::SmallRng;
 use recovery::Recovery;
-use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
+use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::rc::Rc;
 
 pub use heartbeats::HeartbeatOutcome;
@@ -96,10 +97,7 @@
     next_cycle_at: f64,
     /// Starts may go out, as of the last time.
     may_start: bool,
-    dispatch_due: BTreeSet<String>,
-    /// Workers with a direct call on its way, and whether it may well not be answered.
-    calls_in_flight: HashMap<String, bool>,
-    last_dispatch: HashMap<String, (Vec<Command>, f64)>,
+    dispatcher: CommandDispatcher,
     pending_demand: Vec<scheduler::PendingDemand>,
     fleet: Fleet,
     events: Vec<LeaderEvent>,
@@ -157,9 +155,7 @@
             schedule_due: true,
             next_cycle_at: 0.0,
             may_start: true,
-            dispatch_due: BTreeSet::new(),
-            calls_in_flight: HashMap::new(),
-            last_dispatch: HashMap::new(),
+            dispatcher: CommandDispatcher::new(settings.deployment.quota.direct_sockets()),
             pending_demand: Vec::new(),
             fleet: Fleet::new(&settings, epoch, now),
             events: Vec::new(),
@@ -271,7 +267,7 @@
         for name in &job.workers_with_start_copies {
             if let Some(worker) = self.workers.get_mut(name) {
                 worker.revoke_ended_jobs = true;
-                self.dispatch_due.insert(name.clone());
+                self.dispatcher.mark_due(name);
             }
         }
     }
@@ -287,7 +283,7 @@
                 let worker = self.workers.get_mut(name);
                 if let Some(binding) = worker.and_then(|worker| worker.bindings.get_mut(&task)) {
                     binding.eviction = Some(Eviction::JOB_ENDED);
-                    self.dispatch_due.insert(name.clone());
+                    self.dispatcher.mark_due(name);
                 }
             }
         }
@@ -319,7 +315,7 @@
                 let over = self.jobs.get(&task.job).is_none();
                 if over && binding.eviction != Some(Eviction::JOB_ENDED) {
                     binding.eviction = Some(Eviction::JOB_ENDED);
-                    self.dispatch_due.insert(worker.name.clone());
+                    self.dispatcher.mark_due(&worker.name);
                 }
             }
         }
@@ -383,8 +379,9 @@
         let may_start = starts.is_ok();
         if may_start && !self.may_start {
             // Starts that had to wait.
-            let names = self.workers.iter().map(|worker| worker.name.clone());
-            self.dispatch_due.extend(names);
+            for worker in self.workers.iter() {
+                self.dispatcher.mark_due(&worker.name);
+            }
         }
         if self.may_start != may_start {
             tracing::debug!(
@@ -469,7 +466,7 @@
                 job.running_tasks -= u32::from(binding.running_since.is_some());
             }
             self.schedule_due = true;
-            self.dispatch_due.insert(name.to_owned());
+            self.dispatcher.mark_due(name);
         }
     }
 
@@ -525,7 +522,7 @@
                     grace_s: checkpoint_grace_s,
                     reason: EvictionReason::Preempted,
                 });
-                self.dispatch_due.insert(name);
+                self.dispatcher.mark_due(&name);
             }
         }
         self.pending_demand = plan.pending_demand;
--- a/src/coordination/leader/recovery.rs
+++ b/src/coordination/leader/recovery.rs
@@ -245,7 +245,7 @@
                     job.bind(task.index, &worker.name, &worker.zone);
                 }
             }
-            self.dispatch_due.insert(worker.name.clone());
+            self.dispatcher.mark_due(&worker.name);
         }
     }
 
