--- a/src/coordination/leader/binding_reconciliation.rs
+++ b/src/coordination/leader/binding_reconciliation.rs
@@ -107,7 +107,7 @@
         {
             binding.unbinding = true;
             tracing::debug!(worker = name, %task, attempt, exited, "binding ended");
-            self.log.push(LogEntry::Unbind {
+            self.commits.push(LogEntry::Unbind {
                 worker: name.to_owned(),
                 task: task.clone(),
                 attempt,
--- a/src/coordination/leader/commit.rs
+++ b/src/coordination/leader/commit.rs
@@ -1,161 +1,297 @@
-//! The leader's transactions and what follows from their answers.
+//! The commit pipeline: log entries leave in transactions on the state service, one at a time, and
+//! take effect in the leader's tables once their transaction is committed.
 
 use super::{LEADER_STATE_SHARE, Leader, LeaderEvent};
+use crate::bookkeeping::jobs::Jobs;
+use crate::bookkeeping::rate_limit::TokenBucket;
 use crate::bookkeeping::records::{self, FinishedRecord, JobOutcome};
 use crate::bookkeeping::segment::Segment;
-use crate::bookkeeping::write_ahead_log::LogEntry;
+use crate::bookkeeping::workers::Workers;
+use crate::bookkeeping::write_ahead_log::{LogEntry, TxnLimits, WriteAheadLog};
 use crate::coordination::effects::{Effects, KvRequestKind};
 use crate::protocol::cbor;
 use crate::protocol::kv::{KvRequest, KvResponse};
+use crate::protocol::worker::TaskId;
+use crate::settings::Settings;
 
-/// Share of the leader's budget of changes that must have come back before the next transaction.
-const COMMIT_PACE: f64 = 2.0;
+/// Writes of the leader's budget that must have come back before the next transaction.
+const WRITES_BETWEEN_COMMITS: f64 = 2.0;
 
-impl Leader {
-    /// Sends the next transaction if there is one and the budget has room for it; or once more the
-    /// one whose outcome is unknown.
-    pub(super) fn commit_pending(&mut self, effects: &mut Effects, now: f64) {
-        if self.recovery()
-            || self.commit_in_flight
-            || now < self.next_commit_at
-            || self.request_budget.available(now) < 1.0
-        {
-            return;
-        }
-        let txn = match self.log.retry_of_unknown() {
-            Some(txn) => txn,
-            None => {
-                let budget = self.write_budget.available(now).max(0.0) as usize;
-                let txn = self
-                    .log
-                    .next_transaction(self.epoch, &self.workers, &self.jobs, budget);
-                // Binds of jobs that have ended meanwhile: nothing was written, no start was sent.
-                for (worker, task, attempt) in self.log.take_rejected_bindings() {
-                    self.drop_binding(&worker, &task, attempt, now);
-                }
-                let Some(txn) = txn else { return };
-                txn
-            }
+/// What the answer to a transaction, or to the read that follows one of unknown outcome, means.
+#[derive(Debug)]
+pub(super) enum CommitOutcome {
+    /// These entries are durable, in this order.
+    Committed(Vec<LogEntry>),
+    /// Somebody else has written the leader's key or the log: this controller must stop leading.
+    Deposed,
+    /// These jobs have been closed by somebody else. The entries are queued again and leave without
+    /// what concerned these jobs.
+    JobsClosed(Vec<String>),
+    /// Nothing is known yet; the pipeline tries again by itself.
+    Pending,
+}
+
+/// The write-ahead log and the transactions that carry it to the state service, within the leader's
+/// share of the state service's limits. At most one request is in flight.
+#[derive(Debug)]
+pub(super) struct CommitPipeline {
+    epoch: u64,
+    log: WriteAheadLog,
+    request_budget: TokenBucket,
+    write_budget: TokenBucket,
+    heartbeat_interval_s: f64,
+    /// Shortest time between two transactions, in seconds.
+    commit_interval_s: f64,
+    /// A transaction, or the read of its outcome, is in flight.
+    in_flight: bool,
+    /// No transaction before this monotonic time, in seconds.
+    next_commit_at: f64,
+    /// The keys whose compares failed in a transaction of unknown outcome.
+    failed_compares: Vec<String>,
+}
+
+impl CommitPipeline {
+    /// An empty pipeline for a leader of this epoch.
+    pub(super) fn new(settings: &Settings, epoch: u64) -> CommitPipeline {
+        let state = &settings.deployment.state;
+        let limits = TxnLimits {
+            max_writes: state.txn_ops,
+            max_value_bytes: (state.value_kb * 1024.0) as usize,
         };
+        let share = |all: f64| TokenBucket::new(all * LEADER_STATE_SHARE, all * LEADER_STATE_SHARE);
+        CommitPipeline {
+            epoch,
+            log: WriteAheadLog::new(limits),
+            request_budget: share(state.rps),
+            write_budget: share(state.write_rps),
+            heartbeat_interval_s: settings.deployment.workers.heartbeat_interval_s,
+            commit_interval_s: WRITES_BETWEEN_COMMITS / (state.write_rps * LEADER_STATE_SHARE),
+            in_flight: false,
+            next_commit_at: 0.0,
+            failed_compares: Vec::new(),
+        }
+    }
+
+    /// Queues an entry for the next transaction.
+    pub(super) fn push(&mut self, entry: LogEntry) {
+        self.log.push(entry);
+    }
+
+    /// Entries that are not durable yet, those in flight included.
+    pub(super) fn backlog(&self) -> usize {
+        self.log.backlog()
+    }
+
+    /// A job has ended: its completed tasks need not be kept in the log.
+    pub(super) fn forget_job(&mut self, job: &str) {
+        self.log.forget_job(job);
+    }
+
+    /// Takes over a segment that an earlier leader wrote. Segments come in the log's order.
+    pub(super) fn replay_segment(&mut self, key: &str, mod_revision: u64, segment: &Segment) {
+        self.log.replay_segment(key, mod_revision, segment);
+    }
+
+    /// Charges a request outside the pipeline to the leader's request budget.
+    pub(super) fn charge_request(&mut self, now: f64) {
         self.request_budget.take_with_debt(1.0, now);
-        self.write_budget
-            .take_with_debt(txn.writes.len() as f64, now);
-        self.commit_in_flight = true;
-        // Small transactions wait for company, the longer the more of the budget is gone.
-        let state = &self.settings.deployment.state;
-        self.next_commit_at = now + COMMIT_PACE / (state.write_rps * LEADER_STATE_SHARE);
-        let kind = KvRequestKind::LogAppend(self.epoch);
-        effects.call_kv(kind, KvRequest::Txn(txn), self.request_timeout_s(), now);
     }
 
-    fn request_timeout_s(&self) -> f64 {
-        self.settings.deployment.workers.heartbeat_interval_s / 2.0
+    /// Seconds after which a request to the state service is given up.
+    pub(super) fn request_timeout_s(&self) -> f64 {
+        self.heartbeat_interval_s / 2.0
     }
 
-    /// Takes the answer to a transaction.
-    pub fn on_commit_completed(&mut self, response: KvResponse, effects: &mut Effects, now: f64) {
-        self.commit_in_flight = false;
-        let heartbeat_interval_s = self.settings.deployment.workers.heartbeat_interval_s;
+    /// Sends the next transaction if there is one and the budgets allow it, or once more the one
+    /// whose outcome is unknown. Returns bindings that were not written and never will be, since
+    /// their jobs have ended: worker, task and attempt.
+    pub(super) fn poll(
+        &mut self,
+        workers: &Workers,
+        jobs: &Jobs,
+        effects: &mut Effects,
+        now: f64,
+    ) -> Vec<(String, TaskId, u64)> {
+        if self.in_flight || now < self.next_commit_at || self.request_budget.available(now) < 1.0 {
+            return Vec::new();
+        }
+        let txn = self.log.retry_of_unknown().or_else(|| {
+            let budget = self.write_budget.available(now).max(0.0) as usize;
+            self.log.next_transaction(self.epoch, workers, jobs, budget)
+        });
+        if let Some(txn) = txn {
+            self.request_budget.take_with_debt(1.0, now);
+            self.write_budget
+                .take_with_debt(txn.writes.len() as f64, now);
+            self.in_flight = true;
+            // Small transactions are batched, the longer the more of the budget is used up.
+            self.next_commit_at = now + self.commit_interval_s;
+            let kind = KvRequestKind::LogAppend(self.epoch);
+            effects.call_kv(kind, KvRequest::Txn(txn), self.request_timeout_s(), now);
+        }
+        self.log.take_rejected_bindings()
+    }
+
+    /// Takes the response to a transaction.
+    pub(super) fn on_txn_response(
+        &mut self,
+        response: KvResponse,
+        effects: &mut Effects,
+        now: f64,
+    ) -> CommitOutcome {
+        self.in_flight = false;
         match response {
-            KvResponse::Committed(mod_revision) => self.apply_committed(mod_revision, now),
-            KvResponse::CompareFailed(failed) => {
-                if failed.iter().any(|key| key == records::LEADER_KEY) {
-                    self.emit(LeaderEvent::Deposed);
-                } else if let Some(key) = self.log.read_back_key()
-                    && self.log.is_outcome_unknown()
-                {
-                    // Its own first copy may be what it met.
-                    self.failed_compares = failed;
-                    self.read_back_log(key, effects, now);
-                } else {
-                    self.on_compare_failed(&failed);
-                }
+            KvResponse::Committed(mod_revision) => {
+                CommitOutcome::Committed(self.log.complete_in_flight(mod_revision))
             }
+            KvResponse::CompareFailed(failed) => self.on_compare_failed(failed, effects, now),
             KvResponse::RateLimited | KvResponse::Unavailable => {
-                // An earlier copy may still be on its way; if there is none, all may be put anew.
+                // An earlier copy may still be in flight; if there is none, all entries are queued anew.
                 if !self.log.is_outcome_unknown() {
                     self.log.requeue_in_flight();
                 }
-                self.next_commit_at = now + heartbeat_interval_s / 10.0;
+                self.next_commit_at = now + self.heartbeat_interval_s / 10.0;
+                CommitOutcome::Pending
             }
             KvResponse::InvalidRequest => {
                 tracing::error!(
                     "commit rejected: the state service calls the transaction malformed"
                 );
                 self.log.requeue_in_flight();
-                self.next_commit_at = now + heartbeat_interval_s;
+                self.next_commit_at = now + self.heartbeat_interval_s;
+                CommitOutcome::Pending
             }
-            // It may have been applied, or may yet be.
+            // It may have been executed, or may yet be.
             _ => {
                 tracing::info!("commit outcome unknown");
                 self.log.mark_outcome_unknown();
+                CommitOutcome::Pending
             }
         }
     }
 
-    fn read_back_log(&mut self, key: String, effects: &mut Effects, now: f64) {
-        self.commit_in_flight = true;
+    fn on_compare_failed(
+        &mut self,
+        failed: Vec<String>,
+        effects: &mut Effects,
+        now: f64,
+    ) -> CommitOutcome {
+        if failed.iter().any(|key| key == records::LEADER_KEY) {
+            return CommitOutcome::Deposed;
+        }
+        match self.log.read_back_key() {
+            // The compares may have failed on an earlier copy of this transaction.
+            Some(key) if self.log.is_outcome_unknown() => {
+                self.failed_compares = failed;
+                self.read_back(key, effects, now);
+                CommitOutcome::Pending
+            }
+            _ => self.reject_in_flight(&failed),
+        }
+    }
+
+    fn read_back(&mut self, key: String, effects: &mut Effects, now: f64) {
+        self.in_flight = true;
         self.request_budget.take_with_debt(1.0, now);
         let kind = KvRequestKind::LogReadBack(self.epoch);
         effects.call_kv(kind, KvRequest::Get(key), self.request_timeout_s(), now);
     }
 
-    /// Takes the look that tells whether a transaction of unknown outcome was executed.
-    pub fn on_read_back(&mut self, response: KvResponse, effects: &mut Effects, now: f64) {
-        self.commit_in_flight = false;
-        let ours = match &response {
+    /// Takes the response to the read that tells whether a transaction of unknown outcome was executed.
+    pub(super) fn on_read_back_response(
+        &mut self,
+        response: &KvResponse,
+        effects: &mut Effects,
+        now: f64,
+    ) -> CommitOutcome {
+        self.in_flight = false;
+        let own_revision = match response {
             KvResponse::Value(item) => cbor::from_value::<Segment>(&item.value)
                 .is_ok_and(|segment| self.log.is_own_segment(&segment))
                 .then_some(item.mod_revision),
             KvResponse::NotFound => None,
             _ => {
                 if let Some(key) = self.log.read_back_key() {
-                    self.read_back_log(key, effects, now);
+                    self.read_back(key, effects, now);
                 }
-                return;
+                return CommitOutcome::Pending;
             }
         };
-        match ours {
-            Some(mod_revision) => self.apply_committed(mod_revision, now),
+        match own_revision {
+            Some(mod_revision) => {
+                CommitOutcome::Committed(self.log.complete_in_flight(mod_revision))
+            }
             None => {
                 let failed = std::mem::take(&mut self.failed_compares);
-                self.on_compare_failed(&failed);
+                self.reject_in_flight(&failed)
             }
         }
     }
 
-    fn apply_committed(&mut self, mod_revision: u64, now: f64) {
-        for change in self.log.complete_in_flight(mod_revision) {
-            self.apply_entry(&change, now);
-        }
-    }
-
-    /// A transaction met conditions that do not hold, and so never will.
-    fn on_compare_failed(&mut self, failed: &[String]) {
+    /// The transaction in flight was not executed and never will be: these keys have changed.
+    fn reject_in_flight(&mut self, failed: &[String]) -> CommitOutcome {
         tracing::info!(?failed, "commit rejected: compare failed");
         if failed
             .iter()
             .any(|key| key.starts_with(records::LOG_PREFIX))
         {
-            // Somebody else writes the log: whoever it is, this controller should not.
-            self.emit(LeaderEvent::Deposed);
+            // Another controller writes the log: whichever it is, this one must not.
+            return CommitOutcome::Deposed;
+        }
+        self.log.requeue_in_flight();
+        // Keys of jobs change only when the job ends.
+        let closed = failed.iter().filter_map(|key| {
+            key.strip_prefix(records::OPEN_PREFIX)
+                .or_else(|| key.strip_prefix(records::FINISHED_PREFIX))
+        });
+        CommitOutcome::JobsClosed(closed.map(str::to_owned).collect())
+    }
+}
+
+impl Leader {
+    /// Sends what waits to be committed, once the tables are recovered.
+    pub(super) fn commit_pending(&mut self, effects: &mut Effects, now: f64) {
+        if self.recovery() {
             return;
         }
-        // Keys of jobs change only by their end.
-        for key in failed {
-            let id = key
-                .strip_prefix(records::OPEN_PREFIX)
-                .or_else(|| key.strip_prefix(records::FINISHED_PREFIX));
-            if let Some(id) = id {
-                self.on_job_closed(id);
+        let rejected = self.commits.poll(&self.workers, &self.jobs, effects, now);
+        for (worker, task, attempt) in rejected {
+            self.drop_binding(&worker, &task, attempt, now);
+        }
+    }
+
+    /// Takes the response to a transaction.
+    pub fn on_commit_completed(&mut self, response: KvResponse, effects: &mut Effects, now: f64) {
+        let outcome = self.commits.on_txn_response(response, effects, now);
+        self.apply_commit_outcome(outcome, now);
+    }
+
+    /// Takes the response to the read that tells whether a transaction of unknown outcome was executed.
+    pub fn on_read_back(&mut self, response: KvResponse, effects: &mut Effects, now: f64) {
+        let outcome = self.commits.on_read_back_response(&response, effects, now);
+        self.apply_commit_outcome(outcome, now);
+    }
+
+    fn apply_commit_outcome(&mut self, outcome: CommitOutcome, now: f64) {
+        match outcome {
+            CommitOutcome::Committed(entries) => {
+                for entry in entries {
+                    self.apply_entry(&entry, now);
+                }
             }
+            CommitOutcome::Deposed => self.emit(LeaderEvent::Deposed),
+            CommitOutcome::JobsClosed(jobs) => {
+                for id in jobs {
+                    self.on_job_closed(&id);
+                }
+            }
+            CommitOutcome::Pending => {}
         }
-        self.log.requeue_in_flight();
     }
 
-    /// Does what a committed change allows.
-    pub(super) fn apply_entry(&mut self, change: &LogEntry, now: f64) {
-        match change {
+    /// Does what a committed entry allows.
+    pub(super) fn apply_entry(&mut self, entry: &LogEntry, now: f64) {
+        match entry {
             LogEntry::Bind {
                 worker,
                 task,
@@ -177,7 +313,7 @@
             } => self.drop_binding(worker, task, *attempt, now),
             LogEntry::FinishJob { job } => {
                 tracing::debug!(job, "job completed");
-                // The watch may have told of it first.
+                // The watch may have shown its end first.
                 if let Some(known) = self.jobs.remove(job) {
                     let record = FinishedRecord {
                         outcome: JobOutcome::Done,
@@ -202,7 +338,7 @@
         }
     }
 
-    /// Writes down that all tasks of a job are done.
+    /// Queues the end of a job once all its tasks have completed.
     pub(super) fn finish_job(&mut self, id: &str) {
         if let Some(job) = self.jobs.get_mut(id)
             && !job.finishing
@@ -210,7 +346,8 @@
             && job.completed.len() == job.spec.tasks
         {
             job.finishing = true;
-            self.log.push(LogEntry::FinishJob { job: id.to_owned() });
+            self.commits
+                .push(LogEntry::FinishJob { job: id.to_owned() });
         }
     }
 }
--- a/src/coordination/leader/fleet.rs
+++ b/src/coordination/leader/fleet.rs
@@ -429,7 +429,7 @@
         if !request.sent && fleet.pools.get(&request.pool()).is_some_and(blocked) {
             // The pool has turned out to be sold out; the next round asks elsewhere.
             request.state = ProvisioningState::Completing;
-            self.log.push(LogEntry::WriteKey {
+            self.commits.push(LogEntry::WriteKey {
                 write: WriteOp::delete(records::provisioning_key(idempotency_key)),
             });
             return;
@@ -525,7 +525,7 @@
             });
             if seen {
                 request.state = ProvisioningState::Completing;
-                self.log.push(LogEntry::WriteKey {
+                self.commits.push(LogEntry::WriteKey {
                     write: WriteOp::delete(records::provisioning_key(idempotency_key)),
                 });
             }
@@ -574,7 +574,7 @@
                 tracing::info!(idempotency_key, pool = %key, wanted, "provisioning request rejected");
                 request.state = ProvisioningState::Completing;
                 self.fleet.block(&key, boot_time_s, now);
-                self.log.push(LogEntry::WriteKey {
+                self.commits.push(LogEntry::WriteKey {
                     write: WriteOp::delete(records::provisioning_key(idempotency_key)),
                 });
             }
@@ -597,7 +597,7 @@
             }
             self.drop_all_bindings(name, now);
             tracing::info!(worker = name, "instance deleted");
-            self.log.push(LogEntry::RemoveWorker {
+            self.commits.push(LogEntry::RemoveWorker {
                 worker: name.clone(),
             });
         }
@@ -610,7 +610,7 @@
         {
             tracing::info!(worker = name, ?reason, "scale-in");
             worker.terminating = true;
-            self.log.push(LogEntry::RecordTermination {
+            self.commits.push(LogEntry::RecordTermination {
                 worker: name.to_owned(),
             });
         }
@@ -628,7 +628,7 @@
                 count: left.min(MAX_INSTANCES_PER_CREATE),
             };
             left -= record.count;
-            self.log.push(LogEntry::WriteKey {
+            self.commits.push(LogEntry::WriteKey {
                 write: WriteOp::put(records::provisioning_key(&idempotency_key), &record),
             });
             let renting = ProvisioningRequest {
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -18,16 +18,16 @@
 use crate::bookkeeping::jobs::{Job, Jobs};
 use crate::bookkeeping::permits::{DecisionCounters, PermitKind, ViewFreshness};
 use crate::bookkeeping::quotas::Quotas;
-use crate::bookkeeping::rate_limit::TokenBucket;
 use crate::bookkeeping::records::FinishedRecord;
 use crate::bookkeeping::workers::{Binding, Eviction, EvictionReason, Resources, Worker, Workers};
-use crate::bookkeeping::write_ahead_log::{LogEntry, TxnLimits, WriteAheadLog};
+use crate::bookkeeping::write_ahead_log::LogEntry;
 use crate::policy::Policy;
 use crate::protocol::cloud::InstanceType;
 use crate::protocol::job::{JobKind, JobSpec};
 use crate::protocol::peer::{JobCounts, MAX_JOB_COUNTS};
 use crate::protocol::worker::{TaskId, WorkerHeartbeat};
 use crate::settings::{DRIFT, Settings};
+use commit::CommitPipeline;
 use dispatch::CommandDispatcher;
 use fleet::Fleet;
 use rand::rngs::SmallRng;
@@ -77,7 +77,7 @@
     jobs: Jobs,
     workers: Workers,
     quotas: Quotas,
-    log: WriteAheadLog,
+    commits: CommitPipeline,
     recovery: Option<Recovery>,
     buffered_heartbeats: BTreeMap<String, WorkerHeartbeat>,
     closed_during_recovery: HashSet<String>,
@@ -85,14 +85,6 @@
     inherited_crash_looping: BTreeSet<String>,
     listing_during_recovery: Option<(u64, BTreeSet<String>)>,
     attempts: u64,
-    request_budget: TokenBucket,
-    write_budget: TokenBucket,
-    /// A transaction, or a look at its outcome, is on its way.
-    commit_in_flight: bool,
-    /// No transaction before this time.
-    next_commit_at: f64,
-    /// The conditions that a transaction of unknown outcome met.
-    failed_compares: Vec<String>,
     schedule_due: bool,
     next_cycle_at: f64,
     /// Starts may go out, as of the last time.
@@ -128,30 +120,19 @@
         rng: SmallRng,
         now: f64,
     ) -> Leader {
-        let state = &settings.deployment.state;
-        let limits = TxnLimits {
-            max_writes: state.txn_ops,
-            max_value_bytes: (state.value_kb * 1024.0) as usize,
-        };
-        let share = |all: f64| TokenBucket::new(all * LEADER_STATE_SHARE, all * LEADER_STATE_SHARE);
         Leader {
             epoch,
             elected_at: now,
             jobs: Jobs::default(),
             workers: Workers::default(),
             quotas: Quotas::new(&settings.deployment.teams),
-            log: WriteAheadLog::new(limits),
+            commits: CommitPipeline::new(&settings, epoch),
             recovery: Some(Recovery::new()),
             buffered_heartbeats: BTreeMap::new(),
             closed_during_recovery: HashSet::new(),
             inherited_crash_looping: BTreeSet::new(),
             listing_during_recovery: None,
             attempts: 0,
-            request_budget: share(state.rps),
-            write_budget: share(state.write_rps),
-            commit_in_flight: false,
-            next_commit_at: 0.0,
-            failed_compares: Vec::new(),
             schedule_due: true,
             next_cycle_at: 0.0,
             may_start: true,
@@ -255,7 +236,7 @@
                 copies_on = job.workers_with_start_copies.len(),
                 "job ended: tasks evicted"
             );
-            self.log.forget_job(id);
+            self.commits.forget_job(id);
             self.evict_tasks_of(&job);
             self.revoke_start_copies(&job);
         }
@@ -487,7 +468,7 @@
     /// One pass of the scheduler, unless too much waits to be written down.
     fn run_scheduling_cycle(&mut self, now: f64) {
         let is_due = self.schedule_due && now >= self.next_cycle_at;
-        if !is_due || self.instance_types.is_empty() || self.log.backlog() > MAX_BACKLOG {
+        if !is_due || self.instance_types.is_empty() || self.commits.backlog() > MAX_BACKLOG {
             return;
         }
         self.schedule_due = false;
@@ -577,7 +558,7 @@
             instance_type.map(|f| need.dominant_share(&Resources::from(f)))
         };
         self.fleet.record_start(worker, share, now);
-        self.log.push(LogEntry::Bind {
+        self.commits.push(LogEntry::Bind {
             worker: name.to_owned(),
             task: task.clone(),
             attempt,
--- a/src/coordination/leader/recovery.rs
+++ b/src/coordination/leader/recovery.rs
@@ -55,7 +55,7 @@
             prefix: (*prefix).to_owned(),
             after: recovery.after.clone(),
         };
-        self.request_budget.take_with_debt(1.0, now);
+        self.commits.charge_request(now);
         effects.call_kv(
             KvRequestKind::RecoveryRead(self.epoch),
             call,
@@ -128,7 +128,7 @@
             self.replay_workers(segment, now);
         }
         for (item, segment) in &segments {
-            self.log
+            self.commits
                 .replay_segment(&item.key, item.mod_revision, segment);
             self.replay_bindings(segment);
         }
