--- a/src/coordination/leader/failure_attribution.rs
+++ b/src/coordination/leader/failure_attribution.rs
@@ -116,13 +116,15 @@
     /// Takes over the jobs that an earlier leader has told to be crash-looping: they begin with a probe. What
     /// it did not tell is found out once more, at the price of the job's whole width.
     pub fn inherit_crash_looping(&mut self, crash_looping_jobs: BTreeSet<String>) {
-        self.inherited_crash_looping = crash_looping_jobs;
+        if let Some(recovery) = &mut self.recovery {
+            recovery.inherit_crash_looping(crash_looping_jobs);
+        }
     }
 
-    /// Marks the inherited crash-looping jobs, once the open jobs are known.
-    pub(super) fn mark_inherited_crash_looping(&mut self) {
-        for id in std::mem::take(&mut self.inherited_crash_looping) {
-            if let Some(job) = self.jobs.get_mut(&id) {
+    /// Marks the jobs that were crash-looping under an earlier leader, once the open jobs are known.
+    pub(super) fn mark_crash_looping(&mut self, jobs: &BTreeSet<String>) {
+        for id in jobs {
+            if let Some(job) = self.jobs.get_mut(id) {
                 job.failures.inherit_crash_loop();
             }
         }
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -1,6 +1,6 @@
 //! Heartbeats of workers: what they tell, and the commands that answer them.
 
-use super::{Leader, LeaderEvent, MAX_BUFFERED_HEARTBEATS};
+use super::{Leader, LeaderEvent};
 use crate::bookkeeping::permits::{PermitKind, ViewFreshness};
 use crate::bookkeeping::workers::{DeliveryPath, Worker};
 use crate::protocol::worker::{
@@ -48,22 +48,18 @@
             );
             return HeartbeatOutcome::LeaseNotRenewed;
         }
-        if self.recovery() {
-            // Nothing can be stopped yet, however long it takes to load: workers with tasks of jobs
-            // that are over don't have their leases renewed meanwhile.
+        if let Some(recovery) = &mut self.recovery {
+            // Nothing can be stopped yet, however long recovery takes: workers with tasks of jobs
+            // that have ended don't have their leases renewed meanwhile.
             let runs_closed = heartbeat
                 .tasks
                 .iter()
                 .filter(|task_status| task_status.state != TaskState::Exited)
                 .filter_map(|task_status| TaskId::parse(&task_status.task))
                 .any(|task| !is_open(&task.job));
-            let known = self.buffered_heartbeats.contains_key(&heartbeat.worker);
-            if runs_closed || (!known && self.buffered_heartbeats.len() >= MAX_BUFFERED_HEARTBEATS)
-            {
+            if runs_closed || !recovery.buffer_heartbeat(heartbeat) {
                 return HeartbeatOutcome::LeaseNotRenewed;
             }
-            self.buffered_heartbeats
-                .insert(heartbeat.worker.clone(), heartbeat.clone());
             return self.respond_to_heartbeat(heartbeat, Vec::new(), freshness);
         }
         let newer = self.apply_heartbeat(heartbeat, true, now);
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -25,14 +25,14 @@
 use crate::protocol::cloud::InstanceType;
 use crate::protocol::job::{JobKind, JobSpec};
 use crate::protocol::peer::{JobCounts, MAX_JOB_COUNTS};
-use crate::protocol::worker::{TaskId, WorkerHeartbeat};
+use crate::protocol::worker::TaskId;
 use crate::settings::{DRIFT, Settings};
 use commit::CommitPipeline;
 use dispatch::CommandDispatcher;
 use fleet::Fleet;
 use rand::rngs::SmallRng;
 use recovery::Recovery;
-use std::collections::{BTreeMap, BTreeSet, HashSet};
+use std::collections::BTreeSet;
 use std::rc::Rc;
 
 pub use heartbeats::HeartbeatOutcome;
@@ -41,7 +41,7 @@
 const ATTEMPT_COUNTER_BITS: u32 = 24;
 /// Share of the state service's limits that the leader's own writes may use.
 pub const LEADER_STATE_SHARE: f64 = 0.5;
-/// Heartbeats kept while the tables are being loaded.
+/// Workers whose heartbeats are kept during recovery.
 const MAX_BUFFERED_HEARTBEATS: usize = 4096;
 /// Binds are put off while more changes than this wait to be written.
 const MAX_BACKLOG: usize = 600;
@@ -78,12 +78,8 @@
     workers: Workers,
     quotas: Quotas,
     commits: CommitPipeline,
+    /// `None` once the tables are rebuilt.
     recovery: Option<Recovery>,
-    buffered_heartbeats: BTreeMap<String, WorkerHeartbeat>,
-    closed_during_recovery: HashSet<String>,
-    /// Jobs that an earlier leader has told to be crash-looping.
-    inherited_crash_looping: BTreeSet<String>,
-    listing_during_recovery: Option<(u64, BTreeSet<String>)>,
     attempts: u64,
     schedule_due: bool,
     next_cycle_at: f64,
@@ -128,10 +124,6 @@
             quotas: Quotas::new(&settings.deployment.teams),
             commits: CommitPipeline::new(&settings, epoch),
             recovery: Some(Recovery::new()),
-            buffered_heartbeats: BTreeMap::new(),
-            closed_during_recovery: HashSet::new(),
-            inherited_crash_looping: BTreeSet::new(),
-            listing_during_recovery: None,
             attempts: 0,
             schedule_due: true,
             next_cycle_at: 0.0,
@@ -181,6 +173,10 @@
         }
     }
 
+    fn emit(&mut self, event: LeaderEvent) {
+        self.events.push(event);
+    }
+
     /// What the rest of the controller must learn.
     pub fn take_events(&mut self) -> Vec<LeaderEvent> {
         std::mem::take(&mut self.events)
@@ -225,9 +221,8 @@
 
     /// A job was closed. Its tasks are stopped; their bindings last until they are gone.
     pub fn on_job_closed(&mut self, id: &str) {
-        if self.recovery.is_some() {
-            // What has been read so far may still show it as open.
-            self.closed_during_recovery.insert(id.to_owned());
+        if let Some(recovery) = &mut self.recovery {
+            recovery.on_job_closed(id);
         }
         if let Some(job) = self.jobs.remove(id) {
             tracing::debug!(
@@ -284,8 +279,8 @@
         for id in closed {
             self.on_job_closed(&id);
         }
-        if self.recovery.is_some() {
-            self.listing_during_recovery = Some((revision, listed));
+        if let Some(recovery) = &mut self.recovery {
+            recovery.on_open_jobs_listed(revision, listed);
         }
     }
 
--- a/src/coordination/leader/recovery.rs
+++ b/src/coordination/leader/recovery.rs
@@ -1,6 +1,7 @@
-//! Reading the records after a failover: open jobs, the log, and provisioning requests.
+//! Recovery: after an election the leader reads all records from the state service (open jobs, the
+//! log, and provisioning requests) and rebuilds its tables from them.
 
-use super::{Leader, LeaderEvent};
+use super::{Leader, MAX_BUFFERED_HEARTBEATS};
 use crate::bookkeeping::records::{self, ProvisioningRecord};
 use crate::bookkeeping::segment::{Segment, decode_chunk};
 use crate::bookkeeping::workers::{Binding, Resources, Worker};
@@ -8,155 +9,272 @@
 use crate::protocol::cbor;
 use crate::protocol::job::JobSpec;
 use crate::protocol::kv::{KeyValue, KvRequest, KvResponse};
-use crate::protocol::worker::TaskId;
+use crate::protocol::worker::{TaskId, WorkerHeartbeat};
+use std::collections::{BTreeMap, BTreeSet, HashSet};
 
-/// A reading that goes on.
-#[derive(Debug)]
+/// The page-wise read of all records, and what arrives before it has completed.
+#[derive(Debug, Default)]
 pub(super) struct Recovery {
+    /// Prefixes that are not read to their end; the last is read first.
     remaining_prefixes: Vec<&'static str>,
     records: Vec<KeyValue>,
+    /// The last key that was read under the current prefix.
     after: Option<String>,
     in_flight: bool,
+    /// No request before this monotonic time, in seconds.
     retry_at: f64,
+    /// The latest heartbeat of each worker.
+    buffered_heartbeats: BTreeMap<String, WorkerHeartbeat>,
+    /// Jobs that were closed meanwhile; what was read may still show them as open.
+    closed_jobs: HashSet<String>,
+    /// The latest listing of the open jobs.
+    listing: Option<OpenJobsListing>,
+    /// Jobs that were crash-looping under an earlier leader.
+    crash_looping: BTreeSet<String>,
+}
+
+/// The open jobs at a revision of the state service.
+#[derive(Debug)]
+struct OpenJobsListing {
+    revision: u64,
+    jobs: BTreeSet<String>,
+}
+
+/// The records that were read, decoded.
+#[derive(Debug, Default)]
+struct RecoveredRecords {
+    jobs: Vec<RecoveredJob>,
+    /// In the log's order.
+    segments: Vec<RecoveredSegment>,
+    provisioning: Vec<RecoveredProvisioning>,
+}
+
+#[derive(Debug)]
+struct RecoveredJob {
+    mod_revision: u64,
+    spec: JobSpec,
+}
+
+#[derive(Debug)]
+struct RecoveredSegment {
+    key: String,
+    mod_revision: u64,
+    segment: Segment,
+}
+
+#[derive(Debug)]
+struct RecoveredProvisioning {
+    idempotency_key: String,
+    record: ProvisioningRecord,
 }
 
 impl Recovery {
-    /// Everything, for a new leader.
-    pub fn new() -> Recovery {
+    /// A recovery that has read nothing yet.
+    pub(super) fn new() -> Recovery {
         Recovery {
-            // The last goes first.
             remaining_prefixes: vec![
                 records::PROVISIONING_PREFIX,
                 records::LOG_PREFIX,
                 records::OPEN_PREFIX,
             ],
-            records: Vec::new(),
-            after: None,
-            in_flight: false,
-            retry_at: 0.0,
+            ..Recovery::default()
         }
     }
-}
 
-impl Leader {
-    pub(super) fn poll_recovery(&mut self, effects: &mut Effects, now: f64) {
-        let request_timeout_s = self.settings.deployment.workers.heartbeat_interval_s / 2.0;
-        let Some(recovery) = &mut self.recovery else {
-            return;
-        };
-        if recovery.in_flight || now < recovery.retry_at {
-            return;
+    /// The request for the next page, unless one is in flight or it is too early to try again.
+    fn next_request(&mut self, now: f64) -> Option<KvRequest> {
+        if self.in_flight || now < self.retry_at {
+            return None;
         }
-        let Some(prefix) = recovery.remaining_prefixes.last() else {
-            return;
-        };
-        recovery.in_flight = true;
-        let call = KvRequest::List {
+        let prefix = self.remaining_prefixes.last()?;
+        self.in_flight = true;
+        Some(KvRequest::List {
             prefix: (*prefix).to_owned(),
-            after: recovery.after.clone(),
-        };
-        self.commits.charge_request(now);
-        effects.call_kv(
-            KvRequestKind::RecoveryRead(self.epoch),
-            call,
-            request_timeout_s,
-            now,
-        );
+            after: self.after.clone(),
+        })
     }
 
-    /// Takes a page of records.
-    pub fn on_recovery_page(&mut self, response: KvResponse, now: f64, wall: f64) {
-        let Some(recovery) = &mut self.recovery else {
-            return;
-        };
-        recovery.in_flight = false;
+    /// Takes a page, or asks for it again from `retry_at` on. Returns whether all records are read.
+    fn on_page(&mut self, response: KvResponse, retry_at: f64) -> bool {
+        self.in_flight = false;
         let KvResponse::Page { items, more, .. } = response else {
-            recovery.retry_at = now + self.settings.deployment.workers.heartbeat_interval_s / 10.0;
-            return;
+            self.retry_at = retry_at;
+            return false;
         };
-        recovery.after = items.last().map(|item| item.key.clone());
+        self.after = items.last().map(|item| item.key.clone());
         let more = more && !items.is_empty();
-        recovery.records.extend(items);
+        self.records.extend(items);
         if !more {
-            recovery.after = None;
-            recovery.remaining_prefixes.pop();
+            self.after = None;
+            self.remaining_prefixes.pop();
         }
-        if recovery.remaining_prefixes.is_empty() {
-            self.finish_recovery(now, wall);
+        self.remaining_prefixes.is_empty()
+    }
+
+    /// Keeps a worker's latest heartbeat until the tables are known. Returns false if there are too
+    /// many workers.
+    pub(super) fn buffer_heartbeat(&mut self, heartbeat: &WorkerHeartbeat) -> bool {
+        let buffered = &mut self.buffered_heartbeats;
+        if !buffered.contains_key(&heartbeat.worker) && buffered.len() >= MAX_BUFFERED_HEARTBEATS {
+            return false;
         }
+        buffered.insert(heartbeat.worker.clone(), heartbeat.clone());
+        true
     }
 
-    fn finish_recovery(&mut self, now: f64, wall: f64) {
-        let Some(recovery) = self.recovery.take() else {
-            return;
-        };
-        let mut segments = Vec::new();
-        for item in &recovery.records {
+    /// A job was closed.
+    pub(super) fn on_job_closed(&mut self, id: &str) {
+        self.closed_jobs.insert(id.to_owned());
+    }
+
+    /// The open jobs were listed at a revision.
+    pub(super) fn on_open_jobs_listed(&mut self, revision: u64, jobs: BTreeSet<String>) {
+        self.listing = Some(OpenJobsListing { revision, jobs });
+    }
+
+    /// Takes over the jobs that were crash-looping under an earlier leader.
+    pub(super) fn inherit_crash_looping(&mut self, jobs: BTreeSet<String>) {
+        self.crash_looping = jobs;
+    }
+
+    /// Decodes what was read for a leader of this epoch; what can't be decoded is logged.
+    fn take_records(&mut self, epoch: u64) -> RecoveredRecords {
+        let mut recovered = RecoveredRecords::default();
+        for item in std::mem::take(&mut self.records) {
             if item.key.starts_with(records::OPEN_PREFIX) {
-                if let Ok(spec) = cbor::from_value::<JobSpec>(&item.value)
-                    && !self.closed_during_recovery.contains(&spec.id)
-                {
-                    self.on_job_opened(item.mod_revision, &spec, now, wall);
-                }
+                recovered.jobs.extend(self.decode_job(&item));
             } else if item.key.starts_with(records::LOG_PREFIX) {
-                match cbor::from_value::<Segment>(&item.value) {
-                    Ok(segment) => {
-                        if segment.epoch > self.epoch {
-                            tracing::error!(
-                                key = item.key,
-                                epoch = segment.epoch,
-                                ours = self.epoch,
-                                "Epoch: the segment is of a leader after this one, which can't be; its \
-                                 bindings are kept. Look for a state service that was set back"
-                            );
-                        }
-                        segments.push((item, segment));
-                    }
-                    Err(error) => tracing::error!(key = item.key, %error, "log segment unreadable"),
-                }
-            } else if let Some(idempotency_key) =
-                item.key.strip_prefix(records::PROVISIONING_PREFIX)
-                && let Ok(record) = cbor::from_value::<ProvisioningRecord>(&item.value)
-            {
-                self.fleet.inherit_provisioning(idempotency_key, record);
+                recovered.segments.extend(decode_segment(item, epoch));
+            } else {
+                recovered.provisioning.extend(decode_provisioning(&item));
             }
         }
-        self.is_first_leader = segments.is_empty() && !self.fleet.is_provisioning();
-        segments.sort_by_key(|(_, segment)| segment.seq);
-        // What a worker is may have been carried into a later segment than its bindings stand in.
-        for (_, segment) in &segments {
-            self.replay_workers(segment, now);
+        recovered
+            .segments
+            .sort_by_key(|recovered| recovered.segment.seq);
+        recovered
+    }
+
+    fn decode_job(&self, item: &KeyValue) -> Option<RecoveredJob> {
+        let spec = cbor::from_value::<JobSpec>(&item.value).ok()?;
+        let is_open = !self.closed_jobs.contains(&spec.id);
+        is_open.then_some(RecoveredJob {
+            mod_revision: item.mod_revision,
+            spec,
+        })
+    }
+}
+
+fn decode_segment(item: KeyValue, epoch: u64) -> Option<RecoveredSegment> {
+    match cbor::from_value::<Segment>(&item.value) {
+        Ok(segment) => {
+            if segment.epoch > epoch {
+                tracing::error!(
+                    key = item.key,
+                    epoch = segment.epoch,
+                    ours = epoch,
+                    "Epoch: the segment is of a leader after this one, which can't be; its \
+                     bindings are kept. Look for a state service that was set back"
+                );
+            }
+            Some(RecoveredSegment {
+                key: item.key,
+                mod_revision: item.mod_revision,
+                segment,
+            })
         }
-        for (item, segment) in &segments {
-            self.commits
-                .replay_segment(&item.key, item.mod_revision, segment);
-            self.replay_bindings(segment);
+        Err(error) => {
+            tracing::error!(key = item.key, %error, "log segment unreadable");
+            None
         }
+    }
+}
+
+fn decode_provisioning(item: &KeyValue) -> Option<RecoveredProvisioning> {
+    let idempotency_key = item.key.strip_prefix(records::PROVISIONING_PREFIX)?;
+    let record = cbor::from_value::<ProvisioningRecord>(&item.value).ok()?;
+    Some(RecoveredProvisioning {
+        idempotency_key: idempotency_key.to_owned(),
+        record,
+    })
+}
+
+impl Leader {
+    /// Requests the next page of records.
+    pub(super) fn poll_recovery(&mut self, effects: &mut Effects, now: f64) {
+        let Some(request) = self
+            .recovery
+            .as_mut()
+            .and_then(|recovery| recovery.next_request(now))
+        else {
+            return;
+        };
+        self.commits.charge_request(now);
+        let kind = KvRequestKind::RecoveryRead(self.epoch);
+        effects.call_kv(kind, request, self.commits.request_timeout_s(), now);
+    }
+
+    /// Takes a page of records. The last one completes the recovery.
+    pub fn on_recovery_page(&mut self, response: KvResponse, now: f64, wall: f64) {
+        let retry_at = now + self.settings.deployment.workers.heartbeat_interval_s / 10.0;
+        let is_complete = self
+            .recovery
+            .as_mut()
+            .is_some_and(|recovery| recovery.on_page(response, retry_at));
+        if is_complete && let Some(recovery) = self.recovery.take() {
+            self.finish_recovery(recovery, now, wall);
+        }
+    }
+
+    /// Rebuilds the tables from the records, then takes what arrived meanwhile.
+    fn finish_recovery(&mut self, mut recovery: Recovery, now: f64, wall: f64) {
+        let records = recovery.take_records(self.epoch);
+        for job in &records.jobs {
+            self.on_job_opened(job.mod_revision, &job.spec, now, wall);
+        }
+        for request in records.provisioning {
+            self.fleet
+                .inherit_provisioning(&request.idempotency_key, request.record);
+        }
+        self.is_first_leader = records.segments.is_empty() && !self.fleet.is_provisioning();
+        self.replay_log(&records.segments, now);
         self.charge_inherited_bindings();
-        self.closed_during_recovery.clear();
-        if let Some((revision, listed)) = self.listing_during_recovery.take() {
-            self.on_open_jobs_listed(revision, listed);
+        if let Some(listing) = recovery.listing {
+            self.on_open_jobs_listed(listing.revision, listing.jobs);
         }
-        self.mark_inherited_crash_looping();
+        self.mark_crash_looping(&recovery.crash_looping);
         self.evict_orphans();
         tracing::info!(
             epoch = self.epoch,
             jobs = self.jobs.len(),
             workers = self.workers.len(),
-            segments = segments.len(),
+            segments = records.segments.len(),
             after_s = now - self.elected_at,
             "recovery completed"
         );
         self.finish_completed_jobs();
-        for (_, heartbeat) in std::mem::take(&mut self.buffered_heartbeats) {
-            let _ = self.apply_heartbeat(&heartbeat, true, now);
+        for heartbeat in recovery.buffered_heartbeats.values() {
+            self.apply_heartbeat(heartbeat, true, now);
         }
         self.schedule_due = true;
     }
 
-    /// Repeats what a segment of the log says of workers.
+    /// Replays the log's segments, in the log's order.
+    fn replay_log(&mut self, segments: &[RecoveredSegment], now: f64) {
+        // A worker may be described in a later segment than its bindings.
+        for recovered in segments {
+            self.replay_workers(&recovered.segment, now);
+        }
+        for recovered in segments {
+            self.commits
+                .replay_segment(&recovered.key, recovered.mod_revision, &recovered.segment);
+            self.replay_bindings(&recovered.segment);
+        }
+    }
+
+    /// Replays what a segment of the log says about workers.
     fn replay_workers(&mut self, segment: &Segment, now: f64) {
-        // An earlier leader may have answered reports until its lease grace period ended.
+        // An earlier leader may have answered heartbeats until its lease grace period ended.
         let lease_from = self.previous_leader_deadline;
         for (number, instance_type, zone, spot, endpoint, returning) in &segment.workers {
             let Some(name) = segment.worker_name(*number) else {
@@ -173,7 +291,7 @@
         }
     }
 
-    /// Repeats what a segment of the log says of tasks.
+    /// Replays what a segment of the log says about tasks.
     fn replay_bindings(&mut self, segment: &Segment) {
         let task = |job: u32, index: u32| {
             let job = segment.job(job)?.0.clone();
@@ -235,7 +353,7 @@
         }
     }
 
-    /// Counts the bindings that the log has left.
+    /// Charges the replayed bindings to jobs and quotas.
     fn charge_inherited_bindings(&mut self) {
         for worker in self.workers.iter() {
             for (task, binding) in &worker.bindings {
@@ -249,7 +367,7 @@
         }
     }
 
-    /// Jobs of which the last task was recorded, but not the end.
+    /// Finishes jobs whose last task is recorded as completed, but whose end is not.
     fn finish_completed_jobs(&mut self) {
         let complete: Vec<String> = self
             .jobs
@@ -261,8 +379,4 @@
             self.finish_job(&id);
         }
     }
-
-    pub(super) fn emit(&mut self, event: LeaderEvent) {
-        self.events.push(event);
-    }
 }
