--- a/src/coordination/leader/failure_detection.rs
+++ b/src/coordination/leader/failure_detection.rs
@@ -24,23 +24,11 @@
 const RECONNECT_HEARTBEATS: f64 = 2.5;
 
 impl Leader {
-    /// Since when a machine that should report has not; `None`: it may still be booting.
-    fn last_contact(&self, worker: &Worker) -> Option<f64> {
-        // Who has tasks and was never heard had them under an earlier leader.
-        let inherited = (!worker.bindings.is_empty()).then_some(self.elected_at);
-        Some(
-            worker
-                .last_heartbeat_at
-                .or(inherited)?
-                .max(self.awake_since),
-        )
-    }
-
     /// Whether a machine has missed its latest reports and leaves direct calls unanswered, or has
     /// been quiet for so long that this is not needed.
     fn is_unresponsive(&self, worker: &Worker, now: f64) -> bool {
         let worker_settings = &self.settings.deployment.workers;
-        self.last_contact(worker).is_some_and(|since| {
+        self.leases.last_contact(worker).is_some_and(|since| {
             let quiet_s = now - since;
             let asked = worker.unreachable_since.is_some_and(|at| at >= since);
             let long_s = match worker.last_heartbeat_at {
@@ -61,7 +49,7 @@
         let late_s = LATE_HEARTBEATS * self.settings.deployment.workers.heartbeat_interval_s;
         let mut zones: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
         for worker in self.workers.iter().filter(|worker| !worker.terminating) {
-            if let Some(since) = self.last_contact(worker) {
+            if let Some(since) = self.leases.last_contact(worker) {
                 let (there, late) = zones.entry(&worker.zone).or_default();
                 *there += 1;
                 *late += usize::from(now - since > late_s);
@@ -123,7 +111,7 @@
             })
             .count();
         // So it may be when nobody at all is heard; should this last, leadership is given up.
-        let quiet_s = self.last_heartbeat_at.map_or(0.0, |at| now - at);
+        let quiet_s = self.leases.silence_s(now);
         let nobody =
             quiet_s > QUIET_HEARTBEATS * self.fleet.heartbeat_interval_s && quiet_s < lease_s;
         let unreached = self
@@ -145,6 +133,7 @@
             !worker.spot
                 && self.fleet.was_partitioned(&worker.zone)
                 && self
+                    .leases
                     .last_contact(worker)
                     .is_some_and(|since| now - since < PARTITION_LEASES * lease_s)
         };
--- a/src/coordination/leader/fleet.rs
+++ b/src/coordination/leader/fleet.rs
@@ -484,7 +484,7 @@
         if self.fleet.is_deleted(&machine.name) {
             return;
         }
-        let lease_from = self.previous_leader_deadline;
+        let lease_from = self.leases.previous_leader_deadline();
         let worker = self.workers.entry(&machine.name, || {
             let mut worker = Worker::new(
                 &machine.name,
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -99,7 +99,7 @@
         by_itself: bool,
         now: f64,
     ) -> bool {
-        let since = self.previous_leader_deadline;
+        let since = self.leases.previous_leader_deadline();
         let known = self.workers.get(&heartbeat.worker).is_some();
         if !known && self.fleet.is_deleted(&heartbeat.worker) {
             return false;
@@ -164,8 +164,8 @@
         worker.last_heartbeat_at = Some(now);
         if ours {
             worker.observe_fence(heartbeat.token.fence());
-            // Only who has our epoch shows that we are heard, too.
-            self.last_heartbeat_at = Some(now);
+            // Only a worker that knows this epoch shows that it receives our answers, too.
+            self.leases.on_heartbeat(now);
         }
         worker.endpoint.clone_from(&heartbeat.endpoint);
         worker.reclaim_at = heartbeat.reclaim_in_s.map(|left| now + left);
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -10,6 +10,7 @@
 mod fencing;
 mod fleet;
 mod heartbeats;
+mod leases;
 mod recovery;
 mod scaling;
 
@@ -19,17 +20,18 @@
 use crate::bookkeeping::permits::{DecisionCounters, PermitKind, ViewFreshness};
 use crate::bookkeeping::quotas::Quotas;
 use crate::bookkeeping::records::FinishedRecord;
-use crate::bookkeeping::workers::{Binding, Eviction, EvictionReason, Resources, Worker, Workers};
+use crate::bookkeeping::workers::{Binding, Eviction, EvictionReason, Resources, Workers};
 use crate::bookkeeping::write_ahead_log::LogEntry;
 use crate::policy::Policy;
 use crate::protocol::cloud::InstanceType;
 use crate::protocol::job::{JobKind, JobSpec};
 use crate::protocol::peer::{JobCounts, MAX_JOB_COUNTS};
 use crate::protocol::worker::TaskId;
-use crate::settings::{DRIFT, Settings};
+use crate::settings::Settings;
 use commit::CommitPipeline;
 use dispatch::CommandDispatcher;
 use fleet::Fleet;
+use leases::LeaseTracker;
 use rand::rngs::SmallRng;
 use recovery::Recovery;
 use std::collections::BTreeSet;
@@ -91,15 +93,7 @@
     events: Vec<LeaderEvent>,
     /// No leader before this one has written anything: there is no machine of ours.
     is_first_leader: bool,
-    /// Until then an earlier leader may have renewed leases.
-    previous_leader_deadline: f64,
-    /// Controllers that know this epoch, or a higher one.
-    acknowledged_by: BTreeSet<String>,
-    last_heartbeat_at: Option<f64>,
-    /// When this controller last did its work, and since when it has done so without a gap: nobody counts
-    /// as silent for the time in which it did not listen.
-    last_polled_at: f64,
-    awake_since: f64,
+    leases: LeaseTracker,
     decisions: DecisionCounters,
     next_decision_log_at: f64,
     rng: SmallRng,
@@ -112,7 +106,7 @@
         settings: Rc<Settings>,
         policy: Rc<Policy>,
         instance_types: Rc<Vec<InstanceType>>,
-        hold_over_s: f64,
+        lease_grace_s: f64,
         rng: SmallRng,
         now: f64,
     ) -> Leader {
@@ -133,15 +127,7 @@
             fleet: Fleet::new(&settings, epoch, now),
             events: Vec::new(),
             is_first_leader: false,
-            previous_leader_deadline: if settings.peers.is_empty() {
-                now
-            } else {
-                now + hold_over_s
-            },
-            acknowledged_by: BTreeSet::new(),
-            last_heartbeat_at: None,
-            last_polled_at: now,
-            awake_since: now,
+            leases: LeaseTracker::new(&settings, lease_grace_s, now),
             decisions: DecisionCounters::default(),
             next_decision_log_at: now,
             rng,
@@ -156,20 +142,13 @@
         self.epoch
     }
 
-    /// A controller has shown that it knows this epoch, or a higher one: it no longer answers heartbeats, under the grace period, for an
-    /// earlier one, and never will again. Once all have, nobody else renews any lease.
+    /// A controller has shown that it knows this epoch, or a higher one: it never again answers
+    /// heartbeats for an earlier one. Once all have, no other controller renews any lease.
     pub fn acknowledged_by(&mut self, label: &str, now: f64) {
-        let seeds = &self.settings.peers;
-        if !self.acknowledged_by.insert(label.to_owned())
-            || !seeds
-                .iter()
-                .all(|seed| self.acknowledged_by.contains(&seed.label))
-        {
-            return;
-        }
-        self.previous_leader_deadline = self.previous_leader_deadline.min(now);
-        for worker in self.workers.iter_mut() {
-            worker.lease_renewed_at = worker.lease_renewed_at.min(now);
+        if self.leases.on_acknowledged(label, now) {
+            for worker in self.workers.iter_mut() {
+                worker.lease_renewed_at = worker.lease_renewed_at.min(now);
+            }
         }
     }
 
@@ -303,43 +282,17 @@
         self.recovery.is_some()
     }
 
-    /// For how long no worker has shown that it hears us, although some should.
+    /// Seconds for which no worker has shown that it receives this leader's answers, although some should.
     pub fn unresponsive_for(&self, now: f64) -> f64 {
-        // Since when there is somebody to be heard: a machine whose first word has just come has not
-        // had our answer yet.
-        let there = self
-            .workers
-            .iter()
-            .filter(|worker| {
-                !worker.terminating
-                    && (worker.last_heartbeat_at.is_some() || !worker.bindings.is_empty())
-            })
-            .map(|worker| worker.first_heartbeat_at.unwrap_or(self.elected_at))
-            .min_by(f64::total_cmp);
-        let Some(there) = there.filter(|_| !self.recovery()) else {
+        if self.recovery() {
             return 0.0;
-        };
-        // After a failover, workers need a moment to find the new leader.
-        let from = self.elected_at + 2.0 * self.settings.deployment.workers.heartbeat_interval_s;
-        now - self.last_heartbeat_at.unwrap_or(from).max(from).max(there)
-    }
-
-    /// When an incarnation whose worker is silent has certainly ended: its lease has run out since the
-    /// last answer that may have renewed it, by the slower of two clocks.
-    fn worker_lease_expires_at(&self, worker: &Worker) -> f64 {
-        let worker_settings = &self.settings.deployment.workers;
-        worker.lease_renewed_at
-            + worker_settings.lease_s * (1.0 + 4.0 * DRIFT)
-            + worker_settings.heartbeat_interval_s / 5.0
+        }
+        self.leases.unresponsive_for(&self.workers, now)
     }
 
     /// Does all that is due and that `knowledge` allows.
     pub fn poll(&mut self, freshness: &ViewFreshness, effects: &mut Effects, now: f64) {
-        if now - self.last_polled_at > self.settings.deployment.workers.heartbeat_interval_s / 4.0 {
-            tracing::info!(gap_s = now - self.last_polled_at, "event loop stalled");
-            self.awake_since = now;
-        }
-        self.last_polled_at = now;
+        self.leases.on_poll(now);
         if self.recovery() {
             self.poll_recovery(effects, now);
             return;
@@ -388,7 +341,7 @@
             .workers
             .iter()
             .filter(|worker| worker.bindings.values().any(|binding| !binding.unbinding))
-            .filter(|worker| now > self.worker_lease_expires_at(worker))
+            .filter(|worker| now > self.leases.expires_at(worker))
             .map(|worker| worker.name.clone())
             .collect();
         for name in dead {
--- a/src/coordination/leader/recovery.rs
+++ b/src/coordination/leader/recovery.rs
@@ -275,7 +275,7 @@
     /// Replays what a segment of the log says about workers.
     fn replay_workers(&mut self, segment: &Segment, now: f64) {
         // An earlier leader may have answered heartbeats until its lease grace period ended.
-        let lease_from = self.previous_leader_deadline;
+        let lease_from = self.leases.previous_leader_deadline();
         for (number, instance_type, zone, spot, endpoint, returning) in &segment.workers {
             let Some(name) = segment.worker_name(*number) else {
                 continue;
