--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -303,7 +303,7 @@
                 }
                 WorkerResponse::NotSent => {}
             }
-            self.schedule_due = true;
+            self.scheduling.request();
         }
         let heartbeat = match response {
             WorkerResponse::Executed(heartbeat) => heartbeat,
--- a/src/coordination/leader/failure_attribution.rs
+++ b/src/coordination/leader/failure_attribution.rs
@@ -45,7 +45,7 @@
         if job.failures.is_crash_looping() {
             tracing::info!(job = job.spec.id, "job no longer crash-looping");
             job.eligible_at = 0.0;
-            self.schedule_due = true;
+            self.scheduling.request();
         } else {
             for name in job.failures.workers() {
                 if let Some(worker) = self.workers.get_mut(name) {
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -173,7 +173,7 @@
             // From here on nobody else's answers renew its lease, or reach it at all.
             worker.token_acknowledged = true;
             worker.lease_renewed_at = now;
-            self.schedule_due = true;
+            self.scheduling.request();
         }
         let mut statuses: BTreeMap<TaskId, Vec<TaskStatus>> = BTreeMap::new();
         for task_status in &heartbeat.tasks {
@@ -187,7 +187,7 @@
             // A new incarnation has killed and forgotten all tasks of the earlier ones.
             let incarnation = heartbeat.incarnation;
             self.end_lost_bindings(&name, |binding| binding.incarnation < incarnation);
-            self.schedule_due = true;
+            self.scheduling.request();
         }
         self.reconcile_bindings(&name, now);
         if heartbeat.reclaim_in_s.is_some() {
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -4,6 +4,7 @@
 mod binding_reconciliation;
 mod commit;
 mod consolidation;
+mod decision_log;
 mod dispatch;
 mod failure_attribution;
 mod failure_detection;
@@ -13,50 +14,41 @@
 mod leases;
 mod recovery;
 mod scaling;
+mod scheduling;
 
 use super::effects::Effects;
-use super::scheduler::{self, SchedulingCycle};
 use crate::bookkeeping::jobs::{Job, Jobs};
-use crate::bookkeeping::permits::{DecisionCounters, PermitKind, ViewFreshness};
+use crate::bookkeeping::permits::{PermitKind, ViewFreshness};
 use crate::bookkeeping::quotas::Quotas;
 use crate::bookkeeping::records::FinishedRecord;
-use crate::bookkeeping::workers::{Binding, Eviction, EvictionReason, Resources, Workers};
-use crate::bookkeeping::write_ahead_log::LogEntry;
+use crate::bookkeeping::workers::{Binding, Eviction, Workers};
 use crate::policy::Policy;
 use crate::protocol::cloud::InstanceType;
-use crate::protocol::job::{JobKind, JobSpec};
+use crate::protocol::job::JobSpec;
 use crate::protocol::peer::{JobCounts, MAX_JOB_COUNTS};
 use crate::protocol::worker::TaskId;
 use crate::settings::Settings;
 use commit::CommitPipeline;
+use decision_log::DecisionLog;
 use dispatch::CommandDispatcher;
 use fleet::Fleet;
 use leases::LeaseTracker;
 use rand::rngs::SmallRng;
 use recovery::Recovery;
+use scheduling::SchedulingTrigger;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
 pub use heartbeats::HeartbeatOutcome;
 
-/// Attempts within one epoch.
-const ATTEMPT_COUNTER_BITS: u32 = 24;
 /// Share of the state service's limits that the leader's own writes may use.
 pub const LEADER_STATE_SHARE: f64 = 0.5;
 /// Workers whose heartbeats are kept during recovery.
 const MAX_BUFFERED_HEARTBEATS: usize = 4096;
-/// Binds are put off while more changes than this wait to be written.
-const MAX_BACKLOG: usize = 600;
 /// Estimates are often wrong by half.
 const RUNTIME_ESTIMATE_MARGIN: f64 = 1.5;
-/// Leases for which a job waits without a start before it goes first among its equals.
-const AGEING_LEASES: f64 = 6.0;
 /// Leases for which a job's tasks avoid a worker on which one of them has failed.
 const AVOID_LEASES: f64 = 1.0;
-/// Heartbeat intervals between two logs of what was allowed and denied.
-const HEARTBEATS_PER_DECISION_LOG: f64 = 24.0;
-/// Passes of the scheduler in a heartbeat interval, at most.
-const CYCLES_PER_HEARTBEAT: f64 = 25.0;
 
 /// Something that the rest of the controller must learn.
 #[derive(Debug, PartialEq)]
@@ -82,20 +74,18 @@
     commits: CommitPipeline,
     /// `None` once the tables are rebuilt.
     recovery: Option<Recovery>,
+    scheduling: SchedulingTrigger,
+    /// Attempts that this leader has numbered.
     attempts: u64,
-    schedule_due: bool,
-    next_cycle_at: f64,
     /// Starts may go out, as of the last time.
     may_start: bool,
     dispatcher: CommandDispatcher,
-    pending_demand: Vec<scheduler::PendingDemand>,
     fleet: Fleet,
     events: Vec<LeaderEvent>,
     /// No leader before this one has written anything: there is no machine of ours.
     is_first_leader: bool,
     leases: LeaseTracker,
-    decisions: DecisionCounters,
-    next_decision_log_at: f64,
+    decisions: DecisionLog,
     rng: SmallRng,
 }
 
@@ -110,6 +100,7 @@
         rng: SmallRng,
         now: f64,
     ) -> Leader {
+        let heartbeat_interval_s = settings.deployment.workers.heartbeat_interval_s;
         Leader {
             epoch,
             elected_at: now,
@@ -119,17 +110,14 @@
             commits: CommitPipeline::new(&settings, epoch),
             recovery: Some(Recovery::new()),
             attempts: 0,
-            schedule_due: true,
-            next_cycle_at: 0.0,
+            scheduling: SchedulingTrigger::new(heartbeat_interval_s),
             may_start: true,
             dispatcher: CommandDispatcher::new(settings.deployment.quota.direct_sockets()),
-            pending_demand: Vec::new(),
             fleet: Fleet::new(&settings, epoch, now),
             events: Vec::new(),
             is_first_leader: false,
             leases: LeaseTracker::new(&settings, lease_grace_s, now),
-            decisions: DecisionCounters::default(),
-            next_decision_log_at: now,
+            decisions: DecisionLog::new(heartbeat_interval_s, now),
             rng,
             settings,
             policy,
@@ -164,7 +152,7 @@
     /// Takes a new instance catalog.
     pub fn set_instance_types(&mut self, instance_types: Rc<Vec<InstanceType>>) {
         self.instance_types = instance_types;
-        self.schedule_due = true;
+        self.scheduling.request();
     }
 
     /// A job was opened, as the watch or the job API shows it.
@@ -183,7 +171,7 @@
                 deadline - RUNTIME_ESTIMATE_MARGIN * spec.expected_runtime_s;
         }
         self.jobs.insert(job);
-        self.schedule_due = true;
+        self.scheduling.request();
     }
 
     /// The time within which jobs of a class should be finished, or their tasks started, by the
@@ -243,7 +231,7 @@
             }
         }
         self.withdraw_failures(job);
-        self.schedule_due = true;
+        self.scheduling.request();
     }
 
     /// A listing of the open jobs at a revision. The leader's own listing may be older: a job that
@@ -274,7 +262,7 @@
                 }
             }
         }
-        self.schedule_due = true;
+        self.scheduling.request();
     }
 
     /// Whether the tables are still being loaded.
@@ -322,17 +310,7 @@
         }
         self.may_start = may_start;
         self.dispatch_commands(freshness, effects, now);
-        self.log_decisions(now);
-    }
-
-    /// Logs how often what was allowed and denied, from time to time.
-    fn log_decisions(&mut self, now: f64) {
-        if now < self.next_decision_log_at {
-            return;
-        }
-        self.next_decision_log_at = now
-            + HEARTBEATS_PER_DECISION_LOG * self.settings.deployment.workers.heartbeat_interval_s;
-        self.decisions.log();
+        self.decisions.poll(now);
     }
 
     /// Ends the bindings of workers that have been silent for longer than their lease can last.
@@ -394,7 +372,7 @@
                 job.unbind(task.index, name, &worker.zone, now);
                 job.running_tasks -= u32::from(binding.running_since.is_some());
             }
-            self.schedule_due = true;
+            self.scheduling.request();
             self.dispatcher.mark_due(name);
         }
     }
@@ -413,106 +391,6 @@
         }
     }
 
-    /// One pass of the scheduler, unless too much waits to be written down.
-    fn run_scheduling_cycle(&mut self, now: f64) {
-        let is_due = self.schedule_due && now >= self.next_cycle_at;
-        if !is_due || self.instance_types.is_empty() || self.commits.backlog() > MAX_BACKLOG {
-            return;
-        }
-        self.schedule_due = false;
-        self.next_cycle_at =
-            now + self.settings.deployment.workers.heartbeat_interval_s / CYCLES_PER_HEARTBEAT;
-        let lease_s = self.settings.deployment.workers.lease_s;
-        let limits = scheduler::CycleLimits {
-            ageing_s: AGEING_LEASES * lease_s,
-            avoid_s: AVOID_LEASES * lease_s,
-        };
-        let pass = SchedulingCycle::new(
-            &self.jobs,
-            &self.workers,
-            &self.instance_types,
-            &self.quotas,
-            limits,
-            now,
-        );
-        let plan = pass.run(&mut self.rng);
-        for (task, worker) in plan.bindings {
-            self.bind(&task, &worker, now);
-        }
-        for (name, task) in plan.preemptions {
-            let worker = self.workers.get_mut(&name);
-            if let Some(binding) = worker.and_then(|worker| worker.bindings.get_mut(&task)) {
-                tracing::info!(worker = name, %task, "task preempted");
-                let checkpoint_grace_s = self
-                    .jobs
-                    .get(&task.job)
-                    .map_or(0.0, |job| job.spec.checkpoint_grace_s);
-                binding.eviction = Some(Eviction {
-                    grace_s: checkpoint_grace_s,
-                    reason: EvictionReason::Preempted,
-                });
-                self.dispatcher.mark_due(&name);
-            }
-        }
-        self.pending_demand = plan.pending_demand;
-    }
-
-    fn bind(&mut self, task: &TaskId, name: &str, now: f64) {
-        let (Some(worker), Some(job)) = (self.workers.get_mut(name), self.jobs.get_mut(&task.job))
-        else {
-            return;
-        };
-        if worker.bindings.contains_key(task) || worker.observed_tasks.contains_key(task) {
-            return;
-        }
-        // The tasks of a gang find one another by a common attempt.
-        let mates = match job.gang_attempt {
-            Some(attempt) if job.spec.kind == JobKind::Gang && !job.bound_workers.is_empty() => {
-                Some(attempt)
-            }
-            _ => None,
-        };
-        let attempt = mates.unwrap_or_else(|| {
-            self.attempts += 1;
-            (self.epoch << ATTEMPT_COUNTER_BITS) | self.attempts
-        });
-        job.gang_attempt = Some(attempt);
-        let need = scheduler::resource_request(&job.spec);
-        let binding = Binding {
-            attempt,
-            incarnation: worker.incarnation,
-            request: need,
-            team: job.spec.team.clone(),
-            durable: false,
-            inherited: false,
-            unbinding: false,
-            eviction: None,
-            running_since: None,
-        };
-        tracing::debug!(worker = name, %task, attempt, "task bound");
-        worker.bindings.insert(task.clone(), binding);
-        job.bind(task.index, name, &worker.zone);
-        self.quotas.charge(&job.spec.team, need.cpus, need.gpus);
-        // Forecasts are for what belongs in the pool: neither replicas, which stay, nor work that
-        // has only spilled over from the spot pools; nor probes of a job that fails everywhere.
-        let spilled = job.spec.spot && !worker.spot;
-        let share = if job.is_service() || spilled || job.failures.is_crash_looping() {
-            None
-        } else {
-            let instance_type = self
-                .instance_types
-                .iter()
-                .find(|f| f.name == worker.instance_type);
-            instance_type.map(|f| need.dominant_share(&Resources::from(f)))
-        };
-        self.fleet.record_start(worker, share, now);
-        self.commits.push(LogEntry::Bind {
-            worker: name.to_owned(),
-            task: task.clone(),
-            attempt,
-        });
-    }
-
     /// Display counts of the open jobs.
     pub fn job_counts(&self) -> Vec<JobCounts> {
         self.jobs
--- a/src/coordination/leader/recovery.rs
+++ b/src/coordination/leader/recovery.rs
@@ -256,7 +256,7 @@
         for heartbeat in recovery.buffered_heartbeats.values() {
             self.apply_heartbeat(heartbeat, true, now);
         }
-        self.schedule_due = true;
+        self.scheduling.request();
     }
 
     /// Replays the log's segments, in the log's order.
--- a/src/coordination/leader/scaling.rs
+++ b/src/coordination/leader/scaling.rs
@@ -109,7 +109,7 @@
 
     /// Moves replicas together in each zone, while none waits.
     fn consolidate_zones(&mut self, offers: &[PoolOffer], figures: &[Figures], now: f64) {
-        let replicas_wait = self.pending_demand.iter().any(|pending_demand| {
+        let replicas_wait = self.scheduling.pending_demand.iter().any(|pending_demand| {
             let job = self.jobs.get(&pending_demand.job);
             job.is_some_and(|job| job.is_service())
         });
@@ -327,7 +327,7 @@
             .map(|offer| offer.instance_type.boot_time_s)
             .fold(f64::INFINITY, f64::min);
         let mut ahead = 0.0;
-        for pending_demand in &self.pending_demand {
+        for pending_demand in &self.scheduling.pending_demand {
             let Some(job) = self.jobs.get(&pending_demand.job) else {
                 continue;
             };
