--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -1,6 +1,6 @@
 //! Direct commands to workers: probes of late workers, and commands that cannot wait for a heartbeat.
 
-use super::heartbeats::MAX_COMMANDS;
+use super::heartbeats::{HeartbeatPath, MAX_COMMANDS};
 use super::{Leader, LeaderEvent};
 use crate::bookkeeping::pending_starts::CallOutcome;
 use crate::bookkeeping::permits::ViewFreshness;
@@ -328,7 +328,7 @@
             self.emit(LeaderEvent::HigherEpochSeen(heartbeat.token.epoch()));
             return;
         }
-        self.apply_heartbeat(&heartbeat, false, now);
+        self.apply_heartbeat(&heartbeat, HeartbeatPath::DirectAnswer, now);
     }
 }
 
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of workers: what they tell, and the commands that answer them.
+//! Heartbeats of workers: what the leader learns from them, and the commands that answer them.
 
 use super::{Leader, LeaderEvent};
 use crate::bookkeeping::permits::{PermitKind, ViewFreshness};
@@ -8,23 +8,32 @@
 };
 use std::collections::BTreeMap;
 
-/// Orders in one message, well below the size limit of messages.
+/// Commands in one message, well below the size limit of messages.
 pub(super) const MAX_COMMANDS: usize = 300;
 
+/// By which path a heartbeat came.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum HeartbeatPath {
+    /// A request of the worker; the answer renews its lease.
+    Request,
+    /// The answer to a direct call.
+    DirectAnswer,
+}
+
 /// What to answer a worker.
 #[derive(Debug, PartialEq)]
 pub enum HeartbeatOutcome {
     /// 200 with these commands.
     Commands(CommandBatch),
-    /// Nothing that renews its lease: what runs there may be cancelled.
+    /// An answer that does not renew its lease: what runs there may have been cancelled.
     LeaseNotRenewed,
     /// The worker has seen a higher epoch: 421.
     NewerLeaderExists,
 }
 
 impl Leader {
-    /// Takes a heartbeat that a worker sent by itself. The answer renews its lease, if `knowledge` allows
-    /// it. `is_open`: the open jobs that this controller knows of besides the tables.
+    /// Takes a heartbeat that a worker sent as a request. The answer renews its lease if `freshness`
+    /// allows it. `is_open` tells the open jobs that this controller knows besides the tables.
     pub fn on_heartbeat(
         &mut self,
         heartbeat: &WorkerHeartbeat,
@@ -62,16 +71,16 @@
             }
             return self.respond_to_heartbeat(heartbeat, Vec::new(), freshness);
         }
-        let newer = self.apply_heartbeat(heartbeat, true, now);
+        let is_newest = self.apply_heartbeat(heartbeat, HeartbeatPath::Request, now);
         self.revoke_pending_starts(&heartbeat.worker);
-        let Some(worker) = self.workers.get(&heartbeat.worker).filter(|_| newer) else {
-            // Late: an answer renews nothing, and its task list is old.
+        let Some(worker) = self.workers.get(&heartbeat.worker).filter(|_| is_newest) else {
+            // Late: its answer renews nothing, and its task list is old.
             return self.respond_to_heartbeat(heartbeat, Vec::new(), freshness);
         };
         let may_start = freshness.may_start().is_ok();
         let commands = worker.commands(may_start, MAX_COMMANDS);
         if may_start && commands.len() < MAX_COMMANDS {
-            // The answer carries all; the next heartbeat shows what came of it.
+            // The answer carries all commands; the next heartbeat shows what became of them.
             self.dispatcher.sent(&heartbeat.worker, &commands, now);
         }
         self.respond_to_heartbeat(heartbeat, commands, freshness)
@@ -83,117 +92,151 @@
         commands: Vec<Command>,
         freshness: &ViewFreshness,
     ) -> HeartbeatOutcome {
-        let way = DeliveryPath::HeartbeatResponse(heartbeat.sequence);
-        HeartbeatOutcome::Commands(self.prepare_commands(
-            &heartbeat.worker,
-            commands,
-            way,
-            freshness,
-        ))
+        let path = DeliveryPath::HeartbeatResponse(heartbeat.sequence);
+        let batch = self.prepare_commands(&heartbeat.worker, commands, path, freshness);
+        HeartbeatOutcome::Commands(batch)
     }
 
-    /// Takes a heartbeat from whatever way. False: a newer one is known.
+    /// Takes a heartbeat that came by either path. Returns false if a newer one is known.
     pub(super) fn apply_heartbeat(
         &mut self,
         heartbeat: &WorkerHeartbeat,
-        by_itself: bool,
+        path: HeartbeatPath,
         now: f64,
     ) -> bool {
-        let since = self.leases.previous_leader_deadline();
-        let known = self.workers.get(&heartbeat.worker).is_some();
-        if !known && self.fleet.is_deleted(&heartbeat.worker) {
+        let name = &heartbeat.worker;
+        let is_known = self.workers.get(name).is_some();
+        if !is_known && self.fleet.is_deleted(name) {
             return false;
         }
-        let worker = self.workers.entry(&heartbeat.worker, || {
-            let mut worker = Worker::new(
-                &heartbeat.worker,
-                &heartbeat.instance_type,
-                &heartbeat.zone,
-                heartbeat.spot,
-                now,
-            );
-            worker.lease_renewed_at = since;
-            worker
-        });
-        if !known {
-            tracing::info!(worker = heartbeat.worker, "unknown worker registered");
+        if !is_known {
+            tracing::info!(worker = name, "unknown worker registered");
         }
+        let lease_from = self.leases.previous_leader_deadline();
+        let worker = self
+            .workers
+            .entry(name, || registered_worker(heartbeat, lease_from, now));
         if !worker.is_newer(heartbeat) {
-            // A copy, or overtaken by a direct answer. Should the worker still wait for our answer,
-            // its lease counts from when it sent this, which was before the newest word we had.
-            if let Some(heard) = worker.last_heartbeat_at.filter(|_| by_itself) {
-                worker.lease_renewed_at = worker.lease_renewed_at.max(heard);
-            }
+            renew_by_late_heartbeat(worker, path);
             return false;
         }
-        if by_itself {
-            worker.lease_renewed_at = if worker.token_acknowledged {
-                now
-            } else {
-                worker.lease_renewed_at.max(now)
-            };
-        }
-        let ours = heartbeat.token.epoch() == self.epoch;
-        let new_session = heartbeat.incarnation > worker.incarnation;
-        if new_session {
-            if worker.last_heartbeat_at.is_some() {
-                // It lost an incarnation although we answered it: perhaps our answers don't arrive.
-                worker.unreachable_since = Some(now);
-            }
-            worker.pending_starts.end_session();
-            worker.idle_since = now;
-            // Its lease runs from its beginning, of which a direct answer may be the first word.
-            worker.lease_renewed_at = worker.lease_renewed_at.max(now);
-        } else if by_itself {
+        renew_lease(worker, path, now);
+        let is_new_incarnation = heartbeat.incarnation > worker.incarnation;
+        if is_new_incarnation {
+            begin_incarnation(worker, now);
+        } else if path == HeartbeatPath::Request {
             worker.pending_starts.settle_responses(heartbeat.sequence);
         }
-        if worker.last_heartbeat_at.is_none() {
-            tracing::info!(
-                worker = heartbeat.worker,
-                instance_type = heartbeat.instance_type,
-                zone = heartbeat.zone,
-                spot = heartbeat.spot,
-                after_s = now - worker.first_seen_at,
-                "worker registered"
-            );
-            worker.idle_since = now;
+        record_heartbeat(worker, heartbeat, now);
+        self.acknowledge_token(heartbeat, now);
+        if is_new_incarnation {
+            // A new incarnation has killed and forgotten all tasks of the earlier ones.
+            self.end_lost_bindings(name, |binding| binding.incarnation < heartbeat.incarnation);
+            self.scheduling.request();
         }
-        worker.incarnation = heartbeat.incarnation;
-        worker.sequence = heartbeat.sequence;
-        worker.first_heartbeat_at.get_or_insert(now);
-        worker.last_heartbeat_at = Some(now);
-        if ours {
-            worker.observe_fence(heartbeat.token.fence());
-            // Only a worker that knows this epoch shows that it receives our answers, too.
-            self.leases.on_heartbeat(now);
+        self.reconcile_bindings(name, now);
+        if heartbeat.reclaim_in_s.is_some() {
+            self.evict_before_reclaim(name, now);
+        }
+        self.dispatcher.mark_due(name);
+        true
+    }
+
+    /// Takes note of a worker that knows this epoch: it receives this leader's answers, and from its
+    /// first such heartbeat on no other leader renews its lease or reaches it at all.
+    fn acknowledge_token(&mut self, heartbeat: &WorkerHeartbeat, now: f64) {
+        if heartbeat.token.epoch() != self.epoch {
+            return;
         }
-        worker.endpoint.clone_from(&heartbeat.endpoint);
-        worker.reclaim_at = heartbeat.reclaim_in_s.map(|left| now + left);
-        if ours && !worker.token_acknowledged {
-            // From here on nobody else's answers renew its lease, or reach it at all.
+        self.leases.on_heartbeat(now);
+        let Some(worker) = self.workers.get_mut(&heartbeat.worker) else {
+            return;
+        };
+        worker.observe_fence(heartbeat.token.fence());
+        if !worker.token_acknowledged {
             worker.token_acknowledged = true;
             worker.lease_renewed_at = now;
             self.scheduling.request();
         }
-        let mut statuses: BTreeMap<TaskId, Vec<TaskStatus>> = BTreeMap::new();
-        for task_status in &heartbeat.tasks {
-            if let Some(task) = TaskId::parse(&task_status.task) {
-                statuses.entry(task).or_default().push(task_status.clone());
-            }
-        }
-        worker.observed_tasks = statuses;
-        let name = heartbeat.worker.clone();
-        if new_session {
-            // A new incarnation has killed and forgotten all tasks of the earlier ones.
-            let incarnation = heartbeat.incarnation;
-            self.end_lost_bindings(&name, |binding| binding.incarnation < incarnation);
-            self.scheduling.request();
-        }
-        self.reconcile_bindings(&name, now);
-        if heartbeat.reclaim_in_s.is_some() {
-            self.evict_before_reclaim(&name, now);
+    }
+}
+
+/// A worker that was not known before its heartbeat. An earlier leader may have renewed its lease
+/// until `lease_from`.
+fn registered_worker(heartbeat: &WorkerHeartbeat, lease_from: f64, now: f64) -> Worker {
+    let mut worker = Worker::new(
+        &heartbeat.worker,
+        &heartbeat.instance_type,
+        &heartbeat.zone,
+        heartbeat.spot,
+        now,
+    );
+    worker.lease_renewed_at = lease_from;
+    worker
+}
+
+/// A copy, or a heartbeat that a direct answer has overtaken. Should the worker still wait for our
+/// answer, its lease counts from when it sent this, which was before its newest heartbeat.
+fn renew_by_late_heartbeat(worker: &mut Worker, path: HeartbeatPath) {
+    if let (HeartbeatPath::Request, Some(last)) = (path, worker.last_heartbeat_at) {
+        worker.lease_renewed_at = worker.lease_renewed_at.max(last);
+    }
+}
+
+/// The answer to a worker's request renews its lease.
+fn renew_lease(worker: &mut Worker, path: HeartbeatPath, now: f64) {
+    if path == HeartbeatPath::DirectAnswer {
+        return;
+    }
+    worker.lease_renewed_at = if worker.token_acknowledged {
+        now
+    } else {
+        // An earlier leader may have renewed it for longer.
+        worker.lease_renewed_at.max(now)
+    };
+}
+
+/// The worker has begun a new incarnation.
+fn begin_incarnation(worker: &mut Worker, now: f64) {
+    if worker.last_heartbeat_at.is_some() {
+        // It lost an incarnation although we answered it: perhaps our answers don't arrive.
+        worker.unreachable_since = Some(now);
+    }
+    worker.pending_starts.end_session();
+    worker.idle_since = now;
+    // Its lease runs from its beginning, which a direct answer may be the first to show.
+    worker.lease_renewed_at = worker.lease_renewed_at.max(now);
+}
+
+/// Takes over what a worker's newest heartbeat says.
+fn record_heartbeat(worker: &mut Worker, heartbeat: &WorkerHeartbeat, now: f64) {
+    if worker.last_heartbeat_at.is_none() {
+        tracing::info!(
+            worker = heartbeat.worker,
+            instance_type = heartbeat.instance_type,
+            zone = heartbeat.zone,
+            spot = heartbeat.spot,
+            after_s = now - worker.first_seen_at,
+            "worker registered"
+        );
+        worker.idle_since = now;
+    }
+    worker.incarnation = heartbeat.incarnation;
+    worker.sequence = heartbeat.sequence;
+    worker.first_heartbeat_at.get_or_insert(now);
+    worker.last_heartbeat_at = Some(now);
+    worker.endpoint.clone_from(&heartbeat.endpoint);
+    worker.reclaim_at = heartbeat.reclaim_in_s.map(|left_s| now + left_s);
+    worker.observed_tasks = observed_tasks(heartbeat);
+}
+
+/// The statuses of a heartbeat by task; what is no task of ours is left out.
+fn observed_tasks(heartbeat: &WorkerHeartbeat) -> BTreeMap<TaskId, Vec<TaskStatus>> {
+    let mut statuses: BTreeMap<TaskId, Vec<TaskStatus>> = BTreeMap::new();
+    for status in &heartbeat.tasks {
+        if let Some(task) = TaskId::parse(&status.task) {
+            statuses.entry(task).or_default().push(status.clone());
         }
-        self.dispatcher.mark_due(&name);
-        true
     }
+    statuses
 }
--- a/src/coordination/leader/recovery.rs
+++ b/src/coordination/leader/recovery.rs
@@ -1,6 +1,7 @@
 //! Recovery: after an election the leader reads all records from the state service (open jobs, the
 //! log, and provisioning requests) and rebuilds its tables from them.
 
+use super::heartbeats::HeartbeatPath;
 use super::{Leader, MAX_BUFFERED_HEARTBEATS};
 use crate::bookkeeping::records::{self, ProvisioningRecord};
 use crate::bookkeeping::segment::{Segment, decode_chunk};
@@ -254,7 +255,7 @@
         );
         self.finish_completed_jobs();
         for heartbeat in recovery.buffered_heartbeats.values() {
-            self.apply_heartbeat(heartbeat, true, now);
+            self.apply_heartbeat(heartbeat, HeartbeatPath::Request, now);
         }
         self.scheduling.request();
     }
