--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -4,7 +4,7 @@
 use super::election::{Election, ElectionTimeouts, LeadershipChange};
 use super::instance_catalog::InstanceCatalog;
 use super::job_api::JobApi;
-use super::leader::{HeartbeatOutcome, LEADER_STATE_SHARE, Leader, LeaderEvent};
+use super::leader::{HeartbeatOutcome, LEADER_STATE_SHARE, Leader, LeaderConfig, LeaderEvent};
 use super::peers::Peers;
 use super::routes::Route;
 use super::terminations::TerminationQueue;
@@ -578,15 +578,14 @@
             LeadershipChange::Elected(epoch) => {
                 tracing::info!(epoch, "leadership acquired");
                 let instance_types = self.catalog.instance_types().cloned().unwrap_or_default();
-                let mut leader = Leader::new(
+                let config = LeaderConfig {
                     epoch,
-                    self.settings.clone(),
-                    self.policy.clone(),
+                    settings: self.settings.clone(),
+                    policy: self.policy.clone(),
                     instance_types,
-                    self.lease_grace_s,
-                    SmallRng::from_rng(&mut self.rng),
-                    now,
-                );
+                    lease_grace_s: self.lease_grace_s,
+                };
+                let mut leader = Leader::new(config, SmallRng::from_rng(&mut self.rng), now);
                 let told_s = self.settings.deployment.workers.cancel_s;
                 leader.inherit_crash_looping(self.peers.crash_looping_jobs(told_s, now));
                 self.leader = Some(leader);
@@ -629,8 +628,8 @@
         leader.poll(&freshness, &mut self.effects, now);
         for event in leader.take_events() {
             let change = match event {
-                LeaderEvent::JobFinished(id, record) => {
-                    self.job_api.announce_finished(&id, record);
+                LeaderEvent::JobFinished { job, record } => {
+                    self.job_api.announce_finished(&job, record);
                     LeadershipChange::None
                 }
                 LeaderEvent::HigherEpochSeen(epoch) => self.election.observe_epoch(epoch),
--- /dev/null
+++ b/src/coordination/leader/bindings.rs
@@ -0,0 +1,86 @@
+//! The end of bindings: of tasks that are lost with their worker's lease or incarnation, and of those
+//! whose end is committed.
+
+use super::Leader;
+use crate::bookkeeping::workers::Binding;
+use crate::protocol::worker::TaskId;
+
+impl Leader {
+    /// Ends the bindings of workers whose lease has certainly expired.
+    pub(super) fn expire_worker_leases(&mut self, now: f64) {
+        let expired: Vec<String> = self
+            .workers
+            .iter()
+            .filter(|worker| worker.bindings.values().any(|binding| !binding.unbinding))
+            .filter(|worker| now > self.leases.expires_at(worker))
+            .map(|worker| worker.name.clone())
+            .collect();
+        for name in expired {
+            tracing::info!(worker = name, "worker lease expired");
+            if let Some(worker) = self.workers.get_mut(&name) {
+                worker.token_acknowledged = false;
+                worker.observed_tasks.clear();
+                worker.pending_starts.end_session();
+            }
+            self.end_lost_bindings(&name, |_| true);
+        }
+    }
+
+    /// Ends bindings of tasks that are certainly no longer on the worker.
+    pub(super) fn end_lost_bindings(&mut self, name: &str, is_lost: impl Fn(&Binding) -> bool) {
+        let Some(worker) = self.workers.get(name) else {
+            return;
+        };
+        let lost: Vec<(TaskId, u64)> = worker
+            .bindings
+            .iter()
+            .filter(|(_, binding)| !binding.unbinding && is_lost(binding))
+            .map(|(task, binding)| (task.clone(), binding.attempt))
+            .collect();
+        for (task, attempt) in lost {
+            tracing::debug!(worker = name, %task, attempt, "binding lost");
+            self.end_binding(name, &task, attempt, false);
+        }
+    }
+
+    /// Drops a binding from the tables, after its end is committed or its worker is removed.
+    pub(super) fn drop_binding(&mut self, name: &str, task: &TaskId, attempt: u64, now: f64) {
+        let Some(worker) = self.workers.get_mut(name) else {
+            return;
+        };
+        if worker
+            .bindings
+            .get(task)
+            .is_none_or(|binding| binding.attempt != attempt)
+        {
+            return;
+        }
+        if let Some(binding) = worker.bindings.remove(task) {
+            self.quotas
+                .release(&binding.team, binding.request.cpus, binding.request.gpus);
+            if worker.bindings.is_empty() {
+                worker.idle_since = now;
+            }
+            if let Some(job) = self.jobs.get_mut(&task.job) {
+                job.unbind(task.index, name, &worker.zone, now);
+                job.running_tasks -= u32::from(binding.running_since.is_some());
+            }
+            self.scheduling.request();
+            self.dispatcher.mark_due(name);
+        }
+    }
+
+    /// Drops all bindings of a worker that is removed.
+    pub(super) fn drop_all_bindings(&mut self, name: &str, now: f64) {
+        let bound: Vec<(TaskId, u64)> = self
+            .workers
+            .get(name)
+            .into_iter()
+            .flat_map(|worker| &worker.bindings)
+            .map(|(task, binding)| (task.clone(), binding.attempt))
+            .collect();
+        for (task, attempt) in bound {
+            self.drop_binding(name, &task, attempt, now);
+        }
+    }
+}
--- a/src/coordination/leader/commit.rs
+++ b/src/coordination/leader/commit.rs
@@ -319,7 +319,10 @@
                         outcome: JobOutcome::Done,
                         completed_tasks: known.completed.len(),
                     };
-                    self.emit(LeaderEvent::JobFinished(job.clone(), record));
+                    self.emit(LeaderEvent::JobFinished {
+                        job: job.clone(),
+                        record,
+                    });
                     self.evict_tasks_of(&known);
                 }
             }
@@ -337,17 +340,4 @@
             LogEntry::WriteKey { write } => self.fleet.on_record_written(write),
         }
     }
-
-    /// Queues the end of a job once all its tasks have completed.
-    pub(super) fn finish_job(&mut self, id: &str) {
-        if let Some(job) = self.jobs.get_mut(id)
-            && !job.finishing
-            && !job.is_service()
-            && job.completed.len() == job.spec.tasks
-        {
-            job.finishing = true;
-            self.commits
-                .push(LogEntry::FinishJob { job: id.to_owned() });
-        }
-    }
 }
--- a/tests/reports.rs
+++ b/tests/reports.rs
@@ -4,7 +4,7 @@
 
 use cedarladder::bookkeeping::segment::SegmentBuilder;
 use cedarladder::bookkeeping::workers::Resources;
-use cedarladder::coordination::leader::{HeartbeatOutcome, Leader};
+use cedarladder::coordination::leader::{HeartbeatOutcome, Leader, LeaderConfig};
 use cedarladder::policy::Policy;
 use cedarladder::protocol::cbor;
 use cedarladder::protocol::kv::{KeyValue, KvResponse};
@@ -45,7 +45,14 @@
     let policy = Rc::new(Policy::built_in(&settings));
     let instance_types = Rc::new(vec![instance_type("f")]);
     let rng = SmallRng::seed_from_u64(1);
-    Leader::new(EPOCH, settings, policy, instance_types, 30.0, rng, 0.0)
+    let config = LeaderConfig {
+        epoch: EPOCH,
+        settings,
+        policy,
+        instance_types,
+        lease_grace_s: 30.0,
+    };
+    Leader::new(config, rng, 0.0)
 }
 
 fn report(incarnation: u64, tick: u64, epoch: u64) -> WorkerHeartbeat {
