--- a/src/coordination/leader/binding_reconciliation.rs
+++ b/src/coordination/leader/binding_reconciliation.rs
@@ -1,4 +1,5 @@
-//! Compares bindings with what a worker reports: tasks that run, that have exited, and that must move.
+//! Binding reconciliation: bindings against the tasks that a worker reports as running or exited, and
+//! the eviction of those that must move.
 
 use super::Leader;
 use crate::bookkeeping::invariants::{self, Invariant};
@@ -8,19 +9,24 @@
 use crate::bookkeeping::write_ahead_log::LogEntry;
 use crate::protocol::worker::{ExitReason, TaskId, TaskState};
 
-/// What a heartbeat tells of a bound task.
+/// What a heartbeat says about a bound task.
 enum Finding {
     /// It has begun to run.
     Began,
-    /// A replica of a failing service has run for so long.
+    /// A replica of a failing service has run for so many seconds.
     RanFor(f64),
-    /// It has exited for this cause; whether it was seen running before.
-    Exited(ExitReason, bool),
-    /// It is not there and won't be.
+    /// It has exited.
+    Exited {
+        /// Why.
+        reason: ExitReason,
+        /// Whether it was seen running before.
+        was_running: bool,
+    },
+    /// It is not on the worker, and no start of it may still arrive.
     Absent,
 }
 
-/// What the latest heartbeat of a worker tells of a task that is bound there.
+/// What the latest heartbeat of a worker says about a task that is bound to it.
 fn finding(
     worker: &Worker,
     task: &TaskId,
@@ -36,10 +42,10 @@
         return absent.then_some(Finding::Absent);
     };
     match (task_status.state, binding.running_since) {
-        (TaskState::Exited, ran) => {
-            let cause = task_status.exit_reason.unwrap_or(ExitReason::Unknown);
-            Some(Finding::Exited(cause, ran.is_some()))
-        }
+        (TaskState::Exited, running_since) => Some(Finding::Exited {
+            reason: task_status.exit_reason.unwrap_or(ExitReason::Unknown),
+            was_running: running_since.is_some(),
+        }),
         (TaskState::Fetching, _) => None,
         (_, None) => Some(Finding::Began),
         (TaskState::Running, Some(since)) => {
@@ -69,9 +75,10 @@
                 Finding::Began => self.on_task_started(name, &task, attempt, now),
                 Finding::RanFor(for_s) => self.record_steady_replica(name, &task.job, for_s),
                 Finding::Absent => self.end_binding(name, &task, attempt, false),
-                Finding::Exited(cause, ran) => {
-                    self.on_task_exited(name, &task, attempt, cause, ran, now)
-                }
+                Finding::Exited {
+                    reason,
+                    was_running,
+                } => self.on_task_exited(name, &task, attempt, reason, was_running, now),
             }
         }
     }
@@ -121,15 +128,15 @@
         name: &str,
         task: &TaskId,
         attempt: u64,
-        cause: ExitReason,
-        ran: bool,
+        reason: ExitReason,
+        was_running: bool,
         now: f64,
     ) {
-        tracing::debug!(worker = name, %task, attempt, ?cause, "task exited");
+        tracing::debug!(worker = name, %task, attempt, cause = ?reason, "task exited");
         let mut done = false;
-        match cause {
+        match reason {
             ExitReason::Completed => {
-                if ran {
+                if was_running {
                     self.record_runtime(name, task, now);
                 }
                 let worker = self.workers.get(name);
@@ -144,7 +151,7 @@
                 self.record_success(name, &task.job);
             }
             ExitReason::Failed | ExitReason::UnknownTask | ExitReason::Unknown => {
-                self.record_failure(name, task, cause, now);
+                self.record_failure(name, task, reason, now);
             }
             ExitReason::Stopped
             | ExitReason::InsufficientResources
@@ -158,7 +165,7 @@
         self.end_binding(name, task, attempt, done);
     }
 
-    /// A machine that is about to be taken: what can't finish there in time moves now.
+    /// Evicts the tasks that can't finish before the cloud reclaims their machine.
     pub(super) fn evict_before_reclaim(&mut self, name: &str, now: f64) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
--- a/src/coordination/leader/commit.rs
+++ b/src/coordination/leader/commit.rs
@@ -251,7 +251,7 @@
 impl Leader {
     /// Sends what waits to be committed, once the tables are recovered.
     pub(super) fn commit_pending(&mut self, effects: &mut Effects, now: f64) {
-        if self.recovery() {
+        if self.is_recovering() {
             return;
         }
         let rejected = self.commits.poll(&self.workers, &self.jobs, effects, now);
--- a/src/coordination/leader/failure_attribution.rs
+++ b/src/coordination/leader/failure_attribution.rs
@@ -1,4 +1,5 @@
-//! What failed and completed tasks tell about their jobs and machines.
+//! Failure attribution: whether a failed task is the fault of its worker or of its job, as the failures
+//! and successes of others tell.
 
 use super::{AVOID_LEASES, Leader};
 use crate::bookkeeping::jobs::Job;
@@ -10,7 +11,7 @@
 
 /// The shortest wait of a crash-looping job between two probes, in heartbeat intervals.
 const PROBE_HEARTBEATS: f64 = 1.0;
-/// By how much that wait varies, so that jobs that became suspect together don't probe together.
+/// By how much that wait varies, so that jobs that began to crash-loop together don't probe together.
 const JITTER: f64 = 0.25;
 /// Heartbeat intervals for which a replica must run to show that its job works.
 const STEADY_HEARTBEATS: f64 = 2.0;
@@ -34,7 +35,7 @@
     }
 
     /// A task of a job has completed on a worker: both work, so where the job failed before, that was
-    /// the machine's fault, unless the job is crash-looping.
+    /// the worker's fault, unless the job is crash-looping.
     pub(super) fn record_success(&mut self, worker: &str, job: &str) {
         if let Some(worker) = self.workers.get_mut(worker) {
             worker.failures.record_success();
@@ -65,7 +66,7 @@
         }
     }
 
-    /// A task has failed: its machine may be faulty, or its job was submitted with a mistake.
+    /// A task has failed: its worker may be faulty, or its job was submitted with a mistake.
     pub(super) fn record_failure(
         &mut self,
         worker: &str,
@@ -113,8 +114,8 @@
         ids.take(MAX_CRASH_LOOPING_JOBS).collect()
     }
 
-    /// Takes over the jobs that an earlier leader has told to be crash-looping: they begin with a probe. What
-    /// it did not tell is found out once more, at the price of the job's whole width.
+    /// Takes over the jobs that an earlier leader has reported as crash-looping: they begin with a probe.
+    /// For any other the leader finds out anew, at the price of a failure of all its tasks.
     pub fn inherit_crash_looping(&mut self, crash_looping_jobs: BTreeSet<String>) {
         if let Some(recovery) = &mut self.recovery {
             recovery.inherit_crash_looping(crash_looping_jobs);
@@ -130,7 +131,7 @@
         }
     }
 
-    /// A job is over. What its failures told about machines is withdrawn, unless it has succeeded
+    /// A job has ended. Its failures no longer count against workers, unless it has succeeded
     /// elsewhere: it may have been at fault itself.
     pub(super) fn withdraw_failures(&mut self, job: &Job) {
         if !job.failures.has_succeeded() {
@@ -139,7 +140,7 @@
     }
 }
 
-/// Withdraws what a job's failures told about machines.
+/// Attributes a job's failures to the job, not to the workers on which its tasks failed.
 fn withdraw_failures(job: &Job, workers: &mut Workers) {
     for name in job.failures.workers() {
         if let Some(worker) = workers.get_mut(name) {
--- a/src/coordination/leader/fencing.rs
+++ b/src/coordination/leader/fencing.rs
@@ -1,5 +1,5 @@
-//! Commands that leave for a worker, by whatever way: starts that went out before are revoked with them where
-//! that is due, and what must hold is checked.
+//! Commands that leave for a worker, by either path: they carry its fencing token, whose fence is raised
+//! where earlier starts are to be revoked, and each is checked against the invariants.
 
 use super::Leader;
 use super::fleet::ScaleInReason;
@@ -11,7 +11,7 @@
 use crate::protocol::worker::{Command, CommandBatch, CommandKind, ExitReason, TaskId};
 
 impl Leader {
-    /// The token that a worker is given now.
+    /// The fencing token for the next message to a worker.
     pub(super) fn fencing_token_for(&self, worker: &str) -> FencingToken {
         let fence = self
             .workers
@@ -20,8 +20,8 @@
         FencingToken::new(self.epoch, fence)
     }
 
-    /// Raises a worker's fence if starts are to be revoked. What is on its way to it in a direct call would
-    /// be lost; only urgent revocations don't wait for that.
+    /// Raises a worker's fence if starts are to be revoked. The commands of a direct call in flight would
+    /// be lost by that, so only urgent revocations don't wait for its end.
     pub(super) fn revoke_pending_starts(&mut self, name: &str) {
         let in_call = self.dispatcher.is_in_flight(name);
         let Some(worker) = self.workers.get_mut(name) else {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Makes the message with these commands, and notes that they go out.
+    /// Makes the message with these commands, and records them as sent.
     pub(super) fn prepare_commands(
         &mut self,
         name: &str,
@@ -70,13 +70,13 @@
     }
 }
 
-/// The incarnation that direct commands are for.
+/// The incarnation that the commands of a direct call are for.
 fn target_incarnation(worker: &Worker) -> u64 {
     let bound = worker.bindings.values().map(|binding| binding.incarnation);
     worker.incarnation.max(bound.max().unwrap_or(1)).max(1)
 }
 
-/// Whether an order may go out, by other means than those that made it.
+/// Whether a command may be sent, checked independently of the code that decided on it.
 fn upholds_invariants(command: &Command, worker: &Worker, jobs: &Jobs) -> bool {
     let Some(task) = TaskId::parse(&command.task) else {
         // Workers may show what is no task of ours; it is stopped and cleared.
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -57,11 +57,9 @@
 
 /// Share of the state service's limits that the leader's own writes may use.
 pub const LEADER_STATE_SHARE: f64 = 0.5;
-/// Workers whose heartbeats are kept during recovery.
-const MAX_BUFFERED_HEARTBEATS: usize = 4096;
-/// Estimates are often wrong by half.
+/// By how much a task may take longer than its estimated run time: estimates are often wrong by half.
 const RUNTIME_ESTIMATE_MARGIN: f64 = 1.5;
-/// Leases for which a job's tasks avoid a worker on which one of them has failed.
+/// Worker leases for which a job's tasks avoid a worker on which one of them has failed.
 const AVOID_LEASES: f64 = 1.0;
 
 /// What the rest of the controller must learn from the leader.
@@ -157,7 +155,7 @@
         }
     }
 
-    /// The epoch.
+    /// The epoch that the election has given this leader.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
@@ -188,13 +186,13 @@
     }
 
     /// Whether the tables are still being recovered.
-    pub fn recovery(&self) -> bool {
+    pub fn is_recovering(&self) -> bool {
         self.recovery.is_some()
     }
 
     /// Seconds for which no worker has shown that it receives this leader's answers, although some should.
     pub fn unresponsive_for(&self, now: f64) -> f64 {
-        if self.recovery() {
+        if self.is_recovering() {
             return 0.0;
         }
         self.leases.unresponsive_for(&self.workers, now)
@@ -203,7 +201,7 @@
     /// Does all that is due and that `freshness` allows.
     pub fn poll(&mut self, freshness: &ViewFreshness, effects: &mut Effects, now: f64) {
         self.leases.on_poll(now);
-        if self.recovery() {
+        if self.is_recovering() {
             self.poll_recovery(effects, now);
             return;
         }
@@ -213,25 +211,30 @@
         }
         self.commit_pending(effects, now);
         self.poll_fleet(freshness.lease_held, effects, now);
+        self.update_start_permission(freshness);
+        self.dispatch_commands(freshness, effects, now);
+        self.decisions.poll(now);
+    }
+
+    /// Follows whether start commands are allowed; once they are, those that had to wait are due.
+    fn update_start_permission(&mut self, freshness: &ViewFreshness) {
         let starts = freshness.may_start();
         self.decisions.count(PermitKind::StartTasks, starts);
         let may_start = starts.is_ok();
-        if may_start && !self.may_start {
-            // Starts that had to wait.
+        if self.may_start == may_start {
+            return;
+        }
+        tracing::debug!(
+            ?starts,
+            view_age_s = freshness.view_age_s,
+            lease_age_s = freshness.lease_age_s,
+            "permission to start tasks changed"
+        );
+        self.may_start = may_start;
+        if may_start {
             for worker in self.workers.iter() {
                 self.dispatcher.mark_due(&worker.name);
             }
         }
-        if self.may_start != may_start {
-            tracing::debug!(
-                ?starts,
-                view_age_s = freshness.view_age_s,
-                lease_age_s = freshness.lease_age_s,
-                "permission to start tasks changed"
-            );
-        }
-        self.may_start = may_start;
-        self.dispatch_commands(freshness, effects, now);
-        self.decisions.poll(now);
     }
 }
--- a/src/coordination/leader/recovery.rs
+++ b/src/coordination/leader/recovery.rs
@@ -1,8 +1,8 @@
 //! Recovery: after an election the leader reads all records from the state service (open jobs, the
 //! log, and provisioning requests) and rebuilds its tables from them.
 
+use super::Leader;
 use super::heartbeats::HeartbeatPath;
-use super::{Leader, MAX_BUFFERED_HEARTBEATS};
 use crate::bookkeeping::records::{self, ProvisioningRecord};
 use crate::bookkeeping::segment::{Segment, decode_chunk};
 use crate::bookkeeping::workers::{Binding, Resources, Worker};
@@ -13,6 +13,9 @@
 use crate::protocol::worker::{TaskId, WorkerHeartbeat};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
+/// Workers whose heartbeats are kept during recovery.
+const MAX_BUFFERED_HEARTBEATS: usize = 4096;
+
 /// The page-wise read of all records, and what arrives before it has completed.
 #[derive(Debug, Default)]
 pub(super) struct Recovery {
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -23,7 +23,7 @@
     let cases: [(&str, &[Event], bool); 7] = [
         ("nothing has failed", &[], false),
         (
-            "many failures on one host",
+            "many failures on one worker",
             &[
                 Some(("a", 0.0)),
                 Some(("a", 0.1)),
@@ -33,12 +33,12 @@
             false,
         ),
         (
-            "failures on two hosts",
+            "failures on two workers",
             &[Some(("a", 0.0)), Some(("b", 0.1)), Some(("b", 0.2))],
             false,
         ),
         (
-            "failures on three hosts",
+            "failures on three workers",
             &[Some(("a", 0.0)), Some(("b", 0.1)), Some(("c", 0.2))],
             true,
         ),
@@ -53,12 +53,12 @@
             false,
         ),
         (
-            "the only host, tried again after it was avoided",
+            "the only worker, tried again after it was avoided",
             &[Some(("a", 0.0)), Some(("a", AVOID_S))],
             true,
         ),
     ];
-    for (name, events, suspect) in cases {
+    for (name, events, crash_looping) in cases {
         let mut failures = JobFailures::default();
         for event in events {
             match event {
@@ -68,7 +68,7 @@
                 None => failures.record_success(),
             }
         }
-        assert_eq!(failures.is_crash_looping(), suspect, "{name}");
+        assert_eq!(failures.is_crash_looping(), crash_looping, "{name}");
     }
 }
 
@@ -256,7 +256,7 @@
             &[],
         ),
         (
-            "suspect: one probe, where it has not failed",
+            "crash-looping: one probe, where it has not failed",
             &["a", "b", "c"],
             &["a", "b", "c", "d"],
             101.0,
@@ -264,7 +264,7 @@
             &["a", "b", "c"],
         ),
         (
-            "suspect: one probe, anywhere if need be",
+            "crash-looping: one probe, anywhere if need be",
             &["a", "b", "c"],
             &["a", "b"],
             101.0,
--- a/tests/reports.rs
+++ b/tests/worker_heartbeats.rs
@@ -21,9 +21,9 @@
 
 const EPOCH: u64 = 10;
 
-/// A leader that has just found all its tables empty.
-fn leader() -> Leader {
-    let mut leader = loading();
+/// A leader that has completed its recovery and found no records.
+fn recovered_leader() -> Leader {
+    let mut leader = recovering_leader();
     for _ in 0..3 {
         leader.on_recovery_page(
             KvResponse::Page {
@@ -35,12 +35,12 @@
             0.0,
         );
     }
-    assert!(!leader.recovery());
+    assert!(!leader.is_recovering());
     leader
 }
 
-/// A leader that has not read anything yet.
-fn loading() -> Leader {
+/// A leader that has not read any record yet.
+fn recovering_leader() -> Leader {
     let settings = Rc::new(Settings::parse(include_str!("world/settings.toml")).expect("settings"));
     let policy = Rc::new(Policy::built_in(&settings));
     let instance_types = Rc::new(vec![instance_type("f")]);
@@ -55,7 +55,7 @@
     Leader::new(config, rng, 0.0)
 }
 
-fn report(incarnation: u64, tick: u64, epoch: u64) -> WorkerHeartbeat {
+fn heartbeat(incarnation: u64, sequence: u64, epoch: u64) -> WorkerHeartbeat {
     WorkerHeartbeat {
         worker: "h".into(),
         endpoint: "10.1.0.1:9000".into(),
@@ -63,7 +63,7 @@
         zone: "a".into(),
         spot: false,
         incarnation,
-        sequence: tick,
+        sequence,
         token: FencingToken::new(epoch, 0),
         reclaim_in_s: None,
         tasks: Vec::new(),
@@ -79,50 +79,62 @@
     })
 }
 
-/// For how long the leader thinks that nobody hears it, at second 30.
+/// For how long no worker has shown that it receives the leader's answers, at second 30.
 #[test]
-fn who_is_heard() {
-    // Each: reports with the time they come, and the silence.
+fn only_new_heartbeats_of_this_epoch_show_that_answers_arrive() {
+    // Each: heartbeats with the time they come, and the silence.
     type Case = (&'static str, Vec<(f64, WorkerHeartbeat)>, f64);
     let cases: Vec<Case> = vec![
         (
-            "a report with our Epoch",
-            vec![(5.0, report(1, 1, EPOCH)), (29.0, report(1, 2, EPOCH))],
+            "a heartbeat with our epoch",
+            vec![
+                (5.0, heartbeat(1, 1, EPOCH)),
+                (29.0, heartbeat(1, 2, EPOCH)),
+            ],
             1.0,
         ),
         (
-            "a copy of the latest report",
-            vec![(5.0, report(1, 2, EPOCH)), (29.0, report(1, 2, EPOCH))],
+            "a copy of the latest heartbeat",
+            vec![
+                (5.0, heartbeat(1, 2, EPOCH)),
+                (29.0, heartbeat(1, 2, EPOCH)),
+            ],
             25.0,
         ),
         (
-            "a copy of an earlier report",
-            vec![(5.0, report(1, 2, EPOCH)), (29.0, report(1, 1, EPOCH))],
+            "a copy of an earlier heartbeat",
+            vec![
+                (5.0, heartbeat(1, 2, EPOCH)),
+                (29.0, heartbeat(1, 1, EPOCH)),
+            ],
             25.0,
         ),
         (
-            "a copy of an earlier session",
-            vec![(5.0, report(2, 1, EPOCH)), (29.0, report(1, 90, EPOCH))],
+            "a copy from an earlier incarnation",
+            vec![
+                (5.0, heartbeat(2, 1, EPOCH)),
+                (29.0, heartbeat(1, 90, EPOCH)),
+            ],
             25.0,
         ),
         (
-            "a machine's first word: it has not had our answer yet",
-            vec![(29.0, report(1, 1, 0))],
+            "a worker's first heartbeat: it has not had our answer yet",
+            vec![(29.0, heartbeat(1, 1, 0))],
             1.0,
         ),
         (
-            "words from before the takeover: they do not show that we are heard",
+            "heartbeats with an earlier epoch: they do not show that our answers arrive",
             vec![
-                (5.0, report(1, 90, EPOCH - 1)),
-                (29.0, report(1, 91, EPOCH - 1)),
+                (5.0, heartbeat(1, 90, EPOCH - 1)),
+                (29.0, heartbeat(1, 91, EPOCH - 1)),
             ],
             25.0,
         ),
     ];
-    for (name, reports, silence) in cases {
-        let mut leader = leader();
-        for (at, report) in reports {
-            let got = leader.on_heartbeat(&report, &freshness(), |_| true, at);
+    for (name, heartbeats, silence) in cases {
+        let mut leader = recovered_leader();
+        for (at, heartbeat) in heartbeats {
+            let got = leader.on_heartbeat(&heartbeat, &freshness(), |_| true, at);
             assert_eq!(got, answer(Vec::new()), "{name}");
         }
         assert_eq!(leader.unresponsive_for(30.0), silence, "{name}");
@@ -131,13 +143,14 @@
 
 /// Who has seen a higher Epoch is sent away at once, by a late copy too.
 #[test]
-fn superseded() {
+fn a_worker_that_knows_a_higher_epoch_is_redirected() {
     for (name, epoch, expected) in [
-        ("an earlier Epoch", EPOCH - 1, false),
+        ("an earlier epoch", EPOCH - 1, false),
         ("ours", EPOCH, false),
         ("a higher one", EPOCH + 1, true),
     ] {
-        let answer = leader().on_heartbeat(&report(1, 1, epoch), &freshness(), |_| true, 1.0);
+        let answer =
+            recovered_leader().on_heartbeat(&heartbeat(1, 1, epoch), &freshness(), |_| true, 1.0);
         assert_eq!(
             answer == HeartbeatOutcome::NewerLeaderExists,
             expected,
@@ -146,17 +159,17 @@
     }
 }
 
-/// An answer with 200 renews the worker's lease: only who knows of every cancellation that could be due
-/// gives one. A leader that loads its tables can't stop anything yet, however long that takes.
+/// An answer with 200 renews the worker's lease: only a leader that knows of every cancellation that
+/// could be due gives one. During recovery it can't stop anything yet, however long that takes.
 #[test]
-fn whose_lease_is_renewed() {
-    let step = |status| TaskStatus {
+fn no_lease_is_renewed_while_a_cancellation_may_be_unknown() {
+    let task = |state| TaskStatus {
         task: "j-000001/0".into(),
         attempt: 7,
-        state: status,
+        state,
         exit_reason: None,
     };
-    let running = || vec![step(TaskState::Running)];
+    let running = || vec![task(TaskState::Running)];
     // Each: whether the tables are loaded, the tasks, whether the node may renew, whether it knows the
     // job as open, and whether the lease is renewed.
     let cases = [
@@ -168,9 +181,16 @@
             true,
             false,
         ),
-        ("too old, while loading", false, vec![], false, true, false),
         (
-            "loading, and the job is open",
+            "too old, during recovery",
+            false,
+            vec![],
+            false,
+            true,
+            false,
+        ),
+        (
+            "recovery, and the job is open",
             false,
             running(),
             true,
@@ -178,7 +198,7 @@
             true,
         ),
         (
-            "loading, and the job is over",
+            "recovery, and the job has ended",
             false,
             running(),
             true,
@@ -186,24 +206,28 @@
             false,
         ),
         (
-            "loading, and the task has exited",
+            "recovery, and the task has exited",
             false,
-            vec![step(TaskState::Exited)],
+            vec![task(TaskState::Exited)],
             true,
             false,
             true,
         ),
     ];
-    for (name, loaded, steps, may_renew, open, renewed) in cases {
-        let mut leader = if loaded { leader() } else { loading() };
-        let mut report = report(1, 1, EPOCH);
-        report.tasks = steps;
+    for (name, recovered, tasks, may_renew, open, renewed) in cases {
+        let mut leader = if recovered {
+            recovered_leader()
+        } else {
+            recovering_leader()
+        };
+        let mut heartbeat = heartbeat(1, 1, EPOCH);
+        heartbeat.tasks = tasks;
         let freshness = if may_renew {
             freshness()
         } else {
             freshness_of_age(11.0)
         };
-        let got = leader.on_heartbeat(&report, &freshness, |_| open, 1.0);
+        let got = leader.on_heartbeat(&heartbeat, &freshness, |_| open, 1.0);
         let expected = if renewed {
             answer(Vec::new())
         } else {
@@ -211,23 +235,23 @@
         };
         assert_eq!(got, expected, "{name}");
     }
-    // Once loaded, what belongs to no open job is stopped with the same answer.
-    let mut report = report(1, 1, EPOCH);
-    report.tasks = running();
-    let got = leader().on_heartbeat(&report, &freshness_of_age(9.0), |_| false, 1.0);
-    let halt = Command {
+    // Once recovered, what belongs to no open job is stopped with the same answer.
+    let mut heartbeat = heartbeat(1, 1, EPOCH);
+    heartbeat.tasks = running();
+    let got = recovered_leader().on_heartbeat(&heartbeat, &freshness_of_age(9.0), |_| false, 1.0);
+    let stop = Command {
         kind: CommandKind::Stop,
         task: "j-000001/0".into(),
         attempt: 7,
         grace_s: Some(0.0),
     };
-    assert_eq!(got, answer(vec![halt]));
+    assert_eq!(got, answer(vec![stop]));
 }
 
 /// A segment of the log whose leader came after this one can't be; what it says of bindings is kept all the
 /// same, so that no task is stopped or started twice for it.
 #[test]
-fn segments_of_impossible_leaders() {
+fn bindings_in_a_segment_of_a_later_epoch_are_kept() {
     let page = |key: &str, value: Value| {
         let item = KeyValue {
             key: key.to_owned(),
@@ -246,7 +270,7 @@
     builder.describe_worker(&worker("h", "a", false), false);
     builder.bind("h", ("j-000001", 0), ("t", Resources::default()), (7, 1));
     let segment = cbor::to_value(&builder.finish());
-    let mut leader = loading();
+    let mut leader = recovering_leader();
     leader.on_recovery_page(page("open/j-000001", cbor::to_value(&spec)), 0.0, 0.0);
     leader.on_recovery_page(page("log/0", segment), 0.0, 0.0);
     leader.on_recovery_page(
@@ -258,14 +282,14 @@
         0.0,
         0.0,
     );
-    assert!(!leader.recovery());
-    let mut report = report(1, 1, EPOCH);
-    report.tasks = vec![TaskStatus {
+    assert!(!leader.is_recovering());
+    let mut heartbeat = heartbeat(1, 1, EPOCH);
+    heartbeat.tasks = vec![TaskStatus {
         task: "j-000001/0".into(),
         attempt: 7,
         state: TaskState::Running,
         exit_reason: None,
     }];
-    let got = leader.on_heartbeat(&report, &freshness(), |_| true, 1.0);
+    let got = leader.on_heartbeat(&heartbeat, &freshness(), |_| true, 1.0);
     assert_eq!(got, answer(Vec::new()), "its task goes on");
 }
