--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -165,7 +165,7 @@
         let repeat_after_s = self.settings.deployment.workers.heartbeat_interval_s / 2.0;
         let mut uncertain: Vec<WorkerCall> = Vec::new();
         for name in self.dispatcher.due_workers() {
-            let Some(call) = self.next_command(&name, freshness, now) else {
+            let Some(call) = self.next_call(&name, freshness, now) else {
                 self.dispatcher.clear_due(&name);
                 continue;
             };
@@ -202,7 +202,7 @@
         worker.unreachable_since.is_some() || worker.last_heartbeat_at.is_some_and(late)
     }
 
-    /// Workers that have missed their latest heartbeat are asked directly.
+    /// Marks workers due that have missed their latest heartbeat.
     fn probe_late_workers(&mut self, now: f64) {
         let late: Vec<&Worker> = self
             .workers
@@ -214,8 +214,8 @@
         }
     }
 
-    /// What a worker is to be called for, if it is.
-    fn next_command(&self, name: &str, freshness: &ViewFreshness, now: f64) -> Option<WorkerCall> {
+    /// The direct call that a worker needs, if it needs one.
+    fn next_call(&self, name: &str, freshness: &ViewFreshness, now: f64) -> Option<WorkerCall> {
         let worker = self.workers.get(name)?;
         let missed = self.has_missed_heartbeat(worker, now);
         let may_start = freshness.may_start().is_ok();
@@ -228,18 +228,18 @@
             .filter(|_| worker.token_acknowledged);
         let revokes = revocation.is_some_and(|reason| reason.is_urgent());
         let waits = worker.token_acknowledged && worker.awaits_fence();
-        // It is asked before it is thought silent: a heartbeat may only be on its way from a controller that does
-        // not answer it.
+        // It is probed before it counts as unresponsive: its heartbeats may have gone to a controller that
+        // does not answer them.
         let probe = worker.token_acknowledged && !worker.termination_recorded && missed;
-        let up = worker.last_heartbeat_at.is_some()
+        let may_be_up = worker.last_heartbeat_at.is_some()
             || worker.listed_running
             || !worker.bindings.is_empty();
-        let greet = !worker.token_acknowledged && !worker.termination_recorded && up;
+        let announce = !worker.token_acknowledged && !worker.termination_recorded && may_be_up;
         // Clears can wait for the next heartbeat.
-        let pressing = commands
+        let has_urgent = commands
             .iter()
             .any(|command| command.kind != CommandKind::Clear);
-        let wanted = pressing || revokes || waits || probe || greet;
+        let wanted = has_urgent || revokes || waits || probe || announce;
         if !wanted || worker.endpoint.is_empty() {
             return None;
         }
@@ -284,7 +284,7 @@
         effects.call_worker(kind, endpoint, WorkerRequest::Commands(commands), within_s);
     }
 
-    /// Takes what came of a direct call.
+    /// Takes the response to a direct call.
     pub fn on_worker_response(
         &mut self,
         kind: &WorkerRequestContext,
@@ -332,7 +332,7 @@
     }
 }
 
-/// What became of a direct call, as its outcome tells.
+/// What the response to a direct call says about its commands.
 fn call_outcome(response: &WorkerResponse) -> CallOutcome {
     match response {
         WorkerResponse::Executed(_) | WorkerResponse::Rejected(_) => CallOutcome::Answered,
