--- a/src/bookkeeping/mod.rs
+++ b/src/bookkeeping/mod.rs
@@ -1,13 +1,14 @@
-//! What is known and what is written down: jobs, workers, bindings, quotas and their records in the
-//! state service. Pure: no sockets, no clocks; times are passed in, in seconds of a steady clock.
+//! The leader's records: jobs, workers, bindings and quotas, and how they are kept in the state service.
+//!
+//! Nothing here opens a socket or reads a clock; times are arguments, in seconds of a steady clock.
 
 pub mod failure_attribution;
 pub mod invariants;
 pub mod jobs;
-pub mod pending_starts;
 pub mod permits;
 pub mod quotas;
 pub mod rate_limit;
+pub mod reconciliation;
 pub mod records;
 pub mod ring;
 pub mod segment;
--- /dev/null
+++ b/src/bookkeeping/reconciliation/mod.rs
@@ -0,0 +1,7 @@
+//! What is to be sent to a worker: its latest heartbeat compared with its bindings.
+
+mod commands;
+mod revocation;
+
+pub use commands::commands;
+pub use revocation::pending_revocation;
--- /dev/null
+++ b/src/bookkeeping/reconciliation/revocation.rs
@@ -0,0 +1,53 @@
+//! When the starts that were sent to a worker must be revoked.
+
+use crate::bookkeeping::permits::{self, Denial};
+use crate::bookkeeping::workers::{EvictionReason, RevocationReason, Worker};
+
+/// Whether the starts that may still arrive at a worker are to be revoked, and why. A start that was sent under
+/// an earlier fence than the present one is revoked already.
+pub fn pending_revocation(worker: &Worker) -> Option<RevocationReason> {
+    let evicted = evicted_start(worker);
+    if evicted == Some(RevocationReason::JobEnded) || worker.revoke_ended_jobs {
+        return Some(RevocationReason::JobEnded);
+    }
+    if evicted.is_some() {
+        return evicted;
+    }
+    if has_uncleared_exit(worker) {
+        return Some(RevocationReason::Clear);
+    }
+    let starts = &worker.pending_starts;
+    let crowded = starts.is_crowded() && !starts.awaits_fence();
+    crowded.then_some(RevocationReason::TooManyPending)
+}
+
+/// Whether a start may still arrive of a task that is being evicted. The end of a job goes before other
+/// evictions; these need a revocation only while the worker doesn't show the task.
+fn evicted_start(worker: &Worker) -> Option<RevocationReason> {
+    let mut reason = None;
+    for (task, binding) in &worker.bindings {
+        let Some(eviction) = binding.eviction else {
+            continue;
+        };
+        if binding.unbinding || !worker.pending_starts.needs_fence(task, binding.attempt) {
+            continue;
+        }
+        if eviction.reason == EvictionReason::JobEnded {
+            return Some(RevocationReason::JobEnded);
+        }
+        if worker.observed_task(task, binding.attempt).is_none() {
+            reason = Some(RevocationReason::Evicted);
+        }
+    }
+    reason
+}
+
+/// Whether an attempt that has exited can't be cleared before the fence is raised.
+fn has_uncleared_exit(worker: &Worker) -> bool {
+    worker.observed_tasks.iter().any(|(task, statuses)| {
+        statuses.iter().any(|status| {
+            permits::may_clear(worker, task, status) == Err(Denial::StartMayArrive)
+                && worker.pending_starts.needs_fence(task, status.attempt)
+        })
+    })
+}
--- /dev/null
+++ b/src/bookkeeping/workers/delivery.rs
@@ -0,0 +1,69 @@
+//! Commands that were sent to a worker, and the outcome of the calls that carried them.
+
+use super::pending_starts::CallOutcome;
+use super::worker::Worker;
+use crate::protocol::worker::{Command, CommandKind, TaskId};
+
+/// How commands are delivered to a worker.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum DeliveryPath {
+    /// In a call of the controller to the worker.
+    DirectCall,
+    /// In the response to the heartbeat with this sequence number.
+    HeartbeatResponse(u64),
+}
+
+impl Worker {
+    /// Records commands that are sent, with the age of the view of the open jobs that they rest on.
+    pub fn record_sent(&mut self, commands: &[Command], path: DeliveryPath, view_age_s: f64) {
+        for command in commands {
+            tracing::debug!(
+                worker = self.name,
+                task = command.task,
+                attempt = command.attempt,
+                verb = ?command.kind,
+                way = ?path,
+                incarnation = self.incarnation,
+                fence = self.pending_starts.fence(),
+                view_age_s,
+                "command sent"
+            );
+            if command.kind != CommandKind::Start {
+                continue;
+            }
+            let Some(task) = TaskId::parse(&command.task) else {
+                continue;
+            };
+            match path {
+                DeliveryPath::DirectCall => self
+                    .pending_starts
+                    .record_direct_call(task, command.attempt),
+                DeliveryPath::HeartbeatResponse(sequence) => self
+                    .pending_starts
+                    .record_heartbeat_response(task, command.attempt, sequence),
+            }
+        }
+    }
+
+    /// Records the outcome of a direct call with these commands.
+    pub fn record_call_outcome(&mut self, commands: &[Command], outcome: CallOutcome) {
+        for command in commands
+            .iter()
+            .filter(|command| command.kind == CommandKind::Start)
+        {
+            if outcome == CallOutcome::Unanswered {
+                tracing::debug!(
+                    worker = self.name,
+                    task = command.task,
+                    attempt = command.attempt,
+                    fence = self.pending_starts.fence(),
+                    "start outcome unknown"
+                );
+            }
+            if let Some(task) = TaskId::parse(&command.task) {
+                self.pending_starts
+                    .record_call_outcome(&task, command.attempt, outcome);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/bookkeeping/workers/registry.rs
@@ -0,0 +1,52 @@
+//! The registry of all known workers.
+
+use super::worker::Worker;
+use std::collections::BTreeMap;
+
+/// All known workers, in the order of their names.
+#[derive(Debug, Default)]
+pub struct Workers {
+    workers: BTreeMap<String, Worker>,
+}
+
+impl Workers {
+    /// The worker with a name.
+    pub fn get(&self, name: &str) -> Option<&Worker> {
+        self.workers.get(name)
+    }
+
+    /// The worker with a name, mutably.
+    pub fn get_mut(&mut self, name: &str) -> Option<&mut Worker> {
+        self.workers.get_mut(name)
+    }
+
+    /// The worker with a name, inserted if it is unknown.
+    pub fn entry(&mut self, name: &str, make: impl FnOnce() -> Worker) -> &mut Worker {
+        self.workers.entry(name.to_owned()).or_insert_with(make)
+    }
+
+    /// Removes a worker.
+    pub fn remove(&mut self, name: &str) -> Option<Worker> {
+        self.workers.remove(name)
+    }
+
+    /// All workers, by name.
+    pub fn iter(&self) -> impl Iterator<Item = &Worker> {
+        self.workers.values()
+    }
+
+    /// All workers by name, mutably.
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Worker> {
+        self.workers.values_mut()
+    }
+
+    /// Number of workers.
+    pub fn len(&self) -> usize {
+        self.workers.len()
+    }
+
+    /// Whether there are no workers.
+    pub fn is_empty(&self) -> bool {
+        self.workers.is_empty()
+    }
+}
--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -2,9 +2,9 @@
 
 use super::heartbeats::MAX_COMMANDS;
 use super::{Leader, LeaderEvent};
-use crate::bookkeeping::pending_starts::CallOutcome;
 use crate::bookkeeping::permits::ViewFreshness;
-use crate::bookkeeping::workers::{DeliveryPath, Worker};
+use crate::bookkeeping::reconciliation;
+use crate::bookkeeping::workers::{CallOutcome, DeliveryPath, Worker};
 use crate::coordination::effects::{Effects, WorkerRequestContext};
 use crate::protocol::worker::{Command, CommandKind, WorkerRequest, WorkerResponse};
 
@@ -92,12 +92,11 @@
         let missed = self.has_missed_heartbeat(worker, now);
         let may_start = freshness.may_start().is_ok();
         let commands = match worker.token_acknowledged {
-            true => worker.commands(may_start, MAX_COMMANDS),
+            true => reconciliation::commands(worker, may_start, MAX_COMMANDS),
             false => Vec::new(),
         };
-        let revocation = worker
-            .pending_revocation()
-            .filter(|_| worker.token_acknowledged);
+        let revocation =
+            reconciliation::pending_revocation(worker).filter(|_| worker.token_acknowledged);
         let revokes = revocation.is_some_and(|reason| reason.is_urgent());
         let waits = worker.token_acknowledged && worker.awaits_fence();
         // It is asked before it is thought silent: a heartbeat may only be on its way from a controller that does
--- a/src/coordination/leader/fencing.rs
+++ b/src/coordination/leader/fencing.rs
@@ -6,6 +6,7 @@
 use crate::bookkeeping::invariants::{self, Invariant};
 use crate::bookkeeping::jobs::Jobs;
 use crate::bookkeeping::permits::ViewFreshness;
+use crate::bookkeeping::reconciliation;
 use crate::bookkeeping::workers::{DeliveryPath, Worker};
 use crate::protocol::token::FencingToken;
 use crate::protocol::worker::{Command, CommandBatch, CommandKind, ExitReason, TaskId};
@@ -27,7 +28,7 @@
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        let Some(reason) = worker.pending_revocation() else {
+        let Some(reason) = reconciliation::pending_revocation(worker) else {
             return;
         };
         if in_call && !reason.is_urgent() {
@@ -57,7 +58,7 @@
             };
         };
         commands.retain(|command| upholds_invariants(command, worker, jobs));
-        worker.record_sent(&commands, way, freshness);
+        worker.record_sent(&commands, way, freshness.view_age_s);
         let incarnation = match way {
             DeliveryPath::DirectCall => Some(target_incarnation(worker)),
             DeliveryPath::HeartbeatResponse(_) => None,
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -2,6 +2,7 @@
 
 use super::{Leader, LeaderEvent, MAX_BUFFERED_HEARTBEATS};
 use crate::bookkeeping::permits::{PermitKind, ViewFreshness};
+use crate::bookkeeping::reconciliation;
 use crate::bookkeeping::workers::{DeliveryPath, Worker};
 use crate::protocol::worker::{
     Command, CommandBatch, TaskId, TaskState, TaskStatus, WorkerHeartbeat,
@@ -73,7 +74,7 @@
             return self.respond_to_heartbeat(heartbeat, Vec::new(), freshness);
         };
         let may_start = freshness.may_start().is_ok();
-        let commands = worker.commands(may_start, MAX_COMMANDS);
+        let commands = reconciliation::commands(worker, may_start, MAX_COMMANDS);
         if may_start && commands.len() < MAX_COMMANDS {
             // The answer carries all; the next heartbeat shows what came of it.
             self.dispatch_due.remove(&heartbeat.worker);
--- a/tests/bindings.rs
+++ b/tests/bindings.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
-use cedarladder::bookkeeping::pending_starts::CallOutcome;
+use cedarladder::bookkeeping::reconciliation::{commands, pending_revocation};
 use cedarladder::bookkeeping::workers::{
-    DeliveryPath, Eviction, EvictionReason, RevocationReason, Worker,
+    CallOutcome, DeliveryPath, Eviction, EvictionReason, RevocationReason, Worker,
 };
 use cedarladder::protocol::worker::{Command, CommandKind, ExitReason, TaskState};
 use common::{binding, freshness, spec, step, task, worker};
@@ -161,8 +161,7 @@
     for (name, setup, confirmed, expected) in cases {
         let mut worker = worker("h", "a", false);
         setup(&mut worker);
-        let got: Vec<(CommandKind, u64)> = worker
-            .commands(confirmed, 100)
+        let got: Vec<(CommandKind, u64)> = commands(&worker, confirmed, 100)
             .into_iter()
             .map(|order| (order.kind, order.attempt))
             .collect();
@@ -172,7 +171,7 @@
 
 /// Orders that go out directly, and what became of the call.
 fn sent_directly(worker: &mut Worker, orders: &[Command], fate: CallOutcome) {
-    worker.record_sent(orders, DeliveryPath::DirectCall, &freshness());
+    worker.record_sent(orders, DeliveryPath::DirectCall, freshness().view_age_s);
     worker.record_call_outcome(orders, fate);
 }
 
@@ -184,7 +183,11 @@
     let answered: Steps = |h, o| sent_directly(h, o, CallOutcome::Answered);
     let unanswered: Steps = |h, o| sent_directly(h, o, CallOutcome::Unanswered);
     let in_answer: Steps = |h, o| {
-        h.record_sent(o, DeliveryPath::HeartbeatResponse(5), &freshness());
+        h.record_sent(
+            o,
+            DeliveryPath::HeartbeatResponse(5),
+            freshness().view_age_s,
+        );
         h.pending_starts.settle_responses(6);
     };
     for (name, steps, cause, cleared) in [
@@ -211,26 +214,26 @@
     ] {
         let mut worker = worker("h", "a", false);
         bound(&mut worker, |_| {});
-        let orders = worker.commands(true, 10);
+        let orders = commands(&worker, true, 10);
         steps(&mut worker, &orders);
         let task = task("j-1", 0);
         worker.bindings.remove(&task);
         worker
             .observed_tasks
             .insert(task.clone(), vec![step(&task, 7, Exited, Some(cause))]);
-        assert_eq!(!worker.commands(true, 10).is_empty(), cleared, "{name}");
+        assert_eq!(!commands(&worker, true, 10).is_empty(), cleared, "{name}");
         let reason = (!cleared).then_some(RevocationReason::Clear);
-        assert_eq!(worker.pending_revocation(), reason, "{name}");
+        assert_eq!(pending_revocation(&worker), reason, "{name}");
         // Once the worker shows a higher fence it may be cleared, and nothing is kept of it.
         assert!(worker.revoke_starts(RevocationReason::Clear));
-        assert_eq!(worker.pending_revocation(), None, "{name}: revoked once");
+        assert_eq!(pending_revocation(&worker), None, "{name}: revoked once");
         assert_eq!(
-            !worker.commands(true, 10).is_empty(),
+            !commands(&worker, true, 10).is_empty(),
             cleared,
             "{name}: not shown yet"
         );
         worker.observe_fence(worker.pending_starts.fence());
-        assert_eq!(worker.commands(true, 10).len(), 1, "{name}: shown");
+        assert_eq!(commands(&worker, true, 10).len(), 1, "{name}: shown");
         assert!(worker.pending_starts.is_empty(), "{name}");
     }
 }
@@ -249,7 +252,7 @@
     let cases: [(&str, Steps, Arrival); 10] = [
         (
             "sent directly",
-            |h, o| h.record_sent(o, DeliveryPath::DirectCall, &freshness()),
+            |h, o| h.record_sent(o, DeliveryPath::DirectCall, freshness().view_age_s),
             Arrival::Start,
         ),
         (
@@ -298,13 +301,23 @@
         ),
         (
             "in the answer to report 5",
-            |h, o| h.record_sent(o, DeliveryPath::HeartbeatResponse(5), &freshness()),
+            |h, o| {
+                h.record_sent(
+                    o,
+                    DeliveryPath::HeartbeatResponse(5),
+                    freshness().view_age_s,
+                )
+            },
             Arrival::Start,
         ),
         (
             "a later report by itself settles it",
             |h, o| {
-                h.record_sent(o, DeliveryPath::HeartbeatResponse(5), &freshness());
+                h.record_sent(
+                    o,
+                    DeliveryPath::HeartbeatResponse(5),
+                    freshness().view_age_s,
+                );
                 h.pending_starts.settle_responses(6);
             },
             Arrival::Nothing,
@@ -312,7 +325,11 @@
         (
             "the same report does not",
             |h, o| {
-                h.record_sent(o, DeliveryPath::HeartbeatResponse(5), &freshness());
+                h.record_sent(
+                    o,
+                    DeliveryPath::HeartbeatResponse(5),
+                    freshness().view_age_s,
+                );
                 h.pending_starts.settle_responses(5);
             },
             Arrival::Start,
@@ -321,7 +338,7 @@
     for (name, steps, expected) in cases {
         let mut worker = worker("h", "a", false);
         bound(&mut worker, |_| {});
-        let orders = worker.commands(true, 10);
+        let orders = commands(&worker, true, 10);
         steps(&mut worker, &orders);
         let task = task("j-1", 0);
         let arrival = match worker.pending_starts.may_arrive(&task, 7) {
@@ -338,8 +355,8 @@
 fn a_halt_settles_no_start() {
     let mut worker = worker("h", "a", false);
     bound(&mut worker, |_| {});
-    let orders = worker.commands(true, 10);
-    worker.record_sent(&orders, DeliveryPath::DirectCall, &freshness());
+    let orders = commands(&worker, true, 10);
+    worker.record_sent(&orders, DeliveryPath::DirectCall, freshness().view_age_s);
     let mut halt = orders.clone();
     halt[0].kind = CommandKind::Stop;
     worker.record_call_outcome(&halt, CallOutcome::Answered);
@@ -412,10 +429,10 @@
     for (name, setup, expected) in cases {
         let mut worker = worker("h", "a", false);
         bound(&mut worker, |_| {});
-        let orders = worker.commands(true, 10);
+        let orders = commands(&worker, true, 10);
         sent_directly(&mut worker, &orders, CallOutcome::Unanswered);
         setup(&mut worker);
-        let revocation = worker.pending_revocation();
+        let revocation = pending_revocation(&worker);
         let got = revocation.map(|reason| (reason, reason.is_urgent()));
         assert_eq!(got, expected, "{name}");
     }
@@ -432,11 +449,11 @@
             .record_call_outcome(&task("j-1", n), 7, CallOutcome::Answered);
     }
     assert_eq!(
-        worker.pending_revocation(),
+        pending_revocation(&worker),
         Some(RevocationReason::TooManyPending)
     );
     assert!(worker.revoke_starts(RevocationReason::TooManyPending));
-    assert_eq!(worker.pending_revocation(), None);
+    assert_eq!(pending_revocation(&worker), None);
     worker.observe_fence(1);
     assert!(worker.pending_starts.is_empty());
 }
