--- a/src/bookkeeping/mod.rs
+++ b/src/bookkeeping/mod.rs
@@ -10,7 +10,5 @@
 pub mod rate_limit;
 pub mod reconciliation;
 pub mod records;
-pub mod ring;
-pub mod segment;
+pub mod wal;
 pub mod workers;
-pub mod write_ahead_log;
--- /dev/null
+++ b/src/bookkeeping/wal/draft.rs
@@ -0,0 +1,364 @@
+//! The transaction that is being put together: a segment of the log, and writes of other keys.
+
+use super::completed_tasks::{TASKS_PER_CHUNK, TASKS_PER_DIGIT, encode_chunk};
+use super::log_entry::LogEntry;
+use super::ring::{LiveEntry, SegmentRing, TargetSlot};
+use super::segment::SegmentBuilder;
+use crate::bookkeeping::jobs::Jobs;
+use crate::bookkeeping::records::{self, FinishedRecord, JobOutcome};
+use crate::bookkeeping::workers::Workers;
+use crate::protocol::kv::{COMPARES_PER_WRITE, Compare, MAX_TXN_BYTES, Txn, WriteOp};
+use crate::protocol::worker::TaskId;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Share of the byte limits that a segment or a transaction fills at most.
+const FILL_SHARE: f64 = 0.9;
+/// The least writes that a budget is taken to allow, so that the first change always goes in.
+const MIN_WRITE_BUDGET: usize = 3;
+/// Compares that one change adds at most.
+const COMPARES_PER_CHANGE: usize = 2;
+/// Approximate bytes of a compare.
+const COMPARE_BYTES: usize = 64;
+/// Approximate bytes of the writes that finish a job, apart from its id, which stands in both.
+const FINISH_JOB_BYTES: usize = 256;
+/// Approximate bytes of an entry of a worker that is not known any more, apart from names.
+const UNKNOWN_WORKER_ENTRY_BYTES: usize = 128;
+/// Bytes of the bitmap of a chunk of completed tasks.
+const CHUNK_BYTES: usize = (TASKS_PER_CHUNK / TASKS_PER_DIGIT) as usize;
+
+/// Limits of a transaction.
+#[derive(Debug, Clone, Copy)]
+pub struct TxnLimits {
+    /// Number of puts and deletes.
+    pub max_writes: usize,
+    /// Bytes of a value.
+    pub max_value_bytes: usize,
+}
+
+/// The workers and jobs that changes refer to.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Registries<'a> {
+    pub workers: &'a Workers,
+    pub jobs: &'a Jobs,
+}
+
+impl Registries<'_> {
+    /// Bytes that an entry of a worker and a job adds to a segment at most, apart from a bitmap.
+    fn entry_bytes(&self, worker: &str, job: &str) -> usize {
+        let Some(worker) = self.workers.get(worker) else {
+            return 2 * worker.len() + job.len() + UNKNOWN_WORKER_ENTRY_BYTES;
+        };
+        let team = self.jobs.get(job).map_or("", |job| &job.spec.team);
+        SegmentBuilder::entry_bytes(worker, job, team)
+    }
+
+    /// What a change adds to a transaction at most.
+    fn cost(&self, change: &LogEntry) -> ChangeCost {
+        match change {
+            LogEntry::Bind { worker, task, .. } => {
+                ChangeCost::of_segment(self.entry_bytes(worker, &task.job))
+            }
+            LogEntry::Unbind { worker, task, .. } => {
+                ChangeCost::of_segment(self.entry_bytes(worker, &task.job) + CHUNK_BYTES)
+            }
+            LogEntry::RecordTermination { worker } | LogEntry::RemoveWorker { worker } => {
+                ChangeCost::of_segment(self.entry_bytes(worker, ""))
+            }
+            LogEntry::FinishJob { job } => ChangeCost {
+                key_writes: 2,
+                segment_bytes: 0,
+                key_write_bytes: 2 * job.len() + FINISH_JOB_BYTES,
+            },
+            LogEntry::WriteKey { write } => ChangeCost {
+                key_writes: 1,
+                segment_bytes: 0,
+                key_write_bytes: write.json_size(),
+            },
+        }
+    }
+}
+
+/// What a change adds to a transaction.
+#[derive(Debug, Clone, Copy)]
+struct ChangeCost {
+    /// Writes of keys outside of the log.
+    key_writes: usize,
+    /// Bytes in the segment.
+    segment_bytes: usize,
+    /// Bytes of the writes of other keys.
+    key_write_bytes: usize,
+}
+
+impl ChangeCost {
+    /// Of a change that is written to the segment only.
+    fn of_segment(segment_bytes: usize) -> ChangeCost {
+        ChangeCost {
+            key_writes: 0,
+            segment_bytes,
+            key_write_bytes: 0,
+        }
+    }
+}
+
+/// A transaction with the changes that it makes and the entries that it makes live.
+#[derive(Debug)]
+pub(super) struct DraftedTransaction {
+    pub txn: Txn,
+    pub changes: Vec<LogEntry>,
+    pub live_entries: Vec<LiveEntry>,
+}
+
+/// A transaction that is being put together.
+#[derive(Debug)]
+pub(super) struct SegmentDraft {
+    epoch: u64,
+    builder: SegmentBuilder,
+    changes: Vec<LogEntry>,
+    live_entries: Vec<LiveEntry>,
+    described_workers: BTreeSet<String>,
+    /// Jobs of which tasks are bound, or which finish: each must still be open.
+    bound_jobs: BTreeSet<String>,
+    /// Finished jobs, with the number of their completed tasks.
+    finished_jobs: BTreeMap<String, u32>,
+    key_writes: Vec<WriteOp>,
+    key_write_bytes: usize,
+}
+
+impl SegmentDraft {
+    /// An empty draft of the segment with this sequence number.
+    pub fn new(epoch: u64, seq: u64) -> SegmentDraft {
+        SegmentDraft {
+            epoch,
+            builder: SegmentBuilder::new(epoch, seq),
+            changes: Vec::new(),
+            live_entries: Vec::new(),
+            described_workers: BTreeSet::new(),
+            bound_jobs: BTreeSet::new(),
+            finished_jobs: BTreeMap::new(),
+            key_writes: Vec::new(),
+            key_write_bytes: 0,
+        }
+    }
+
+    /// Whether there is nothing to write.
+    pub fn is_empty(&self) -> bool {
+        self.changes.is_empty() && self.live_entries.is_empty()
+    }
+
+    /// Whether one more change fits, into the limits and a budget of writes.
+    pub fn fits(
+        &self,
+        change: &LogEntry,
+        known: Registries,
+        limits: TxnLimits,
+        budget: usize,
+    ) -> bool {
+        let cost = known.cost(change);
+        let max_writes = limits.max_writes.min(budget.max(MIN_WRITE_BUDGET));
+        let max_compares = COMPARES_PER_WRITE * limits.max_writes;
+        let txn_bytes = limits.max_value_bytes
+            + COMPARE_BYTES * self.compare_count()
+            + self.key_write_bytes
+            + cost.key_write_bytes;
+        self.write_count() + cost.key_writes <= max_writes
+            && self.compare_count() + COMPARES_PER_CHANGE <= max_compares
+            && self.builder.bytes() + cost.segment_bytes <= filled(limits.max_value_bytes)
+            && txn_bytes <= filled(MAX_TXN_BYTES)
+    }
+
+    fn write_count(&self) -> usize {
+        1 + 2 * self.finished_jobs.len() + self.key_writes.len()
+    }
+
+    fn compare_count(&self) -> usize {
+        2 + self.bound_jobs.len() + self.finished_jobs.len()
+    }
+
+    /// Copies an entry of the segment that is to be overwritten, if what it tells of is still known.
+    pub fn carry_over(&mut self, entry: &LiveEntry, known: Registries) {
+        match entry {
+            LiveEntry::Worker(name) => {
+                let Some(worker) = known.workers.get(name) else {
+                    return;
+                };
+                self.builder
+                    .describe_worker(worker, worker.termination_recorded);
+                self.described_workers.insert(name.clone());
+            }
+            LiveEntry::Binding { worker: name, task } => {
+                let worker = known.workers.get(name);
+                let Some(binding) = worker.and_then(|worker| worker.bindings.get(task)) else {
+                    return;
+                };
+                self.builder.bind(name, task, binding);
+            }
+            LiveEntry::Completed { job: id, chunk } => {
+                let Some(job) = known.jobs.get(id) else {
+                    return;
+                };
+                let bitmap = encode_chunk(&job.completed, *chunk, job.spec.tasks);
+                self.builder.complete(id, *chunk, bitmap);
+            }
+        }
+        self.live_entries.push(entry.clone());
+    }
+
+    /// Adds a change. Gives it back if it has become void.
+    pub fn add(
+        &mut self,
+        change: LogEntry,
+        ring: &SegmentRing,
+        known: Registries,
+    ) -> Result<(), LogEntry> {
+        let valid = match &change {
+            LogEntry::Bind {
+                worker,
+                task,
+                attempt,
+            } => self.add_binding(worker, task, *attempt, ring, known),
+            LogEntry::Unbind {
+                worker,
+                task,
+                attempt,
+                completed,
+            } => {
+                self.builder.end_binding(worker, task, *attempt);
+                if *completed {
+                    self.add_completed_chunk(task, known);
+                }
+                true
+            }
+            LogEntry::FinishJob { job } => self.add_finished_job(job, known),
+            LogEntry::RecordTermination { worker } => {
+                self.add_termination(worker, known);
+                true
+            }
+            LogEntry::RemoveWorker { worker } => {
+                self.builder.remove_worker(worker);
+                true
+            }
+            LogEntry::WriteKey { write } => {
+                self.key_write_bytes += write.json_size();
+                self.key_writes.push(write.clone());
+                true
+            }
+        };
+        if !valid {
+            return Err(change);
+        }
+        self.changes.push(change);
+        Ok(())
+    }
+
+    /// Returns false if the binding has ended, or its job.
+    fn add_binding(
+        &mut self,
+        name: &str,
+        task: &TaskId,
+        attempt: u64,
+        ring: &SegmentRing,
+        known: Registries,
+    ) -> bool {
+        let Some(worker) = known.workers.get(name) else {
+            return false;
+        };
+        let Some(binding) = worker.bindings.get(task) else {
+            return false;
+        };
+        if known.jobs.get(&task.job).is_none() || binding.attempt != attempt {
+            return false;
+        }
+        let description = LiveEntry::Worker(name.to_owned());
+        if !ring.contains(&description) && self.described_workers.insert(name.to_owned()) {
+            self.builder.describe_worker(worker, false);
+            self.live_entries.push(description);
+        }
+        self.builder.bind(name, task, binding);
+        self.live_entries.push(LiveEntry::Binding {
+            worker: name.to_owned(),
+            task: task.clone(),
+        });
+        self.bound_jobs.insert(task.job.clone());
+        true
+    }
+
+    /// Adds the chunk of a completed task, unless it is there or not needed any more.
+    fn add_completed_chunk(&mut self, task: &TaskId, known: Registries) {
+        let chunk = task.index / TASKS_PER_CHUNK;
+        let entry = LiveEntry::Completed {
+            job: task.job.clone(),
+            chunk,
+        };
+        if let Some(job) = known.jobs.get(&task.job)
+            && !job.finishing
+            && !self.live_entries.contains(&entry)
+        {
+            let bitmap = encode_chunk(&job.completed, chunk, job.spec.tasks);
+            self.builder.complete(&task.job, chunk, bitmap);
+            self.live_entries.push(entry);
+        }
+    }
+
+    /// Returns false if the job has ended.
+    fn add_finished_job(&mut self, id: &str, known: Registries) -> bool {
+        let Some(job) = known.jobs.get(id) else {
+            return false;
+        };
+        self.bound_jobs.insert(id.to_owned());
+        self.finished_jobs
+            .insert(id.to_owned(), job.completed.len());
+        true
+    }
+
+    fn add_termination(&mut self, name: &str, known: Registries) {
+        if let Some(worker) = known.workers.get(name) {
+            self.builder.describe_worker(worker, true);
+            self.described_workers.insert(name.to_owned());
+            self.live_entries.push(LiveEntry::Worker(name.to_owned()));
+        }
+    }
+
+    /// The transaction that writes the draft to a slot.
+    pub fn finish(self, slot: TargetSlot, jobs: &Jobs) -> DraftedTransaction {
+        let compares = self.compares(slot, jobs);
+        let mut writes = vec![WriteOp::put(
+            records::log_key(slot.number),
+            &self.builder.finish(),
+        )];
+        for (id, completed_tasks) in &self.finished_jobs {
+            let record = FinishedRecord {
+                outcome: JobOutcome::Done,
+                completed_tasks: *completed_tasks,
+            };
+            writes.push(WriteOp::delete(records::open_key(id)));
+            writes.push(WriteOp::put(records::finished_key(id), &record));
+        }
+        writes.extend(self.key_writes);
+        DraftedTransaction {
+            txn: Txn { compares, writes },
+            changes: self.changes,
+            live_entries: self.live_entries,
+        }
+    }
+
+    /// This leader must still lead and hold the slot; bound jobs must be open, and finished jobs not finished.
+    fn compares(&self, slot: TargetSlot, jobs: &Jobs) -> Vec<Compare> {
+        let mut compares = vec![
+            Compare::new(records::LEADER_KEY, self.epoch),
+            Compare::new(records::log_key(slot.number), slot.mod_revision),
+        ];
+        for id in &self.bound_jobs {
+            let mod_revision = jobs.get(id).map_or(0, |job| job.mod_revision);
+            compares.push(Compare::new(records::open_key(id), mod_revision));
+        }
+        for id in self.finished_jobs.keys() {
+            compares.push(Compare::new(records::finished_key(id), 0));
+        }
+        compares
+    }
+}
+
+/// The part of a byte limit that is filled at most.
+fn filled(max_bytes: usize) -> usize {
+    (max_bytes as f64 * FILL_SHARE) as usize
+}
--- a/src/coordination/leader/binding_reconciliation.rs
+++ b/src/coordination/leader/binding_reconciliation.rs
@@ -4,8 +4,8 @@
 use crate::bookkeeping::invariants::{self, Invariant};
 use crate::bookkeeping::jobs::{Job, Jobs};
 use crate::bookkeeping::permits;
+use crate::bookkeeping::wal::LogEntry;
 use crate::bookkeeping::workers::{Binding, Eviction, EvictionReason, Worker};
-use crate::bookkeeping::write_ahead_log::LogEntry;
 use crate::protocol::worker::{ExitReason, TaskId, TaskState};
 
 /// What a heartbeat tells of a bound task.
--- a/src/coordination/leader/commit.rs
+++ b/src/coordination/leader/commit.rs
@@ -2,8 +2,7 @@
 
 use super::{LEADER_STATE_SHARE, Leader, LeaderEvent};
 use crate::bookkeeping::records::{self, FinishedRecord, JobOutcome};
-use crate::bookkeeping::segment::Segment;
-use crate::bookkeeping::write_ahead_log::LogEntry;
+use crate::bookkeeping::wal::{LogEntry, Segment};
 use crate::coordination::effects::{Effects, KvRequestKind};
 use crate::protocol::cbor;
 use crate::protocol::kv::{KvRequest, KvResponse};
@@ -30,8 +29,8 @@
                     .log
                     .next_transaction(self.epoch, &self.workers, &self.jobs, budget);
                 // Binds of jobs that have ended meanwhile: nothing was written, no start was sent.
-                for (worker, task, attempt) in self.log.take_rejected_bindings() {
-                    self.drop_binding(&worker, &task, attempt, now);
+                for rejected in self.log.take_rejected_bindings() {
+                    self.drop_binding(&rejected.worker, &rejected.task, rejected.attempt, now);
                 }
                 let Some(txn) = txn else { return };
                 txn
--- a/src/coordination/leader/fleet.rs
+++ b/src/coordination/leader/fleet.rs
@@ -4,8 +4,8 @@
 use crate::bookkeeping::permits;
 use crate::bookkeeping::rate_limit::TokenBucket;
 use crate::bookkeeping::records::{self, ProvisioningRecord};
+use crate::bookkeeping::wal::LogEntry;
 use crate::bookkeeping::workers::Worker;
-use crate::bookkeeping::write_ahead_log::LogEntry;
 use crate::coordination::autoscaler::{self, RateMeter};
 use crate::coordination::effects::{CloudRequestKind, Effects};
 use crate::protocol::cloud::{
--- a/src/coordination/leader/recovery.rs
+++ b/src/coordination/leader/recovery.rs
@@ -2,8 +2,8 @@
 
 use super::{Leader, LeaderEvent};
 use crate::bookkeeping::records::{self, ProvisioningRecord};
-use crate::bookkeeping::segment::{Segment, decode_chunk};
-use crate::bookkeeping::workers::{Binding, Resources, Worker};
+use crate::bookkeeping::wal::{Segment, decode_chunk};
+use crate::bookkeeping::workers::{Binding, Worker};
 use crate::coordination::effects::{Effects, KvRequestKind};
 use crate::protocol::cbor;
 use crate::protocol::job::JobSpec;
@@ -158,45 +158,44 @@
     fn replay_workers(&mut self, segment: &Segment, now: f64) {
         // An earlier leader may have answered reports until its lease grace period ended.
         let lease_from = self.previous_leader_deadline;
-        for (number, instance_type, zone, spot, endpoint, returning) in &segment.workers {
-            let Some(name) = segment.worker_name(*number) else {
+        for entry in &segment.workers {
+            let Some(name) = segment.worker_name(entry.worker) else {
                 continue;
             };
             let worker = self.workers.entry(name, || {
-                let mut worker = Worker::new(name, instance_type, zone, *spot, now);
+                let mut worker =
+                    Worker::new(name, &entry.instance_type, &entry.zone, entry.spot, now);
                 worker.lease_renewed_at = lease_from;
                 worker
             });
-            worker.endpoint.clone_from(endpoint);
-            worker.terminating |= returning;
-            worker.termination_recorded |= returning;
+            worker.endpoint.clone_from(&entry.endpoint);
+            worker.terminating |= entry.terminating;
+            worker.termination_recorded |= entry.terminating;
         }
     }
 
     /// Repeats what a segment of the log says of tasks.
     fn replay_bindings(&mut self, segment: &Segment) {
         let task = |job: u32, index: u32| {
-            let job = segment.job(job)?.0.clone();
+            let job = segment.job(job)?.id.clone();
             Some(TaskId { job, index })
         };
-        for (number, job, index, attempt, incarnation) in &segment.bindings {
-            let (Some(name), Some(entry)) = (segment.worker_name(*number), segment.job(*job))
+        for entry in &segment.bindings {
+            let (Some(name), Some(job)) =
+                (segment.worker_name(entry.worker), segment.job(entry.job))
             else {
                 continue;
             };
-            let (Some(worker), Some(task)) = (self.workers.get_mut(name), task(*job, *index))
+            let (Some(worker), Some(task)) =
+                (self.workers.get_mut(name), task(entry.job, entry.index))
             else {
                 continue;
             };
             let binding = Binding {
-                attempt: *attempt,
-                incarnation: *incarnation,
-                request: Resources {
-                    cpus: entry.2.0,
-                    gpus: entry.3.0,
-                    ram_gb: entry.4.0,
-                },
-                team: entry.1.clone(),
+                attempt: entry.attempt,
+                incarnation: entry.incarnation,
+                request: job.request(),
+                team: job.team.clone(),
                 durable: true,
                 inherited: true,
                 unbinding: false,
@@ -205,15 +204,15 @@
             };
             worker.bindings.insert(task, binding);
         }
-        for (number, job, index, attempt) in &segment.ended_bindings {
+        for entry in &segment.ended_bindings {
             let worker = segment
-                .worker_name(*number)
-                .and_then(|n| self.workers.get_mut(n));
-            if let (Some(worker), Some(task)) = (worker, task(*job, *index))
+                .worker_name(entry.worker)
+                .and_then(|name| self.workers.get_mut(name));
+            if let (Some(worker), Some(task)) = (worker, task(entry.job, entry.index))
                 && worker
                     .bindings
                     .get(&task)
-                    .is_some_and(|b| b.attempt == *attempt)
+                    .is_some_and(|binding| binding.attempt == entry.attempt)
             {
                 worker.bindings.remove(&task);
             }
@@ -223,12 +222,12 @@
                 self.workers.remove(name);
             }
         }
-        for (job, chunk, bits) in &segment.completed {
+        for entry in &segment.completed {
             let job = segment
-                .job(*job)
-                .and_then(|entry| self.jobs.get_mut(&entry.0));
+                .job(entry.job)
+                .and_then(|job| self.jobs.get_mut(&job.id));
             if let Some(job) = job {
-                for index in decode_chunk(*chunk, bits) {
+                for index in decode_chunk(entry.chunk, &entry.bitmap) {
                     job.complete(index);
                 }
             }
--- a/tests/golden/records.rs
+++ b/tests/golden/records.rs
@@ -7,12 +7,16 @@
 use cedarladder::bookkeeping::records::{
     self, FinishedRecord, JobOutcome, LeaderRecord, ProvisioningRecord,
 };
-use cedarladder::bookkeeping::segment::{self, Amount, Segment, SegmentBuilder, TASKS_PER_CHUNK};
-use cedarladder::bookkeeping::workers::{Resources, Worker};
+use cedarladder::bookkeeping::wal::{
+    self, Amount, BindingEntry, CompletedEntry, EndedBindingEntry, JobEntry, Segment,
+    SegmentBuilder, TASKS_PER_CHUNK, WorkerEntry,
+};
+use cedarladder::bookkeeping::workers::{Binding, Resources, Worker};
 use cedarladder::protocol::cbor;
 use cedarladder::protocol::cloud::InstanceType;
 use cedarladder::protocol::job::JobSpec;
 use cedarladder::protocol::kv::{KvRequest, Txn, WriteOp};
+use cedarladder::protocol::worker::TaskId;
 use ciborium::{Value, cbor};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -173,33 +177,48 @@
         epoch: 41,
         worker_names: vec!["host-000231".into(), "host-000232".into()],
         jobs: vec![
-            (
-                "j-000412".into(),
-                "vision".into(),
-                Amount(8.0),
-                Amount(1.0),
-                Amount(64.5),
-            ),
-            (
-                "j-1".into(),
-                String::new(),
-                Amount(0.0),
-                Amount(0.0),
-                Amount(0.0),
-            ),
+            JobEntry {
+                id: "j-000412".into(),
+                team: "vision".into(),
+                cpus: Amount(8.0),
+                gpus: Amount(1.0),
+                ram_gb: Amount(64.5),
+            },
+            JobEntry {
+                id: "j-1".into(),
+                team: String::new(),
+                cpus: Amount(0.0),
+                gpus: Amount(0.0),
+                ram_gb: Amount(0.0),
+            },
         ],
-        workers: vec![(
-            0,
-            "g8".into(),
-            "a".into(),
-            true,
-            "10.1.0.232:9000".into(),
-            false,
-        )],
-        bindings: vec![(0, 1, 2, 3, 4)],
-        ended_bindings: vec![(5, 6, 7, 8)],
+        workers: vec![WorkerEntry {
+            worker: 0,
+            instance_type: "g8".into(),
+            zone: "a".into(),
+            spot: true,
+            endpoint: "10.1.0.232:9000".into(),
+            terminating: false,
+        }],
+        bindings: vec![BindingEntry {
+            worker: 0,
+            job: 1,
+            index: 2,
+            attempt: 3,
+            incarnation: 4,
+        }],
+        ended_bindings: vec![EndedBindingEntry {
+            worker: 5,
+            job: 6,
+            index: 7,
+            attempt: 8,
+        }],
         removed_workers: vec![9, 10],
-        completed: vec![(0, 1, "0f8".into())],
+        completed: vec![CompletedEntry {
+            job: 0,
+            chunk: 1,
+            bitmap: "0f8".into(),
+        }],
     }
 }
 
@@ -224,6 +243,27 @@
     ram_gb: 64.5,
 };
 
+fn task(job: &str, index: u32) -> TaskId {
+    TaskId {
+        job: job.into(),
+        index,
+    }
+}
+
+fn binding(team: &str, attempt: u64, incarnation: u64) -> Binding {
+    Binding {
+        attempt,
+        incarnation,
+        request: NEED,
+        team: team.into(),
+        durable: true,
+        inherited: false,
+        unbinding: false,
+        eviction: None,
+        running_since: None,
+    }
+}
+
 #[test]
 fn built_segments_keep_their_bytes_and_their_counted_size() {
     let mut file = PinnedFile::open("built_segments");
@@ -239,14 +279,13 @@
             builder.describe_worker(worker, true)
         }),
         ("binding", |builder, worker| {
-            let task = ("j-000412", 3);
-            builder.bind(&worker.name, task, ("vision", NEED), (2, 1));
+            builder.bind(&worker.name, &task("j-000412", 3), &binding("vision", 2, 1));
         }),
         ("end", |builder, worker| {
-            builder.end_binding(&worker.name, "j-2", 4, 5)
+            builder.end_binding(&worker.name, &task("j-2", 4), 5)
         }),
         ("binding of a job named before", |builder, worker| {
-            builder.bind(&worker.name, ("j-2", 6), ("guest", NEED), (7, 8));
+            builder.bind(&worker.name, &task("j-2", 6), &binding("guest", 7, 8));
         }),
         ("gone host", |builder, _| {
             builder.remove_worker("host-000232")
@@ -281,10 +320,10 @@
     }
     let mut read = Vec::new();
     for chunk in [0, 1] {
-        let bits = segment::encode_chunk(&done, chunk, tasks);
+        let bits = wal::encode_chunk(&done, chunk, tasks);
         let pinned = file.pin(&format!("chunk {chunk}"), bits.as_bytes());
         let bits = String::from_utf8(pinned).expect("a text");
-        read.extend(segment::decode_chunk(chunk, &bits));
+        read.extend(wal::decode_chunk(chunk, &bits));
     }
     assert_eq!(read, numbers);
     file.finish();
--- a/tests/reports.rs
+++ b/tests/reports.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use cedarladder::bookkeeping::segment::SegmentBuilder;
-use cedarladder::bookkeeping::workers::Resources;
+use cedarladder::bookkeeping::wal::SegmentBuilder;
+use cedarladder::bookkeeping::workers::{Binding, Resources};
 use cedarladder::coordination::leader::{HeartbeatOutcome, Leader};
 use cedarladder::policy::Policy;
 use cedarladder::protocol::cbor;
@@ -14,7 +14,7 @@
 };
 use cedarladder::settings::Settings;
 use ciborium::Value;
-use common::{freshness, freshness_of_age, instance_type, spec, worker};
+use common::{binding, freshness, freshness_of_age, instance_type, spec, task, worker};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use std::rc::Rc;
@@ -237,7 +237,11 @@
     let spec = spec("j-000001", 1);
     let mut builder = SegmentBuilder::new(EPOCH + 1, 1);
     builder.describe_worker(&worker("h", "a", false), false);
-    builder.bind("h", ("j-000001", 0), ("t", Resources::default()), (7, 1));
+    let bound = Binding {
+        request: Resources::default(),
+        ..binding(&spec, 7)
+    };
+    builder.bind("h", &task("j-000001", 0), &bound);
     let segment = cbor::to_value(&builder.finish());
     let mut leader = loading();
     leader.on_recovery_page(page("open/j-000001", cbor::to_value(&spec)), 0.0, 0.0);
--- a/tests/ledger.rs
+++ b/tests/write_ahead_log.rs
@@ -1,11 +1,12 @@
-//! Transactions: what they are conditional on, what they write, and what follows from their answers.
+//! The write-ahead log: the compares and writes of its transactions, and what follows from their outcomes.
 
 mod common;
 
 use cedarladder::bookkeeping::jobs::{Jobs, TaskSet};
-use cedarladder::bookkeeping::segment::{Segment, TASKS_PER_CHUNK, decode_chunk, encode_chunk};
+use cedarladder::bookkeeping::wal::{
+    LogEntry, Segment, TASKS_PER_CHUNK, TxnLimits, WriteAheadLog, decode_chunk, encode_chunk,
+};
 use cedarladder::bookkeeping::workers::Workers;
-use cedarladder::bookkeeping::write_ahead_log::{LogEntry, TxnLimits, WriteAheadLog};
 use cedarladder::protocol::cbor;
 use cedarladder::protocol::kv::{Txn, WriteOp};
 use common::{binding, job, spec, task, worker};
@@ -13,7 +14,7 @@
 const EPOCH: u64 = 3;
 const VALUE_BYTES: usize = 2048;
 
-fn ledger() -> WriteAheadLog {
+fn empty_log() -> WriteAheadLog {
     WriteAheadLog::new(TxnLimits {
         max_writes: 6,
         max_value_bytes: VALUE_BYTES,
@@ -21,7 +22,7 @@
 }
 
 /// A job with eight tasks, of which four are bound.
-fn tables() -> (Workers, Jobs) {
+fn registries() -> (Workers, Jobs) {
     let mut workers = Workers::default();
     let mut jobs = Jobs::default();
     jobs.insert(job(spec("j-1", 8)));
@@ -79,7 +80,7 @@
 }
 
 #[test]
-fn conditions_and_writes() {
+fn each_change_has_its_compares_and_writes() {
     type Case = (
         &'static str,
         Vec<LogEntry>,
@@ -88,7 +89,7 @@
         [usize; 4],
     );
     let slot = "log/00000=0";
-    // Entries: kinds of hosts, bindings, ends, chunks of completed tasks.
+    // Entries: described workers, bindings, ended bindings, chunks of completed tasks.
     let cases: Vec<Case> = vec![
         (
             "a bind is conditional on leader, slot and job",
@@ -98,35 +99,35 @@
             [1, 1, 0, 0],
         ),
         (
-            "binds share a write, and a host is described once",
+            "binds share a write, and a worker is described once",
             vec![bind("h1", 0), bind("h1", 1), bind("h2", 2)],
             vec!["leader=3", slot, "open/j-1=5"],
             vec!["+log/00000"],
             [2, 3, 0, 0],
         ),
         (
-            "a done task is recorded with the end of its binding",
+            "a completed task is recorded with the end of its binding",
             vec![unbind("h3", 4, true)],
             vec!["leader=3", slot],
             vec!["+log/00000"],
             [0, 0, 1, 1],
         ),
         (
-            "a lost binding completes nothing",
+            "a binding that ends without completion completes nothing",
             vec![unbind("h3", 4, false)],
             vec!["leader=3", slot],
             vec!["+log/00000"],
             [0, 0, 1, 0],
         ),
         (
-            "the end of a job moves it from open to over",
+            "finishing a job moves it from the open to the finished jobs",
             vec![LogEntry::FinishJob { job: "j-1".into() }],
             vec!["leader=3", slot, "open/j-1=5", "over/j-1=0"],
             vec!["+log/00000", "-open/j-1", "+over/j-1"],
             [0, 0, 0, 0],
         ),
         (
-            "a mark is written before anything is deleted",
+            "a termination is recorded in the segment alone",
             vec![LogEntry::RecordTermination {
                 worker: "h1".into(),
             }],
@@ -135,7 +136,7 @@
             [1, 0, 0, 0],
         ),
         (
-            "a bind of a job that is over is void",
+            "a bind of a job that has ended is rejected",
             vec![
                 LogEntry::Bind {
                     worker: "h1".into(),
@@ -150,12 +151,12 @@
         ),
     ];
     for (name, changes, when, writes, entries) in cases {
-        let (mut ledger, (workers, mut jobs)) = (ledger(), tables());
+        let (mut log, (workers, mut jobs)) = (empty_log(), registries());
         jobs.get_mut("j-1").unwrap().complete(4);
         for change in changes {
-            ledger.push(change);
+            log.push(change);
         }
-        let txn = ledger
+        let txn = log
             .next_transaction(EPOCH, &workers, &jobs, 100)
             .expect(name);
         let (got_when, got_writes) = keys(&txn);
@@ -170,22 +171,20 @@
         ];
         assert_eq!(got, entries, "{name}");
         assert!(
-            ledger
-                .next_transaction(EPOCH, &workers, &jobs, 100)
-                .is_none(),
+            log.next_transaction(EPOCH, &workers, &jobs, 100).is_none(),
             "{name}: one at a time"
         );
     }
 }
 
-/// What becomes of a transaction and its changes after each answer.
+/// What becomes of a transaction and its changes after each outcome.
 #[test]
-fn answers() {
+fn changes_are_committed_requeued_or_kept_by_the_outcome() {
     type Steps = fn(&mut WriteAheadLog) -> usize;
     let cases: [(&str, Steps, usize, bool); 4] = [
         ("committed", |l| l.complete_in_flight(20).len(), 0, false),
         (
-            "refused: all changes wait again",
+            "compare failed: all changes are queued again",
             |l| {
                 l.requeue_in_flight();
                 0
@@ -194,7 +193,7 @@
             false,
         ),
         (
-            "no answer: the same transaction once more, and nothing else",
+            "outcome unknown: the same transaction once more, and nothing else",
             |l| {
                 l.mark_outcome_unknown();
                 0
@@ -203,7 +202,7 @@
             true,
         ),
         (
-            "no answer, then found executed",
+            "outcome unknown, then found executed",
             |l| {
                 l.mark_outcome_unknown();
                 l.complete_in_flight(20).len()
@@ -213,43 +212,41 @@
         ),
     ];
     for (name, steps, backlog, again) in cases {
-        let (mut ledger, (workers, jobs)) = (ledger(), tables());
-        ledger.push(bind("h1", 0));
-        ledger.push(bind("h2", 2));
-        let first = ledger
+        let (mut log, (workers, jobs)) = (empty_log(), registries());
+        log.push(bind("h1", 0));
+        log.push(bind("h2", 2));
+        let first = log
             .next_transaction(EPOCH, &workers, &jobs, 100)
             .expect(name);
-        let witness = segment(&first);
-        assert!(ledger.is_own_segment(&witness), "{name}");
-        assert_eq!(steps(&mut ledger), 2 - backlog, "{name}");
-        assert_eq!(ledger.backlog(), backlog, "{name}");
-        assert_eq!(ledger.retry_of_unknown(), again.then_some(first), "{name}");
+        let own = segment(&first);
+        assert!(log.is_own_segment(&own), "{name}");
+        assert_eq!(steps(&mut log), 2 - backlog, "{name}");
+        assert_eq!(log.backlog(), backlog, "{name}");
+        assert_eq!(log.retry_of_unknown(), again.then_some(first), "{name}");
         if again {
-            ledger.push(bind("h1", 1));
+            log.push(bind("h1", 1));
             assert!(
-                ledger
-                    .next_transaction(EPOCH, &workers, &jobs, 100)
-                    .is_none(),
+                log.next_transaction(EPOCH, &workers, &jobs, 100).is_none(),
                 "{name}"
             );
         }
-        // A segment of another leader, or another of our own, is no witness.
+        // A segment of another leader, or another of our own, is not taken for it.
         let other = Segment {
             epoch: EPOCH + 1,
-            ..witness.clone()
+            ..own.clone()
         };
-        assert!(!ledger.is_own_segment(&other), "{name}");
+        assert!(!log.is_own_segment(&other), "{name}");
     }
 }
 
 /// Thousands of bindings come and go while some stay for long: the ring stays small, every segment
-/// fits into a value, and the log always tells what is bound and done.
+/// fits into a value, and a replay of the log finds what is bound and completed.
 #[test]
-fn the_log_tells_all_and_stays_small() {
+fn replay_restores_the_state_and_the_ring_stays_small() {
     let mut workers = Workers::default();
     let mut jobs = Jobs::default();
     jobs.insert(job(spec("j-1", 4000)));
-    let mut ledger = ledger();
+    let mut log = empty_log();
     let mut written: std::collections::BTreeMap<String, Segment> = Default::default();
     let mut mod_revision = 10;
     let mut changes = 0;
@@ -261,25 +258,25 @@
             let mut bound = binding(&spec("j-1", 4000), 7);
             bound.running_since = None;
             known.bindings.insert(task("j-1", index), bound);
-            ledger.push(bind(&name, index));
+            log.push(bind(&name, index));
             // Every sixteenth stays; the others end four rounds later.
             if let Some(old) = index.checked_sub(32).filter(|old| old % 16 != 0) {
                 jobs.get_mut("j-1").unwrap().complete(old);
-                ledger.push(unbind(&format!("host-{:06}", old % 40), old, true));
+                log.push(unbind(&format!("host-{:06}", old % 40), old, true));
             }
         }
         if round == 200 {
-            ledger.push(LogEntry::RecordTermination {
+            log.push(LogEntry::RecordTermination {
                 worker: "host-000003".into(),
             });
         }
-        while let Some(txn) = ledger.next_transaction(EPOCH, &workers, &jobs, 100) {
+        while let Some(txn) = log.next_transaction(EPOCH, &workers, &jobs, 100) {
             mod_revision += 1;
             let Some(WriteOp::Put { key, .. }) = txn.writes.first() else {
                 panic!("a segment");
             };
             written.insert(key.clone(), segment(&txn));
-            for change in ledger.complete_in_flight(mod_revision) {
+            for change in log.complete_in_flight(mod_revision) {
                 changes += 1;
                 match change {
                     LogEntry::Unbind { worker, task, .. } => {
@@ -293,29 +290,30 @@
             }
         }
     }
-    assert_eq!(ledger.backlog(), 0);
+    assert_eq!(log.backlog(), 0);
     assert!(changes > 6000, "{changes} changes");
-    assert!(ledger.slots() <= 32, "{} slots", ledger.slots());
+    assert!(log.slots() <= 32, "{} slots", log.slots());
 
     // Replay, as a new leader would.
     let mut segments: Vec<&Segment> = written.values().collect();
     segments.sort_by_key(|s| s.seq);
     let mut bound = std::collections::BTreeSet::new();
-    let mut done = TaskSet::new(4000);
-    let mut marked = std::collections::BTreeMap::new();
-    for s in segments {
-        for kind in &s.workers {
-            marked.insert(s.worker_name(kind.0).unwrap().to_owned(), kind.5);
+    let mut completed = TaskSet::new(4000);
+    let mut terminating = std::collections::BTreeMap::new();
+    for segment in segments {
+        let name = |number| segment.worker_name(number).unwrap().to_owned();
+        for entry in &segment.workers {
+            terminating.insert(name(entry.worker), entry.terminating);
         }
-        for b in &s.bindings {
-            bound.insert((s.worker_name(b.0).unwrap().to_owned(), b.2));
+        for entry in &segment.bindings {
+            bound.insert((name(entry.worker), entry.index));
         }
-        for e in &s.ended_bindings {
-            bound.remove(&(s.worker_name(e.0).unwrap().to_owned(), e.2));
+        for entry in &segment.ended_bindings {
+            bound.remove(&(name(entry.worker), entry.index));
         }
-        for (_, chunk, bits) in &s.completed {
-            for index in decode_chunk(*chunk, bits) {
-                done.insert(index);
+        for entry in &segment.completed {
+            for index in decode_chunk(entry.chunk, &entry.bitmap) {
+                completed.insert(index);
             }
         }
     }
@@ -324,9 +322,9 @@
         .flat_map(|h| h.bindings.keys().map(|t| (h.name.clone(), t.index)))
         .collect();
     assert_eq!(bound, expected);
-    assert_eq!(done, jobs.get("j-1").unwrap().completed);
-    assert_eq!(marked.len(), 40);
-    assert!(marked["host-000003"] && !marked["host-000004"]);
+    assert_eq!(completed, jobs.get("j-1").unwrap().completed);
+    assert_eq!(terminating.len(), 40);
+    assert!(terminating["host-000003"] && !terminating["host-000004"]);
 }
 
 #[test]
