--- a/src/bookkeeping/failure_attribution.rs
+++ b/src/bookkeeping/failure_attribution.rs
@@ -1,24 +1,24 @@
-//! Evidence from failed tasks.
+//! Whether failures of tasks are attributed to the job or to the worker.
 //!
-//! A task that fails does not tell whether its machine is faulty or its job was submitted with a
-//! mistake. Other tasks do: a job that fails on several machines without any success is crash-looping, and
-//! its failures say nothing about the machines; a machine on which jobs fail that succeed elsewhere is
-//! faulty. Until that is known, a machine on which several jobs fail is cordoned.
+//! One failed task does not tell whether the worker or the job is at fault; comparing tasks does. A job that
+//! fails on several workers without any success is crash-looping, and its failures don't count against the
+//! workers. A worker on which jobs fail that succeed elsewhere is faulty, and quarantined. Until the fault is
+//! attributed, a worker on which several jobs fail is cordoned.
 
 use std::collections::BTreeMap;
 
-/// Machines on which a job fails without a success in between before it is crash-looping.
+/// Number of workers on which a job fails, without a success in between, before it is crash-looping.
 const CRASH_LOOP_WORKERS: usize = 3;
-/// Failures that make a machine faulty.
+/// Number of counted failures from which a worker is cordoned or quarantined.
 const QUARANTINE_FAILURES: u32 = 3;
-/// Failures that a job counts for at most as long as it has succeeded nowhere: fewer than it takes,
-/// so that one job alone never makes a machine suspect.
+/// Failures counted at most of a job that has succeeded nowhere: fewer than [`QUARANTINE_FAILURES`], so that no
+/// single job gets a worker cordoned.
 const UNPROVEN_FAILURES: u32 = 2;
-/// Machines remembered for a job, and jobs remembered for a machine.
+/// Workers remembered for a job, and jobs remembered for a worker.
 const MAX_REMEMBERED: usize = 64;
-/// The longest back-off between two probes of a crash-looping job, in units of the shortest, as a power of
-/// two.
-const MAX_BACKOFF_POWER: u32 = 4;
+/// Binary logarithm of the ratio of the longest to the shortest back-off between two probes of a crash-looping
+/// job.
+const MAX_BACKOFF_EXPONENT: u32 = 4;
 
 /// The failures of a job's tasks since the last success of one of them.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -31,8 +31,8 @@
 }
 
 impl JobFailures {
-    /// Whether the job itself is thought to be at fault. Only one of its tasks at a time is then
-    /// started, as a probe.
+    /// Whether the failures are attributed to the job itself. Only one of its tasks at a time is then started,
+    /// as a probe.
     pub fn is_crash_looping(&self) -> bool {
         self.crash_looping
     }
@@ -47,8 +47,8 @@
         self.workers.contains_key(worker)
     }
 
-    /// Whether further tasks of the job should go to other workers than this one. After `avoid_s` the
-    /// worker is tried again: there may be no other.
+    /// Whether further tasks of the job should be placed on other workers than this one. After `avoid_s` seconds
+    /// the worker is tried again, as there may be no other.
     pub fn avoids(&self, worker: &str, avoid_s: f64, now: f64) -> bool {
         !self.crash_looping
             && self
@@ -57,13 +57,13 @@
                 .is_some_and(|at| now - at < avoid_s)
     }
 
-    /// The workers on which tasks failed.
+    /// The workers on which tasks have failed since the last success.
     pub fn workers(&self) -> impl Iterator<Item = &str> {
         self.workers.keys().map(String::as_str)
     }
 
-    /// Notes a failure. The job becomes suspect when it has failed on several workers, or again on one
-    /// that it had avoided for `avoid_s`. Returns whether it has just become suspect.
+    /// Records a failure. The job is crash-looping once it has failed on several workers, or again on one that
+    /// it had avoided for `avoid_s` seconds. Returns whether it has just become so.
     pub fn record_failure(&mut self, worker: &str, avoid_s: f64, now: f64) -> bool {
         let again = self
             .workers
@@ -77,12 +77,12 @@
         self.crash_looping && !before
     }
 
-    /// Takes over an earlier leader's suspicion.
+    /// Marks the job as crash-looping, as an earlier leader had found.
     pub fn inherit_crash_loop(&mut self) {
         self.crash_looping = true;
     }
 
-    /// Notes a success: the job is trusted again.
+    /// Records a success: the job is no longer crash-looping, and its earlier failures are dropped.
     pub fn record_success(&mut self) {
         *self = JobFailures {
             succeeded: true,
@@ -90,14 +90,15 @@
         };
     }
 
-    /// How long to wait before the next probe, given the shortest wait: exponential back-off.
+    /// Seconds to wait before the next probe: exponential back-off that starts at `shortest_s`.
     pub fn next_backoff_s(&mut self, shortest_s: f64) -> f64 {
-        let power = self.failed_probes.min(MAX_BACKOFF_POWER);
-        self.failed_probes = power + 1;
-        shortest_s * f64::from(1u32 << power)
+        let exponent = self.failed_probes.min(MAX_BACKOFF_EXPONENT);
+        self.failed_probes = exponent + 1;
+        shortest_s * f64::from(1u32 << exponent)
     }
 }
 
+/// The failures of one job on a worker.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct AttributedFailures {
     failures: u32,
@@ -112,49 +113,49 @@
 }
 
 impl WorkerFailures {
-    /// Notes that a task of a job failed here. `proven`: the job has succeeded elsewhere.
-    pub fn record_failure(&mut self, job: &str, proven: bool) {
+    /// Records that a task of a job failed here.
+    pub fn record_failure(&mut self, job: &str, job_works_elsewhere: bool) {
         if self.jobs.len() >= MAX_REMEMBERED && !self.jobs.contains_key(job) {
             return;
         }
-        let evidence = self.jobs.entry(job.to_owned()).or_default();
-        evidence.failures = evidence.failures.saturating_add(1);
-        evidence.job_works_elsewhere |= proven;
+        let job_failures = self.jobs.entry(job.to_owned()).or_default();
+        job_failures.failures = job_failures.failures.saturating_add(1);
+        job_failures.job_works_elsewhere |= job_works_elsewhere;
     }
 
-    /// Notes that a job whose tasks failed here has succeeded elsewhere.
+    /// Attributes a job's failures to this worker, as the job has succeeded elsewhere.
     pub fn attribute_to_worker(&mut self, job: &str) {
-        if let Some(evidence) = self.jobs.get_mut(job) {
-            evidence.job_works_elsewhere = true;
+        if let Some(job_failures) = self.jobs.get_mut(job) {
+            job_failures.job_works_elsewhere = true;
         }
     }
 
-    /// Withdraws what a job's failures told, since the job itself is at fault, or may be.
+    /// Drops a job's failures, as the job itself is at fault, or may be.
     pub fn attribute_to_job(&mut self, job: &str) {
         self.jobs.remove(job);
     }
 
-    /// Notes that a task completed here: the machine works.
+    /// Records that a task completed here: the worker is not faulty.
     pub fn record_success(&mut self) {
         self.jobs.clear();
     }
 
-    /// Whether the machine may be faulty: it gets no more work until it is known which of the jobs
-    /// that failed here work elsewhere.
+    /// Whether the worker may be faulty: it gets no more tasks until it is known which of the jobs that failed
+    /// here work elsewhere.
     pub fn is_cordoned(&self) -> bool {
-        self.weight(UNPROVEN_FAILURES) >= QUARANTINE_FAILURES
+        self.count_failures(UNPROVEN_FAILURES) >= QUARANTINE_FAILURES
     }
 
-    /// Whether the machine is faulty: what failed here works elsewhere.
+    /// Whether the worker is faulty: the jobs that failed here work elsewhere.
     pub fn is_quarantined(&self) -> bool {
-        self.weight(0) >= QUARANTINE_FAILURES
+        self.count_failures(0) >= QUARANTINE_FAILURES
     }
 
-    /// The failures here, of each job that has succeeded nowhere at most so many.
-    fn weight(&self, unproven_most: u32) -> u32 {
-        let count = |evidence: &AttributedFailures| match evidence.job_works_elsewhere {
-            true => evidence.failures,
-            false => evidence.failures.min(unproven_most),
+    /// Number of failures, with at most `max_unproven` counted of each job that has succeeded nowhere else.
+    fn count_failures(&self, max_unproven: u32) -> u32 {
+        let count = |job: &AttributedFailures| match job.job_works_elsewhere {
+            true => job.failures,
+            false => job.failures.min(max_unproven),
         };
         self.jobs.values().map(count).sum()
     }
--- a/src/bookkeeping/invariants.rs
+++ b/src/bookkeeping/invariants.rs
@@ -1,30 +1,30 @@
-//! What must hold whenever something is sent or forgotten, checked where it happens.
+//! Safety invariants, checked at the point where a message is sent or a binding is dropped.
 //!
-//! The decisions are made in [`super::permits`]; these checks look at the outcome by other means. A violation
-//! is a fault of this program: it is logged at `error` with a count, the action is refused, and the process
-//! goes on. Builds with debug assertions, such as tests, end at once.
+//! The decisions are made in [`super::permits`]; these checks verify the outcome independently of them. A
+//! violation is a bug of this program: it is logged at `error` with a count, the action is refused, and the
+//! process goes on. Builds with debug assertions, such as tests, panic.
 
 use std::fmt::Arguments;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What must hold.
+/// A condition that must hold for an action.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Invariant {
-    /// No start of a task goes out after a cancellation that this controller knows of.
+    /// No start of a task is sent once this controller knows that the job has ended.
     NoStartOfEndedJob,
-    /// No attempt is cleared while a start of it may arrive and run it again.
+    /// No attempt is cleared while a start may arrive that runs it again.
     NoClearWhileStartMayArrive,
-    /// Nobody is told that a job is aborted before that is written.
+    /// No user is told that a job is aborted before that is committed.
     NoAbortedWithoutCommit,
     /// No lease of a worker is renewed beyond the lease grace period.
     NoRenewalBeyondLeaseGrace,
-    /// No binding is dropped whose start may still run.
+    /// No binding is dropped while a start of it may still arrive.
     NoUnbindWhileStartMayArrive,
 }
 
 static VIOLATIONS: AtomicU64 = AtomicU64::new(0);
 
-/// Checks an invariant. False: it does not hold, and what was about to be done must not be.
+/// Checks an invariant. Returns false if it does not hold: the action must not be taken.
 #[must_use]
 pub fn uphold(invariant: Invariant, holds: bool, details: Arguments) -> bool {
     if !holds {
--- a/src/bookkeeping/jobs.rs
+++ b/src/bookkeeping/jobs/job.rs
@@ -1,94 +1,55 @@
-//! Open jobs and their tasks.
+//! An open job and its tasks.
 
+use super::task_set::TaskSet;
 use crate::bookkeeping::failure_attribution::JobFailures;
 use crate::protocol::job::{JobKind, JobSpec};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A set of task numbers as a bitmap.
-#[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct TaskSet {
-    words: Vec<u64>,
-    count: u32,
-}
-
-impl TaskSet {
-    /// An empty set for numbers below `size`.
-    pub fn new(size: u32) -> TaskSet {
-        TaskSet {
-            words: vec![0; size.div_ceil(64) as usize],
-            count: 0,
-        }
-    }
-    /// Adds a number; false if it was there or is out of range.
-    pub fn insert(&mut self, index: u32) -> bool {
-        let Some(word) = self.words.get_mut((index / 64) as usize) else {
-            return false;
-        };
-        let bit = 1 << (index % 64);
-        if *word & bit != 0 {
-            return false;
-        }
-        *word |= bit;
-        self.count += 1;
-        true
-    }
-    /// Whether the number is in it.
-    pub fn contains(&self, index: u32) -> bool {
-        self.words
-            .get((index / 64) as usize)
-            .is_some_and(|word| word & (1 << (index % 64)) != 0)
-    }
-    /// How many are in it.
-    pub fn len(&self) -> u32 {
-        self.count
-    }
-    /// Whether it is empty.
-    pub fn is_empty(&self) -> bool {
-        self.count == 0
-    }
-}
-
-/// An open job.
+/// An open job. Times are seconds of the controller's steady clock.
+///
+/// The sets and counts of completed, bound and running tasks must agree with each other; they are changed by
+/// [`complete`](Job::complete), [`bind`](Job::bind), [`unbind`](Job::unbind),
+/// [`add_running_task`](Job::add_running_task) and [`remove_running_task`](Job::remove_running_task).
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// As submitted.
+    /// Specification, as submitted.
     pub spec: JobSpec,
-    /// Version of its key.
+    /// Mod revision of its key in the state service.
     pub mod_revision: u64,
-    /// When it came, on this controller's steady clock.
+    /// When the job was submitted.
     pub submitted_at: f64,
-    /// When it should be complete: its deadline, or its class's objective.
+    /// When the job should be complete, by its deadline or the objective of its class.
     pub deadline: Option<f64>,
-    /// Its tasks should start within so long.
+    /// Seconds within which its tasks should start.
     pub start_objective_s: Option<f64>,
-    /// It can wait until then, rather than stop other work.
+    /// Until then the job can wait, rather than preempt other tasks.
     pub latest_unhurried_start: f64,
-    /// Completed tasks, written down or about to be.
-    pub completed: TaskSet,
-    /// Where tasks are bound; a task may show up on several workers after failures.
-    pub bound_workers: BTreeMap<u32, Vec<String>>,
+    /// Completed tasks, committed or about to be.
+    completed: TaskSet,
+    /// The workers that each bound task is bound to; after failures there may be several.
+    bound_workers: BTreeMap<u32, Vec<String>>,
     /// Workers where its tasks have completed while copies of their starts may still arrive.
     pub workers_with_start_copies: BTreeSet<String>,
-    /// Tasks bound in each zone.
-    pub bound_per_zone: HashMap<String, u32>,
-    /// Bound tasks that are complete already.
+    /// Number of bindings in each zone.
+    bound_per_zone: HashMap<String, u32>,
+    /// Number of bound tasks that are complete already.
     bound_completed: u32,
-    /// Bound tasks that have been seen running.
-    pub running_tasks: u32,
-    /// Its ending is on the way.
+    /// Number of bindings whose task has been observed running.
+    running_tasks: u32,
+    /// The end of the job waits to be committed.
     pub finishing: bool,
-    /// What its failed tasks tell about it.
+    /// Failures of its tasks.
     pub failures: JobFailures,
     /// The latest attempt, which the tasks of a gang share.
     pub gang_attempt: Option<u64>,
-    /// No starts before this time.
+    /// No task is placed before this time.
     pub eligible_at: f64,
-    /// Since when some task has waited, for the oldest age.
+    /// Since when some task has waited.
     pub waiting_since: f64,
 }
 
 impl Job {
-    /// A job of which nothing but its key is known.
+    /// A job none of whose tasks is bound or complete.
     pub fn new(spec: JobSpec, mod_revision: u64, since: f64) -> Job {
         let tasks = spec.tasks;
         let deadline = spec.deadline_s.map(|deadline| since + deadline);
@@ -118,7 +79,7 @@
         self.spec.kind == JobKind::Service
     }
 
-    /// The tasks that wait, in the order in which they are to be placed.
+    /// The tasks that wait to be placed, in the order of placement.
     pub fn waiting_tasks(&self) -> impl Iterator<Item = u32> + '_ {
         (0..self.spec.tasks).filter(|index| self.waits(*index))
     }
@@ -127,7 +88,7 @@
         !self.completed.contains(index) && !self.bound_workers.contains_key(&index)
     }
 
-    /// Number of tasks that wait.
+    /// Number of tasks that wait to be placed.
     pub fn waiting_count(&self) -> u32 {
         if self.finishing {
             return 0;
@@ -136,13 +97,13 @@
         self.spec.tasks.saturating_sub(self.completed.len() + bound)
     }
 
-    /// Whether replicas of this job have failed since the last one that ran for a while.
+    /// Whether this is a service of which replicas have failed since the last success.
     pub fn is_failing_service(&self) -> bool {
         self.is_service() && self.failures.workers().next().is_some()
     }
 
-    /// Number of tasks that may be placed now: all that wait, but of a crash-looping job only one at a
-    /// time, as a probe.
+    /// Number of tasks that may be placed now: all that wait; of a crash-looping job, though, only one at a
+    /// time, or one gang, as a probe.
     pub fn startable_count(&self) -> u32 {
         let waiting = self.waiting_count();
         if !self.failures.is_crash_looping() {
@@ -156,12 +117,47 @@
         }
     }
 
+    /// The completed tasks, committed or about to be.
+    pub fn completed(&self) -> &TaskSet {
+        &self.completed
+    }
+
+    /// Whether all tasks are complete.
+    pub fn is_complete(&self) -> bool {
+        self.completed.len() == self.spec.tasks
+    }
+
+    /// The workers that each bound task is bound to, by the index of the task.
+    pub fn bound_workers(&self) -> &BTreeMap<u32, Vec<String>> {
+        &self.bound_workers
+    }
+
+    /// Number of bindings in each zone.
+    pub fn bound_per_zone(&self) -> &HashMap<String, u32> {
+        &self.bound_per_zone
+    }
+
+    /// Number of bindings whose task has been observed running.
+    pub fn running_tasks(&self) -> u32 {
+        self.running_tasks
+    }
+
+    /// Records that the task of a binding has been observed running.
+    pub fn add_running_task(&mut self) {
+        self.running_tasks += 1;
+    }
+
+    /// Records that a binding has ended whose task had been observed running.
+    pub fn remove_running_task(&mut self) {
+        self.running_tasks -= 1;
+    }
+
     /// Whether any task has been placed or completed.
     pub fn has_started(&self) -> bool {
         !self.completed.is_empty() || !self.bound_workers.is_empty()
     }
 
-    /// Notes that a task is complete. False: it was known.
+    /// Records that a task is complete. Returns false if that was known.
     pub fn complete(&mut self, index: u32) -> bool {
         let new = self.completed.insert(index);
         if new && self.bound_workers.contains_key(&index) {
@@ -170,7 +166,7 @@
         new
     }
 
-    /// Notes that a task was bound to a worker in a zone.
+    /// Records that a task is bound to a worker in a zone.
     pub fn bind(&mut self, index: u32, worker: &str, zone: &str) {
         let workers = self.bound_workers.entry(index).or_default();
         if workers.is_empty() && self.completed.contains(index) {
@@ -182,7 +178,7 @@
         }
     }
 
-    /// Notes that a binding has ended.
+    /// Records that a binding has ended.
     pub fn unbind(&mut self, index: u32, worker: &str, zone: &str, now: f64) {
         let Some(workers) = self.bound_workers.get_mut(&index) else {
             return;
@@ -207,44 +203,3 @@
         }
     }
 }
-
-/// All open jobs.
-#[derive(Debug, Default)]
-pub struct Jobs {
-    jobs: BTreeMap<String, Job>,
-}
-
-impl Jobs {
-    /// Adds a job unless it is known.
-    pub fn insert(&mut self, job: Job) {
-        self.jobs.entry(job.spec.id.clone()).or_insert(job);
-    }
-    /// Drops a job.
-    pub fn remove(&mut self, id: &str) -> Option<Job> {
-        self.jobs.remove(id)
-    }
-    /// A job.
-    pub fn get(&self, id: &str) -> Option<&Job> {
-        self.jobs.get(id)
-    }
-    /// A job, to be changed.
-    pub fn get_mut(&mut self, id: &str) -> Option<&mut Job> {
-        self.jobs.get_mut(id)
-    }
-    /// All jobs, by id.
-    pub fn iter(&self) -> impl Iterator<Item = &Job> {
-        self.jobs.values()
-    }
-    /// All jobs, to be changed.
-    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Job> {
-        self.jobs.values_mut()
-    }
-    /// How many.
-    pub fn len(&self) -> usize {
-        self.jobs.len()
-    }
-    /// Whether there are none.
-    pub fn is_empty(&self) -> bool {
-        self.jobs.is_empty()
-    }
-}
--- a/src/bookkeeping/quotas.rs
+++ b/src/bookkeeping/quotas.rs
@@ -1,74 +1,90 @@
-//! What teams use, and what they are guaranteed and allowed.
+//! Resources that teams use, and the quotas and limits that their settings give them.
+//!
+//! A team's quota (`cpus`, `gpus`) is what it is guaranteed; its limit (`cpus_max`, `gpus_max`) is what it may
+//! use at most, where 0 stands for no limit.
 
 use crate::protocol::job::{JobKind, JobSpec};
 use crate::settings::Team;
 use std::collections::HashMap;
 
-/// Sums of decimals may be off by rounding; so much is let pass.
-const ROUNDING: f64 = 1e-6;
+/// Tolerance for the rounding errors of sums of decimal amounts.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// CPUs and GPUs.
+/// CPUs and GPUs in use.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ResourceUsage {
-    /// CPUs.
+    /// CPU cores.
     pub cpus: f64,
-    /// GPUs.
+    /// GPU devices.
     pub gpus: f64,
 }
 
-/// Teams with what their bound tasks use.
+/// A team's settings and what its bound tasks use.
+#[derive(Debug, Clone)]
+struct TeamUsage {
+    team: Team,
+    used: ResourceUsage,
+}
+
+/// The teams, with what their bound tasks use.
 #[derive(Debug, Clone, Default)]
 pub struct Quotas {
-    teams: HashMap<String, (Team, ResourceUsage)>,
+    teams: HashMap<String, TeamUsage>,
 }
 
 impl Quotas {
-    /// No team uses anything yet.
+    /// Teams that use nothing yet.
     pub fn new(teams: &[Team]) -> Quotas {
+        let unused = |team: &Team| TeamUsage {
+            team: team.clone(),
+            used: ResourceUsage::default(),
+        };
         Quotas {
             teams: teams
                 .iter()
-                .map(|team| (team.name.clone(), (team.clone(), ResourceUsage::default())))
+                .map(|team| (team.name.clone(), unused(team)))
                 .collect(),
         }
     }
 
-    /// Whether the team exists.
+    /// Whether a team exists.
     pub fn contains_team(&self, team: &str) -> bool {
         self.teams.contains_key(team)
     }
 
-    /// Whether the job's team may ever run it: one task of an array, all tasks of
-    /// a service or a gang.
+    /// Whether the limit of the job's team ever lets it run: one task of an array, all tasks of a service or a
+    /// gang.
     pub fn can_ever_run(&self, spec: &JobSpec) -> bool {
-        let Some((team, _)) = self.teams.get(&spec.team) else {
+        let Some(TeamUsage { team, .. }) = self.teams.get(&spec.team) else {
             return false;
         };
         let tasks = match spec.kind {
             JobKind::Array => 1.0,
             JobKind::Service | JobKind::Gang => f64::from(spec.tasks),
         };
-        let below = |need: f64, limit: f64| limit <= 0.0 || need <= limit + ROUNDING;
-        below(spec.cpus * tasks, team.cpus_max) && below(spec.gpus * tasks, team.gpus_max)
+        is_within_limit(spec.cpus * tasks, team.cpus_max)
+            && is_within_limit(spec.gpus * tasks, team.gpus_max)
     }
 
     /// Whether one more task fits under the team's limit.
     pub fn has_capacity(&self, team: &str, cpus: f64, gpus: f64) -> bool {
-        let Some((team, used)) = self.teams.get(team) else {
+        let Some(TeamUsage { team, used }) = self.teams.get(team) else {
             return false;
         };
-        let below = |sum: f64, limit: f64| limit <= 0.0 || sum <= limit + ROUNDING;
-        below(used.cpus + cpus, team.cpus_max) && below(used.gpus + gpus, team.gpus_max)
+        is_within_limit(used.cpus + cpus, team.cpus_max)
+            && is_within_limit(used.gpus + gpus, team.gpus_max)
     }
 
     /// How many more such tasks fit under the team's limit.
     pub fn remaining_tasks(&self, team: &str, cpus: f64, gpus: f64) -> u32 {
-        let Some((team, used)) = self.teams.get(team) else {
+        let Some(TeamUsage { team, used }) = self.teams.get(team) else {
             return 0;
         };
-        let count = |need: f64, used: f64, limit: f64| {
-            if limit > 0.0 && need > 0.0 {
-                ((limit - used + ROUNDING) / need).floor().max(0.0)
+        let count = |request: f64, used: f64, limit: f64| {
+            if limit > 0.0 && request > 0.0 {
+                ((limit - used + ROUNDING_TOLERANCE) / request)
+                    .floor()
+                    .max(0.0)
             } else {
                 f64::from(u32::MAX)
             }
@@ -76,42 +92,49 @@
         count(cpus, used.cpus, team.cpus_max).min(count(gpus, used.gpus, team.gpus_max)) as u32
     }
 
-    /// Whether so much is within the team's guarantee.
+    /// Whether these amounts are within the team's quota; never, if it has none.
     pub fn is_within_quota(&self, team: &str, cpus: f64, gpus: f64) -> bool {
-        let Some((team, _)) = self.teams.get(team) else {
+        let Some(TeamUsage { team, .. }) = self.teams.get(team) else {
             return false;
         };
-        let guaranteed = team.cpus > 0.0 || team.gpus > 0.0;
-        guaranteed && cpus <= team.cpus + ROUNDING && gpus <= team.gpus + ROUNDING
+        let has_quota = team.cpus > 0.0 || team.gpus > 0.0;
+        has_quota
+            && cpus <= team.cpus + ROUNDING_TOLERANCE
+            && gpus <= team.gpus + ROUNDING_TOLERANCE
     }
 
-    /// Whether the team uses more than its guarantee even without this.
+    /// Whether the team still uses all of its quota, or more, without these amounts.
     pub fn exceeds_quota_without(&self, team: &str, cpus: f64, gpus: f64) -> bool {
-        let Some((team, used)) = self.teams.get(team) else {
+        let Some(TeamUsage { team, used }) = self.teams.get(team) else {
             return true;
         };
-        (cpus > 0.0 && used.cpus - cpus >= team.cpus - ROUNDING)
-            || (gpus > 0.0 && used.gpus - gpus >= team.gpus - ROUNDING)
+        (cpus > 0.0 && used.cpus - cpus >= team.cpus - ROUNDING_TOLERANCE)
+            || (gpus > 0.0 && used.gpus - gpus >= team.gpus - ROUNDING_TOLERANCE)
     }
 
-    /// Counts a bound task.
+    /// Adds a bound task to what its team uses.
     pub fn charge(&mut self, team: &str, cpus: f64, gpus: f64) {
-        if let Some((_, used)) = self.teams.get_mut(team) {
+        if let Some(TeamUsage { used, .. }) = self.teams.get_mut(team) {
             used.cpus += cpus;
             used.gpus += gpus;
         }
     }
 
-    /// Takes a bound task off.
+    /// Takes a bound task from what its team uses.
     pub fn release(&mut self, team: &str, cpus: f64, gpus: f64) {
         self.charge(team, -cpus, -gpus);
     }
 
-    /// What a team uses.
+    /// What a team uses; nothing, if it doesn't exist.
     pub fn usage(&self, team: &str) -> ResourceUsage {
         self.teams
             .get(team)
-            .map(|(_, used)| *used)
+            .map(|team| team.used)
             .unwrap_or_default()
     }
 }
+
+/// Whether an amount is within a limit, where 0 stands for no limit.
+fn is_within_limit(amount: f64, limit: f64) -> bool {
+    limit <= 0.0 || amount <= limit + ROUNDING_TOLERANCE
+}
--- a/src/bookkeeping/rate_limit.rs
+++ b/src/bookkeeping/rate_limit.rs
@@ -1,16 +1,19 @@
-//! Token buckets, for the request budgets that several controllers share.
+//! Rate limits: token buckets, and the share of a budget that several controllers use together.
 
-/// A rate with bursts of one second's worth.
+/// A rate limit with bursts.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
+    /// Tokens per second.
     rate: f64,
+    /// Tokens that the bucket holds at most.
     burst: f64,
+    /// Tokens at `refilled_at`; negative while in debt.
     available: f64,
     refilled_at: f64,
 }
 
 impl TokenBucket {
-    /// A bucket that starts full.
+    /// A full bucket that gains `rate` tokens per second and holds `burst` tokens.
     pub fn new(rate: f64, burst: f64) -> TokenBucket {
         TokenBucket {
             rate,
@@ -20,7 +23,7 @@
         }
     }
 
-    /// Changes the rate and the burst from now on. What is there is kept up to the new burst.
+    /// Changes the rate and the burst from now on. Tokens beyond the new burst are dropped.
     pub fn set_rate(&mut self, rate: f64, burst: f64, now: f64) {
         self.available(now);
         self.rate = rate;
@@ -28,15 +31,15 @@
         self.available = self.available.min(burst);
     }
 
-    /// What can be taken now.
+    /// Tokens that can be taken now; negative while in debt.
     pub fn available(&mut self, now: f64) -> f64 {
-        self.available =
-            (self.available + (now - self.refilled_at).max(0.0) * self.rate).min(self.burst);
+        let elapsed_s = (now - self.refilled_at).max(0.0);
+        self.available = (self.available + elapsed_s * self.rate).min(self.burst);
         self.refilled_at = now;
         self.available
     }
 
-    /// Takes `count` if they are there.
+    /// Takes `count` tokens if so many are available. Returns whether they were.
     pub fn take(&mut self, count: f64, now: f64) -> bool {
         if self.available(now) >= count {
             self.available -= count;
@@ -46,22 +49,22 @@
         }
     }
 
-    /// Takes `count` even if it leads into debt: for calls that cannot wait.
+    /// Takes `count` tokens for a call that can't wait, with a debt of at most the burst if there are too few.
     pub fn take_with_debt(&mut self, count: f64, now: f64) {
         self.available(now);
         self.available = (self.available - count).max(-self.burst);
     }
 }
 
-/// A controller's rate out of a budget that all controllers share: its equal part, or all that the others have not
-/// used lately, whichever is more. `others`: the rate at which each other controller uses the budget, if
-/// that is known; a controller that was not heard is taken to use its equal part.
-pub fn fair_share_rate(budget: f64, others: &[Option<f64>]) -> f64 {
-    let equal = budget / (others.len() + 1) as f64;
+/// A controller's part of a rate that all controllers share: an equal part, or what the others leave unused,
+/// whichever is more. `other_rates` holds the rate at which each other controller uses the budget, if that is
+/// known; one whose rate is unknown or not finite is taken to use its equal part.
+pub fn fair_share_rate(budget: f64, other_rates: &[Option<f64>]) -> f64 {
+    let equal_part = budget / (other_rates.len() + 1) as f64;
     let in_use = |rate: &Option<f64>| match rate {
         Some(rate) if rate.is_finite() => rate.clamp(0.0, budget),
-        _ => equal,
+        _ => equal_part,
     };
-    let used: f64 = others.iter().map(in_use).sum();
-    equal.max(budget - used)
+    let used: f64 = other_rates.iter().map(in_use).sum();
+    equal_part.max(budget - used)
 }
--- a/src/bookkeeping/records.rs
+++ b/src/bookkeeping/records.rs
@@ -1,44 +1,49 @@
-//! Keys and values in the state service.
+//! Keys and values of the records in the state service.
+//!
+//! Keys and serialized names are part of the stored format and must not change.
 
 use serde::{Deserialize, Serialize};
 
-/// Who leads.
+/// Key of the record of the present leader.
 pub const LEADER_KEY: &str = "leader";
-/// The instance catalog, kept for controllers that start while the cloud is out.
+/// Key of the instance catalog, kept for controllers that start while the cloud is unavailable.
 pub const INSTANCE_CATALOG_KEY: &str = "catalogue";
-/// Prefix of open jobs.
+/// Prefix of the keys of open jobs.
 pub const OPEN_PREFIX: &str = "open/";
-/// Prefix of finished jobs.
+/// Prefix of the keys of finished jobs.
 pub const FINISHED_PREFIX: &str = "over/";
-/// Prefix of the log's segments.
+/// Prefix of the keys of the log's slots.
 pub const LOG_PREFIX: &str = "log/";
-/// Prefix of provisioning requests.
+/// Prefix of the keys of provisioning requests.
 pub const PROVISIONING_PREFIX: &str = "rental/";
 
 /// Key of an open job.
 pub fn open_key(id: &str) -> String {
     format!("{OPEN_PREFIX}{id}")
 }
+
 /// Key of a finished job.
 pub fn finished_key(id: &str) -> String {
     format!("{FINISHED_PREFIX}{id}")
 }
+
 /// Key of a slot of the log.
 pub fn log_key(slot: u32) -> String {
     format!("{LOG_PREFIX}{slot:05}")
 }
+
 /// Key of a provisioning request.
 pub fn provisioning_key(idempotency_key: &str) -> String {
     format!("{PROVISIONING_PREFIX}{idempotency_key}")
 }
 
-/// Value of `leader`.
+/// Value of [`LEADER_KEY`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// The leading controller.
+    /// Label of the leading controller.
     #[serde(rename = "Label")]
     pub label: String,
-    /// Tells one life of the controller's process from another.
+    /// Tells the processes apart that have run under this label.
     #[serde(rename = "Life")]
     pub process_incarnation: u64,
 }
@@ -47,36 +52,36 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobOutcome {
-    /// All tasks are done.
+    /// All tasks are complete.
     Done,
-    /// Cancelled.
+    /// The job was cancelled.
     Aborted,
 }
 
-/// Value of `over/<id>`.
+/// Value of a finished job's key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FinishedRecord {
-    /// How it ended.
+    /// How the job ended.
     #[serde(rename = "Status")]
     pub outcome: JobOutcome,
-    /// Completed tasks, for display.
+    /// Number of completed tasks, for display.
     #[serde(rename = "Done", default)]
     pub completed_tasks: u32,
 }
 
-/// Value of `rental/<bid>`.
+/// Value of a provisioning request's key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ProvisioningRecord {
-    /// Machine type.
+    /// Name of the instance type.
     #[serde(rename = "Flavor")]
     pub instance_type: String,
-    /// Zone.
+    /// Zone of the instances.
     #[serde(rename = "Grove")]
     pub zone: String,
-    /// Spot machines.
+    /// Whether spot instances are requested.
     #[serde(rename = "Windfall")]
     pub spot: bool,
-    /// How many.
+    /// Number of instances requested.
     #[serde(rename = "Count")]
     pub count: u32,
 }
--- a/src/bookkeeping/wal/draft.rs
+++ b/src/bookkeeping/wal/draft.rs
@@ -196,7 +196,7 @@
                 let Some(job) = known.jobs.get(id) else {
                     return;
                 };
-                let bitmap = encode_chunk(&job.completed, *chunk, job.spec.tasks);
+                let bitmap = encode_chunk(job.completed(), *chunk, job.spec.tasks);
                 self.builder.complete(id, *chunk, bitmap);
             }
         }
@@ -293,7 +293,7 @@
             && !job.finishing
             && !self.live_entries.contains(&entry)
         {
-            let bitmap = encode_chunk(&job.completed, chunk, job.spec.tasks);
+            let bitmap = encode_chunk(job.completed(), chunk, job.spec.tasks);
             self.builder.complete(&task.job, chunk, bitmap);
             self.live_entries.push(entry);
         }
@@ -306,7 +306,7 @@
         };
         self.bound_jobs.insert(id.to_owned());
         self.finished_jobs
-            .insert(id.to_owned(), job.completed.len());
+            .insert(id.to_owned(), job.completed().len());
         true
     }
 
--- a/src/coordination/leader/binding_reconciliation.rs
+++ b/src/coordination/leader/binding_reconciliation.rs
@@ -85,7 +85,7 @@
             binding.running_since = Some(now);
         }
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.running_tasks += 1;
+            job.add_running_task();
             worker.remember_image(&job.spec.image);
         }
     }
--- a/src/coordination/leader/commit.rs
+++ b/src/coordination/leader/commit.rs
@@ -180,7 +180,7 @@
                 if let Some(known) = self.jobs.remove(job) {
                     let record = FinishedRecord {
                         outcome: JobOutcome::Done,
-                        completed_tasks: known.completed.len(),
+                        completed_tasks: known.completed().len(),
                     };
                     self.emit(LeaderEvent::JobFinished(job.clone(), record));
                     self.evict_tasks_of(&known);
@@ -207,7 +207,7 @@
         if let Some(job) = self.jobs.get_mut(id)
             && !job.finishing
             && !job.is_service()
-            && job.completed.len() == job.spec.tasks
+            && job.is_complete()
         {
             job.finishing = true;
             self.log.push(LogEntry::FinishJob { job: id.to_owned() });
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -255,7 +255,7 @@
         if let Some(job) = self.jobs.remove(id) {
             tracing::debug!(
                 job = id,
-                bound = job.bound_workers.len(),
+                bound = job.bound_workers().len(),
                 copies_on = job.workers_with_start_copies.len(),
                 "job ended: tasks evicted"
             );
@@ -278,7 +278,7 @@
 
     /// Requests a stop of a job's bound tasks after its end.
     fn evict_tasks_of(&mut self, job: &Job) {
-        for (index, names) in &job.bound_workers {
+        for (index, names) in job.bound_workers() {
             let task = TaskId {
                 job: job.spec.id.clone(),
                 index: *index,
@@ -466,7 +466,9 @@
             }
             if let Some(job) = self.jobs.get_mut(&task.job) {
                 job.unbind(task.index, name, &worker.zone, now);
-                job.running_tasks -= u32::from(binding.running_since.is_some());
+                if binding.running_since.is_some() {
+                    job.remove_running_task();
+                }
             }
             self.schedule_due = true;
             self.dispatch_due.insert(name.to_owned());
@@ -541,7 +543,7 @@
         }
         // The tasks of a gang find one another by a common attempt.
         let mates = match job.gang_attempt {
-            Some(attempt) if job.spec.kind == JobKind::Gang && !job.bound_workers.is_empty() => {
+            Some(attempt) if job.spec.kind == JobKind::Gang && !job.bound_workers().is_empty() => {
                 Some(attempt)
             }
             _ => None,
@@ -594,8 +596,8 @@
             .take(MAX_JOB_COUNTS)
             .map(|job| JobCounts {
                 job: job.spec.id.clone(),
-                done: job.completed.len(),
-                running: job.running_tasks,
+                done: job.completed().len(),
+                running: job.running_tasks(),
             })
             .collect()
     }
--- a/src/coordination/leader/recovery.rs
+++ b/src/coordination/leader/recovery.rs
@@ -253,7 +253,7 @@
         let complete: Vec<String> = self
             .jobs
             .iter()
-            .filter(|job| job.completed.len() == job.spec.tasks && !job.finishing)
+            .filter(|job| job.is_complete() && !job.finishing)
             .map(|job| job.spec.id.clone())
             .collect();
         for id in complete {
--- a/src/coordination/leader/scaling.rs
+++ b/src/coordination/leader/scaling.rs
@@ -277,7 +277,7 @@
         let mut count = 0.0;
         let mut sum = Resources::default();
         for job in self.jobs.iter().filter(|job| job.is_service()) {
-            let here = f64::from(job.bound_per_zone.get(zone).copied().unwrap_or(0));
+            let here = f64::from(job.bound_per_zone().get(zone).copied().unwrap_or(0));
             let here = here + f64::from(job.startable_count()) / zones;
             count += here;
             sum += scheduler::resource_request(&job.spec) * here;
@@ -333,7 +333,7 @@
             };
             let spec = &job.spec;
             let need = scheduler::resource_request(spec);
-            let mut zones = job.bound_per_zone.clone();
+            let mut zones = job.bound_per_zone().clone();
             // Work that may use spot machines waits for them as long as it can still be on time
             // with an on-demand machine rented later.
             let time_s =
--- a/src/coordination/scheduler/mod.rs
+++ b/src/coordination/scheduler/mod.rs
@@ -200,7 +200,7 @@
                 })
             })
             .collect();
-        let bound = jobs.iter().filter(|job| !job.bound_workers.is_empty());
+        let bound = jobs.iter().filter(|job| !job.bound_workers().is_empty());
         SchedulingCycle {
             jobs,
             quotas: quotas.clone(),
@@ -225,7 +225,7 @@
             .jobs
             .iter()
             .filter(|job| now >= job.eligible_at && job.startable_count() > 0)
-            .filter(|job| job.spec.kind != JobKind::Gang || job.bound_workers.is_empty())
+            .filter(|job| job.spec.kind != JobKind::Gang || job.bound_workers().is_empty())
             .map(|job| (self.queue_position(job), job))
             .collect();
         order.sort_by(|(a, x), (b, y)| {
@@ -262,7 +262,7 @@
             tasks_per_zone: vec![0; self.zones.len()],
             placed_per_worker: HashMap::new(),
         };
-        for (zone, count) in &job.bound_per_zone {
+        for (zone, count) in job.bound_per_zone() {
             let number = number_of(&mut self.zones, zone);
             placement.tasks_per_zone.resize(self.zones.len(), 0);
             placement.tasks_per_zone[number] = *count;
--- a/tests/bindings.rs
+++ b/tests/bindings.rs
@@ -1,4 +1,4 @@
-//! What a worker is ordered to do for a given report and given bindings.
+//! The commands for a worker, by what its heartbeat shows and what is bound to it, and the revocation of starts.
 
 mod common;
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn orders() {
+fn commands_reconcile_observed_tasks_with_bindings() {
     use TaskState::{Checkpointing, Exited, Running};
     type Case = (&'static str, Setup, bool, Vec<(CommandKind, u64)>);
     let cases: Vec<Case> = vec![
@@ -38,13 +38,13 @@
             vec![(CommandKind::Start, 7)],
         ),
         (
-            "no starts without a confirmed lead",
+            "no starts on a view that is not fresh",
             |h| bound(h, |_| {}),
             false,
             vec![],
         ),
         (
-            "not written down yet: no start",
+            "not committed yet: no start",
             |h| bound(h, |b| b.durable = false),
             true,
             vec![],
@@ -56,13 +56,13 @@
             vec![],
         ),
         (
-            "bound for an earlier session: no start",
+            "bound for an earlier incarnation: no start",
             |h| bound(h, |b| b.incarnation = 0),
             true,
             vec![],
         ),
         (
-            "a returning host starts nothing",
+            "a worker that is being released starts nothing",
             |h| {
                 bound(h, |_| {});
                 h.terminating = true;
@@ -94,7 +94,7 @@
             vec![(CommandKind::Stop, 7)],
         ),
         (
-            "saving, and may go on saving",
+            "writing a checkpoint within the grace period: no second stop",
             |h| {
                 bound(h, |b| {
                     b.eviction = Some(Eviction {
@@ -108,7 +108,7 @@
             vec![],
         ),
         (
-            "saving for a job that is over: a second halt",
+            "writing a checkpoint for a job that has ended: a second stop",
             |h| {
                 bound(h, |b| b.eviction = Some(Eviction::JOB_ENDED));
                 shows(h, 7, Checkpointing);
@@ -117,7 +117,7 @@
             vec![(CommandKind::Stop, 7)],
         ),
         (
-            "exited, but its end is not written down: no clear",
+            "exited, but the end of the binding is not committed: no clear",
             |h| {
                 bound(h, |b| b.unbinding = true);
                 shows(h, 7, Exited);
@@ -126,7 +126,7 @@
             vec![],
         ),
         (
-            "exited and written down: clear",
+            "exited and not bound any more: clear",
             |h| shows(h, 7, Exited),
             true,
             vec![(CommandKind::Clear, 7)],
@@ -143,7 +143,7 @@
             vec![],
         ),
         (
-            "running and bound by nobody: halt",
+            "running and not bound: stop",
             |h| shows(h, 7, Running),
             true,
             vec![(CommandKind::Stop, 7)],
@@ -169,16 +169,16 @@
     }
 }
 
-/// Orders that go out directly, and what became of the call.
-fn sent_directly(worker: &mut Worker, orders: &[Command], fate: CallOutcome) {
-    worker.record_sent(orders, DeliveryPath::DirectCall, freshness().view_age_s);
-    worker.record_call_outcome(orders, fate);
+/// Commands that are sent in a direct call, and its outcome.
+fn sent_directly(worker: &mut Worker, sent: &[Command], fate: CallOutcome) {
+    worker.record_sent(sent, DeliveryPath::DirectCall, freshness().view_age_s);
+    worker.record_call_outcome(sent, fate);
 }
 
 /// A direct start may arrive once more, answered or not, until the worker shows a higher fence. An attempt
 /// that was stopped is kept till then: cleared, it would run beside its successor.
 #[test]
-fn copies_of_starts() {
+fn a_stopped_attempt_is_cleared_only_after_its_starts_are_revoked() {
     use cedarladder::protocol::worker::TaskState::Exited;
     let answered: Steps = |h, o| sent_directly(h, o, CallOutcome::Answered);
     let unanswered: Steps = |h, o| sent_directly(h, o, CallOutcome::Unanswered);
@@ -191,22 +191,27 @@
         h.pending_starts.settle_responses(6);
     };
     for (name, steps, cause, cleared) in [
-        ("direct, done", answered, ExitReason::Completed, true),
         (
-            "direct without answer, done",
+            "direct call, completed",
+            answered,
+            ExitReason::Completed,
+            true,
+        ),
+        (
+            "direct call without answer, completed",
             unanswered,
             ExitReason::Completed,
             false,
         ),
-        ("direct, stopped", answered, ExitReason::Stopped, false),
+        ("direct call, stopped", answered, ExitReason::Stopped, false),
         (
-            "direct, refused",
+            "direct call, refused",
             answered,
             ExitReason::InsufficientResources,
             false,
         ),
         (
-            "in an answer, stopped",
+            "in a heartbeat response, stopped",
             in_answer,
             ExitReason::Stopped,
             true,
@@ -214,8 +219,8 @@
     ] {
         let mut worker = worker("h", "a", false);
         bound(&mut worker, |_| {});
-        let orders = commands(&worker, true, 10);
-        steps(&mut worker, &orders);
+        let sent = commands(&worker, true, 10);
+        steps(&mut worker, &sent);
         let task = task("j-1", 0);
         worker.bindings.remove(&task);
         worker
@@ -246,9 +251,9 @@
     Start,
 }
 
-/// A start is on its way until every copy of it is accounted for.
+/// A start is pending until every copy of it is accounted for.
 #[test]
-fn starts_on_their_way() {
+fn a_start_is_pending_until_every_copy_is_accounted_for() {
     let cases: [(&str, Steps, Arrival); 10] = [
         (
             "sent directly",
@@ -300,7 +305,7 @@
             Arrival::Nothing,
         ),
         (
-            "in the answer to report 5",
+            "in the response to heartbeat 5",
             |h, o| {
                 h.record_sent(
                     o,
@@ -311,7 +316,7 @@
             Arrival::Start,
         ),
         (
-            "a later report by itself settles it",
+            "a later heartbeat settles it",
             |h, o| {
                 h.record_sent(
                     o,
@@ -323,7 +328,7 @@
             Arrival::Nothing,
         ),
         (
-            "the same report does not",
+            "the same heartbeat does not",
             |h, o| {
                 h.record_sent(
                     o,
@@ -338,8 +343,8 @@
     for (name, steps, expected) in cases {
         let mut worker = worker("h", "a", false);
         bound(&mut worker, |_| {});
-        let orders = commands(&worker, true, 10);
-        steps(&mut worker, &orders);
+        let sent = commands(&worker, true, 10);
+        steps(&mut worker, &sent);
         let task = task("j-1", 0);
         let arrival = match worker.pending_starts.may_arrive(&task, 7) {
             false => Arrival::Nothing,
@@ -350,16 +355,16 @@
     }
 }
 
-/// An answered halt says nothing of a start that is on its way.
+/// The answer to a stop says nothing of a start that is in flight.
 #[test]
-fn a_halt_settles_no_start() {
+fn an_answered_stop_settles_no_start() {
     let mut worker = worker("h", "a", false);
     bound(&mut worker, |_| {});
-    let orders = commands(&worker, true, 10);
-    worker.record_sent(&orders, DeliveryPath::DirectCall, freshness().view_age_s);
-    let mut halt = orders.clone();
-    halt[0].kind = CommandKind::Stop;
-    worker.record_call_outcome(&halt, CallOutcome::Answered);
+    let sent = commands(&worker, true, 10);
+    worker.record_sent(&sent, DeliveryPath::DirectCall, freshness().view_age_s);
+    let mut stop = sent.clone();
+    stop[0].kind = CommandKind::Stop;
+    worker.record_call_outcome(&stop, CallOutcome::Answered);
     assert!(worker.pending_starts.may_arrive(&task("j-1", 0), 7));
     assert!(
         !worker
@@ -370,9 +375,9 @@
 
 /// When the starts that went out are revoked, and whether the worker is told at once.
 #[test]
-fn revocations() {
+fn starts_are_revoked_when_due_and_urgently_for_evictions() {
     use cedarladder::protocol::worker::TaskState::Running;
-    fn halt(worker: &mut Worker, reason: EvictionReason) {
+    fn evict(worker: &mut Worker, reason: EvictionReason) {
         let binding = worker.bindings.get_mut(&task("j-1", 0)).expect("bound");
         binding.eviction = Some(Eviction {
             grace_s: 0.0,
@@ -384,33 +389,33 @@
     let cases: [Case; 7] = [
         ("wanted, and may still arrive", |_| {}, None),
         (
-            "its job is over",
-            |h| halt(h, EvictionReason::JobEnded),
+            "its job has ended",
+            |h| evict(h, EvictionReason::JobEnded),
             Some((RevocationReason::JobEnded, true)),
         ),
         (
-            "its job is over, and it runs",
+            "its job has ended, and it runs",
             |h| {
-                halt(h, EvictionReason::JobEnded);
+                evict(h, EvictionReason::JobEnded);
                 shows(h, 7, Running);
             },
             Some((RevocationReason::JobEnded, true)),
         ),
         (
             "preempted before it was seen",
-            |h| halt(h, EvictionReason::Preempted),
+            |h| evict(h, EvictionReason::Preempted),
             Some((RevocationReason::Evicted, true)),
         ),
         (
-            "drained, and it runs: the halt is enough",
+            "drained, and it runs: the stop is enough",
             |h| {
-                halt(h, EvictionReason::Drained);
+                evict(h, EvictionReason::Drained);
                 shows(h, 7, Running);
             },
             None,
         ),
         (
-            "its job is over and it was done here: copies may follow",
+            "its job has ended and it completed here: copies may follow",
             |h| {
                 h.bindings.clear();
                 h.revoke_ended_jobs = true;
@@ -418,9 +423,9 @@
             Some((RevocationReason::JobEnded, true)),
         ),
         (
-            "its job is over, and the session as well",
+            "its job has ended, and the incarnation as well",
             |h| {
-                halt(h, EvictionReason::JobEnded);
+                evict(h, EvictionReason::JobEnded);
                 h.pending_starts.end_session();
             },
             None,
@@ -429,8 +434,8 @@
     for (name, setup, expected) in cases {
         let mut worker = worker("h", "a", false);
         bound(&mut worker, |_| {});
-        let orders = commands(&worker, true, 10);
-        sent_directly(&mut worker, &orders, CallOutcome::Unanswered);
+        let sent = commands(&worker, true, 10);
+        sent_directly(&mut worker, &sent, CallOutcome::Unanswered);
         setup(&mut worker);
         let revocation = pending_revocation(&worker);
         let got = revocation.map(|reason| (reason, reason.is_urgent()));
@@ -440,7 +445,7 @@
 
 /// Starts of tasks that are long done don't pile up.
 #[test]
-fn many_pending_starts() {
+fn pending_starts_are_bounded() {
     let mut worker = worker("h", "a", false);
     for n in 0..300 {
         worker.pending_starts.record_direct_call(task("j-1", n), 7);
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -13,17 +13,17 @@
 use rand::rngs::SmallRng;
 use world::World;
 
-/// For so long a job avoids a host on which it has failed, in these tests.
+/// For so long a job avoids a worker on which it has failed, in these tests.
 const AVOID_S: f64 = 10.0;
 
 #[test]
-fn when_a_job_is_suspect() {
-    // Failures as (host, time), `None` for a success; whether the job is suspect at the end.
+fn a_job_that_fails_on_several_workers_is_crash_looping() {
+    // Failures as (worker, time), `None` for a success; whether the job is crash-looping at the end.
     type Event = Option<(&'static str, f64)>;
     let cases: [(&str, &[Event], bool); 7] = [
         ("nothing has failed", &[], false),
         (
-            "many failures on one host",
+            "many failures on one worker",
             &[
                 Some(("a", 0.0)),
                 Some(("a", 0.1)),
@@ -33,12 +33,12 @@
             false,
         ),
         (
-            "failures on two hosts",
+            "failures on two workers",
             &[Some(("a", 0.0)), Some(("b", 0.1)), Some(("b", 0.2))],
             false,
         ),
         (
-            "failures on three hosts",
+            "failures on three workers",
             &[Some(("a", 0.0)), Some(("b", 0.1)), Some(("c", 0.2))],
             true,
         ),
@@ -53,12 +53,12 @@
             false,
         ),
         (
-            "the only host, tried again after it was avoided",
+            "the only worker, tried again after it was avoided",
             &[Some(("a", 0.0)), Some(("a", AVOID_S))],
             true,
         ),
     ];
-    for (name, events, suspect) in cases {
+    for (name, events, crash_looping) in cases {
         let mut failures = JobFailures::default();
         for event in events {
             match event {
@@ -68,29 +68,29 @@
                 None => failures.record_success(),
             }
         }
-        assert_eq!(failures.is_crash_looping(), suspect, "{name}");
+        assert_eq!(failures.is_crash_looping(), crash_looping, "{name}");
     }
 }
 
 #[test]
-fn when_a_host_is_faulty() {
+fn a_worker_is_cordoned_and_quarantined_by_its_failures() {
     enum Event {
         Failed(&'static str, bool),
-        Proven(&'static str),
-        Withdrawn(&'static str),
+        WorksElsewhere(&'static str),
+        AttributedToJob(&'static str),
         Completed,
     }
-    use Event::{Completed, Failed, Proven, Withdrawn};
-    /// Sound, suspect (no more work), or faulty (given back).
+    use Event::{AttributedToJob, Completed, Failed, WorksElsewhere};
+    /// Healthy, cordoned (no more tasks), or quarantined (released).
     #[derive(Debug, PartialEq)]
     enum Verdict {
-        Sound,
-        Suspect,
-        Faulty,
+        Healthy,
+        Cordoned,
+        Quarantined,
     }
-    use Verdict::{Faulty, Sound, Suspect};
+    use Verdict::{Cordoned, Healthy, Quarantined};
     let cases: [(&str, &[Event], Verdict); 10] = [
-        ("nothing has failed", &[], Sound),
+        ("nothing has failed", &[], Healthy),
         (
             "one job that has succeeded nowhere, however often",
             &[
@@ -99,12 +99,12 @@
                 Failed("j", false),
                 Failed("j", false),
             ],
-            Sound,
+            Healthy,
         ),
         (
             "one job that has succeeded elsewhere",
             &[Failed("j", true), Failed("j", true), Failed("j", true)],
-            Faulty,
+            Quarantined,
         ),
         (
             "one job that succeeds elsewhere afterwards",
@@ -112,14 +112,14 @@
                 Failed("j", false),
                 Failed("j", false),
                 Failed("j", false),
-                Proven("j"),
+                WorksElsewhere("j"),
             ],
-            Faulty,
+            Quarantined,
         ),
         (
             "three jobs of one task each",
             &[Failed("j", false), Failed("k", false), Failed("l", false)],
-            Suspect,
+            Cordoned,
         ),
         (
             "three jobs of one task each, which succeed elsewhere then",
@@ -127,16 +127,16 @@
                 Failed("j", false),
                 Failed("k", false),
                 Failed("l", false),
-                Proven("j"),
-                Proven("k"),
-                Proven("l"),
+                WorksElsewhere("j"),
+                WorksElsewhere("k"),
+                WorksElsewhere("l"),
             ],
-            Faulty,
+            Quarantined,
         ),
         (
             "two jobs that have succeeded nowhere",
             &[Failed("j", false), Failed("j", false), Failed("k", false)],
-            Suspect,
+            Cordoned,
         ),
         (
             "one of them turns out to be at fault itself",
@@ -144,9 +144,9 @@
                 Failed("j", false),
                 Failed("j", false),
                 Failed("k", false),
-                Withdrawn("j"),
+                AttributedToJob("j"),
             ],
-            Sound,
+            Healthy,
         ),
         (
             "a task completes in between",
@@ -156,7 +156,7 @@
                 Completed,
                 Failed("j", true),
             ],
-            Sound,
+            Healthy,
         ),
         (
             "a proof for a job that has not failed here",
@@ -164,9 +164,9 @@
                 Failed("j", false),
                 Failed("j", false),
                 Failed("j", false),
-                Proven("k"),
+                WorksElsewhere("k"),
             ],
-            Sound,
+            Healthy,
         ),
     ];
     for (name, events, expected) in cases {
@@ -174,22 +174,22 @@
         for event in events {
             match event {
                 Failed(job, proven) => failures.record_failure(job, *proven),
-                Proven(job) => failures.attribute_to_worker(job),
-                Withdrawn(job) => failures.attribute_to_job(job),
+                WorksElsewhere(job) => failures.attribute_to_worker(job),
+                AttributedToJob(job) => failures.attribute_to_job(job),
                 Completed => failures.record_success(),
             }
         }
         let verdict = match (failures.is_cordoned(), failures.is_quarantined()) {
-            (_, true) => Faulty,
-            (true, false) => Suspect,
-            (false, false) => Sound,
+            (_, true) => Quarantined,
+            (true, false) => Cordoned,
+            (false, false) => Healthy,
         };
         assert_eq!(verdict, expected, "{name}");
     }
 }
 
 #[test]
-fn probes_back_off() {
+fn probes_of_a_crash_looping_job_back_off() {
     let mut failures = JobFailures::default();
     let waits: Vec<f64> = (0..7).map(|_| failures.next_backoff_s(2.0)).collect();
     assert_eq!(waits, [2.0, 4.0, 8.0, 16.0, 32.0, 32.0, 32.0]);
@@ -197,7 +197,7 @@
     assert_eq!(failures.next_backoff_s(2.0), 2.0);
 }
 
-/// One pass for a job of six tasks, whose tasks failed on these hosts, beside empty hosts.
+/// One scheduling cycle for a job of six tasks, whose tasks failed on these workers, beside empty workers.
 fn pass(failed_on: &[&str], workers: &[&str], now: f64) -> Assignments {
     let mut jobs = Jobs::default();
     let mut broken = job(spec("j-000001", 6));
@@ -219,8 +219,8 @@
 }
 
 #[test]
-fn where_tasks_go_after_failures() {
-    // Failed on; hosts; time; binds and missing tasks expected; hosts that must get none.
+fn tasks_avoid_workers_on_which_the_job_failed() {
+    // Failed on; workers; time; binds and missing tasks expected; workers that must get none.
     type Case = (
         &'static str,
         &'static [&'static str],
@@ -256,7 +256,7 @@
             &[],
         ),
         (
-            "suspect: one probe, where it has not failed",
+            "crash-looping: one probe, where it has not failed",
             &["a", "b", "c"],
             &["a", "b", "c", "d"],
             101.0,
@@ -264,7 +264,7 @@
             &["a", "b", "c"],
         ),
         (
-            "suspect: one probe, anywhere if need be",
+            "crash-looping: one probe, anywhere if need be",
             &["a", "b", "c"],
             &["a", "b"],
             101.0,
@@ -307,17 +307,17 @@
 /// Probes that a broken job may have within a minute and a half, with those of a new leader.
 const MAX_PROBES: u32 = 10;
 
-/// Jobs with a mistake condemn no machine, are tried again one task at a time, stay known, and are
+/// Crash-looping jobs get no machine released, are tried again one task at a time, stay known, and are
 /// cancelled at once.
 #[test]
-fn broken_jobs_harm_nobody() {
+fn crash_looping_jobs_cordon_no_workers() {
     type Trouble = fn(&mut World);
     // Tasks, service, how often all of them may fail at once, and what else goes on.
     let cases: [(&str, u32, bool, u32, Trouble); 5] = [
         ("an array", 40, false, 1, |_| {}),
         ("an array of one task", 1, false, 3, |_| {}),
         ("a service", 6, true, 2, |_| {}),
-        // The new leader is told which jobs are suspect, and begins with probes.
+        // The new leader is told which jobs are crash-looping, and begins with probes.
         ("an array, and the leader is replaced", 40, false, 1, |w| {
             w.run(60.0);
             assert!(w.restart_leader(5.0));
@@ -357,9 +357,9 @@
     }
 }
 
-/// Faulty machines are given back soon, also beside jobs that fail everywhere; sound ones stay.
+/// Faulty machines are released soon, also beside jobs that fail everywhere; sound ones stay.
 #[test]
-fn faulty_machines_are_found() {
+fn faulty_workers_are_quarantined() {
     for broken in [false, true] {
         for nodes in [3, 5] {
             let name = format!("broken jobs: {broken}, {nodes} controllers");
--- a/tests/permits.rs
+++ b/tests/permits.rs
@@ -1,4 +1,4 @@
-//! What may be done on knowledge of which age, and the reason where it may not.
+//! What may be done on knowledge of which age, and the reason of each denial.
 
 mod common;
 
@@ -7,9 +7,9 @@
 use common::freshness;
 
 /// Each: what differs from a leader that has just been confirmed, whether it may start tasks, and whether
-/// it may renew leases. Views are good for starts for 4 s, the hold-over lasts 10 s.
+/// it may renew leases. Views allow starts for 4 s, the lease grace period lasts 10 s.
 #[test]
-fn knowledge_of_every_age() {
+fn starts_and_renewals_are_permitted_by_the_freshness_of_the_view() {
     type Case = (
         &'static str,
         fn(&mut ViewFreshness),
@@ -17,7 +17,7 @@
         Option<Denial>,
     );
     let cases: [Case; 7] = [
-        ("all is new", |_| {}, None, None),
+        ("all is fresh", |_| {}, None, None),
         (
             "does not lead",
             |k| k.is_leader = false,
@@ -25,7 +25,7 @@
             Some(Denial::NotLeader),
         ),
         (
-            "the lease may be over",
+            "the lease may have expired",
             |k| k.lease_held = false,
             Some(Denial::LeaseNotHeld),
             None,
@@ -72,7 +72,7 @@
     debug_assertions,
     should_panic(expected = "NoStartOfEndedJob: worker h")
 )]
-fn violations() {
+fn violations_are_refused_and_end_debug_builds() {
     let invariant = Invariant::NoStartOfEndedJob;
     assert!(uphold(invariant, true, format_args!("worker h")));
     assert!(!uphold(invariant, false, format_args!("worker h")));
--- a/tests/write_ahead_log.rs
+++ b/tests/write_ahead_log.rs
@@ -322,7 +322,7 @@
         .flat_map(|h| h.bindings.keys().map(|t| (h.name.clone(), t.index)))
         .collect();
     assert_eq!(bound, expected);
-    assert_eq!(completed, jobs.get("j-1").unwrap().completed);
+    assert_eq!(&completed, jobs.get("j-1").unwrap().completed());
     assert_eq!(terminating.len(), 40);
     assert!(terminating["host-000003"] && !terminating["host-000004"]);
 }
