--- a/src/bookkeeping/permits/decision_counters.rs
+++ b/src/bookkeeping/permits/decision_counters.rs
@@ -1,14 +1,12 @@
-//! Counters of decisions, for the log.
+//! Counters of permits, for the log.
 
 use super::denial::{Denial, PermitKind};
-use crate::bookkeeping::workers::RevocationReason;
 use std::collections::BTreeMap;
 
-/// Number of permits granted and denied, by action and reason, and of revocations by reason.
+/// Number of permits granted and denied, by action and reason.
 #[derive(Debug, Default)]
 pub struct DecisionCounters {
     counts: BTreeMap<(PermitKind, Option<Denial>), u64>,
-    revocations: BTreeMap<RevocationReason, u64>,
 }
 
 impl DecisionCounters {
@@ -17,11 +15,6 @@
         *self.counts.entry((action, decision.err())).or_default() += 1;
     }
 
-    /// Counts a revocation of the starts that were sent to a worker.
-    pub fn count_revocation(&mut self, reason: RevocationReason) {
-        *self.revocations.entry(reason).or_default() += 1;
-    }
-
     /// Logs the totals since the previous call, and resets them.
     pub fn log(&mut self) {
         for ((action, denial), count) in std::mem::take(&mut self.counts) {
@@ -30,8 +23,5 @@
                 Some(reason) => tracing::info!(?action, ?reason, count, "permits denied"),
             }
         }
-        for (reason, count) in std::mem::take(&mut self.revocations) {
-            tracing::info!(?reason, count, "start revocations");
-        }
     }
 }
--- a/src/bookkeeping/reconciliation/mod.rs
+++ b/src/bookkeeping/reconciliation/mod.rs
@@ -2,6 +2,8 @@
 
 mod commands;
 mod revocation;
+mod revocation_counters;
 
 pub use commands::commands;
 pub use revocation::pending_revocation;
+pub use revocation_counters::RevocationCounters;
--- /dev/null
+++ b/src/bookkeeping/reconciliation/revocation_counters.rs
@@ -0,0 +1,24 @@
+//! Counters of revocations, for the log.
+
+use crate::bookkeeping::workers::RevocationReason;
+use std::collections::BTreeMap;
+
+/// Number of revocations of the starts that were sent to a worker, by reason.
+#[derive(Debug, Default)]
+pub struct RevocationCounters {
+    counts: BTreeMap<RevocationReason, u64>,
+}
+
+impl RevocationCounters {
+    /// Counts a revocation.
+    pub fn count(&mut self, reason: RevocationReason) {
+        *self.counts.entry(reason).or_default() += 1;
+    }
+
+    /// Logs the totals since the previous call, and resets them.
+    pub fn log(&mut self) {
+        for (reason, count) in std::mem::take(&mut self.counts) {
+            tracing::info!(?reason, count, "start revocations");
+        }
+    }
+}
--- a/src/coordination/leader/fencing.rs
+++ b/src/coordination/leader/fencing.rs
@@ -34,7 +34,7 @@
         if in_call && !reason.is_urgent() {
             return;
         }
-        self.decisions.count_revocation(reason);
+        self.revocations.count(reason);
         if !worker.revoke_starts(reason) {
             self.scale_in(name, ScaleInReason::FenceExhausted);
         }
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -19,6 +19,7 @@
 use crate::bookkeeping::permits::{DecisionCounters, PermitKind, ViewFreshness};
 use crate::bookkeeping::quotas::Quotas;
 use crate::bookkeeping::rate_limit::TokenBucket;
+use crate::bookkeeping::reconciliation::RevocationCounters;
 use crate::bookkeeping::records::FinishedRecord;
 use crate::bookkeeping::wal::{LogEntry, TxnLimits, WriteAheadLog};
 use crate::bookkeeping::workers::{Binding, Eviction, EvictionReason, Resources, Worker, Workers};
@@ -115,6 +116,7 @@
     last_polled_at: f64,
     awake_since: f64,
     decisions: DecisionCounters,
+    revocations: RevocationCounters,
     next_decision_log_at: f64,
     rng: SmallRng,
 }
@@ -174,6 +176,7 @@
             last_polled_at: now,
             awake_since: now,
             decisions: DecisionCounters::default(),
+            revocations: RevocationCounters::default(),
             next_decision_log_at: now,
             rng,
             settings,
@@ -407,6 +410,7 @@
         self.next_decision_log_at = now
             + HEARTBEATS_PER_DECISION_LOG * self.settings.deployment.workers.heartbeat_interval_s;
         self.decisions.log();
+        self.revocations.log();
     }
 
     /// Ends the bindings of workers that have been silent for longer than their lease can last.
--- a/tests/tokens.rs
+++ b/tests/tokens.rs
@@ -54,10 +54,10 @@
     answer.expect("an answer")
 }
 
-/// Whoever leads later has the higher token, whatever fences an earlier leader gave; the versions before
-/// gave plain epochs, which are lower than those of any leader since.
+/// A later leader has higher tokens, whatever fences an earlier one gave. Versions without fences gave plain
+/// epochs, which are lower than the tokens of any later leader.
 #[test]
-fn order() {
+fn a_later_leader_has_higher_tokens() {
     let rising = [
         ("none", FencingToken::default()),
         (
@@ -87,9 +87,9 @@
     );
 }
 
-/// Beyond the limits a token is none, and what would not fit is not wrapped round.
+/// A token beyond the limits is refused, and parts that would not fit are capped, not wrapped.
 #[test]
-fn limits() {
+fn tokens_beyond_the_limits_are_refused_or_capped() {
     assert!(FencingToken::new(MAX_EPOCH, MAX_FENCE).check().is_ok());
     assert!(FencingToken::from_wire(u64::MAX).check().is_err());
     assert_eq!(FencingToken::new(3, MAX_FENCE).epoch(), 3);
@@ -99,9 +99,9 @@
     );
 }
 
-/// A report whose token can't be is refused with the field and a remedy.
+/// A heartbeat with an impossible token is refused; the error names the field and a remedy.
 #[test]
-fn impossible_reports() {
+fn heartbeats_with_impossible_tokens_are_refused() {
     for (name, epoch, remedy) in [
         ("too high", Value::from(u64::MAX), "restart the worker"),
         ("below zero", Value::from(-1), "an integer from 0"),
@@ -112,12 +112,12 @@
         assert!(body.contains("Epoch: "), "{name}: {body}");
         assert!(body.contains(remedy), "{name}: {body}");
     }
-    assert_eq!(answer(Value::from(41)).0, 421, "a token that can be");
+    assert_eq!(answer(Value::from(41)).0, 421, "a possible token");
 }
 
-/// A peer's heartbeat with an epoch that can't be changes nothing: workers are sent to the leader known.
+/// A peer's heartbeat with an impossible epoch changes nothing: workers are redirected to the known leader.
 #[test]
-fn impossible_heartbeats() {
+fn peer_heartbeats_with_impossible_epochs_are_ignored() {
     let heartbeat = |epoch: u64| PeerHeartbeat {
         label: "n1".into(),
         epoch,
@@ -129,10 +129,7 @@
         changes_per_s: 0.0,
         terminations: TerminationLog::default(),
     };
-    for (name, epoch, known) in [
-        ("one that can be", 7, true),
-        ("too high", MAX_EPOCH + 1, false),
-    ] {
+    for (name, epoch, known) in [("possible", 7, true), ("too high", MAX_EPOCH + 1, false)] {
         let mut node = controller();
         node.on_peer_heartbeat(heartbeat(epoch), START);
         node.on_request(1, "POST", "/v1/report", &report(Value::from(0)), START);
