--- a/src/coordination/leader/binding_reconciliation.rs
+++ b/src/coordination/leader/binding_reconciliation.rs
@@ -5,8 +5,8 @@
 use crate::bookkeeping::invariants::{self, Invariant};
 use crate::bookkeeping::jobs::{Job, Jobs};
 use crate::bookkeeping::permits;
+use crate::bookkeeping::wal::LogEntry;
 use crate::bookkeeping::workers::{Binding, Eviction, EvictionReason, Worker};
-use crate::bookkeeping::write_ahead_log::LogEntry;
 use crate::protocol::worker::{ExitReason, TaskId, TaskState};
 
 /// What a heartbeat says about a bound task.
@@ -92,7 +92,7 @@
             binding.running_since = Some(now);
         }
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.running_tasks += 1;
+            job.add_running_task();
             worker.remember_image(&job.spec.image);
         }
     }
--- a/src/coordination/leader/bindings.rs
+++ b/src/coordination/leader/bindings.rs
@@ -63,7 +63,9 @@
             }
             if let Some(job) = self.jobs.get_mut(&task.job) {
                 job.unbind(task.index, name, &worker.zone, now);
-                job.running_tasks -= u32::from(binding.running_since.is_some());
+                if binding.running_since.is_some() {
+                    job.remove_running_task();
+                }
             }
             self.scheduling.request();
             self.dispatcher.mark_due(name);
--- a/src/coordination/leader/commit.rs
+++ b/src/coordination/leader/commit.rs
@@ -5,13 +5,11 @@
 use crate::bookkeeping::jobs::Jobs;
 use crate::bookkeeping::rate_limit::TokenBucket;
 use crate::bookkeeping::records::{self, FinishedRecord, JobOutcome};
-use crate::bookkeeping::segment::Segment;
+use crate::bookkeeping::wal::{LogEntry, RejectedBinding, Segment, TxnLimits, WriteAheadLog};
 use crate::bookkeeping::workers::Workers;
-use crate::bookkeeping::write_ahead_log::{LogEntry, TxnLimits, WriteAheadLog};
 use crate::coordination::effects::{Effects, KvRequestKind};
 use crate::protocol::cbor;
 use crate::protocol::kv::{KvRequest, KvResponse};
-use crate::protocol::worker::TaskId;
 use crate::settings::Settings;
 
 /// Writes of the leader's budget that must have come back before the next transaction.
@@ -104,14 +102,14 @@
 
     /// Sends the next transaction if there is one and the budgets allow it, or once more the one
     /// whose outcome is unknown. Returns bindings that were not written and never will be, since
-    /// their jobs have ended: worker, task and attempt.
+    /// their jobs have ended.
     pub(super) fn poll(
         &mut self,
         workers: &Workers,
         jobs: &Jobs,
         effects: &mut Effects,
         now: f64,
-    ) -> Vec<(String, TaskId, u64)> {
+    ) -> Vec<RejectedBinding> {
         if self.in_flight || now < self.next_commit_at || self.request_budget.available(now) < 1.0 {
             return Vec::new();
         }
@@ -255,8 +253,8 @@
             return;
         }
         let rejected = self.commits.poll(&self.workers, &self.jobs, effects, now);
-        for (worker, task, attempt) in rejected {
-            self.drop_binding(&worker, &task, attempt, now);
+        for binding in rejected {
+            self.drop_binding(&binding.worker, &binding.task, binding.attempt, now);
         }
     }
 
@@ -317,7 +315,7 @@
                 if let Some(known) = self.jobs.remove(job) {
                     let record = FinishedRecord {
                         outcome: JobOutcome::Done,
-                        completed_tasks: known.completed.len(),
+                        completed_tasks: known.completed().len(),
                     };
                     self.emit(LeaderEvent::JobFinished {
                         job: job.clone(),
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -2,6 +2,7 @@
 
 use super::{Leader, LeaderEvent};
 use crate::bookkeeping::permits::{PermitKind, ViewFreshness};
+use crate::bookkeeping::reconciliation;
 use crate::bookkeeping::workers::{DeliveryPath, Worker};
 use crate::protocol::worker::{
     Command, CommandBatch, TaskId, TaskState, TaskStatus, WorkerHeartbeat,
@@ -78,7 +79,7 @@
             return self.respond_to_heartbeat(heartbeat, Vec::new(), freshness);
         };
         let may_start = freshness.may_start().is_ok();
-        let commands = worker.commands(may_start, MAX_COMMANDS);
+        let commands = reconciliation::commands(worker, may_start, MAX_COMMANDS);
         if may_start && commands.len() < MAX_COMMANDS {
             // The answer carries all commands; the next heartbeat shows what became of them.
             self.dispatcher.sent(&heartbeat.worker, &commands, now);
--- a/src/coordination/leader/jobs.rs
+++ b/src/coordination/leader/jobs.rs
@@ -2,8 +2,8 @@
 
 use super::{Leader, RUNTIME_ESTIMATE_MARGIN};
 use crate::bookkeeping::jobs::Job;
+use crate::bookkeeping::wal::LogEntry;
 use crate::bookkeeping::workers::Eviction;
-use crate::bookkeeping::write_ahead_log::LogEntry;
 use crate::protocol::job::JobSpec;
 use crate::protocol::peer::{JobCounts, MAX_JOB_COUNTS};
 use crate::protocol::worker::TaskId;
@@ -51,7 +51,7 @@
         if let Some(job) = self.jobs.remove(id) {
             tracing::debug!(
                 job = id,
-                bound = job.bound_workers.len(),
+                bound = job.bound_workers().len(),
                 copies_on = job.workers_with_start_copies.len(),
                 "job ended: tasks evicted"
             );
@@ -74,7 +74,7 @@
 
     /// Evicts a job's bound tasks after its end.
     pub(super) fn evict_tasks_of(&mut self, job: &Job) {
-        for (index, names) in &job.bound_workers {
+        for (index, names) in job.bound_workers() {
             let task = TaskId {
                 job: job.spec.id.clone(),
                 index: *index,
@@ -127,7 +127,7 @@
         if let Some(job) = self.jobs.get_mut(id)
             && !job.finishing
             && !job.is_service()
-            && job.completed.len() == job.spec.tasks
+            && job.is_complete()
         {
             job.finishing = true;
             self.commits
@@ -142,8 +142,8 @@
             .take(MAX_JOB_COUNTS)
             .map(|job| JobCounts {
                 job: job.spec.id.clone(),
-                done: job.completed.len(),
-                running: job.running_tasks,
+                done: job.completed().len(),
+                running: job.running_tasks(),
             })
             .collect()
     }
--- a/src/coordination/leader/scheduling.rs
+++ b/src/coordination/leader/scheduling.rs
@@ -2,8 +2,8 @@
 
 use super::{AVOID_LEASES, Leader};
 use crate::bookkeeping::jobs::Job;
+use crate::bookkeeping::wal::LogEntry;
 use crate::bookkeeping::workers::{Binding, Eviction, EvictionReason, Resources, Worker};
-use crate::bookkeeping::write_ahead_log::LogEntry;
 use crate::coordination::scheduler::{self, PendingDemand, SchedulingCycle};
 use crate::protocol::cloud::InstanceType;
 use crate::protocol::job::JobKind;
@@ -144,7 +144,7 @@
 
 /// The attempt that a job's tasks share: those of a gang find one another by it.
 fn gang_attempt(job: &Job) -> Option<u64> {
-    let is_bound_gang = job.spec.kind == JobKind::Gang && !job.bound_workers.is_empty();
+    let is_bound_gang = job.spec.kind == JobKind::Gang && !job.bound_workers().is_empty();
     job.gang_attempt.filter(|_| is_bound_gang)
 }
 
