--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -3,7 +3,7 @@
 use super::effects::{CloudRequestKind, CorrelationId, Effect, Effects, KvRequestKind};
 use super::election::{Election, ElectionTimeouts, LeadershipChange};
 use super::instance_catalog::InstanceCatalog;
-use super::job_api::JobApi;
+use super::job_api::{self, JobApi};
 use super::leader::{HeartbeatOutcome, LEADER_STATE_SHARE, Leader, LeaderEvent};
 use super::peers::Peers;
 use super::routes::Route;
@@ -14,9 +14,8 @@
 use crate::bookkeeping::quotas::Quotas;
 use crate::bookkeeping::rate_limit;
 use crate::bookkeeping::records::{self, LeaderRecord};
-use crate::bookkeeping::workers::Resources;
 use crate::policy::Policy;
-use crate::protocol::cloud::{CloudResponse, InstanceType};
+use crate::protocol::cloud::CloudResponse;
 use crate::protocol::job::{self, JobSpec};
 use crate::protocol::kv::KvResponse;
 use crate::protocol::peer::PeerHeartbeat;
@@ -171,35 +170,9 @@
                 .respond_error(to, 503, "the machine types are not known yet", Some(1));
             return;
         };
-        let verdict = self.check_satisfiable(&spec, &instance_types);
+        let satisfiable = job_api::check_satisfiable(&spec, &self.quotas, &instance_types);
         self.job_api
-            .on_submit(to, spec, verdict.err(), &mut self.effects, now.monotonic);
-    }
-
-    fn check_satisfiable(
-        &self,
-        spec: &JobSpec,
-        instance_types: &[InstanceType],
-    ) -> Result<(), &'static str> {
-        if !self.quotas.contains_team(&spec.team) {
-            return Err("unknown team");
-        }
-        if !self.quotas.can_ever_run(spec) {
-            return Err("more than the team's limit");
-        }
-        let need = super::scheduler::resource_request(spec);
-        let fits = instance_types.iter().any(|instance_type| {
-            Resources::from(instance_type).fits(&need)
-                && instance_type.zones.iter().any(|zone| {
-                    spec.allows(&instance_type.name, zone, false)
-                        || (spec.spot && spec.allows(&instance_type.name, zone, true))
-                })
-        });
-        if fits {
-            Ok(())
-        } else {
-            Err("fits no allowed machine type")
-        }
+            .on_submit(to, spec, satisfiable, &mut self.effects, now.monotonic);
     }
 
     fn health(&mut self, to: u64, now: f64) {
@@ -234,8 +207,8 @@
         self.apply_leadership_change(change, now);
         let freshness = self.view_freshness(now);
         if let Some(leader) = &mut self.leader {
-            let open = &self.job_api.open;
-            let is_open = |id: &str| open.contains_key(id);
+            let open = self.job_api.open_jobs();
+            let is_open = |id: &str| open.contains(id);
             match leader.on_heartbeat(&heartbeat, &freshness, is_open, now) {
                 HeartbeatOutcome::Commands(answer)
                     if is_within_hold_over(&freshness, &heartbeat) =>
@@ -335,8 +308,8 @@
                     .job_api
                     .on_writes_completed(call, response, &mut self.effects, t);
                 if let Some(leader) = &mut self.leader {
-                    for (mod_revision, spec) in opened {
-                        leader.on_job_opened(mod_revision, &spec, t, now.wall);
+                    for job in opened {
+                        leader.on_job_opened(job.mod_revision, &job.spec, t, now.wall);
                     }
                 }
             }
@@ -494,12 +467,10 @@
                     .collect();
                 let closed: Vec<String> = self
                     .job_api
-                    .open
-                    .iter()
-                    .filter(|(id, (mod_revision, _))| {
-                        *mod_revision <= revision && !listed.contains_key(*id)
-                    })
-                    .map(|(id, _)| id.clone())
+                    .open_jobs()
+                    .ids_up_to(revision)
+                    .filter(|id| !listed.contains_key(*id))
+                    .map(str::to_owned)
                     .collect();
                 for id in closed {
                     self.on_job_closed(&id);
--- /dev/null
+++ b/src/coordination/job_api/lookups.rs
@@ -0,0 +1,207 @@
+//! Lookups: reads of the keys of one job, on behalf of the requests that a comparison can't answer.
+
+use super::open_jobs::OpenJob;
+use super::pending_request::PendingRequest;
+use crate::bookkeeping::rate_limit::TokenBucket;
+use crate::bookkeeping::records::{self, FinishedRecord};
+use crate::coordination::effects::{Effects, KvRequestKind};
+use crate::protocol::cbor;
+use crate::protocol::job::JobSpec;
+use crate::protocol::kv::{KeyValue, KvRequest, KvResponse};
+use std::collections::{HashMap, VecDeque};
+use std::rc::Rc;
+
+/// Jobs looked up at a time.
+const MAX_LOOKUPS: usize = 8;
+/// Requests to the state service that one lookup may take.
+const REQUESTS_PER_LOOKUP: f64 = 2.0;
+
+/// A lookup of one job.
+#[derive(Debug, Default)]
+struct JobLookup {
+    waiting: Vec<PendingRequest>,
+    /// Requests that arrived while the lookup was in flight: what it finds may be older than they are.
+    arrived_later: Vec<PendingRequest>,
+    phase: LookupPhase,
+    /// The watch has meanwhile shown that the job is closed: an open key that the lookup finds is old.
+    closed_meanwhile: bool,
+}
+
+/// How far a lookup is. The `open/` key is read first, so that a job that moves from `open/` to `over/`
+/// in between is not missed.
+#[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
+enum LookupPhase {
+    #[default]
+    Queued,
+    ReadingOpen,
+    ReadingFinished,
+}
+
+/// What a lookup has found.
+#[derive(Debug, Clone)]
+pub(super) enum JobRecordState {
+    Open(OpenJob),
+    Finished(FinishedRecord),
+    /// The job has no key.
+    NotFound,
+    /// The state service gave no usable response.
+    Undetermined,
+}
+
+/// What the response to a lookup's read has led to.
+#[derive(Debug)]
+pub(super) enum LookupProgress {
+    /// The next key is being read, or nobody waits any more.
+    Pending,
+    /// What was found is older than what the watch has shown; the requests wait for another lookup.
+    Requeued,
+    /// The lookup is complete.
+    Completed {
+        state: JobRecordState,
+        /// The requests to be answered by it.
+        requests: Vec<PendingRequest>,
+    },
+}
+
+/// Lookups that are queued or in flight.
+#[derive(Debug, Default)]
+pub(super) struct JobLookups {
+    lookups: HashMap<String, JobLookup>,
+    queue: VecDeque<String>,
+    in_flight: usize,
+}
+
+impl JobLookups {
+    /// Requests that wait for a lookup.
+    pub(super) fn waiting(&self) -> usize {
+        self.lookups
+            .values()
+            .map(|lookup| lookup.waiting.len() + lookup.arrived_later.len())
+            .sum()
+    }
+
+    /// Adds a request to the queued lookup of its job, or to the one that follows the lookup in flight.
+    pub(super) fn enqueue(&mut self, pending: PendingRequest) {
+        let job = pending.job.clone();
+        let lookup = self.lookups.entry(job.clone()).or_default();
+        if lookup.phase != LookupPhase::Queued {
+            lookup.arrived_later.push(pending);
+            return;
+        }
+        if lookup.waiting.is_empty() {
+            self.queue.push_back(job);
+        }
+        lookup.waiting.push(pending);
+    }
+
+    /// Notes that the watch has shown a job to be closed.
+    pub(super) fn on_job_closed(&mut self, job: &str) {
+        if let Some(lookup) = self.lookups.get_mut(job) {
+            lookup.closed_meanwhile = true;
+        }
+    }
+
+    /// Starts queued lookups, as far as the budget of requests allows.
+    pub(super) fn send_due(
+        &mut self,
+        request_budget: &mut TokenBucket,
+        request_timeout_s: f64,
+        effects: &mut Effects,
+        now: f64,
+    ) {
+        while self.in_flight < MAX_LOOKUPS && !self.queue.is_empty() {
+            if !request_budget.take(REQUESTS_PER_LOOKUP, now) {
+                break;
+            }
+            let Some(job) = self.queue.pop_front() else {
+                break;
+            };
+            self.in_flight += 1;
+            let phase = LookupPhase::ReadingOpen;
+            self.send_read(&job, phase, request_timeout_s, effects, now);
+        }
+    }
+
+    fn send_read(
+        &mut self,
+        job: &str,
+        phase: LookupPhase,
+        request_timeout_s: f64,
+        effects: &mut Effects,
+        now: f64,
+    ) {
+        if let Some(lookup) = self.lookups.get_mut(job) {
+            lookup.phase = phase;
+        }
+        let key = match phase {
+            LookupPhase::ReadingFinished => records::finished_key(job),
+            LookupPhase::Queued | LookupPhase::ReadingOpen => records::open_key(job),
+        };
+        let kind = KvRequestKind::JobLookup(job.to_owned());
+        effects.call_kv(kind, KvRequest::Get(key), request_timeout_s / 2.0, now);
+    }
+
+    /// Takes the response to the read of one of the job's keys.
+    pub(super) fn on_response(
+        &mut self,
+        job: &str,
+        response: KvResponse,
+        request_timeout_s: f64,
+        effects: &mut Effects,
+        now: f64,
+    ) -> LookupProgress {
+        let state = match response {
+            KvResponse::Value(item) => read_record(job, &item),
+            KvResponse::NotFound if self.phase(job) == LookupPhase::ReadingOpen => {
+                let phase = LookupPhase::ReadingFinished;
+                self.send_read(job, phase, request_timeout_s, effects, now);
+                return LookupProgress::Pending;
+            }
+            KvResponse::NotFound => JobRecordState::NotFound,
+            _ => JobRecordState::Undetermined,
+        };
+        self.complete(job, state)
+    }
+
+    fn phase(&self, job: &str) -> LookupPhase {
+        self.lookups
+            .get(job)
+            .map_or(LookupPhase::Queued, |lookup| lookup.phase)
+    }
+
+    /// Ends a lookup; the requests that it can't answer wait for the next one.
+    fn complete(&mut self, job: &str, state: JobRecordState) -> LookupProgress {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        let Some(lookup) = self.lookups.remove(job) else {
+            return LookupProgress::Pending;
+        };
+        if lookup.closed_meanwhile && matches!(state, JobRecordState::Open(_)) {
+            for pending in lookup.waiting.into_iter().chain(lookup.arrived_later) {
+                self.enqueue(pending);
+            }
+            return LookupProgress::Requeued;
+        }
+        for pending in lookup.arrived_later {
+            self.enqueue(pending);
+        }
+        LookupProgress::Completed {
+            state,
+            requests: lookup.waiting,
+        }
+    }
+}
+
+/// Reads the record under a job's `open/` or `over/` key.
+fn read_record(job: &str, item: &KeyValue) -> JobRecordState {
+    let state = if item.key == records::open_key(job) {
+        cbor::from_value::<JobSpec>(&item.value).map(|spec| {
+            JobRecordState::Open(OpenJob {
+                mod_revision: item.mod_revision,
+                spec: Rc::new(spec),
+            })
+        })
+    } else {
+        cbor::from_value(&item.value).map(JobRecordState::Finished)
+    };
+    state.unwrap_or(JobRecordState::Undetermined)
+}
--- /dev/null
+++ b/src/coordination/job_api/open_jobs.rs
@@ -0,0 +1,96 @@
+//! The open jobs as this controller knows them, with the progress that the leader reports of them.
+
+use crate::protocol::job::{JobSpec, JobStatus, JobView};
+use std::collections::{BTreeMap, HashMap};
+use std::rc::Rc;
+
+/// A job whose `open/` key is in the state service.
+#[derive(Debug, Clone)]
+pub struct OpenJob {
+    /// Mod revision of the `open/` key, which never changes while the job is open.
+    pub mod_revision: u64,
+    /// The accepted job.
+    pub spec: Rc<JobSpec>,
+}
+
+/// Progress of a job, for display only.
+#[derive(Debug, Clone, Copy, Default)]
+pub(super) struct JobProgress {
+    /// Completed tasks.
+    pub(super) completed_tasks: u32,
+    /// Running tasks.
+    pub(super) running_tasks: u32,
+}
+
+/// Open jobs by id, as the watch, lookups and this controller's own writes have shown them. The view
+/// may be late.
+#[derive(Debug, Default)]
+pub struct OpenJobs {
+    jobs: BTreeMap<String, OpenJob>,
+    progress: HashMap<String, JobProgress>,
+}
+
+impl OpenJobs {
+    /// Whether the job is known to be open.
+    pub fn contains(&self, id: &str) -> bool {
+        self.jobs.contains_key(id)
+    }
+
+    /// The job, if it is known to be open.
+    pub fn get(&self, id: &str) -> Option<&OpenJob> {
+        self.jobs.get(id)
+    }
+
+    /// Ids of the jobs that were written at `revision` or before, in the order of the ids. A listing of
+    /// that revision has all of them that are still open.
+    pub fn ids_up_to(&self, revision: u64) -> impl Iterator<Item = &str> {
+        self.jobs
+            .iter()
+            .filter(move |(_, job)| job.mod_revision <= revision)
+            .map(|(id, _)| id.as_str())
+    }
+
+    pub(super) fn insert(&mut self, id: &str, job: OpenJob) {
+        self.jobs.insert(id.to_owned(), job);
+    }
+
+    /// Removes a job that is no longer open, with its progress.
+    pub(super) fn remove(&mut self, id: &str) {
+        self.jobs.remove(id);
+        self.progress.remove(id);
+    }
+
+    /// Removes a job that the state service does not have. Its progress stays, for a cancellation whose
+    /// response is still awaited.
+    pub(super) fn remove_unknown(&mut self, id: &str) {
+        self.jobs.remove(id);
+    }
+
+    /// Records the progress of a job, if it is open.
+    pub(super) fn set_progress(&mut self, id: &str, progress: JobProgress) {
+        if self.jobs.contains_key(id) {
+            self.progress.insert(id.to_owned(), progress);
+        }
+    }
+
+    /// The progress last reported of a job; none reported counts as zero.
+    pub(super) fn progress(&self, id: &str) -> JobProgress {
+        self.progress.get(id).copied().unwrap_or_default()
+    }
+
+    /// What a user is shown of an open job.
+    pub(super) fn view(&self, id: &str) -> JobView {
+        let progress = self.progress(id);
+        let status = if progress.running_tasks > 0 {
+            JobStatus::Running
+        } else {
+            JobStatus::Queued
+        };
+        JobView {
+            id: id.to_owned(),
+            status,
+            done: progress.completed_tasks,
+            running: progress.running_tasks,
+        }
+    }
+}
--- a/src/coordination/job_api/pending_request.rs
+++ b/src/coordination/job_api/pending_request.rs
@@ -1,34 +1,42 @@
-//! Requests of users that wait for the state service.
+//! User requests that wait for the state service.
 
-use crate::bookkeeping::records;
+use super::admission::UnsatisfiableJob;
 use crate::protocol::job::JobSpec;
+use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// What a user wants.
+/// What a user asks for.
 #[derive(Debug, Clone)]
 pub(super) enum RequestKind {
     Poll,
     Submit(Rc<JobSpec>),
-    /// Submitted, but can never run: refused for this reason, unless it was accepted before.
-    Unsatisfiable(&'static str),
+    /// A submission of a job that can never run: refused for this reason, unless the job was accepted
+    /// before.
+    SubmitUnsatisfiable(UnsatisfiableJob),
     Cancel,
 }
 
+/// A user request that waits for the state service.
 #[derive(Debug, Clone)]
 pub(super) struct PendingRequest {
+    /// Names the request to the event loop.
     pub(super) request_id: u64,
-    pub(super) id: String,
+    /// Id of the job.
+    pub(super) job: String,
     pub(super) kind: RequestKind,
+    /// When the request is given up.
     pub(super) deadline: f64,
-    /// The comparison on its way takes the job to be open.
+    /// Whether the revision check that is in flight compares the job as open.
     pub(super) checked_as_open: bool,
 }
 
-impl PendingRequest {
-    /// Whether a failed comparison may be about this job.
-    pub(super) fn is_affected_by(&self, failed: &[String]) -> bool {
-        failed.is_empty()
-            || failed.contains(&records::open_key(&self.id))
-            || failed.contains(&records::finished_key(&self.id))
+/// Removes the requests from a queue whose deadline has passed, and returns them in order.
+pub(super) fn take_expired(queue: &mut VecDeque<PendingRequest>, now: f64) -> Vec<PendingRequest> {
+    let expired = |pending: &PendingRequest| now >= pending.deadline;
+    if !queue.iter().any(expired) {
+        return Vec::new();
     }
+    let (late, waiting): (Vec<_>, Vec<_>) = queue.drain(..).partition(expired);
+    queue.extend(waiting);
+    late
 }
--- /dev/null
+++ b/src/coordination/job_api/revision_checks.rs
@@ -0,0 +1,113 @@
+//! Polls, answered many at a time by a transaction that only compares mod revisions.
+
+use super::batches::InFlightBatches;
+use super::open_jobs::OpenJobs;
+use super::pending_request::{self, PendingRequest};
+use crate::bookkeeping::rate_limit::TokenBucket;
+use crate::bookkeeping::records;
+use crate::coordination::effects::{Effects, KvRequestKind};
+use crate::protocol::kv::{COMPARES_PER_WRITE, Compare, KvRequest, Txn};
+use crate::settings::StateLimits;
+use std::collections::{HashSet, VecDeque};
+
+/// Share of a controller's requests for revision checks, which answer many polls each; the rest is for
+/// lookups.
+const CHECK_SHARE: f64 = 0.5;
+
+/// Polls that wait for a revision check or for the response to one.
+#[derive(Debug)]
+pub(super) struct RevisionChecks {
+    polls: VecDeque<PendingRequest>,
+    in_flight: InFlightBatches,
+    /// Polls that one check may answer.
+    max_polls: usize,
+    /// No check is sent before this time.
+    next_check_at: f64,
+    /// Least seconds between two checks.
+    check_interval_s: f64,
+}
+
+impl RevisionChecks {
+    /// No polls yet; `share` is this controller's share of the state service's limits.
+    pub(super) fn new(limits: &StateLimits, share: f64) -> RevisionChecks {
+        RevisionChecks {
+            polls: VecDeque::new(),
+            in_flight: InFlightBatches::default(),
+            // A job that is not known to be open takes two comparisons.
+            max_polls: COMPARES_PER_WRITE * limits.txn_ops / 2,
+            next_check_at: 0.0,
+            check_interval_s: 1.0 / (CHECK_SHARE * share * limits.rps),
+        }
+    }
+
+    /// Polls that wait for the next check.
+    pub(super) fn waiting(&self) -> usize {
+        self.polls.len()
+    }
+
+    pub(super) fn enqueue(&mut self, poll: PendingRequest) {
+        self.polls.push_back(poll);
+    }
+
+    /// Removes the polls whose deadline has passed.
+    pub(super) fn take_expired(&mut self, now: f64) -> Vec<PendingRequest> {
+        pending_request::take_expired(&mut self.polls, now)
+    }
+
+    /// Sends the next check, if one is due and the budget of requests allows it.
+    pub(super) fn send_due(
+        &mut self,
+        open: &OpenJobs,
+        request_budget: &mut TokenBucket,
+        request_timeout_s: f64,
+        effects: &mut Effects,
+        now: f64,
+    ) {
+        if self.polls.is_empty()
+            || now < self.next_check_at
+            || !self.in_flight.may_send(request_timeout_s, now)
+            || !request_budget.take(1.0, now)
+        {
+            return;
+        }
+        self.next_check_at = now + self.check_interval_s;
+        let count = self.polls.len().min(self.max_polls);
+        let mut batch: Vec<PendingRequest> = self.polls.drain(..count).collect();
+        for poll in &mut batch {
+            poll.checked_as_open = open.contains(&poll.job);
+        }
+        let txn = Txn {
+            compares: compares(&batch, open),
+            writes: Vec::new(),
+        };
+        let kind = KvRequestKind::RevisionCheck(self.in_flight.add(batch, now));
+        effects.call_kv(kind, KvRequest::Txn(txn), request_timeout_s, now);
+    }
+
+    /// Removes a check that was answered, and returns its polls.
+    pub(super) fn complete(&mut self, check: u64) -> Vec<PendingRequest> {
+        self.in_flight.complete(check)
+    }
+}
+
+/// Comparisons that hold if each job is as this controller knows it: open at its mod revision, or
+/// neither open nor finished.
+fn compares(batch: &[PendingRequest], open: &OpenJobs) -> Vec<Compare> {
+    let mut seen = HashSet::new();
+    let mut compares = Vec::new();
+    for poll in batch {
+        if !seen.insert(poll.job.as_str()) {
+            continue;
+        }
+        match open.get(&poll.job) {
+            Some(job) => {
+                compares.push(Compare::new(records::open_key(&poll.job), job.mod_revision));
+            }
+            None => {
+                compares.push(Compare::new(records::open_key(&poll.job), 0));
+                compares.push(Compare::new(records::finished_key(&poll.job), 0));
+            }
+        }
+    }
+    compares
+}
--- a/src/coordination/job_api/terminal_states.rs
+++ b/src/coordination/job_api/terminal_states.rs
@@ -1,30 +1,31 @@
-//! How jobs have ended, as this controller has learnt. An end is for ever.
+//! How jobs have finished, as far as this controller knows. A terminal state never changes.
 
 use crate::bookkeeping::records::{FinishedRecord, JobOutcome};
 use crate::protocol::peer::{MAX_TERMINATIONS, Termination};
 use std::collections::{HashMap, VecDeque};
 
-/// Final states kept in memory; others are looked up again.
+/// Terminal states kept in memory; others are looked up again.
 const MAX_TERMINAL_STATES: usize = 20_000;
 
-/// Final states, the latest ones.
+/// The terminal states that were learnt last.
 #[derive(Debug, Default)]
 pub(super) struct TerminalStateCache {
     records: HashMap<String, FinishedRecord>,
+    /// Ids of the jobs, the one learnt first in front.
     order: VecDeque<String>,
-    /// Jobs that have ended by this controller's doing, for its next word to the peers.
+    /// Jobs that this controller has finished or aborted, for its next heartbeat to the peers.
     unannounced: Vec<Termination>,
-    /// Jobs learnt to be over, for this controller's leader.
+    /// Jobs learnt to have finished, for this controller's leader.
     newly_finished: Vec<String>,
 }
 
 impl TerminalStateCache {
-    /// How a job has ended, if that is known.
+    /// How a job has finished, if that is known.
     pub(super) fn get(&self, id: &str) -> Option<FinishedRecord> {
         self.records.get(id).copied()
     }
 
-    /// Notes how a job has ended.
+    /// Records how a job has finished, and drops the oldest state if there are too many.
     pub(super) fn insert(&mut self, id: &str, record: FinishedRecord) {
         if self.records.insert(id.to_owned(), record).is_some() {
             return;
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Notes for the peers that a job has ended by this controller's doing.
+    /// Records for the peers that this controller has finished or aborted a job.
     pub(super) fn announce(&mut self, id: &str, record: FinishedRecord) {
         if self.unannounced.len() < MAX_TERMINATIONS {
             self.unannounced.push(Termination {
@@ -49,12 +50,12 @@
         }
     }
 
-    /// Jobs that have been learnt to be over since the last time.
+    /// Jobs learnt to have finished since this was last called.
     pub(super) fn take_newly_finished(&mut self) -> Vec<String> {
         std::mem::take(&mut self.newly_finished)
     }
 
-    /// What the peers have not been told yet.
+    /// Terminations recorded for the peers since this was last called.
     pub(super) fn take_unannounced(&mut self) -> Vec<Termination> {
         std::mem::take(&mut self.unannounced)
     }
--- /dev/null
+++ b/src/coordination/job_api/writes.rs
@@ -0,0 +1,202 @@
+//! Submissions and cancellations, written to the state service many at a time.
+
+use super::batches::InFlightBatches;
+use super::burst_of;
+use super::open_jobs::OpenJobs;
+use super::pending_request::{self, PendingRequest, RequestKind};
+use crate::bookkeeping::rate_limit::TokenBucket;
+use crate::bookkeeping::records::{self, FinishedRecord, JobOutcome};
+use crate::coordination::effects::{Effects, KvRequestKind};
+use crate::protocol::kv::{Compare, KvRequest, MAX_TXN_BYTES, Txn, WriteOp};
+use std::collections::VecDeque;
+
+/// Bytes of writes in one transaction, unless its only request needs more.
+const MAX_BATCH_BYTES: usize = MAX_TXN_BYTES / 2;
+
+/// Requests that wait to be written, or for the response to the transaction that writes them.
+#[derive(Debug)]
+pub(super) struct JobWrites {
+    queue: VecDeque<PendingRequest>,
+    in_flight: InFlightBatches,
+    /// Write operations that this controller may make.
+    budget: TokenBucket,
+    max_txn_ops: usize,
+    /// Write operations sent since `take_operations_sent` was last called.
+    operations_sent: f64,
+}
+
+/// The writes of one request, and the revision of the job's `open/` key on which they depend.
+struct RequestedWrites {
+    open_mod_revision: u64,
+    operations: Vec<WriteOp>,
+    /// Size of the operations in bytes.
+    bytes: usize,
+}
+
+/// A transaction that is being filled.
+#[derive(Default)]
+struct BatchDraft {
+    txn: Txn,
+    requests: Vec<PendingRequest>,
+    bytes: usize,
+}
+
+impl JobWrites {
+    /// Nothing to write yet; `budget` holds the write operations that this controller may make.
+    pub(super) fn new(budget: TokenBucket, max_txn_ops: usize) -> JobWrites {
+        JobWrites {
+            queue: VecDeque::new(),
+            in_flight: InFlightBatches::default(),
+            budget,
+            max_txn_ops,
+            operations_sent: 0.0,
+        }
+    }
+
+    /// Requests that wait to be written.
+    pub(super) fn waiting(&self) -> usize {
+        self.queue.len()
+    }
+
+    pub(super) fn enqueue(&mut self, pending: PendingRequest) {
+        self.queue.push_back(pending);
+    }
+
+    /// Removes the requests whose deadline has passed.
+    pub(super) fn take_expired(&mut self, now: f64) -> Vec<PendingRequest> {
+        pending_request::take_expired(&mut self.queue, now)
+    }
+
+    /// Sets the write operations a second that this controller may make.
+    pub(super) fn set_rate(&mut self, per_s: f64, now: f64) {
+        self.budget.set_rate(per_s, burst_of(per_s), now);
+    }
+
+    /// Write operations sent since this was last called.
+    pub(super) fn take_operations_sent(&mut self) -> f64 {
+        std::mem::take(&mut self.operations_sent)
+    }
+
+    /// Sends the next transaction, if one is due. Returns the cancellations of jobs that are no longer
+    /// known to be open, which are to be looked up.
+    pub(super) fn send_due(
+        &mut self,
+        open: &OpenJobs,
+        request_budget: &mut TokenBucket,
+        request_timeout_s: f64,
+        effects: &mut Effects,
+        now: f64,
+    ) -> Vec<PendingRequest> {
+        if self.queue.is_empty() || !self.in_flight.may_send(request_timeout_s, now) {
+            return Vec::new();
+        }
+        let available = self.budget.available(now).min(self.max_txn_ops as f64);
+        let mut not_open = Vec::new();
+        let draft = self.fill_batch(open, available as usize, &mut not_open);
+        if !draft.requests.is_empty() {
+            let operations = draft.txn.writes.len() as f64;
+            self.budget.take_with_debt(operations, now);
+            self.operations_sent += operations;
+            request_budget.take_with_debt(1.0, now);
+            let kind = KvRequestKind::JobWrites(self.in_flight.add(draft.requests, now));
+            effects.call_kv(kind, KvRequest::Txn(draft.txn), request_timeout_s, now);
+        }
+        not_open
+    }
+
+    /// Moves requests from the queue into a transaction of at most `max_operations` writes.
+    fn fill_batch(
+        &mut self,
+        open: &OpenJobs,
+        max_operations: usize,
+        not_open: &mut Vec<PendingRequest>,
+    ) -> BatchDraft {
+        let mut draft = BatchDraft::default();
+        let mut postponed = Vec::new();
+        while let Some(pending) = self.queue.pop_front() {
+            if draft.contains_job(&pending.job) {
+                postponed.push(pending);
+                continue;
+            }
+            let Some(writes) = requested_writes(&pending, open) else {
+                not_open.push(pending);
+                continue;
+            };
+            if !draft.has_capacity(&writes, max_operations) {
+                postponed.push(pending);
+                break;
+            }
+            draft.add(pending, writes);
+        }
+        for pending in postponed.into_iter().rev() {
+            self.queue.push_front(pending);
+        }
+        draft
+    }
+
+    /// Removes a transaction that was answered, and returns its requests.
+    pub(super) fn complete(&mut self, batch: u64) -> Vec<PendingRequest> {
+        self.in_flight.complete(batch)
+    }
+}
+
+impl BatchDraft {
+    /// Whether the transaction already has a request for this job. Two don't go into one transaction.
+    fn contains_job(&self, job: &str) -> bool {
+        self.requests.iter().any(|other| other.job == job)
+    }
+
+    /// Whether these writes may be added. The first ones may have any size.
+    fn has_capacity(&self, writes: &RequestedWrites, max_operations: usize) -> bool {
+        let operations = self.txn.writes.len() + writes.operations.len();
+        let bytes = self.bytes + writes.bytes;
+        operations <= max_operations && (self.requests.is_empty() || bytes <= MAX_BATCH_BYTES)
+    }
+
+    fn add(&mut self, pending: PendingRequest, writes: RequestedWrites) {
+        self.bytes += writes.bytes;
+        let open_key = records::open_key(&pending.job);
+        let finished_key = records::finished_key(&pending.job);
+        self.txn
+            .compares
+            .push(Compare::new(open_key, writes.open_mod_revision));
+        self.txn.compares.push(Compare::new(finished_key, 0));
+        self.txn.writes.extend(writes.operations);
+        self.requests.push(pending);
+    }
+}
+
+impl RequestedWrites {
+    fn new(open_mod_revision: u64, operations: Vec<WriteOp>) -> RequestedWrites {
+        RequestedWrites {
+            open_mod_revision,
+            bytes: operations.iter().map(WriteOp::json_size).sum(),
+            operations,
+        }
+    }
+}
+
+/// The writes that carry out a submission or a cancellation; none for the cancellation of a job that is
+/// not known to be open.
+fn requested_writes(pending: &PendingRequest, open: &OpenJobs) -> Option<RequestedWrites> {
+    let open_key = records::open_key(&pending.job);
+    if let RequestKind::Submit(spec) = &pending.kind {
+        let operations = vec![WriteOp::put(open_key, spec.as_ref())];
+        return Some(RequestedWrites::new(0, operations));
+    }
+    let job = open.get(&pending.job)?;
+    let finished_key = records::finished_key(&pending.job);
+    let operations = vec![
+        WriteOp::delete(open_key),
+        WriteOp::put(finished_key, &aborted_record(&pending.job, open)),
+    ];
+    Some(RequestedWrites::new(job.mod_revision, operations))
+}
+
+/// The record of a job that is cancelled now.
+pub(super) fn aborted_record(job: &str, open: &OpenJobs) -> FinishedRecord {
+    FinishedRecord {
+        outcome: JobOutcome::Aborted,
+        completed_tasks: open.progress(job).completed_tasks,
+    }
+}
--- /dev/null
+++ b/tests/job_api.rs
@@ -0,0 +1,264 @@
+//! The job API: every kind of request against every state of the job's keys.
+
+mod common;
+
+use cedarladder::bookkeeping::records::{self, FinishedRecord, JobOutcome};
+use cedarladder::coordination::effects::{Effect, Effects, KvRequestKind};
+use cedarladder::coordination::job_api::{JobApi, UnsatisfiableJob};
+use cedarladder::protocol::cbor;
+use cedarladder::protocol::kv::{KeyValue, KvRequest, KvResponse, Txn};
+use cedarladder::settings::StateLimits;
+use common::spec;
+
+const ID: &str = "j-1";
+
+#[derive(Clone, Copy, PartialEq, Debug)]
+enum StoredState {
+    Never,
+    Open,
+    Done,
+    Aborted,
+}
+
+fn limits() -> StateLimits {
+    StateLimits {
+        rps: 600.0,
+        write_rps: 600.0,
+        value_kb: 8.0,
+        txn_ops: 48,
+    }
+}
+
+fn finished_record(stored: StoredState) -> FinishedRecord {
+    let outcome = match stored {
+        StoredState::Aborted => JobOutcome::Aborted,
+        _ => JobOutcome::Done,
+    };
+    FinishedRecord {
+        outcome,
+        completed_tasks: 1,
+    }
+}
+
+/// Answers the job API's calls as a state service in this state would, until the user is answered.
+fn serve(job_api: &mut JobApi, effects: &mut Effects, stored: StoredState) -> (u16, String) {
+    for _ in 0..10 {
+        for action in std::mem::take(&mut effects.queue) {
+            match action {
+                Effect::Respond { status, body, .. } => {
+                    let body: ciborium::Value = cbor::decode(&body).unwrap();
+                    return (status, format!("{body:?}"));
+                }
+                Effect::CallKv {
+                    correlation_id,
+                    request,
+                    ..
+                } => {
+                    let (kind, _) = effects.take_kv_request(correlation_id).unwrap();
+                    let response = state_service(&request, stored);
+                    match kind {
+                        KvRequestKind::RevisionCheck(check) => {
+                            job_api.on_revision_check_completed(check, response, effects, 0.1)
+                        }
+                        KvRequestKind::JobWrites(batch) => {
+                            job_api.on_writes_completed(batch, response, effects, 0.1);
+                        }
+                        KvRequestKind::JobLookup(id) => {
+                            job_api.on_lookup_completed(&id, response, effects, 0.1)
+                        }
+                        _ => unreachable!(),
+                    }
+                }
+                _ => unreachable!(),
+            }
+        }
+    }
+    panic!("no answer");
+}
+
+fn state_service(request: &KvRequest, stored: StoredState) -> KvResponse {
+    let mod_revision = |key: &str| {
+        let open = key == records::open_key(ID) && stored == StoredState::Open;
+        let finished = key == records::finished_key(ID)
+            && matches!(stored, StoredState::Done | StoredState::Aborted);
+        if open || finished { 5 } else { 0 }
+    };
+    match request {
+        KvRequest::Txn(Txn { compares, .. }) => {
+            let failed: Vec<String> = compares
+                .iter()
+                .filter(|c| mod_revision(&c.key) != c.mod_revision)
+                .map(|c| c.key.clone())
+                .collect();
+            if failed.is_empty() {
+                KvResponse::Committed(9)
+            } else {
+                KvResponse::CompareFailed(failed)
+            }
+        }
+        KvRequest::Get(key) if mod_revision(key) != 0 => {
+            let value = if stored == StoredState::Open {
+                cbor::to_value(&spec(ID, 1))
+            } else {
+                cbor::to_value(&finished_record(stored))
+            };
+            KvResponse::Value(KeyValue {
+                key: key.clone(),
+                value,
+                mod_revision: 5,
+                lease_id: None,
+            })
+        }
+        _ => KvResponse::NotFound,
+    }
+}
+
+#[test]
+fn every_request_is_answered_by_the_state_of_the_job() {
+    use StoredState::{Aborted, Done, Never, Open};
+    // (request, what the state service has, status, part of the answer)
+    let cases = [
+        ("submit", Never, 201, "queued"),
+        ("submit", Open, 200, "queued"),
+        ("submit", Done, 200, "done"),
+        ("submit", Aborted, 200, "aborted"),
+        ("unsatisfiable", Never, 422, "unknown team"),
+        ("unsatisfiable", Open, 200, "queued"),
+        ("unsatisfiable", Done, 200, "done"),
+        ("poll", Never, 404, "no such job"),
+        ("poll", Open, 200, "queued"),
+        ("poll", Done, 200, "done"),
+        ("poll", Aborted, 200, "aborted"),
+        ("cancel", Never, 404, "no such job"),
+        ("cancel", Open, 200, "aborted"),
+        ("cancel", Done, 200, "done"),
+        ("cancel", Aborted, 200, "aborted"),
+    ];
+    for (request, stored, status, part) in cases {
+        // The controller's view may be late in either way.
+        for view in [Never, Open] {
+            let mut job_api = JobApi::new(&limits(), 1.0, 1.0);
+            let mut effects = Effects::default();
+            if view == Open {
+                job_api.on_job_opened(5, spec(ID, 1));
+            }
+            match request {
+                "submit" => job_api.on_submit(1, spec(ID, 1), Ok(()), &mut effects, 0.0),
+                "unsatisfiable" => job_api.on_submit(
+                    1,
+                    spec(ID, 1),
+                    Err(UnsatisfiableJob::UnknownTeam),
+                    &mut effects,
+                    0.0,
+                ),
+                "poll" => job_api.on_status_request(1, ID, &mut effects, 0.0),
+                _ => job_api.on_cancel(1, ID, &mut effects, 0.0),
+            }
+            let (got, body) = serve(&mut job_api, &mut effects, stored);
+            let name = format!("{request}, job {stored:?}, viewed as {view:?}");
+            assert_eq!(got, status, "{name}: {body}");
+            assert!(body.contains(part), "{name}: {body}");
+        }
+    }
+}
+
+/// A job that was compared as open and has been closed before the answer came is not denied.
+#[test]
+fn a_job_closed_while_it_was_compared_is_looked_up() {
+    let mut job_api = JobApi::new(&limits(), 1.0, 1.0);
+    let mut effects = Effects::default();
+    job_api.on_job_opened(5, spec(ID, 1));
+    job_api.on_status_request(1, ID, &mut effects, 0.0);
+    effects.queue.clear();
+    job_api.on_job_closed(ID);
+    job_api.on_revision_check_completed(1, KvResponse::Committed(9), &mut effects, 0.1);
+    assert_eq!(serve(&mut job_api, &mut effects, StoredState::Done).0, 200);
+}
+
+/// A request that arrives while a lookup is in flight gets a lookup of its own: what the first one
+/// found may be older than the request.
+#[test]
+fn a_request_during_a_lookup_waits_for_the_next_one() {
+    let mut job_api = JobApi::new(&limits(), 1.0, 1.0);
+    let mut effects = Effects::default();
+    job_api.on_cancel(1, ID, &mut effects, 0.0);
+    effects.queue.clear();
+    job_api.on_cancel(2, ID, &mut effects, 0.0);
+    job_api.on_lookup_completed(ID, KvResponse::NotFound, &mut effects, 0.1);
+    effects.queue.clear();
+    job_api.on_lookup_completed(ID, KvResponse::NotFound, &mut effects, 0.1);
+    let first: Vec<u64> = effects
+        .queue
+        .iter()
+        .filter_map(|a| match a {
+            Effect::Respond {
+                request_id: to,
+                status: 404,
+                ..
+            } => Some(*to),
+            _ => None,
+        })
+        .collect();
+    assert_eq!(first, vec![1]);
+    effects
+        .queue
+        .retain(|a| !matches!(a, Effect::Respond { .. }));
+    assert_eq!(serve(&mut job_api, &mut effects, StoredState::Open).0, 200);
+}
+
+/// A request that can't be served is refused at once, with a time to come back.
+#[test]
+fn requests_that_cannot_be_served_are_refused_at_once() {
+    type Steps = fn(&mut JobApi, &mut Effects);
+    let cases: [(&str, Steps, u16); 3] = [
+        (
+            "the state service refuses",
+            |job_api, effects| {
+                job_api.on_submit(1, spec(ID, 1), Ok(()), effects, 0.0);
+                effects.queue.clear();
+                job_api.on_writes_completed(1, KvResponse::Unavailable, effects, 0.0);
+            },
+            503,
+        ),
+        (
+            "it has just refused another",
+            |job_api, effects| {
+                job_api.on_status_request(1, "j-2", effects, 0.0);
+                job_api.on_revision_check_completed(1, KvResponse::Unavailable, effects, 0.0);
+                effects.queue.clear();
+                job_api.on_submit(2, spec(ID, 1), Ok(()), effects, 0.1);
+            },
+            503,
+        ),
+        (
+            "too many wait",
+            |job_api, effects| {
+                for i in 0..3000 {
+                    job_api.on_status_request(i, &format!("j-{i}"), effects, 0.0);
+                }
+                effects
+                    .queue
+                    .retain(|a| matches!(a, Effect::Respond { .. }));
+                effects.queue.truncate(1);
+            },
+            429,
+        ),
+    ];
+    for (name, steps, expected) in cases {
+        let mut job_api = JobApi::new(&limits(), 1.0, 1.0);
+        let mut effects = Effects::default();
+        steps(&mut job_api, &mut effects);
+        let [
+            Effect::Respond {
+                status,
+                retry_after_s,
+                ..
+            },
+        ] = &effects.queue[..]
+        else {
+            panic!("{name}: one answer");
+        };
+        assert_eq!(*status, expected, "{name}");
+        assert_eq!(*retry_after_s, Some(1), "{name}");
+    }
+}
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -45,7 +45,7 @@
                     match next % 4 {
                         0 => frontend.on_status_request(next, &id, &mut out, now),
                         1 => frontend.on_cancel(next, "j-2", &mut out, now),
-                        _ => frontend.on_submit(next, spec(&id, 5), None, &mut out, now),
+                        _ => frontend.on_submit(next, spec(&id, 5), Ok(()), &mut out, now),
                     }
                     next += 1;
                 }
@@ -363,7 +363,7 @@
                 next += 1;
                 asked.insert(next, now);
                 let job = spec(&format!("j-{next}"), 1);
-                frontend.on_submit(next, job, None, &mut out, now);
+                frontend.on_submit(next, job, Ok(()), &mut out, now);
             }
             frontend.send_due_requests(&mut out, now);
             for action in std::mem::take(&mut out.queue) {
