--- /dev/null
+++ b/src/coordination/controller/leader_key.rs
@@ -0,0 +1,51 @@
+//! Passes the updates of the watch on the `leader` key to the election.
+
+use crate::bookkeeping::records::{self, LeaderRecord};
+use crate::coordination::election::{Election, LeadershipChange};
+use crate::coordination::watch::WatchUpdate;
+use crate::protocol::cbor::{self, CborError};
+use crate::protocol::kv::KeyValue;
+
+/// Why the `leader` key can't be used.
+#[derive(Debug, thiserror::Error)]
+#[error("not a leader record: {0}")]
+struct LeaderRecordError(#[from] CborError);
+
+/// Takes one update of the watch. `jitter` in 0..1 spreads the campaigns that follow a deletion.
+pub(super) fn apply(
+    update: WatchUpdate,
+    election: &mut Election,
+    jitter: f64,
+    now: f64,
+) -> LeadershipChange {
+    match update {
+        WatchUpdate::Reset { items, .. } => {
+            let item = items.iter().find(|item| item.key == records::LEADER_KEY);
+            let known = item.and_then(read_or_log);
+            election.observe_leader(known, jitter, now)
+        }
+        WatchUpdate::Put(item) if item.key == records::LEADER_KEY => match read_or_log(&item) {
+            Some(known) => election.observe_leader(Some(known), jitter, now),
+            None => LeadershipChange::None,
+        },
+        WatchUpdate::Deleted { key } if key == records::LEADER_KEY => {
+            election.on_leader_deleted(jitter, now)
+        }
+        WatchUpdate::Put(_) | WatchUpdate::Deleted { .. } => LeadershipChange::None,
+    }
+}
+
+/// The leader with the mod revision of its key. A key that can't be read counts as none.
+fn read_or_log(item: &KeyValue) -> Option<(LeaderRecord, u64)> {
+    match read_leader(item) {
+        Ok(record) => Some((record, item.mod_revision)),
+        Err(error) => {
+            tracing::error!(mod_revision = item.mod_revision, %error, "leader record unreadable");
+            None
+        }
+    }
+}
+
+fn read_leader(item: &KeyValue) -> Result<LeaderRecord, LeaderRecordError> {
+    Ok(cbor::from_value(&item.value)?)
+}
--- /dev/null
+++ b/src/coordination/controller/leadership.rs
@@ -0,0 +1,112 @@
+//! Starting and ending leadership, and what the leader tells the rest of the controller.
+
+use super::Controller;
+use crate::bookkeeping::permits::ViewFreshness;
+use crate::coordination::election::LeadershipChange;
+use crate::coordination::leader::{Leader, LeaderEvent};
+use rand::SeedableRng;
+use rand::rngs::SmallRng;
+
+/// Heartbeat intervals of silence from all workers that are more than chance.
+const UNREACHABLE_HEARTBEATS: f64 = 1.6;
+
+impl Controller {
+    pub(super) fn apply_leadership_change(&mut self, change: LeadershipChange, now: f64) {
+        match change {
+            LeadershipChange::None => {}
+            LeadershipChange::Elected(epoch) => {
+                tracing::info!(epoch, "leadership acquired");
+                self.leader = Some(self.new_leader(epoch, now));
+                self.heartbeat_at = now;
+            }
+            LeadershipChange::Deposed => {
+                if let Some(leader) = self.leader.take() {
+                    tracing::info!(epoch = leader.epoch(), "leadership lost");
+                }
+            }
+        }
+    }
+
+    fn new_leader(&mut self, epoch: u64, now: f64) -> Leader {
+        let instance_types = self.catalog.instance_types().cloned().unwrap_or_default();
+        let mut leader = Leader::new(
+            epoch,
+            self.settings.clone(),
+            self.policy.clone(),
+            instance_types,
+            self.lease_grace_s,
+            SmallRng::from_rng(&mut self.rng),
+            now,
+        );
+        let window_s = self.settings.deployment.workers.cancel_s;
+        leader.inherit_crash_looping(self.peers.crash_looping_jobs(window_s, now));
+        leader
+    }
+
+    /// The leader, if it leads with this epoch: responses to an earlier one are dropped.
+    pub(super) fn leader_with_epoch(&mut self, epoch: u64) -> Option<&mut Leader> {
+        self.leader
+            .as_mut()
+            .filter(|leader| leader.epoch() == epoch)
+    }
+
+    /// What this controller knows, and how old that is.
+    pub(super) fn view_freshness(&self, now: f64) -> ViewFreshness {
+        let view_at = self.jobs_watch.current_at();
+        self.election
+            .view_freshness(view_at, self.state_service.failed_at(), now)
+    }
+
+    /// Does the leader's work that is due, and takes what it tells the rest of the controller.
+    pub(super) fn poll_leader(&mut self, now: f64) {
+        self.jobs_watch.poll(&mut self.effects, now);
+        self.leader_watch.poll(&mut self.effects, now);
+        let freshness = self.view_freshness(now);
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        leader.poll(&freshness, &mut self.effects, now);
+        for event in leader.take_events() {
+            let change = match event {
+                LeaderEvent::JobFinished(id, record) => {
+                    self.job_api.announce_finished(&id, record);
+                    LeadershipChange::None
+                }
+                LeaderEvent::HigherEpochSeen(epoch) => self.election.observe_epoch(epoch),
+                LeaderEvent::Deposed => self.election.on_deposed(),
+            };
+            self.apply_leadership_change(change, now);
+        }
+    }
+
+    /// Tells the leader of the jobs that the job API has learnt to have finished: from its own
+    /// transactions, from a lookup, or from a peer, long before the watch may show it.
+    pub(super) fn tell_leader_of_finished_jobs(&mut self) {
+        for id in self.job_api.take_finished() {
+            if let Some(leader) = &mut self.leader {
+                leader.on_job_closed(&id);
+            }
+        }
+    }
+
+    /// Makes a leader that workers can't reach give up its lease, when they come to its peers or when
+    /// the peers are silent too.
+    pub(super) fn resign_if_partitioned(&mut self, now: f64) {
+        let Some(leader) = &self.leader else { return };
+        let silent_s = leader.unresponsive_for(now);
+        if self.settings.peers.is_empty()
+            || silent_s < UNREACHABLE_HEARTBEATS * self.heartbeat_interval_s()
+        {
+            return;
+        }
+        let window_s = self.peer_freshness_s();
+        let isolated = self.peers.none_fresh(window_s, now);
+        let redirected = self.peers.any_redirected(window_s, now);
+        let lease_s = self.settings.deployment.workers.lease_s;
+        if redirected || (isolated && silent_s > lease_s / 2.0) {
+            tracing::info!("leadership resigned: workers cannot reach this controller");
+            let change = self.election.resign(&mut self.effects, now);
+            self.apply_leadership_change(change, now);
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/controller/mod.rs
@@ -0,0 +1,424 @@
+//! One controller: takes requests, responses and the passing of time, and says what is to be done.
+//!
+//! The controller routes each input to the component that it concerns, and passes on what that changes
+//! for the others: leadership, and jobs that were opened or closed.
+
+mod health;
+mod leader_key;
+mod leadership;
+mod open_jobs;
+mod peer_heartbeats;
+mod redirected_workers;
+mod worker_heartbeats;
+mod write_budget;
+
+use super::effects::{CloudRequestKind, CorrelationId, Effect, Effects, KvRequestKind};
+use super::election::{Election, ElectionTimeouts};
+use super::instance_catalog::InstanceCatalog;
+use super::job_api::{self, JobApi};
+use super::leader::{LEADER_STATE_SHARE, Leader};
+use super::peers::Peers;
+use super::routes::Route;
+use super::terminations::TerminationQueue;
+use super::watch::{Watch, WatchUpdate};
+use crate::bookkeeping::quotas::Quotas;
+use crate::bookkeeping::records;
+use crate::policy::Policy;
+use crate::protocol::cloud::CloudResponse;
+use crate::protocol::job;
+use crate::protocol::kv::KvResponse;
+use crate::protocol::worker::WorkerResponse;
+use crate::settings::{Settings, WorkerSettings};
+use health::{Readiness, StateServiceHealth};
+use open_jobs::OpenJobsObservers;
+use rand::rngs::SmallRng;
+use rand::{Rng, SeedableRng};
+use redirected_workers::RedirectedWorkers;
+use std::rc::Rc;
+use write_budget::WriteBudget;
+
+/// Waits of the watch on the open jobs in a heartbeat interval: the longest time by which the view of
+/// them is less current than it could be.
+const WATCHES_PER_HEARTBEAT: f64 = 4.0;
+/// Heartbeat intervals of workers in which a call to the state service must be answered.
+const REQUEST_TIMEOUT_HEARTBEATS: f64 = 0.5;
+/// Heartbeat intervals of workers for which what a peer has told counts.
+const PEER_FRESHNESS_HEARTBEATS: f64 = 2.0;
+
+/// The times of an input.
+#[derive(Debug, Clone, Copy)]
+pub struct Now {
+    /// Steady clock, in seconds since the controller started.
+    pub monotonic: f64,
+    /// Time of day, in seconds.
+    pub wall: f64,
+}
+
+/// A controller.
+pub struct Controller {
+    settings: Rc<Settings>,
+    policy: Rc<Policy>,
+    effects: Effects,
+    job_api: JobApi,
+    jobs_watch: Watch,
+    leader_watch: Watch,
+    election: Election,
+    /// Present while this controller leads.
+    leader: Option<Leader>,
+    catalog: InstanceCatalog,
+    quotas: Quotas,
+    peers: Peers,
+    terminations: TerminationQueue,
+    redirected: RedirectedWorkers,
+    write_budget: WriteBudget,
+    state_service: StateServiceHealth,
+    /// When the next heartbeat to the peers is due.
+    heartbeat_at: f64,
+    lease_grace_s: f64,
+    rng: SmallRng,
+}
+
+impl Controller {
+    /// A controller that has just started; `seed` tells this process from earlier ones of the same
+    /// controller.
+    pub fn new(settings: Rc<Settings>, policy: Rc<Policy>, seed: u64) -> Controller {
+        let deployment = &settings.deployment;
+        let workers = &deployment.workers;
+        let timeouts = ElectionTimeouts::new(workers);
+        let request_timeout_s = workers.heartbeat_interval_s * REQUEST_TIMEOUT_HEARTBEATS;
+        let controllers = f64::from(deployment.initial_size).max(1.0);
+        let users_share = 1.0 - LEADER_STATE_SHARE;
+        Controller {
+            effects: Effects::default(),
+            job_api: JobApi::new(
+                &deployment.state,
+                users_share / controllers,
+                request_timeout_s,
+            ),
+            jobs_watch: open_jobs_watch(workers, request_timeout_s),
+            leader_watch: leader_watch(workers, request_timeout_s),
+            election: Election::new(&settings.label, seed, timeouts),
+            leader: None,
+            catalog: InstanceCatalog::new(workers),
+            quotas: Quotas::new(&deployment.teams),
+            peers: Peers::default(),
+            terminations: TerminationQueue::new(
+                &settings.label,
+                seed,
+                settings.peers.iter().map(|peer| peer.label.clone()),
+                workers.cancel_s,
+            ),
+            redirected: RedirectedWorkers::default(),
+            write_budget: WriteBudget::new(deployment.state.write_rps * users_share),
+            state_service: StateServiceHealth::new(),
+            heartbeat_at: 0.0,
+            lease_grace_s: timeouts.lease_grace_s,
+            rng: SmallRng::seed_from_u64(seed),
+            settings,
+            policy,
+        }
+    }
+
+    /// Takes the actions that have come together.
+    pub fn take_effects(&mut self) -> Vec<Effect> {
+        std::mem::take(&mut self.effects.queue)
+    }
+
+    /// Whether this controller leads, confirmed or within the lease grace period.
+    pub fn is_leader(&self) -> bool {
+        self.leader.is_some()
+    }
+
+    fn heartbeat_interval_s(&self) -> f64 {
+        self.settings.deployment.workers.heartbeat_interval_s
+    }
+
+    /// Seconds for which what a peer has told counts.
+    fn peer_freshness_s(&self) -> f64 {
+        self.heartbeat_interval_s() * PEER_FRESHNESS_HEARTBEATS
+    }
+
+    // ---- requests of users and workers
+
+    /// Takes a request.
+    pub fn on_request(&mut self, request: u64, method: &str, path: &str, body: &[u8], now: Now) {
+        let route = match Route::parse(method, path) {
+            Ok(route) => route,
+            Err(error) => {
+                self.effects
+                    .respond_error(request, error.status(), &error.to_string(), None);
+                return;
+            }
+        };
+        match route {
+            Route::Health => self.on_health_check(request, now.monotonic),
+            Route::Report => self.on_worker_heartbeat(request, body, now.monotonic),
+            Route::Submit => self.on_submit(request, body, now),
+            Route::Poll(id) => {
+                self.job_api
+                    .on_status_request(request, id, &mut self.effects, now.monotonic);
+            }
+            Route::Cancel(id) => {
+                self.job_api
+                    .on_cancel(request, id, &mut self.effects, now.monotonic);
+            }
+        }
+    }
+
+    fn on_health_check(&mut self, request: u64, now: f64) {
+        let window_s = self.heartbeat_interval_s();
+        let readiness = Readiness {
+            instance_types_known: self.catalog.instance_types().is_some(),
+            open_jobs_known: self.jobs_watch.is_complete(),
+            state_service_ok: self.state_service.was_ok_within(window_s, now),
+            peer_state_service_ok: self.peers.any_served(window_s, now),
+        };
+        if readiness.is_ready() {
+            self.effects.respond(request, 200, &"ok");
+        } else {
+            self.effects
+                .respond_error(request, 503, "not ready", Some(1));
+        }
+    }
+
+    fn on_submit(&mut self, request: u64, body: &[u8], now: Now) {
+        let spec = match job::parse_submission(body, now.wall) {
+            Ok(spec) => spec,
+            Err(error) => {
+                tracing::debug!(%error, "submission rejected");
+                self.effects
+                    .respond_error(request, 400, &error.to_string(), None);
+                return;
+            }
+        };
+        let Some(instance_types) = self.catalog.instance_types() else {
+            let why = "the machine types are not known yet";
+            self.effects.respond_error(request, 503, why, Some(1));
+            return;
+        };
+        let satisfiable = job_api::check_satisfiable(&spec, &self.quotas, instance_types);
+        self.job_api
+            .on_submit(request, spec, satisfiable, &mut self.effects, now.monotonic);
+    }
+
+    // ---- responses
+
+    /// Takes a response of the state service.
+    pub fn on_kv_response(
+        &mut self,
+        correlation_id: CorrelationId,
+        response: KvResponse,
+        now: Now,
+    ) {
+        let Some((kind, sent)) = self.effects.take_kv_request(correlation_id) else {
+            return;
+        };
+        self.state_service
+            .observe_response(&response, now.monotonic);
+        let leader_may_act = kind.may_concern_leader();
+        self.dispatch_kv_response(kind, response, sent, now);
+        self.tell_leader_of_finished_jobs();
+        if leader_may_act {
+            self.poll_leader(now.monotonic);
+        }
+    }
+
+    /// Passes a response to the component that made the call at `sent`.
+    fn dispatch_kv_response(
+        &mut self,
+        kind: KvRequestKind,
+        response: KvResponse,
+        sent: f64,
+        now: Now,
+    ) {
+        let t = now.monotonic;
+        let effects = &mut self.effects;
+        match kind {
+            KvRequestKind::OpenJobsWatch => {
+                let updates = self.jobs_watch.on_response(response, sent, t);
+                self.apply_open_jobs_updates(updates, now);
+            }
+            KvRequestKind::LeaderWatch => {
+                let updates = self.leader_watch.on_response(response, sent, t);
+                self.apply_leader_key_updates(updates, t);
+            }
+            KvRequestKind::GrantLease
+            | KvRequestKind::Campaign
+            | KvRequestKind::KeepAlive
+            | KvRequestKind::RevokeLease => {
+                let change = self
+                    .election
+                    .on_response(&kind, &response, sent, effects, t);
+                self.apply_leadership_change(change, t);
+            }
+            KvRequestKind::RevisionCheck(check) => {
+                self.job_api
+                    .on_revision_check_completed(check, response, effects, t);
+            }
+            KvRequestKind::JobLookup(id) => {
+                self.job_api.on_lookup_completed(&id, response, effects, t);
+            }
+            KvRequestKind::JobWrites(batch) => self.on_job_writes_completed(batch, response, now),
+            KvRequestKind::RecoveryRead(epoch)
+            | KvRequestKind::LogAppend(epoch)
+            | KvRequestKind::LogReadBack(epoch) => {
+                self.on_leader_kv_response(&kind, epoch, response, now);
+            }
+            KvRequestKind::InstanceCatalog => {
+                let changed = self.catalog.on_stored_types(&response);
+                self.set_instance_types_if(changed);
+            }
+            KvRequestKind::Ignored => {}
+        }
+    }
+
+    fn on_job_writes_completed(&mut self, batch: u64, response: KvResponse, now: Now) {
+        let opened =
+            self.job_api
+                .on_writes_completed(batch, response, &mut self.effects, now.monotonic);
+        if let Some(leader) = &mut self.leader {
+            for job in opened {
+                leader.on_job_opened(job.mod_revision, &job.spec, now.monotonic, now.wall);
+            }
+        }
+    }
+
+    /// Passes a response to the leader, if it still leads with the epoch of the call.
+    fn on_leader_kv_response(
+        &mut self,
+        kind: &KvRequestKind,
+        epoch: u64,
+        response: KvResponse,
+        now: Now,
+    ) {
+        let t = now.monotonic;
+        let leader = self.leader.as_mut();
+        let Some(leader) = leader.filter(|leader| leader.epoch() == epoch) else {
+            return;
+        };
+        match kind {
+            KvRequestKind::RecoveryRead(_) => leader.on_recovery_page(response, t, now.wall),
+            KvRequestKind::LogAppend(_) => {
+                leader.on_commit_completed(response, &mut self.effects, t);
+            }
+            _ => leader.on_read_back(response, &mut self.effects, t),
+        }
+    }
+
+    fn apply_open_jobs_updates(&mut self, updates: Vec<WatchUpdate>, now: Now) {
+        let mut observers = OpenJobsObservers {
+            job_api: &mut self.job_api,
+            leader: self.leader.as_mut(),
+        };
+        for update in updates {
+            observers.apply(update, now);
+        }
+    }
+
+    fn apply_leader_key_updates(&mut self, updates: Vec<WatchUpdate>, now: f64) {
+        for update in updates {
+            let jitter = self.rng.random::<f64>();
+            let change = leader_key::apply(update, &mut self.election, jitter, now);
+            self.apply_leadership_change(change, now);
+        }
+    }
+
+    /// Passes the instance types to the leader, if they have changed.
+    fn set_instance_types_if(&mut self, changed: bool) {
+        if changed
+            && let Some(leader) = &mut self.leader
+            && let Some(instance_types) = self.catalog.instance_types()
+        {
+            leader.set_instance_types(instance_types.clone());
+        }
+    }
+
+    /// Takes a response of the cloud.
+    pub fn on_cloud_response(
+        &mut self,
+        correlation_id: CorrelationId,
+        response: CloudResponse,
+        now: Now,
+    ) {
+        let Some(kind) = self.effects.take_cloud_request(correlation_id) else {
+            return;
+        };
+        let t = now.monotonic;
+        match kind {
+            CloudRequestKind::ListInstanceTypes => {
+                let changed = self.catalog.on_cloud_response(response, t);
+                self.set_instance_types_if(changed);
+            }
+            CloudRequestKind::ListInstances(epoch) => {
+                if let Some(leader) = self.leader_with_epoch(epoch) {
+                    leader.on_instances_listed(response, t);
+                }
+            }
+            CloudRequestKind::CreateInstances(epoch, idempotency_key) => {
+                if let Some(leader) = self.leader_with_epoch(epoch) {
+                    leader.on_instances_created(&idempotency_key, response, t);
+                }
+            }
+            CloudRequestKind::DeleteInstances(epoch, workers) => {
+                if let Some(leader) = self.leader_with_epoch(epoch) {
+                    leader.on_instances_deleted(&workers, &response, t);
+                }
+            }
+        }
+        self.poll_leader(t);
+    }
+
+    /// Takes the outcome of a direct call to a worker.
+    pub fn on_worker_response(
+        &mut self,
+        correlation_id: CorrelationId,
+        response: WorkerResponse,
+        now: Now,
+    ) {
+        let Some(context) = self.effects.take_worker_request(correlation_id) else {
+            return;
+        };
+        if let Some(leader) = self.leader_with_epoch(context.epoch) {
+            leader.on_worker_response(&context, response, now.monotonic);
+        }
+    }
+
+    // ---- the passing of time
+
+    /// Does all that is due.
+    pub fn tick(&mut self, now: Now) {
+        let t = now.monotonic;
+        self.jobs_watch.poll(&mut self.effects, t);
+        self.leader_watch.poll(&mut self.effects, t);
+        let watching = self.leader_watch.is_complete();
+        let current_at = self.jobs_watch.current_at();
+        let change = self
+            .election
+            .poll(watching, current_at, &mut self.effects, t);
+        self.apply_leadership_change(change, t);
+        let leads = self.leader.is_some();
+        self.catalog.poll(leads, &mut self.effects, t);
+        self.job_api.send_due_requests(&mut self.effects, t);
+        self.poll_heartbeats(t);
+        self.resign_if_partitioned(t);
+        self.poll_leader(t);
+    }
+}
+
+fn open_jobs_watch(workers: &WorkerSettings, request_timeout_s: f64) -> Watch {
+    Watch::new(
+        records::OPEN_PREFIX,
+        KvRequestKind::OpenJobsWatch,
+        workers.heartbeat_interval_s / WATCHES_PER_HEARTBEAT,
+        request_timeout_s,
+    )
+}
+
+fn leader_watch(workers: &WorkerSettings, request_timeout_s: f64) -> Watch {
+    Watch::new(
+        records::LEADER_KEY,
+        KvRequestKind::LeaderWatch,
+        workers.lease_s,
+        request_timeout_s,
+    )
+}
--- /dev/null
+++ b/src/coordination/controller/open_jobs.rs
@@ -0,0 +1,85 @@
+//! Passes the updates of the watch on open jobs to the job API and the leader.
+
+use super::Now;
+use crate::bookkeeping::records;
+use crate::coordination::job_api::JobApi;
+use crate::coordination::leader::Leader;
+use crate::coordination::watch::WatchUpdate;
+use crate::protocol::cbor;
+use crate::protocol::job::JobSpec;
+use crate::protocol::kv::KeyValue;
+use std::collections::BTreeMap;
+
+/// Those who need to know which jobs are open.
+pub(super) struct OpenJobsObservers<'a> {
+    pub(super) job_api: &'a mut JobApi,
+    pub(super) leader: Option<&'a mut Leader>,
+}
+
+impl OpenJobsObservers<'_> {
+    /// Takes one update of the watch on `open/`.
+    pub(super) fn apply(&mut self, update: WatchUpdate, now: Now) {
+        match update {
+            WatchUpdate::Reset { items, revision } => self.reset(items, revision, now),
+            WatchUpdate::Put(item) => {
+                if let Some(id) = item.key.strip_prefix(records::OPEN_PREFIX) {
+                    self.opened(id, &item, now);
+                }
+            }
+            WatchUpdate::Deleted { key } => {
+                if let Some(id) = key.strip_prefix(records::OPEN_PREFIX) {
+                    self.closed(id);
+                }
+            }
+        }
+    }
+
+    /// Takes all open jobs, as they are at a revision: a job that was opened at that revision or before
+    /// and is not listed has been closed.
+    fn reset(&mut self, items: Vec<KeyValue>, revision: u64, now: Now) {
+        let listed: BTreeMap<String, KeyValue> = items
+            .into_iter()
+            .filter_map(|item| {
+                let id = item.key.strip_prefix(records::OPEN_PREFIX)?.to_owned();
+                Some((id, item))
+            })
+            .collect();
+        let closed: Vec<String> = self
+            .job_api
+            .open_jobs()
+            .ids_up_to(revision)
+            .filter(|id| !listed.contains_key(*id))
+            .map(str::to_owned)
+            .collect();
+        for id in closed {
+            self.closed(&id);
+        }
+        if let Some(leader) = &mut self.leader {
+            leader.on_open_jobs_listed(revision, listed.keys().cloned().collect());
+        }
+        for (id, item) in listed {
+            self.opened(&id, &item, now);
+        }
+    }
+
+    fn opened(&mut self, id: &str, item: &KeyValue, now: Now) {
+        let spec = match cbor::from_value::<JobSpec>(&item.value) {
+            Ok(spec) => spec,
+            Err(error) => {
+                tracing::error!(id, %error, "job record unreadable");
+                return;
+            }
+        };
+        if let Some(leader) = &mut self.leader {
+            leader.on_job_opened(item.mod_revision, &spec, now.monotonic, now.wall);
+        }
+        self.job_api.on_job_opened(item.mod_revision, spec);
+    }
+
+    fn closed(&mut self, id: &str) {
+        self.job_api.on_job_closed(id);
+        if let Some(leader) = &mut self.leader {
+            leader.on_job_closed(id);
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/controller/worker_heartbeats.rs
@@ -0,0 +1,97 @@
+//! Heartbeats of workers: answered by the leader, redirected to it by the other controllers.
+
+use super::Controller;
+use crate::bookkeeping::invariants::{self, Invariant};
+use crate::bookkeeping::permits::ViewFreshness;
+use crate::coordination::leader::HeartbeatOutcome;
+use crate::protocol::cbor::{self, CborError};
+use crate::protocol::token::InvalidFencingToken;
+use crate::protocol::worker::{NotLeader, WorkerHeartbeat};
+
+/// Why a heartbeat is refused.
+#[derive(Debug, thiserror::Error)]
+enum HeartbeatError {
+    #[error("not a report: {0}")]
+    Malformed(#[from] CborError),
+    #[error(transparent)]
+    FencingToken(#[from] InvalidFencingToken),
+}
+
+impl Controller {
+    pub(super) fn on_worker_heartbeat(&mut self, request: u64, body: &[u8], now: f64) {
+        let heartbeat = match read_worker_heartbeat(body) {
+            Ok(heartbeat) => heartbeat,
+            Err(error) => {
+                tracing::warn!(%error, "worker heartbeat rejected");
+                self.effects
+                    .respond_error(request, 400, &error.to_string(), None);
+                return;
+            }
+        };
+        let change = self.election.observe_epoch(heartbeat.token.epoch());
+        self.apply_leadership_change(change, now);
+        let outcome = self.leader_outcome(&heartbeat, now);
+        match outcome {
+            // What else follows from it waits for the next tick: heartbeats are many.
+            Some(HeartbeatOutcome::Commands(commands)) => {
+                self.effects.respond(request, 200, &commands);
+            }
+            // A response that renews no lease: the worker comes again.
+            Some(HeartbeatOutcome::LeaseNotRenewed) => {
+                self.effects
+                    .respond_error(request, 503, "the open jobs aren't known", None);
+            }
+            Some(HeartbeatOutcome::NewerLeaderExists) | None => {
+                self.redirected.record(heartbeat.worker, now);
+                let leader_hint = self.leader_hint(now);
+                self.effects
+                    .respond(request, 421, &NotLeader { leader_hint });
+            }
+        }
+    }
+
+    /// What the leader makes of a heartbeat; none: this controller does not lead.
+    fn leader_outcome(
+        &mut self,
+        heartbeat: &WorkerHeartbeat,
+        now: f64,
+    ) -> Option<HeartbeatOutcome> {
+        let freshness = self.view_freshness(now);
+        let leader = self.leader.as_mut()?;
+        let open = self.job_api.open_jobs();
+        let is_open = |id: &str| open.contains(id);
+        let outcome = leader.on_heartbeat(heartbeat, &freshness, is_open, now);
+        if matches!(outcome, HeartbeatOutcome::Commands(_))
+            && !is_within_lease_grace(&freshness, heartbeat)
+        {
+            return Some(HeartbeatOutcome::LeaseNotRenewed);
+        }
+        Some(outcome)
+    }
+
+    /// The controller to which workers are sent: the leader, unless that is this controller, which is
+    /// then not certain that it still leads.
+    fn leader_hint(&self, now: f64) -> Option<String> {
+        let known = match self.peers.latest_leader(self.heartbeat_interval_s(), now) {
+            Some((epoch, leader)) if epoch >= self.election.highest_epoch() => leader,
+            _ => self.election.leader(),
+        };
+        let known = known.map(str::to_owned);
+        known.filter(|label| *label != self.settings.label)
+    }
+}
+
+fn read_worker_heartbeat(body: &[u8]) -> Result<WorkerHeartbeat, HeartbeatError> {
+    let heartbeat = cbor::decode::<WorkerHeartbeat>(body)?;
+    heartbeat.token.check()?;
+    Ok(heartbeat)
+}
+
+/// Whether a response that renews a worker's lease may be sent. This is worked out in another way than
+/// the permit that has allowed it.
+fn is_within_lease_grace(freshness: &ViewFreshness, heartbeat: &WorkerHeartbeat) -> bool {
+    let age_s = freshness.lease_age_s.max(freshness.view_age_s);
+    let within = age_s <= freshness.limits.lease_grace_s;
+    let details = format_args!("worker {}, after {age_s} s", heartbeat.worker);
+    invariants::uphold(Invariant::NoRenewalBeyondLeaseGrace, within, details)
+}
--- a/src/coordination/effects.rs
+++ b/src/coordination/effects.rs
@@ -91,6 +91,20 @@
     Ignored,
 }
 
+impl KvRequestKind {
+    /// Whether the response may give the leader something to do. Those to users' requests and to the
+    /// renewal of the lease do not, and are many.
+    pub(super) fn may_concern_leader(&self) -> bool {
+        !matches!(
+            self,
+            KvRequestKind::RevisionCheck(_)
+                | KvRequestKind::JobLookup(_)
+                | KvRequestKind::KeepAlive
+                | KvRequestKind::JobWrites(_)
+        )
+    }
+}
+
 /// Which part asked the cloud, and for what.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudRequestKind {
--- a/src/coordination/watch.rs
+++ b/src/coordination/watch.rs
@@ -2,17 +2,24 @@
 
 use super::effects::{Effects, KvRequestKind};
 use crate::protocol::kv::{KeyValue, KvRequest, KvResponse, WatchEvent};
-use ciborium::Value;
 
 /// What a watch has learned.
 #[derive(Debug)]
 pub enum WatchUpdate {
-    /// The whole content, at a revision.
-    Reset(Vec<KeyValue>, u64),
+    /// The whole content was listed anew.
+    Reset {
+        /// All keys under the prefix.
+        items: Vec<KeyValue>,
+        /// The revision of the listing's first page: changes up to it are in the items.
+        revision: u64,
+    },
     /// A key was put.
-    Put(String, Value, u64),
+    Put(KeyValue),
     /// A key was deleted.
-    Deleted(String),
+    Deleted {
+        /// The key.
+        key: String,
+    },
 }
 
 /// A watch on a prefix.
@@ -124,7 +131,10 @@
                 self.listing_revision = None;
                 self.revision = Some(at);
                 self.complete = true;
-                vec![WatchUpdate::Reset(std::mem::take(&mut self.partial), at)]
+                vec![WatchUpdate::Reset {
+                    items: std::mem::take(&mut self.partial),
+                    revision: at,
+                }]
             }
             KvResponse::Events { events, revision } => {
                 self.failed = false;
@@ -137,8 +147,13 @@
                             key,
                             value,
                             mod_revision,
-                        } => WatchUpdate::Put(key, value, mod_revision),
-                        WatchEvent::Delete { key, .. } => WatchUpdate::Deleted(key),
+                        } => WatchUpdate::Put(KeyValue {
+                            key,
+                            value,
+                            mod_revision,
+                            lease_id: None,
+                        }),
+                        WatchEvent::Delete { key, .. } => WatchUpdate::Deleted { key },
                     })
                     .collect()
             }
