--- a/src/coordination/controller/leader_key.rs
+++ b/src/coordination/controller/leader_key.rs
@@ -1,7 +1,7 @@
 //! Passes the updates of the watch on the `leader` key to the election.
 
 use crate::bookkeeping::records::{self, LeaderRecord};
-use crate::coordination::election::{Election, LeadershipChange};
+use crate::coordination::election::{Election, LeadershipChange, ObservedLeader};
 use crate::coordination::watch::WatchUpdate;
 use crate::protocol::cbor::{self, CborError};
 use crate::protocol::kv::KeyValue;
@@ -35,10 +35,13 @@
     }
 }
 
-/// The leader with the mod revision of its key. A key that can't be read counts as none.
-fn read_or_log(item: &KeyValue) -> Option<(LeaderRecord, u64)> {
+/// The leader that the key names. A key that can't be read counts as none.
+fn read_or_log(item: &KeyValue) -> Option<ObservedLeader> {
     match read_leader(item) {
-        Ok(record) => Some((record, item.mod_revision)),
+        Ok(record) => Some(ObservedLeader {
+            record,
+            mod_revision: item.mod_revision,
+        }),
         Err(error) => {
             tracing::error!(mod_revision = item.mod_revision, %error, "leader record unreadable");
             None
