--- /dev/null
+++ b/src/daemon/clients.rs
@@ -0,0 +1,241 @@
+//! Outgoing calls: a connection pool for each kind of destination, and which response belongs to which call.
+
+use super::sockets::SocketBudget;
+use crate::coordination::effects::CorrelationId;
+use crate::protocol::cloud::{CloudRequest, CloudResponse};
+use crate::protocol::kv::{KvRequest, KvResponse};
+use crate::protocol::worker::{WorkerRequest, WorkerResponse};
+use crate::transport::client::{Call, CallId, Client, Outcome};
+use crate::transport::http;
+use std::collections::HashMap;
+use std::net::{SocketAddr, TcpStream};
+use std::rc::Rc;
+
+/// Longest response of the state service, in bytes. A watch that brings more is listed anew.
+const MAX_STATE_SERVICE_BODY: usize = 2 * 1024 * 1024;
+/// Longest response of the cloud, in bytes.
+const MAX_CLOUD_BODY: usize = 1024 * 1024;
+/// Longest response of a worker, in bytes.
+const MAX_WORKER_BODY: usize = 2 * http::MAX_REQUEST_BODY;
+/// Connections to one worker at a time.
+const CONNECTIONS_PER_WORKER: usize = 1;
+
+/// A kind of destination; each has a connection pool of its own.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub(super) enum Destination {
+    StateService,
+    Cloud,
+    Workers,
+}
+
+impl Destination {
+    pub(super) const ALL: [Destination; 3] = [
+        Destination::StateService,
+        Destination::Cloud,
+        Destination::Workers,
+    ];
+}
+
+/// A connection of one of the pools.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub(super) struct ClientConnection {
+    pub(super) destination: Destination,
+    pub(super) id: u64,
+}
+
+/// A call without a response so far.
+pub(super) enum PendingCall {
+    StateService {
+        correlation_id: CorrelationId,
+        request: KvRequest,
+        /// When it was made, in seconds of the steady clock.
+        sent_at: f64,
+    },
+    Cloud {
+        correlation_id: CorrelationId,
+        request: CloudRequest,
+    },
+    Worker {
+        correlation_id: CorrelationId,
+    },
+}
+
+/// What came of a call, in the protocol's terms.
+pub(super) enum CallResponse {
+    StateService {
+        correlation_id: CorrelationId,
+        response: KvResponse,
+        /// When the call was made; none for watches, which wait on purpose.
+        sent_at: Option<f64>,
+    },
+    Cloud {
+        correlation_id: CorrelationId,
+        response: CloudResponse,
+    },
+    Worker {
+        correlation_id: CorrelationId,
+        response: WorkerResponse,
+    },
+}
+
+impl PendingCall {
+    fn destination(&self) -> Destination {
+        match self {
+            PendingCall::StateService { .. } => Destination::StateService,
+            PendingCall::Cloud { .. } => Destination::Cloud,
+            PendingCall::Worker { .. } => Destination::Workers,
+        }
+    }
+
+    /// The protocol's response for a transport outcome. Only for workers it matters whether a call without a
+    /// response was sent: state service and cloud count all of these as unknown, which is always safe.
+    fn complete(self, outcome: Outcome) -> CallResponse {
+        match self {
+            PendingCall::StateService {
+                correlation_id,
+                request,
+                sent_at,
+            } => CallResponse::StateService {
+                correlation_id,
+                sent_at: (!matches!(request, KvRequest::Watch { .. })).then_some(sent_at),
+                response: match outcome {
+                    Outcome::Answer(http) => request.response(http.status, &http.body),
+                    Outcome::NotSent | Outcome::Unreached | Outcome::Silent => {
+                        KvResponse::OutcomeUnknown
+                    }
+                },
+            },
+            PendingCall::Cloud {
+                correlation_id,
+                request,
+            } => CallResponse::Cloud {
+                correlation_id,
+                response: match outcome {
+                    Outcome::Answer(http) => request.response(http.status, &http.body),
+                    Outcome::NotSent | Outcome::Unreached | Outcome::Silent => {
+                        CloudResponse::OutcomeUnknown
+                    }
+                },
+            },
+            PendingCall::Worker { correlation_id } => CallResponse::Worker {
+                correlation_id,
+                response: match outcome {
+                    Outcome::Answer(http) => WorkerRequest::response(http.status, &http.body),
+                    Outcome::NotSent => WorkerResponse::NotSent,
+                    Outcome::Unreached => WorkerResponse::Unreachable,
+                    Outcome::Silent => WorkerResponse::OutcomeUnknown,
+                },
+            },
+        }
+    }
+}
+
+/// The connection pools and the calls in flight.
+pub(super) struct Clients {
+    state_service: Client,
+    cloud: Client,
+    workers: Client,
+    pending: HashMap<CallId, PendingCall>,
+    next_call_id: CallId,
+}
+
+impl Clients {
+    /// Pools with these numbers of sockets, whose connections are closed when idle for `idle_timeout_s`.
+    pub(super) fn new(sockets: &SocketBudget, idle_timeout_s: f64) -> Clients {
+        let single_destination =
+            |connections, max_body| Client::new(connections, connections, max_body, idle_timeout_s);
+        Clients {
+            state_service: single_destination(sockets.state_service, MAX_STATE_SERVICE_BODY),
+            cloud: single_destination(sockets.cloud, MAX_CLOUD_BODY),
+            workers: Client::new(
+                CONNECTIONS_PER_WORKER,
+                sockets.direct_calls,
+                MAX_WORKER_BODY,
+                idle_timeout_s,
+            ),
+            pending: HashMap::new(),
+            next_call_id: 1,
+        }
+    }
+
+    fn pool(&self, destination: Destination) -> &Client {
+        match destination {
+            Destination::StateService => &self.state_service,
+            Destination::Cloud => &self.cloud,
+            Destination::Workers => &self.workers,
+        }
+    }
+
+    fn pool_mut(&mut self, destination: Destination) -> &mut Client {
+        match destination {
+            Destination::StateService => &mut self.state_service,
+            Destination::Cloud => &mut self.cloud,
+            Destination::Workers => &mut self.workers,
+        }
+    }
+
+    /// The stream of a connection; none once it is closed.
+    pub(super) fn stream(&self, connection: ClientConnection) -> Option<Rc<TcpStream>> {
+        self.pool(connection.destination).stream(connection.id)
+    }
+
+    /// Makes a call. Returns the connection that was opened for it and must be registered, if any.
+    pub(super) fn call(
+        &mut self,
+        pending: PendingCall,
+        to: SocketAddr,
+        (method, path, body): (&'static str, String, Vec<u8>),
+        timeout_s: f64,
+        now: f64,
+    ) -> Option<ClientConnection> {
+        let id = self.next_call_id;
+        self.next_call_id += 1;
+        let destination = pending.destination();
+        self.pending.insert(id, pending);
+        let call = Call {
+            id,
+            to,
+            bytes: http::write_request(method, &to.to_string(), &path, &body),
+            until: now + timeout_s,
+        };
+        let opened = self.pool_mut(destination).call(call, now);
+        opened.map(|id| ClientConnection { destination, id })
+    }
+
+    /// Reads and writes what a connection is ready for. Returns a connection to register, if one was opened.
+    pub(super) fn on_ready(
+        &mut self,
+        connection: ClientConnection,
+        now: f64,
+    ) -> Option<ClientConnection> {
+        let destination = connection.destination;
+        let opened = self.pool_mut(destination).ready(connection.id, now);
+        opened.map(|id| ClientConnection { destination, id })
+    }
+
+    /// Ends the calls that have timed out and closes idle connections. Returns the connections to register.
+    pub(super) fn expire(&mut self, now: f64) -> Vec<ClientConnection> {
+        let mut opened = Vec::new();
+        for destination in Destination::ALL {
+            let ids = self.pool_mut(destination).expire(now);
+            opened.extend(
+                ids.into_iter()
+                    .map(|id| ClientConnection { destination, id }),
+            );
+        }
+        opened
+    }
+
+    /// Takes the calls that have completed, with their responses.
+    pub(super) fn take_responses(&mut self) -> Vec<CallResponse> {
+        let mut responses = Vec::new();
+        for destination in Destination::ALL {
+            for (id, outcome) in self.pool_mut(destination).take_done() {
+                if let Some(pending) = self.pending.remove(&id) {
+                    responses.push(pending.complete(outcome));
+                }
+            }
+        }
+        responses
+    }
+}
--- /dev/null
+++ b/src/daemon/connections.rs
@@ -0,0 +1,205 @@
+//! Listeners and the connections that the event loop watches: accepted, ready to read or write, closed.
+
+use super::clients::ClientConnection;
+use super::{Daemon, DaemonError};
+use crate::coordination::controller::Now;
+use crate::protocol::peer;
+use crate::transport::frames::Incoming;
+use crate::transport::server::After;
+use calloop::generic::Generic;
+use calloop::{Interest, LoopHandle, Mode, PostAction};
+use std::net::{TcpListener, TcpStream};
+use std::rc::Rc;
+
+/// Path of workers' heartbeats, whose connections are the first to be closed when sockets run short.
+const HEARTBEAT_PATH: &str = "/v1/report";
+
+/// A connection that the event loop watches.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub(super) enum Connection {
+    /// From a user, a worker or the load balancer.
+    Request(u64),
+    /// To the state service, the cloud or a worker.
+    Client(ClientConnection),
+    /// To the peer with this index.
+    OutgoingPeer(usize),
+    /// From a peer.
+    IncomingPeer(u64),
+}
+
+/// Accepts connections in the event loop.
+pub(super) fn add_listener(
+    handle: &LoopHandle<'static, Daemon>,
+    listener: TcpListener,
+    accept: fn(&mut Daemon, TcpStream),
+) -> Result<(), DaemonError> {
+    let source = Generic::new(listener, Interest::READ, Mode::Level);
+    handle
+        .insert_source(source, move |_, listener, daemon: &mut Daemon| {
+            // A failed accept (out of sockets, say) is tried again in the loop's next turn.
+            while let Ok((stream, _)) = listener.accept() {
+                let _ = stream.set_nodelay(true);
+                if stream.set_nonblocking(true).is_ok() {
+                    accept(daemon, stream);
+                }
+            }
+            Ok(PostAction::Continue)
+        })
+        .map_err(|error| DaemonError::Source(error.to_string()))?;
+    Ok(())
+}
+
+impl Daemon {
+    pub(super) fn accept_request_connection(&mut self, stream: TcpStream) {
+        let now = self.now();
+        let (id, evicted) = self.server.accept(stream, now.monotonic);
+        if let Some(evicted) = evicted {
+            self.close(Connection::Request(evicted));
+        }
+        if let Some(stream) = self.server.stream(id) {
+            self.register(Connection::Request(id), stream);
+        }
+    }
+
+    pub(super) fn accept_peer(&mut self, stream: TcpStream) {
+        if self.incoming_peers.len() >= self.sockets.incoming_peers
+            && let Some(oldest) = self.incoming_peers.keys().min().copied()
+        {
+            self.close(Connection::IncomingPeer(oldest));
+        }
+        let id = self.next_incoming_peer;
+        self.next_incoming_peer += 1;
+        let incoming = Incoming::new(stream);
+        let stream = incoming.stream();
+        self.incoming_peers.insert(id, incoming);
+        self.register(Connection::IncomingPeer(id), stream);
+    }
+
+    /// Has the event loop watch a connection.
+    pub(super) fn register(&mut self, connection: Connection, stream: Rc<TcpStream>) {
+        let source = Generic::new(stream, Interest::BOTH, Mode::Edge);
+        let inserted = self
+            .handle
+            .insert_source(source, move |_, _, daemon: &mut Daemon| {
+                daemon.on_ready(connection);
+                Ok(PostAction::Continue)
+            });
+        match inserted {
+            Ok(token) => {
+                self.registrations.insert(connection, token);
+            }
+            Err(error) => {
+                tracing::warn!(%error, "connection registration failed");
+                self.close(connection);
+            }
+        }
+    }
+
+    /// Registers a client connection that was opened for a call, if there is one.
+    pub(super) fn register_client(&mut self, opened: Option<ClientConnection>) {
+        if let Some(connection) = opened
+            && let Some(stream) = self.clients.stream(connection)
+        {
+            self.register(Connection::Client(connection), stream);
+        }
+    }
+
+    pub(super) fn unregister(&mut self, connection: Connection) {
+        if let Some(token) = self.registrations.remove(&connection) {
+            self.handle.remove(token);
+        }
+    }
+
+    /// Unregisters the connections that the pools have closed by themselves.
+    pub(super) fn unregister_closed_clients(&mut self) {
+        let closed: Vec<Connection> = self
+            .registrations
+            .keys()
+            .filter(|connection| match connection {
+                Connection::Client(client) => self.clients.stream(*client).is_none(),
+                _ => false,
+            })
+            .copied()
+            .collect();
+        for connection in closed {
+            self.unregister(connection);
+        }
+    }
+
+    /// Unregisters a connection and drops what belongs to it.
+    pub(super) fn close(&mut self, connection: Connection) {
+        self.unregister(connection);
+        match connection {
+            Connection::Request(id) => self.server.close(id),
+            Connection::IncomingPeer(id) => {
+                self.incoming_peers.remove(&id);
+            }
+            Connection::Client(_) | Connection::OutgoingPeer(_) => {}
+        }
+    }
+
+    /// A connection can be read or written.
+    fn on_ready(&mut self, connection: Connection) {
+        let now = self.now();
+        match connection {
+            Connection::Request(id) => {
+                let after = self.server.ready(id, now.monotonic);
+                self.serve(id, after, now);
+            }
+            Connection::Client(client) => {
+                let opened = self.clients.on_ready(client, now.monotonic);
+                if self.clients.stream(client).is_none() {
+                    self.unregister(connection);
+                }
+                self.register_client(opened);
+            }
+            Connection::OutgoingPeer(index) => {
+                if let Some(outgoing) = self.outgoing_peers.get_mut(index)
+                    && !outgoing.ready(now.monotonic)
+                {
+                    self.unregister(connection);
+                }
+            }
+            Connection::IncomingPeer(id) => self.on_peer_ready(id, now),
+        }
+        self.pump();
+    }
+
+    fn on_peer_ready(&mut self, id: u64, now: Now) {
+        let Some(incoming) = self.incoming_peers.get_mut(&id) else {
+            return;
+        };
+        let (frames, open) = incoming.ready(peer::MAX_FRAME);
+        for frame in frames {
+            // A frame that is no heartbeat (of another version, say) is dropped.
+            if let Some(heartbeat) = peer::decode(&frame) {
+                self.controller.on_peer_heartbeat(heartbeat, now);
+            }
+        }
+        if !open {
+            self.close(Connection::IncomingPeer(id));
+        }
+    }
+
+    /// Does what the server asks for after a connection was read or written.
+    pub(super) fn serve(&mut self, id: u64, after: After, now: Now) {
+        match after {
+            After::Keep => {}
+            After::Close => self.close(Connection::Request(id)),
+            After::Serve(request_id, request) => {
+                // Workers keep their connections while there are enough; users can always connect.
+                if request.path == HEARTBEAT_PATH {
+                    self.server.close_if_crowded(request_id);
+                }
+                // A response that is there already goes out when the effects are carried out.
+                self.controller.on_request(
+                    request_id,
+                    &request.method,
+                    &request.path,
+                    &request.body,
+                    now,
+                );
+            }
+        }
+    }
+}
--- a/src/latency.rs
+++ b/src/latency.rs
@@ -1,56 +1,59 @@
-//! Latencies, counted in a histogram and logged from time to time.
+//! Latencies of requests and calls, recorded in histograms and logged at intervals.
 
 use hdrhistogram::Histogram;
 
 /// The longest latency told apart, in microseconds.
-const LONGEST_US: u64 = 60_000_000;
-/// Decimal digits of precision.
-const DIGITS: u8 = 2;
+const MAX_LATENCY_US: u64 = 60_000_000;
+/// Significant decimal digits of a recorded latency.
+const SIGNIFICANT_DIGITS: u8 = 2;
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
+const MICROSECONDS_PER_MILLISECOND: f64 = 1000.0;
 
-/// Latencies of one kind of call.
+/// Records the latencies of one kind of call.
 #[derive(Debug)]
-pub struct Latency {
+pub struct LatencyRecorder {
     what: &'static str,
+    /// None if the histogram could not be made: then nothing is recorded.
     histogram: Option<Histogram<u64>>,
-    log_at: f64,
-    every_s: f64,
+    next_log_at: f64,
+    log_interval_s: f64,
 }
 
-impl Latency {
-    /// Latencies that are logged, and counted anew, every `every_s`.
-    pub fn new(what: &'static str, every_s: f64) -> Latency {
-        Latency {
+impl LatencyRecorder {
+    /// A recorder that is logged, and cleared, every `log_interval_s`.
+    pub fn new(what: &'static str, log_interval_s: f64) -> LatencyRecorder {
+        LatencyRecorder {
             what,
-            histogram: Histogram::new_with_bounds(1, LONGEST_US, DIGITS).ok(),
-            log_at: every_s,
-            every_s,
+            histogram: Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS).ok(),
+            next_log_at: log_interval_s,
+            log_interval_s,
         }
     }
 
-    /// Counts a latency.
+    /// Records a latency in seconds.
     pub fn record(&mut self, seconds: f64) {
         if let Some(histogram) = &mut self.histogram {
-            histogram.saturating_record((seconds.max(0.0) * 1e6) as u64);
+            histogram.saturating_record((seconds.max(0.0) * MICROSECONDS_PER_SECOND) as u64);
         }
     }
 
-    /// Logs if it is time.
-    pub fn drive(&mut self, now: f64) {
-        if now < self.log_at {
+    /// Logs and clears what was recorded, if the interval is over at `now` (seconds of the steady clock).
+    pub fn log_if_due(&mut self, now: f64) {
+        if now < self.next_log_at {
             return;
         }
-        self.log_at = now + self.every_s;
+        self.next_log_at = now + self.log_interval_s;
         if let Some(histogram) = &mut self.histogram
             && !histogram.is_empty()
         {
-            let ms = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1000.0;
+            let ms = |microseconds: u64| microseconds as f64 / MICROSECONDS_PER_MILLISECOND;
             tracing::info!(
                 what = self.what,
                 count = histogram.len(),
-                p50_ms = ms(0.5),
-                p90_ms = ms(0.9),
-                p99_ms = ms(0.99),
-                max_ms = histogram.max() as f64 / 1000.0,
+                p50_ms = ms(histogram.value_at_quantile(0.5)),
+                p90_ms = ms(histogram.value_at_quantile(0.9)),
+                p99_ms = ms(histogram.value_at_quantile(0.99)),
+                max_ms = ms(histogram.max()),
                 "latency"
             );
             histogram.reset();
--- /dev/null
+++ b/tests/sockets.rs
@@ -0,0 +1,85 @@
+//! The socket budget: what each purpose gets, and that the limit of the settings holds.
+
+use cedarladder::daemon::sockets::SocketBudget;
+use cedarladder::settings::Settings;
+
+fn settings(max_sockets: usize, peers: usize) -> Settings {
+    let seeds: String = (0..peers)
+        .map(|n| {
+            format!(
+                "[[seeds]]\nlabel = \"rung-{n}\"\naddress = \"127.0.0.1:{}\"\n",
+                7100 + n
+            )
+        })
+        .collect();
+    let text = format!(
+        r#"
+label = "rung-x"
+site = "a"
+bind = "127.0.0.1:7000"
+peer_bind = "127.0.0.1:7001"
+{seeds}
+[services]
+cloud = "127.0.0.1:7002"
+state = "127.0.0.1:7003"
+[deployment]
+initial_size = 3
+zones = ["a"]
+[deployment.workers]
+report_s = 2.0
+lease_s = 10.0
+cancel_s = 30.0
+[deployment.state]
+rps = 100.0
+write_rps = 50.0
+value_kb = 8.0
+txn_ops = 64
+[deployment.cloud]
+rps = 2.0
+list_lag_s = 2.0
+[deployment.quota]
+core_share = 1.0
+mem_mb = 256.0
+max_sockets = {max_sockets}
+"#
+    );
+    Settings::parse(&text).expect("settings")
+}
+
+#[test]
+fn all_but_what_is_set_aside_is_for_requests() {
+    let budget = SocketBudget::new(&settings(2080, 2));
+    let expected = SocketBudget {
+        // 249 for direct calls, 8 for peers, 28 and 4 for the services, 62 unassigned.
+        requests: 2080 - 249 - 8 - 28 - 4 - 62,
+        incoming_peers: 6,
+        state_service: 28,
+        cloud: 4,
+        direct_calls: 249,
+    };
+    assert_eq!(budget, expected);
+}
+
+#[test]
+fn the_sum_stays_within_the_limit() {
+    for max_sockets in [64, 256, 1000, 2080, 5000] {
+        for peers in [0, 2, 4] {
+            let budget = SocketBudget::new(&settings(max_sockets, peers));
+            let sum = budget.requests
+                + budget.incoming_peers
+                + peers
+                + budget.state_service
+                + budget.cloud
+                + budget.direct_calls;
+            assert!(
+                sum <= max_sockets,
+                "{sum} of {max_sockets}, {peers} peers: {budget:?}"
+            );
+        }
+    }
+}
+
+#[test]
+fn requests_get_a_socket_even_if_the_limit_is_too_low_for_all() {
+    assert_eq!(SocketBudget::new(&settings(32, 4)).requests, 1);
+}
