--- a/src/bookkeeping/workers.rs
+++ b/src/bookkeeping/workers.rs
@@ -455,7 +455,7 @@
             if command.kind != CommandKind::Start {
                 continue;
             }
-            let Some(task) = TaskId::parse(&command.task) else {
+            let Ok(task) = TaskId::parse(&command.task) else {
                 continue;
             };
             match way {
@@ -484,7 +484,7 @@
                     "start outcome unknown"
                 );
             }
-            if let Some(task) = TaskId::parse(&command.task) {
+            if let Ok(task) = TaskId::parse(&command.task) {
                 self.pending_starts
                     .record_call_outcome(&task, command.attempt, fate);
             }
--- a/src/coordination/leader/fencing.rs
+++ b/src/coordination/leader/fencing.rs
@@ -78,7 +78,7 @@
 
 /// Whether an order may go out, by other means than those that made it.
 fn upholds_invariants(command: &Command, worker: &Worker, jobs: &Jobs) -> bool {
-    let Some(task) = TaskId::parse(&command.task) else {
+    let Ok(task) = TaskId::parse(&command.task) else {
         // Workers may show what is no task of ours; it is stopped and cleared.
         return command.kind != CommandKind::Start;
     };
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -55,7 +55,7 @@
                 .tasks
                 .iter()
                 .filter(|task_status| task_status.state != TaskState::Exited)
-                .filter_map(|task_status| TaskId::parse(&task_status.task))
+                .filter_map(|task_status| TaskId::parse(&task_status.task).ok())
                 .any(|task| !is_open(&task.job));
             let known = self.buffered_heartbeats.contains_key(&heartbeat.worker);
             if runs_closed || (!known && self.buffered_heartbeats.len() >= MAX_BUFFERED_HEARTBEATS)
@@ -183,7 +183,7 @@
         }
         let mut statuses: BTreeMap<TaskId, Vec<TaskStatus>> = BTreeMap::new();
         for task_status in &heartbeat.tasks {
-            if let Some(task) = TaskId::parse(&task_status.task) {
+            if let Ok(task) = TaskId::parse(&task_status.task) {
                 statuses.entry(task).or_default().push(task_status.clone());
             }
         }
--- a/src/daemon/connections.rs
+++ b/src/daemon/connections.rs
@@ -172,7 +172,7 @@
         let (frames, open) = incoming.ready(peer::MAX_FRAME);
         for frame in frames {
             // A frame that is no heartbeat (of another version, say) is dropped.
-            if let Some(heartbeat) = peer::decode(&frame) {
+            if let Ok(heartbeat) = peer::decode(&frame) {
                 self.controller.on_peer_heartbeat(heartbeat, now);
             }
         }
--- a/src/daemon/dispatch.rs
+++ b/src/daemon/dispatch.rs
@@ -126,7 +126,13 @@
     }
 
     fn broadcast(&mut self, heartbeat: &PeerHeartbeat, now: Now) {
-        let frame = peer::encode(heartbeat);
+        let frame = match peer::encode(heartbeat) {
+            Ok(frame) => frame,
+            Err(error) => {
+                tracing::error!(%error, "peer heartbeat not sent");
+                return;
+            }
+        };
         for index in 0..self.outgoing_peers.len() {
             if let Some(stream) = self.outgoing_peers[index].send(&frame, now.monotonic) {
                 let connection = Connection::OutgoingPeer(index);
--- a/src/protocol/cbor.rs
+++ b/src/protocol/cbor.rs
@@ -9,16 +9,33 @@
 #[error("not the expected CBOR: {0}")]
 pub struct CborError(String);
 
+/// A message that cannot be written as CBOR.
+#[derive(Debug, thiserror::Error)]
+#[error("cannot be written as CBOR: {0}")]
+pub struct EncodeError(String);
+
 /// Nesting beyond this is refused; no message of ours goes deeper.
 const MAX_DEPTH: usize = 32;
+/// Bytes that most messages fit into.
+const USUAL_BODY_BYTES: usize = 256;
 
-/// Encodes a message. Our own types always encode; an empty body stands for the impossible case.
+/// Encodes a message.
+///
+/// # Errors
+/// If the message's own serialization fails.
+pub fn try_encode<T: Serialize>(message: &T) -> Result<Vec<u8>, EncodeError> {
+    let mut body = Vec::with_capacity(USUAL_BODY_BYTES);
+    ciborium::into_writer(message, &mut body).map_err(|error| EncodeError(error.to_string()))?;
+    Ok(body)
+}
+
+/// Encodes one of our own messages, which always succeeds. Should it fail all the same, that is logged, and the
+/// empty body is one that no receiver accepts.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
-    let mut body = Vec::with_capacity(256);
-    match ciborium::into_writer(message, &mut body) {
-        Ok(()) => body,
-        Err(_) => Vec::new(),
-    }
+    try_encode(message).unwrap_or_else(|error| {
+        tracing::error!(%error, message = std::any::type_name::<T>(), "message not encoded");
+        Vec::new()
+    })
 }
 
 /// Decodes a message, refusing deep nesting and trailing bytes.
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,14 +1,21 @@
-//! The cloud's interface.
+//! The cloud's interface: instance types, and the creation, deletion and listing of instances.
+//!
+//! An instance runs one worker. A request to create instances carries an idempotency key: repeated, it creates
+//! nothing more and has the same response. The listing lags behind by some seconds.
 
 use super::cbor;
+use super::http_status::{self, UnusableResponse, decode_body};
+use super::job::ErrorBody;
 use serde::{Deserialize, Serialize};
 
-/// The most machines of one provisioning request.
+/// The most instances of one provisioning request.
 pub const MAX_INSTANCES_PER_CREATE: u32 = 50;
-/// The most names of one deletion.
+/// The most instances of one deletion.
 pub const MAX_INSTANCES_PER_DELETE: usize = 100;
-/// Machines in a page of the list.
+/// Instances in a page of the list.
 pub const PAGE_SIZE: u32 = 500;
+/// The error of a provisioning request that the cloud has no instances for.
+const OUT_OF_CAPACITY: &str = "no capacity";
 
 /// An instance type.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -22,13 +29,13 @@
     /// GPUs.
     #[serde(rename = "Gpus", default, deserialize_with = "cbor::amount")]
     pub gpus: f64,
-    /// Memory.
+    /// Memory in GB.
     #[serde(rename = "RamGb", deserialize_with = "cbor::amount")]
     pub ram_gb: f64,
-    /// Space for images.
+    /// Space for cached images in GB.
     #[serde(rename = "LocalGb", default, deserialize_with = "cbor::amount")]
     pub image_cache_gb: f64,
-    /// Image fetch rate.
+    /// Rate at which images are pulled, in GB per second.
     #[serde(rename = "PullGbPerS", default, deserialize_with = "cbor::amount")]
     pub image_pull_gb_per_s: f64,
     /// On-demand price per hour.
@@ -41,7 +48,7 @@
         deserialize_with = "cbor::optional_amount"
     )]
     pub spot_price: Option<f64>,
-    /// Usual boot time.
+    /// Usual boot time in seconds.
     #[serde(rename = "ReadyS", deserialize_with = "cbor::amount")]
     pub boot_time_s: f64,
     /// Zones in which it is offered.
@@ -55,7 +62,7 @@
     instance_types: Vec<InstanceType>,
 }
 
-/// State of a machine in the list.
+/// State of an instance in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceStatus {
@@ -70,28 +77,28 @@
     Other,
 }
 
-/// A machine in the list.
+/// An instance in the list.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Instance {
     /// Name.
     #[serde(rename = "NameId")]
     pub name: String,
-    /// Worker's address.
+    /// The worker's address for direct calls; empty while unknown.
     #[serde(rename = "Endpoint", default)]
     pub endpoint: String,
-    /// Type.
+    /// Instance type.
     #[serde(rename = "Flavor")]
     pub instance_type: String,
     /// Zone.
     #[serde(rename = "Grove")]
     pub zone: String,
-    /// Spot machine.
+    /// Spot instance, rather than on-demand.
     #[serde(rename = "Windfall")]
     pub spot: bool,
     /// State.
     #[serde(rename = "Status")]
     pub status: InstanceStatus,
-    /// Age at the time the list describes.
+    /// Age in seconds at the time that the list describes.
     #[serde(rename = "AgeS", default, deserialize_with = "cbor::amount")]
     pub age_s: f64,
 }
@@ -113,16 +120,16 @@
 /// A provisioning request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CreateInstances {
-    /// Name of the request; never used twice.
+    /// Idempotency key; never used for another request.
     #[serde(rename = "Bid")]
     pub idempotency_key: String,
-    /// Type.
+    /// Instance type.
     #[serde(rename = "Flavor")]
     pub instance_type: String,
     /// Zone.
     #[serde(rename = "Grove")]
     pub zone: String,
-    /// Spot machines.
+    /// Spot instances, rather than on-demand.
     #[serde(rename = "Windfall")]
     pub spot: bool,
     /// How many.
@@ -136,49 +143,49 @@
     instances: &'a [String],
 }
 
-/// A call to the cloud.
+/// A request to the cloud.
 #[derive(Debug, Clone)]
 pub enum CloudRequest {
     /// The instance catalog.
     ListInstanceTypes,
-    /// Rent machines.
+    /// Rent instances.
     CreateInstances(CreateInstances),
-    /// Delete machines.
+    /// Delete the instances with these names.
     DeleteInstances(Vec<String>),
-    /// List machines after a name.
+    /// List a page of instances, after this name.
     ListInstances(Option<String>),
 }
 
-/// What came of a call to the cloud.
+/// What came of a request to the cloud.
 #[derive(Debug, Clone)]
 pub enum CloudResponse {
     /// The instance catalog.
     InstanceTypes(Vec<InstanceType>),
-    /// The names of the machines rented.
+    /// The names of the new instances; may be fewer than asked for.
     Created(Vec<String>),
-    /// None available.
+    /// Not executed: none available of this type, in this zone, of this kind.
     InsufficientCapacity,
-    /// The machines are gone.
+    /// The instances are gone.
     Deleted,
-    /// A page of the list, and whether more follow.
+    /// A page of the list.
     Page {
         /// Instances in the order of their names.
         instances: Vec<Instance>,
         /// Whether more follow.
         more: bool,
     },
-    /// Too many requests.
+    /// Not executed: over the rate limit.
     RateLimited,
-    /// An outage.
+    /// Not executed: an outage.
     Unavailable,
-    /// Malformed, says the cloud.
+    /// Not executed: malformed, says the cloud.
     InvalidRequest,
-    /// No usable answer; the call may be executed at any later time.
+    /// No usable response; the request may be executed at any later time.
     OutcomeUnknown,
 }
 
 impl CloudRequest {
-    /// Method, path and body.
+    /// Method, path and body of the HTTP request.
     pub fn http_request(&self) -> (&'static str, String, Vec<u8>) {
         match self {
             CloudRequest::ListInstanceTypes => ("GET", "/machine_types".to_owned(), Vec::new()),
@@ -201,40 +208,45 @@
         }
     }
 
-    /// Reads the answer.
+    /// The meaning of a response. One that is not usable leaves the outcome unknown.
     pub fn response(&self, status: u16, body: &[u8]) -> CloudResponse {
-        match (status, self) {
-            (200, CloudRequest::ListInstanceTypes) => {
-                match cbor::decode::<InstanceTypeList>(body) {
-                    Ok(list) => CloudResponse::InstanceTypes(list.instance_types),
-                    Err(_) => CloudResponse::OutcomeUnknown,
-                }
+        self.parse_response(status, body)
+            .unwrap_or(CloudResponse::OutcomeUnknown)
+    }
+
+    fn parse_response(&self, status: u16, body: &[u8]) -> Result<CloudResponse, UnusableResponse> {
+        match (self, status) {
+            (CloudRequest::ListInstanceTypes, http_status::OK) => {
+                decode_body(body, |list: InstanceTypeList| {
+                    CloudResponse::InstanceTypes(list.instance_types)
+                })
             }
-            (200, CloudRequest::CreateInstances(_)) => match cbor::decode::<CreatedInstances>(body)
-            {
-                Ok(rented) => CloudResponse::Created(rented.instances),
-                Err(_) => CloudResponse::OutcomeUnknown,
-            },
-            (200, CloudRequest::DeleteInstances(_)) => CloudResponse::Deleted,
-            (200, CloudRequest::ListInstances(_)) => match cbor::decode::<InstancePage>(body) {
-                Ok(page) => CloudResponse::Page {
+            (CloudRequest::CreateInstances(_), http_status::OK) => {
+                decode_body(body, |created: CreatedInstances| {
+                    CloudResponse::Created(created.instances)
+                })
+            }
+            (CloudRequest::DeleteInstances(_), http_status::OK) => Ok(CloudResponse::Deleted),
+            (CloudRequest::ListInstances(_), http_status::OK) => {
+                decode_body(body, |page: InstancePage| CloudResponse::Page {
                     instances: page.instances,
                     more: page.more,
-                },
-                Err(_) => CloudResponse::OutcomeUnknown,
-            },
-            (503, CloudRequest::CreateInstances(_)) => {
-                match cbor::decode::<super::job::ErrorBody>(body) {
-                    Ok(refusal) if refusal.error == "no capacity" => {
-                        CloudResponse::InsufficientCapacity
-                    }
-                    _ => CloudResponse::Unavailable,
-                }
+                })
             }
-            (503, _) => CloudResponse::Unavailable,
-            (429, _) => CloudResponse::RateLimited,
-            (400, _) => CloudResponse::InvalidRequest,
-            _ => CloudResponse::OutcomeUnknown,
+            (CloudRequest::CreateInstances(_), http_status::SERVICE_UNAVAILABLE)
+                if is_out_of_capacity(body) =>
+            {
+                Ok(CloudResponse::InsufficientCapacity)
+            }
+            (_, http_status::SERVICE_UNAVAILABLE) => Ok(CloudResponse::Unavailable),
+            (_, http_status::TOO_MANY_REQUESTS) => Ok(CloudResponse::RateLimited),
+            (_, http_status::BAD_REQUEST) => Ok(CloudResponse::InvalidRequest),
+            _ => Err(UnusableResponse::UnexpectedStatus(status)),
         }
     }
 }
+
+/// Whether a 503 says that a pool is sold out; without such a body it is an outage.
+fn is_out_of_capacity(body: &[u8]) -> bool {
+    cbor::decode::<ErrorBody>(body).is_ok_and(|refusal| refusal.error == OUT_OF_CAPACITY)
+}
--- a/src/protocol/kv.rs
+++ b/src/protocol/kv.rs
@@ -1,29 +1,35 @@
-//! The state service's interface.
+//! The state service's interface: a consensus-backed key-value store with transactions, leases and watches.
+//!
+//! Each change of the store has a revision, counted up; a key's mod revision is that of its last change, and 0 if
+//! there is no such key. A transaction compares mod revisions and writes, all or nothing. Keys may be attached to a
+//! lease and are deleted with it. A watch waits for changes under a prefix. A request whose response is lost may
+//! have been executed, or may be executed at any later time.
 
 use super::cbor;
+use super::http_status::{self, UnusableResponse, decode_body};
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 
-/// The most a transaction may hold in all, counted as JSON.
+/// The largest transaction in bytes, counted as JSON.
 pub const MAX_TXN_BYTES: usize = 64 * 1024;
-/// Conditions per write that a transaction may have.
+/// Compares that a transaction may have for each of its allowed writes.
 pub const COMPARES_PER_WRITE: usize = 4;
-/// Items in a page of keys.
+/// Keys in a page of a listing.
 pub const PAGE_SIZE: u32 = 1000;
 
-/// A condition of a transaction: the key has this version (0: it does not exist).
+/// A condition of a transaction: the key has this mod revision (0: it does not exist).
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Compare {
     /// Key.
     #[serde(rename = "Path")]
     pub key: String,
-    /// Version.
+    /// Mod revision.
     #[serde(rename = "Stamp")]
     pub mod_revision: u64,
 }
 
 impl Compare {
-    /// The key has this version.
+    /// The key has this mod revision.
     pub fn new(key: impl Into<String>, mod_revision: u64) -> Compare {
         Compare {
             key: key.into(),
@@ -32,7 +38,7 @@
     }
 }
 
-/// A change in a transaction.
+/// A write of a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum WriteOp {
@@ -44,7 +50,7 @@
         /// Value.
         #[serde(rename = "V")]
         value: Value,
-        /// Lease.
+        /// Lease to attach the key to; without one it stays until it is deleted.
         #[serde(rename = "Hold", skip_serializing_if = "Option::is_none", default)]
         lease_id: Option<u64>,
     },
@@ -57,7 +63,7 @@
 }
 
 impl WriteOp {
-    /// Puts one of our own types.
+    /// Puts a record, attached to no lease.
     pub fn put<T: Serialize>(key: impl Into<String>, value: &T) -> WriteOp {
         WriteOp::Put {
             key: key.into(),
@@ -69,7 +75,7 @@
     pub fn delete(key: impl Into<String>) -> WriteOp {
         WriteOp::Delete { key: key.into() }
     }
-    /// Size as the protocol counts it.
+    /// Size in bytes as the protocol counts it, which is in JSON; never too small.
     pub fn json_size(&self) -> usize {
         match self {
             WriteOp::Put { key, value, .. } => key.len() + 48 + cbor::json_size(value),
@@ -81,15 +87,15 @@
 /// A transaction.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Txn {
-    /// Conditions.
+    /// All must hold.
     #[serde(rename = "When", default)]
     pub compares: Vec<Compare>,
-    /// Changes.
+    /// What is written if they do; nothing: the transaction only compares.
     #[serde(rename = "Writes", default)]
     pub writes: Vec<WriteOp>,
 }
 
-/// A key with its value and version.
+/// A key with its value and mod revision.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct KeyValue {
     /// Key.
@@ -98,10 +104,10 @@
     /// Value.
     #[serde(rename = "V")]
     pub value: Value,
-    /// Version.
+    /// Mod revision.
     #[serde(rename = "Stamp")]
     pub mod_revision: u64,
-    /// Lease.
+    /// Lease that the key is attached to.
     #[serde(rename = "Hold", default)]
     pub lease_id: Option<u64>,
 }
@@ -118,7 +124,7 @@
         /// Value.
         #[serde(rename = "V")]
         value: Value,
-        /// Version.
+        /// Mod revision.
         #[serde(rename = "Stamp")]
         mod_revision: u64,
     },
@@ -175,45 +181,45 @@
     ttl_ms: u64,
 }
 
-/// A call to the state service.
+/// A request to the state service.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KvRequest {
     /// Read a key.
     Get(String),
-    /// Read a page of keys under a prefix, after a key.
+    /// Read a page of the keys under a prefix.
     List {
         /// Prefix.
         prefix: String,
-        /// Key after which the page starts.
+        /// Key after which the page starts; none: at the first.
         after: Option<String>,
     },
-    /// Compare and change.
+    /// Compare and write, all or nothing.
     Txn(Txn),
-    /// New lease, in milliseconds.
+    /// Grant a lease that expires after so many milliseconds.
     GrantLease(u64),
-    /// Renew a lease.
+    /// Renew the lease with this id.
     KeepAlive(u64),
-    /// End a lease.
+    /// End the lease with this id, and delete the keys attached to it.
     RevokeLease(u64),
     /// Wait for changes under a prefix.
     Watch {
         /// Prefix.
         prefix: String,
-        /// Revision already known.
+        /// Revision up to which changes are known.
         after: u64,
-        /// Longest wait.
+        /// Longest wait in milliseconds.
         wait_ms: u64,
     },
 }
 
-/// What came of a call to the state service.
+/// What came of a request to the state service.
 #[derive(Debug, Clone)]
 pub enum KvResponse {
     /// The key.
     Value(KeyValue),
     /// The key does not exist.
     NotFound,
-    /// A page of keys, whether more follow, and the revision.
+    /// A page of keys.
     Page {
         /// Keys in order.
         items: Vec<KeyValue>,
@@ -224,9 +230,9 @@
     },
     /// Committed at a revision.
     Committed(u64),
-    /// Conditions that do not hold.
+    /// Not committed: the compares of these keys do not hold.
     CompareFailed(Vec<String>),
-    /// The new lease.
+    /// The id of the new lease.
     LeaseGranted(u64),
     /// The lease was renewed or ended.
     LeaseOk,
@@ -234,7 +240,7 @@
     LeaseExpired,
     /// The revision to watch from has been compacted: the keys must be listed anew.
     Compacted,
-    /// Changes and the revision they lead to.
+    /// Changes under the prefix.
     Events {
         /// Changes in order.
         events: Vec<WatchEvent>,
@@ -243,16 +249,16 @@
     },
     /// Over the rate limit; not executed.
     RateLimited,
-    /// Not executed.
+    /// Not executed: an outage, or this controller is refused.
     Unavailable,
-    /// Malformed, says the service.
+    /// Not executed: malformed, or a write with an expired lease.
     InvalidRequest,
-    /// No usable answer; the call may be executed at any later time.
+    /// No usable response; the request may be executed at any later time.
     OutcomeUnknown,
 }
 
 impl KvRequest {
-    /// Method, path and body.
+    /// Method, path and body of the HTTP request.
     pub fn http_request(&self) -> (&'static str, String, Vec<u8>) {
         match self {
             KvRequest::Get(key) => ("GET", format!("/keys/{key}"), Vec::new()),
@@ -294,50 +300,52 @@
         }
     }
 
-    /// Reads the answer.
+    /// The meaning of a response. One that is not usable leaves the outcome unknown.
     pub fn response(&self, status: u16, body: &[u8]) -> KvResponse {
-        match status {
-            429 => return KvResponse::RateLimited,
-            503 => return KvResponse::Unavailable,
-            400 => return KvResponse::InvalidRequest,
-            _ => {}
-        }
-        self.decode(status, body)
+        self.parse_response(status, body)
             .unwrap_or(KvResponse::OutcomeUnknown)
     }
 
-    fn decode(&self, status: u16, body: &[u8]) -> Option<KvResponse> {
-        Some(match (self, status) {
-            (KvRequest::Get(_), 200) => KvResponse::Value(cbor::decode(body).ok()?),
-            (KvRequest::Get(_), 404) => KvResponse::NotFound,
-            (KvRequest::List { .. }, 200) => {
-                let page: ItemPage = cbor::decode(body).ok()?;
-                KvResponse::Page {
+    fn parse_response(&self, status: u16, body: &[u8]) -> Result<KvResponse, UnusableResponse> {
+        match status {
+            http_status::TOO_MANY_REQUESTS => return Ok(KvResponse::RateLimited),
+            http_status::SERVICE_UNAVAILABLE => return Ok(KvResponse::Unavailable),
+            http_status::BAD_REQUEST => return Ok(KvResponse::InvalidRequest),
+            _ => {}
+        }
+        match (self, status) {
+            (KvRequest::Get(_), http_status::OK) => decode_body(body, KvResponse::Value),
+            (KvRequest::Get(_), http_status::NOT_FOUND) => Ok(KvResponse::NotFound),
+            (KvRequest::List { .. }, http_status::OK) => {
+                decode_body(body, |page: ItemPage| KvResponse::Page {
                     items: page.items,
                     more: page.more,
                     revision: page.revision,
-                }
+                })
             }
-            (KvRequest::Txn(_), 200) => {
-                KvResponse::Committed(cbor::decode::<Revision>(body).ok()?.revision)
+            (KvRequest::Txn(_), http_status::OK) => decode_body(body, |committed: Revision| {
+                KvResponse::Committed(committed.revision)
+            }),
+            (KvRequest::Txn(_), http_status::CONFLICT) => decode_body(body, |conflict: Failed| {
+                KvResponse::CompareFailed(conflict.failed)
+            }),
+            (KvRequest::GrantLease(_), http_status::OK) => decode_body(body, |lease: LeaseBody| {
+                KvResponse::LeaseGranted(lease.lease_id)
+            }),
+            (KvRequest::KeepAlive(_) | KvRequest::RevokeLease(_), 200..=299) => {
+                Ok(KvResponse::LeaseOk)
             }
-            (KvRequest::Txn(_), 409) => {
-                KvResponse::CompareFailed(cbor::decode::<Failed>(body).ok()?.failed)
+            (KvRequest::KeepAlive(_) | KvRequest::RevokeLease(_), http_status::NOT_FOUND) => {
+                Ok(KvResponse::LeaseExpired)
             }
-            (KvRequest::GrantLease(_), 200) => {
-                KvResponse::LeaseGranted(cbor::decode::<LeaseBody>(body).ok()?.lease_id)
-            }
-            (KvRequest::KeepAlive(_) | KvRequest::RevokeLease(_), 200..=299) => KvResponse::LeaseOk,
-            (KvRequest::KeepAlive(_) | KvRequest::RevokeLease(_), 404) => KvResponse::LeaseExpired,
-            (KvRequest::Watch { .. }, 200) => {
-                let page: Events = cbor::decode(body).ok()?;
-                KvResponse::Events {
+            (KvRequest::Watch { .. }, http_status::OK) => {
+                decode_body(body, |page: Events| KvResponse::Events {
                     events: page.events,
                     revision: page.revision,
-                }
+                })
             }
-            (KvRequest::Watch { .. }, 410) => KvResponse::Compacted,
-            _ => return None,
-        })
+            (KvRequest::Watch { .. }, http_status::GONE) => Ok(KvResponse::Compacted),
+            _ => Err(UnusableResponse::UnexpectedStatus(status)),
+        }
     }
 }
--- a/tests/golden/workers.rs
+++ b/tests/golden/workers.rs
@@ -217,8 +217,8 @@
         "j-1/",
     ] {
         let reading = match TaskId::parse(name) {
-            Some(task) => format!("job {}, task {}: {task}", task.job, task.index),
-            None => "no task".to_owned(),
+            Ok(task) => format!("job {}, task {}: {task}", task.job, task.index),
+            Err(_) => "no task".to_owned(),
         };
         file.pin_text(&format!("task name {name}"), &reading);
     }
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -217,8 +217,8 @@
             }],
         },
     };
-    let frame = peer::encode(&heartbeat);
-    assert_eq!(peer::decode(&frame), Some(heartbeat));
+    let frame = peer::encode(&heartbeat).expect("encodes");
+    assert_eq!(peer::decode(&frame).ok(), Some(heartbeat));
     let commands = worker::CommandBatch {
         token: FencingToken::new(5, 2),
         incarnation: Some(1),
--- a/tests/world/recorder.rs
+++ b/tests/world/recorder.rs
@@ -91,7 +91,7 @@
             }
             Effect::BroadcastHeartbeat(heartbeat) => {
                 self.begin(Kind::PeerHeartbeat, now, controller);
-                self.bytes(&peer::encode(heartbeat));
+                self.bytes(&peer::encode(heartbeat).expect("encodes"));
             }
         }
     }
