--- a/src/bookkeeping/workers/delivery.rs
+++ b/src/bookkeeping/workers/delivery.rs
@@ -31,7 +31,7 @@
             if command.kind != CommandKind::Start {
                 continue;
             }
-            let Some(task) = TaskId::parse(&command.task) else {
+            let Ok(task) = TaskId::parse(&command.task) else {
                 continue;
             };
             match path {
@@ -60,7 +60,7 @@
                     "start outcome unknown"
                 );
             }
-            if let Some(task) = TaskId::parse(&command.task) {
+            if let Ok(task) = TaskId::parse(&command.task) {
                 self.pending_starts
                     .record_call_outcome(&task, command.attempt, outcome);
             }
--- a/src/coordination/leader/fencing.rs
+++ b/src/coordination/leader/fencing.rs
@@ -79,7 +79,7 @@
 
 /// Whether a command may be sent, checked independently of the code that decided on it.
 fn upholds_invariants(command: &Command, worker: &Worker, jobs: &Jobs) -> bool {
-    let Some(task) = TaskId::parse(&command.task) else {
+    let Ok(task) = TaskId::parse(&command.task) else {
         // Workers may show what is no task of ours; it is stopped and cleared.
         return command.kind != CommandKind::Start;
     };
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -65,7 +65,7 @@
                 .tasks
                 .iter()
                 .filter(|task_status| task_status.state != TaskState::Exited)
-                .filter_map(|task_status| TaskId::parse(&task_status.task))
+                .filter_map(|task_status| TaskId::parse(&task_status.task).ok())
                 .any(|task| !is_open(&task.job));
             if runs_closed || !recovery.buffer_heartbeat(heartbeat) {
                 return HeartbeatOutcome::LeaseNotRenewed;
@@ -235,7 +235,7 @@
 fn observed_tasks(heartbeat: &WorkerHeartbeat) -> BTreeMap<TaskId, Vec<TaskStatus>> {
     let mut statuses: BTreeMap<TaskId, Vec<TaskStatus>> = BTreeMap::new();
     for status in &heartbeat.tasks {
-        if let Some(task) = TaskId::parse(&status.task) {
+        if let Ok(task) = TaskId::parse(&status.task) {
             statuses.entry(task).or_default().push(status.clone());
         }
     }
