--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -5,8 +5,8 @@
 #[derive(Debug, Clone)]
 pub(super) struct Task {
     pub(super) attempt: u64,
-    pub(super) status: TaskState,
-    pub(super) cause: Option<ExitReason>,
+    pub(super) state: TaskState,
+    pub(super) exit_reason: Option<ExitReason>,
     pub(super) until: f64,
 }
 
@@ -16,18 +16,18 @@
     pub(super) spot: bool,
     pub(super) cpus: f64,
     pub(super) incarnation: u64,
-    pub(super) tick: u64,
+    pub(super) sequence: u64,
     pub(super) token: FencingToken,
-    pub(super) lease_from: f64,
+    pub(super) lease_renewed_at: f64,
     pub(super) tasks: BTreeMap<String, Vec<Task>>,
-    pub(super) at: usize,
-    pub(super) sent: Option<(u64, f64)>,
-    pub(super) next_report: f64,
-    pub(super) deaf_until: f64,
-    /// Its reports arrive, but no answer or command reaches it.
-    pub(super) unreached_until: f64,
+    pub(super) controller: usize,
+    pub(super) awaiting_response: Option<(u64, f64)>,
+    pub(super) next_heartbeat_at: f64,
+    pub(super) disconnected_until: f64,
+    /// Its heartbeats arrive, but no answer or command reaches it.
+    pub(super) inbound_blocked_until: f64,
     /// It reaches no controller; direct commands reach it.
-    pub(super) muted_until: f64,
+    pub(super) outbound_blocked_until: f64,
     /// Every task fails on it.
     pub(super) faulty: bool,
     /// It stands still, and goes on then unless its lease is over.
@@ -39,14 +39,14 @@
 pub(super) const TEAM_CPUS: f64 = 40.0;
 
 /// The job that a task belongs to.
-pub(super) fn job_of(step: &str) -> &str {
-    step.split('/').next().unwrap_or("")
+pub(super) fn job_of(task_id: &str) -> &str {
+    task_id.split('/').next().unwrap_or("")
 }
 
 impl Worker {
-    pub(super) fn runs(&self, step: &str) -> bool {
-        let tasks = self.tasks.get(step).into_iter().flatten();
-        tasks.into_iter().any(|t| t.status != TaskState::Exited)
+    pub(super) fn runs(&self, task_id: &str) -> bool {
+        let tasks = self.tasks.get(task_id).into_iter().flatten();
+        tasks.into_iter().any(|t| t.state != TaskState::Exited)
     }
 
     /// Whether one more task would not fit.
@@ -56,20 +56,20 @@
 
     /// Whether a task of a job is here.
     pub(super) fn runs_job(&self, job: &str) -> bool {
-        self.running().any(|(step, _)| job_of(step) == job)
+        self.running().any(|(task_id, _)| job_of(task_id) == job)
     }
 
     pub(super) fn running(&self) -> impl Iterator<Item = (&str, &Task)> {
-        self.tasks.iter().flat_map(|(step, tasks)| {
+        self.tasks.iter().flat_map(|(task_id, tasks)| {
             tasks
                 .iter()
-                .filter(|t| t.status != TaskState::Exited)
-                .map(move |t| (step.as_str(), t))
+                .filter(|t| t.state != TaskState::Exited)
+                .map(move |t| (task_id.as_str(), t))
         })
     }
 
-    pub(super) fn report(&mut self) -> WorkerHeartbeat {
-        self.tick += 1;
+    pub(super) fn heartbeat(&mut self) -> WorkerHeartbeat {
+        self.sequence += 1;
         WorkerHeartbeat {
             worker: self.name.clone(),
             endpoint: self.name.clone(),
@@ -77,18 +77,18 @@
             zone: self.zone.clone(),
             spot: self.spot,
             incarnation: self.incarnation,
-            sequence: self.tick,
+            sequence: self.sequence,
             token: self.token,
             reclaim_in_s: None,
             tasks: self
                 .tasks
                 .iter()
-                .flat_map(|(step, tasks)| {
+                .flat_map(|(task_id, tasks)| {
                     tasks.iter().map(|t| TaskStatus {
-                        task: step.clone(),
+                        task: task_id.clone(),
                         attempt: t.attempt,
-                        state: t.status,
-                        exit_reason: t.cause,
+                        state: t.state,
+                        exit_reason: t.exit_reason,
                     })
                 })
                 .collect(),
@@ -98,7 +98,7 @@
 
 impl World {
     pub(super) fn wake(&mut self, name: &str) {
-        let Some(machine) = self.machines.get_mut(name) else {
+        let Some(machine) = self.instances.get_mut(name) else {
             return;
         };
         if machine.status == InstanceStatus::Starting {
@@ -109,23 +109,23 @@
                 spot: machine.spot,
                 cpus: 8.0,
                 incarnation: 1,
-                tick: 0,
+                sequence: 0,
                 token: FencingToken::default(),
-                lease_from: self.now,
+                lease_renewed_at: self.now,
                 tasks: BTreeMap::new(),
-                at: self.rng.random_range(0..self.nodes.len()),
-                sent: None,
-                next_report: self.now,
-                deaf_until: 0.0,
-                unreached_until: 0.0,
-                muted_until: 0.0,
+                controller: self.rng.random_range(0..self.controllers.len()),
+                awaiting_response: None,
+                next_heartbeat_at: self.now,
+                disconnected_until: 0.0,
+                inbound_blocked_until: 0.0,
+                outbound_blocked_until: 0.0,
                 faulty: false,
                 hung_until: 0.0,
             };
             self.workers.insert(name.to_owned(), worker);
         }
         let now = self.now;
-        let nodes = self.nodes.len();
+        let controllers = self.controllers.len();
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
@@ -134,24 +134,24 @@
             for task in worker.tasks.values_mut().flatten() {
                 task.until += 0.25;
             }
-            self.after(0.25, What::Wake(name.to_owned()));
+            self.after(0.25, SimEvent::WorkerWakes(name.to_owned()));
             return;
         }
         for tasks in worker.tasks.values_mut() {
             for task in tasks.iter_mut() {
-                if task.status == TaskState::Running && now >= task.until {
-                    task.status = TaskState::Exited;
-                    task.cause = Some(ExitReason::Completed);
-                    worker.next_report = now;
+                if task.state == TaskState::Running && now >= task.until {
+                    task.state = TaskState::Exited;
+                    task.exit_reason = Some(ExitReason::Completed);
+                    worker.next_heartbeat_at = now;
                 }
             }
         }
         let mut ended = BTreeSet::new();
-        for (step, tasks) in &worker.tasks {
-            if tasks.iter().any(|t| t.cause == Some(ExitReason::Completed))
-                && self.done.insert(step.clone())
+        for (task_id, tasks) in &worker.tasks {
+            if tasks.iter().any(|t| t.exit_reason == Some(ExitReason::Completed))
+                && self.done.insert(task_id.clone())
             {
-                ended.insert(job_of(step).to_owned());
+                ended.insert(job_of(task_id).to_owned());
             }
         }
         for job in ended {
@@ -160,35 +160,38 @@
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        if worker.sent.is_some_and(|(_, at)| now - at > 4.0) {
-            worker.sent = None;
-            worker.at = (worker.at + 1) % nodes;
-            worker.next_report = now + 1.0;
+        if worker.awaiting_response.is_some_and(|(_, at)| now - at > 4.0) {
+            worker.awaiting_response = None;
+            worker.controller = (worker.controller + 1) % controllers;
+            worker.next_heartbeat_at = now + 1.0;
         }
-        if worker.sent.is_none() && now >= worker.next_report {
-            let report = worker.report();
-            worker.sent = Some((report.sequence, now));
-            let (at, deaf) = (worker.at, now < worker.deaf_until.max(worker.muted_until));
+        if worker.awaiting_response.is_none() && now >= worker.next_heartbeat_at {
+            let report = worker.heartbeat();
+            worker.awaiting_response = Some((report.sequence, now));
+            let (at, deaf) = (worker.controller, now < worker.disconnected_until.max(worker.outbound_blocked_until));
             if !deaf {
-                if self.rng.random::<f64>() < self.weather.copies {
+                if self.rng.random::<f64>() < self.faults.duplicate_heartbeats {
                     let late = 1.0 + self.rng.random::<f64>() * 3.0 * LEASE_S;
-                    // It may come to a node other than it was sent to.
-                    let to = self.rng.random_range(0..nodes);
-                    self.after(late, What::CopyAt(to, Box::new(report.clone())));
+                    // It may come to a controller other than it was sent to.
+                    let to = self.rng.random_range(0..controllers);
+                    self.after(late, SimEvent::DuplicateHeartbeatArrives(to, Box::new(report.clone())));
                 }
-                if self.weather.held > 0.0 && self.rng.random::<f64>() < self.weather.held {
+                if self.faults.delayed_heartbeats > 0.0 && self.rng.random::<f64>() < self.faults.delayed_heartbeats {
                     let late = 4.0 + self.rng.random::<f64>() * 2.0 * LEASE_S;
-                    let to = self.rng.random_range(0..nodes);
-                    self.after(late, What::CopyAt(to, Box::new(report)));
+                    let to = self.rng.random_range(0..controllers);
+                    self.after(late, SimEvent::DuplicateHeartbeatArrives(to, Box::new(report)));
                 } else {
-                    self.after(0.003, What::ReportAt(at, name.to_owned(), Box::new(report)));
+                    self.after(
+                        0.003,
+                        SimEvent::WorkerHeartbeatArrives(at, name.to_owned(), Box::new(report)),
+                    );
                 }
             }
         }
-        self.after(0.25, What::Wake(name.to_owned()));
+        self.after(0.25, SimEvent::WorkerWakes(name.to_owned()));
     }
 
-    pub(super) fn report_answered(
+    pub(super) fn on_heartbeat_answered(
         &mut self,
         name: &str,
         key: (u64, u64),
@@ -196,27 +199,27 @@
         body: &[u8],
     ) {
         let now = self.now;
-        let nodes = self.nodes.len();
+        let controllers = self.controllers.len();
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        let Some((tick, sent_at)) = worker.sent else {
+        let Some((tick, sent_at)) = worker.awaiting_response else {
             return;
         };
-        let unheard = worker.deaf_until.max(worker.unreached_until);
-        let silent = worker.muted_until.max(worker.hung_until);
+        let unheard = worker.disconnected_until.max(worker.inbound_blocked_until);
+        let silent = worker.outbound_blocked_until.max(worker.hung_until);
         if (worker.incarnation, tick) != key || now < unheard.max(silent) {
             return;
         }
-        let (at, zone) = (worker.at, worker.zone.clone());
-        if self.is_cut(at, &zone) {
+        let (at, zone) = (worker.controller, worker.zone.clone());
+        if self.is_partitioned_from(at, &zone) {
             return;
         }
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        worker.sent = None;
-        worker.next_report = now + 2.0;
+        worker.awaiting_response = None;
+        worker.next_heartbeat_at = now + 2.0;
         match status {
             200 => {
                 let commands: CommandBatch = cbor::decode(body).expect("an answer to a report");
@@ -224,10 +227,10 @@
                     return;
                 }
                 if commands.token > worker.token {
-                    worker.next_report = now + 0.5;
+                    worker.next_heartbeat_at = now + 0.5;
                 }
                 worker.token = commands.token;
-                worker.lease_from = sent_at;
+                worker.lease_renewed_at = sent_at;
                 self.execute(name, &commands);
             }
             421 => {
@@ -237,27 +240,27 @@
                     .as_deref()
                     .map(|label| label[1..].parse::<usize>())
                 {
-                    Some(Ok(node)) if node != worker.at => {
-                        worker.at = node;
-                        worker.next_report = now;
+                    Some(Ok(controller)) if controller != worker.controller => {
+                        worker.controller = controller;
+                        worker.next_heartbeat_at = now;
                     }
                     _ => {
-                        worker.at = (worker.at + 1) % nodes;
-                        worker.next_report = now + 1.0;
+                        worker.controller = (worker.controller + 1) % controllers;
+                        worker.next_heartbeat_at = now + 1.0;
                     }
                 }
             }
             _ => {
-                worker.at = (worker.at + 1) % nodes;
-                worker.next_report = now + 1.0;
+                worker.controller = (worker.controller + 1) % controllers;
+                worker.next_heartbeat_at = now + 1.0;
             }
         }
     }
 
-    pub(super) fn worker_call(
+    pub(super) fn on_worker_request(
         &mut self,
         i: usize,
-        life: u64,
+        process_incarnation: u64,
         correlation_id: u64,
         host: &str,
         call: &WorkerRequest,
@@ -266,23 +269,29 @@
         let Some(worker) = self.workers.get_mut(host) else {
             return;
         };
-        if now < worker.unreached_until {
+        if now < worker.inbound_blocked_until {
             return;
         }
         let zone = worker.zone.clone();
-        let cut = self.is_cut(i, &zone);
+        let cut = self.is_partitioned_from(i, &zone);
         let Some(worker) = self.workers.get_mut(host) else {
             return;
         };
-        if now < worker.deaf_until.max(worker.hung_until) || cut {
+        if now < worker.disconnected_until.max(worker.hung_until) || cut {
             // Held, and delivered after the interruption.
-            let again = What::WorkerAt(i, life, correlation_id, host.to_owned(), call.clone());
+            let again = SimEvent::WorkerRequestArrives(
+                i,
+                process_incarnation,
+                correlation_id,
+                host.to_owned(),
+                call.clone(),
+            );
             let back = self
-                .cut
+                .partition
                 .as_ref()
                 .filter(|_| cut)
                 .map_or(0.0, |cut| cut.until);
-            let until = worker.deaf_until.max(worker.hung_until).max(back);
+            let until = worker.disconnected_until.max(worker.hung_until).max(back);
             self.at(until, again);
             return;
         }
@@ -290,43 +299,46 @@
             WorkerRequest::Commands(commands) => {
                 if commands.token < worker.token || commands.incarnation != Some(worker.incarnation)
                 {
-                    WorkerResponse::Rejected(Box::new(worker.report()))
+                    WorkerResponse::Rejected(Box::new(worker.heartbeat()))
                 } else {
                     if commands.token > worker.token {
-                        worker.next_report = now;
+                        worker.next_heartbeat_at = now;
                     }
                     worker.token = commands.token;
                     let commands = commands.clone();
                     self.execute(host, &commands);
                     let worker = self.workers.get_mut(host).expect("still there");
-                    WorkerResponse::Executed(Box::new(worker.report()))
+                    WorkerResponse::Executed(Box::new(worker.heartbeat()))
                 }
             }
         };
-        self.deliver(0.003, What::WorkerBack(i, life, correlation_id, reply));
+        self.deliver(
+            0.003,
+            SimEvent::WorkerResponseArrives(i, process_incarnation, correlation_id, reply),
+        );
     }
 
     pub(super) fn execute(&mut self, name: &str, commands: &CommandBatch) {
-        for order in &commands.commands {
-            match order.kind {
-                CommandKind::Start => self.start(name, &order.task, order.attempt),
+        for command in &commands.commands {
+            match command.kind {
+                CommandKind::Start => self.start(name, &command.task, command.attempt),
                 CommandKind::Stop => {
                     let worker = self.workers.get_mut(name).expect("a worker");
-                    for task in worker.tasks.get_mut(&order.task).into_iter().flatten() {
-                        if task.attempt == order.attempt && task.status == TaskState::Running {
-                            task.status = TaskState::Exited;
-                            task.cause = Some(ExitReason::Stopped);
+                    for task in worker.tasks.get_mut(&command.task).into_iter().flatten() {
+                        if task.attempt == command.attempt && task.state == TaskState::Running {
+                            task.state = TaskState::Exited;
+                            task.exit_reason = Some(ExitReason::Stopped);
                         }
                     }
                 }
                 CommandKind::Clear => {
                     let worker = self.workers.get_mut(name).expect("a worker");
-                    if let Some(tasks) = worker.tasks.get_mut(&order.task) {
+                    if let Some(tasks) = worker.tasks.get_mut(&command.task) {
                         tasks.retain(|t| {
-                            t.attempt != order.attempt || t.status != TaskState::Exited
+                            t.attempt != command.attempt || t.state != TaskState::Exited
                         });
                         if tasks.is_empty() {
-                            worker.tasks.remove(&order.task);
+                            worker.tasks.remove(&command.task);
                         }
                     }
                 }
@@ -334,20 +346,20 @@
         }
     }
 
-    pub(super) fn start(&mut self, name: &str, step: &str, attempt: u64) {
+    pub(super) fn start(&mut self, name: &str, task_id: &str, attempt: u64) {
         let now = self.now;
-        let job = job_of(step).to_owned();
+        let job = job_of(task_id).to_owned();
         let Some(user) = self.users.iter().find(|u| u.id == job) else {
-            self.broken.push(format!("{step}: no such job"));
+            self.broken.push(format!("{task_id}: no such job"));
             return;
         };
-        let index = step.rsplit('/').next().and_then(|n| n.parse().ok());
-        let run_s = user.run_s + user.apart_s * f64::from(index.unwrap_or(0u32));
-        let (standing, broken, guest) = (user.standing, user.broken, user.guest);
+        let index = task_id.rsplit('/').next().and_then(|n| n.parse().ok());
+        let run_s = user.run_s + user.runtime_step_s * f64::from(index.unwrap_or(0u32));
+        let (standing, broken, guest) = (user.is_service, user.always_fails, user.is_guest);
         let past_cancellation = user.told_cancelled.is_some_and(|at| now > at + CANCEL_S);
         if past_cancellation {
             self.broken
-                .push(format!("{now}: {step} starts after its cancellation"));
+                .push(format!("{now}: {task_id} starts after its cancellation"));
         }
         let grove = user.zone;
         if let Some(at) = user.told_cancelled {
@@ -357,14 +369,14 @@
         }
         let most_in_zone = user.most_in_zone();
         let worker = &self.workers[name];
-        let tasks = worker.tasks.get(step).cloned().unwrap_or_default();
+        let tasks = worker.tasks.get(task_id).cloned().unwrap_or_default();
         if tasks.iter().any(|t| t.attempt == attempt) {
             return;
         }
-        let busy = tasks.iter().any(|t| t.status == TaskState::Running);
+        let busy = tasks.iter().any(|t| t.state == TaskState::Running);
         let full = worker.is_full();
         let zone = worker.zone.clone();
-        let refused = if self.done.contains(step) {
+        let refused = if self.done.contains(task_id) {
             // Its result is kept: it exits at once.
             Some(ExitReason::Completed)
         } else if busy {
@@ -386,30 +398,30 @@
             self.counts.begun_past_cancellation += u32::from(past_cancellation);
             if grove.is_some_and(|grove| grove != zone) {
                 self.broken.push(format!(
-                    "{now}: {step} starts in {zone}, which its job doesn't allow"
+                    "{now}: {task_id} starts in {zone}, which its job doesn't allow"
                 ));
             }
             if let Some(user) = self.users.iter_mut().find(|u| u.id == job) {
-                user.begun.get_or_insert(now);
+                user.first_started_at.get_or_insert(now);
             }
             let elsewhere: Vec<&Worker> = self
                 .workers
                 .values()
-                .filter(|w| w.name != name && w.runs(step))
+                .filter(|w| w.name != name && w.runs(task_id))
                 .collect();
             if let Some(other) = elsewhere.first() {
                 self.broken.push(format!(
-                    "{now}: {step} starts on {name} while on {}",
+                    "{now}: {task_id} starts on {name} while on {}",
                     other.name
                 ));
             }
             if most_in_zone.is_some_and(|most| self.running_in(&zone, &job) >= most) {
                 self.broken
-                    .push(format!("{now}: {step} is one too many in {zone}"));
+                    .push(format!("{now}: {task_id} is one too many in {zone}"));
             }
             if !guest && self.at_limit() {
                 self.broken
-                    .push(format!("{now}: {step} is over the team's limit"));
+                    .push(format!("{now}: {task_id} is over the team's limit"));
             }
         }
         let until = if standing { f64::INFINITY } else { now + run_s };
@@ -419,30 +431,34 @@
             TaskState::Running
         };
         let worker = self.workers.get_mut(name).expect("a worker");
-        worker.next_report = worker.next_report.min(now + 0.5);
-        worker.tasks.entry(step.to_owned()).or_default().push(Task {
-            attempt,
-            status,
-            cause: refused,
-            until,
-        });
+        worker.next_heartbeat_at = worker.next_heartbeat_at.min(now + 0.5);
+        worker
+            .tasks
+            .entry(task_id.to_owned())
+            .or_default()
+            .push(Task {
+                attempt,
+                state: status,
+                exit_reason: refused,
+                until,
+            });
     }
 
-    /// Ends the sessions whose lease is over, and watches the cancelled.
+    /// Ends the incarnations whose lease is over, and watches the cancelled.
     pub(super) fn kill_expired(&mut self) {
         let now = self.now;
         // Of thousands of machines, not at every event.
-        if now < self.kill_at {
+        if now < self.next_lease_check_at {
             return;
         }
-        self.kill_at = now + 0.01;
+        self.next_lease_check_at = now + 0.01;
         for worker in self.workers.values_mut() {
-            if now > worker.lease_from + LEASE_S {
+            if now > worker.lease_renewed_at + LEASE_S {
                 worker.tasks.clear();
                 worker.incarnation += 1;
-                worker.lease_from = now;
-                worker.sent = None;
-                worker.next_report = now;
+                worker.lease_renewed_at = now;
+                worker.awaiting_response = None;
+                worker.next_heartbeat_at = now;
             }
         }
         for user in &mut self.users {
