--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -365,7 +365,9 @@
             let name = format!("broken jobs: {broken}, {nodes} controllers");
             let mut world = crowded(22, nodes);
             world.run(30.0);
-            let faulty: Vec<String> = (0..4).filter_map(|n| world.make_worker_faulty(2 * n)).collect();
+            let faulty: Vec<String> = (0..4)
+                .filter_map(|n| world.make_worker_faulty(2 * n))
+                .collect();
             if broken {
                 for n in 0..3 {
                     let at = 30.5 + 2.0 * f64::from(n);
--- a/tests/late_commands.rs
+++ b/tests/late_commands.rs
@@ -68,7 +68,10 @@
         assert_eq!((before.0.len(), before.1.len()), (4, 4), "{name}");
         cancelled_jobs(&mut world, HELD_S[held_s], false);
         world.run(BEGIN + HELD_S[held_s] + 10.0);
-        assert!(world.counts.delayed_commands > 0, "{name}: starts were held");
+        assert!(
+            world.counts.delayed_commands > 0,
+            "{name}: starts were held"
+        );
         assert!(
             world.counts.starts_past_in_incarnation > 0,
             "{name}: held starts arrived past the cancellation, in the same session"
@@ -94,7 +97,10 @@
         assert!(world.restart_leader(LEASE_S), "{name}");
         world.run(END);
         assert!(world.leader_changes() > reigns, "{name}: another leads");
-        assert!(world.counts.delayed_commands > 0, "{name}: starts were held");
+        assert!(
+            world.counts.delayed_commands > 0,
+            "{name}: starts were held"
+        );
         assert!(
             world.counts.starts_past_cancellation > 0,
             "{name}: they arrived"
@@ -132,7 +138,10 @@
             world.block_traffic_to_worker(nth + 3, LEASE_S - 2.0);
         }
         world.run(END);
-        assert!(world.counts.delayed_commands > 0, "{name}: starts were held");
+        assert!(
+            world.counts.delayed_commands > 0,
+            "{name}: starts were held"
+        );
         assert!(
             world.counts.starts_past_cancellation > 0,
             "{name}: they arrived"
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -261,7 +261,11 @@
                     w.crash(node, now, now + back);
                 }
                 to(w, 24.0);
-                assert!(w.leader_changes() >= reigns + 4, "{} reigns", w.leader_changes() - reigns);
+                assert!(
+                    w.leader_changes() >= reigns + 4,
+                    "{} reigns",
+                    w.leader_changes() - reigns
+                );
                 to(w, 40.0);
             },
         ),
@@ -279,7 +283,11 @@
                 }
             }
             to(w, 121.0);
-            assert!(w.leader_changes() >= reigns + 8, "{} reigns", w.leader_changes() - reigns);
+            assert!(
+                w.leader_changes() >= reigns + 8,
+                "{} reigns",
+                w.leader_changes() - reigns
+            );
         }),
         ("all controllers are away for longer than a lease", |w| {
             let now = w.now;
@@ -300,7 +308,11 @@
                 w.cancel_now(2, 0, 0.0);
                 w.restart_leader(2.0);
                 to(w, LEASE_S + 2.0);
-                assert!(w.workers_with_new_incarnation() >= 2, "{}", w.workers_with_new_incarnation());
+                assert!(
+                    w.workers_with_new_incarnation() >= 2,
+                    "{}",
+                    w.workers_with_new_incarnation()
+                );
                 to(w, 30.0);
             },
         ),
@@ -336,7 +348,11 @@
             }
             to(w, 60.0);
             assert!(w.counts.old_heartbeats >= 20, "{}", w.counts.old_heartbeats);
-            assert!(w.counts.old_incarnations >= 2, "{}", w.counts.old_incarnations);
+            assert!(
+                w.counts.old_incarnations >= 2,
+                "{}",
+                w.counts.old_incarnations
+            );
         }),
         ("commands are held up, and the machine goes on", |w| {
             for i in 0..5 {
@@ -380,7 +396,11 @@
             |w| {
                 w.faults.requests_at_end = 0.7;
                 to(w, 70.0);
-                assert!(w.counts.requests_at_end >= 4, "{}", w.counts.requests_at_end);
+                assert!(
+                    w.counts.requests_at_end >= 4,
+                    "{}",
+                    w.counts.requests_at_end
+                );
             },
         ),
         ("odd requests, amid an outage and a change", |w| {
@@ -406,7 +426,12 @@
                 InvalidRequest::MissingField,
                 InvalidRequest::UnknownJob,
             ] {
-                let answers = w.counts.invalid_request_answers.get(&odd).copied().unwrap_or(0);
+                let answers = w
+                    .counts
+                    .invalid_request_answers
+                    .get(&odd)
+                    .copied()
+                    .unwrap_or(0);
                 assert!(answers >= 12, "{odd:?}: {answers} answers");
             }
         }),
--- a/tests/soak/mod.rs
+++ b/tests/soak/mod.rs
@@ -10,6 +10,8 @@
 pub mod controllers;
 pub mod faults;
 pub mod http;
+#[path = "../standins/kv_store.rs"]
+pub mod kv_store;
 pub mod machines;
 pub mod options;
 pub mod plan;
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -126,7 +126,7 @@
         let times = Times::new(options.scale);
         let mut tasks = JoinSet::new();
         let state = StateService::new(truth.clone(), clock);
-        tasks.spawn(state.clone().expire_holds());
+        tasks.spawn(state.clone().expire_leases());
         let (cloud_listener, cloud_address) = listen().await?;
         let mut users_at = Vec::new();
         let mut peers_at = Vec::new();
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -203,11 +203,7 @@
                 assert_eq!(world.workers_with_new_incarnation_in("b"), 0, "{name}");
             }
             world.run(75.0);
-            assert_eq!(
-                world.replicas_not_running(),
-                0,
-                "{name}: replicas are back"
-            );
+            assert_eq!(world.replicas_not_running(), 0, "{name}: replicas are back");
             world.run(200.0);
             world.check(&name);
         }
@@ -256,7 +252,11 @@
             Vec::<String>::new(),
             "{nodes} controllers"
         );
-        assert_eq!(world.workers_with_new_incarnation(), 0, "{nodes} controllers");
+        assert_eq!(
+            world.workers_with_new_incarnation(),
+            0,
+            "{nodes} controllers"
+        );
         world.check(&format!("{nodes} controllers"));
     }
 }
@@ -305,7 +305,10 @@
     assert!(dead.iter().all(|name| world.has_instance(name)), "too soon");
     // A heartbeat interval with its quarter more, a call, and half a second to be released.
     world.run(40.0 + 1.3 * 2.0 + 1.0 + 0.6);
-    assert!(dead.iter().all(|name| !world.has_instance(name)), "too late");
+    assert!(
+        dead.iter().all(|name| !world.has_instance(name)),
+        "too late"
+    );
     world.run(58.0);
     assert_eq!(world.replicas_not_running(), 0);
     world.run(120.0);
@@ -340,7 +343,11 @@
         world.run(40.0);
         assert!(world.isolate_leader_but_for_workers(40.0));
         world.run(60.0);
-        assert_eq!(world.workers_with_new_incarnation(), 0, "{nodes} controllers");
+        assert_eq!(
+            world.workers_with_new_incarnation(),
+            0,
+            "{nodes} controllers"
+        );
         world.run(200.0);
         world.check(&format!("{nodes} controllers"));
     }
--- a/tests/world/checks.rs
+++ b/tests/world/checks.rs
@@ -2,7 +2,6 @@
 
 use super::workers::{TASK_CPUS, TEAM_CPUS, Task, job_of};
 use super::*;
-use cedarladder::bookkeeping::records::LEADER_KEY;
 
 /// What the controllers have asked of others.
 #[derive(Debug, Default)]
@@ -11,6 +10,8 @@
     pub requests: BTreeMap<u64, u32>,
     /// Puts and deletes, in each second.
     pub changes: BTreeMap<u64, u32>,
+    /// Transactions that put the key `leader`.
+    pub puts_of_leader: usize,
     /// Direct calls to workers.
     pub worker_calls: u32,
     /// The most direct calls of a controller that waited for their answers at a time.
@@ -201,7 +202,7 @@
 
     /// Changes of the leader so far: `leader` was put so often.
     pub fn leader_changes(&self) -> usize {
-        self.kv.puts_of(LEADER_KEY)
+        self.counts.puts_of_leader
     }
 
     pub(super) fn count(&mut self, call: &KvRequest) {
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -99,7 +99,9 @@
 
     /// A request on its way: usually soon there, at times long after its sender gave up.
     pub(super) fn send(&mut self, what: SimEvent) {
-        if self.faults.repeated_requests > 0.0 && self.rng.random::<f64>() < self.faults.repeated_requests {
+        if self.faults.repeated_requests > 0.0
+            && self.rng.random::<f64>() < self.faults.repeated_requests
+        {
             // Whoever asked has its answer already, and takes no notice of another.
             let later = 1.0 + self.rng.random::<f64>() * 3.0 * LEASE_S;
             self.after(later, what.clone());
@@ -164,7 +166,10 @@
         if self.rng.random::<f64>() >= self.faults.lost_responses {
             self.after(delay, what);
         } else if let SimEvent::UserResponseArrives(user, ask, ..) = what {
-            self.after(5.0, SimEvent::UserResponseArrives(user, ask, 599, Vec::new()));
+            self.after(
+                5.0,
+                SimEvent::UserResponseArrives(user, ask, 599, Vec::new()),
+            );
         }
     }
 
@@ -210,7 +215,9 @@
     pub fn isolate_leader_but_for_workers(&mut self, for_s: f64) -> bool {
         let leader = self.set_leader_fault(for_s, |world| &mut world.isolated_but_for_workers);
         // Watches that are open stay open, and bring nothing.
-        self.kv.watches.retain(|f| Some(f.0) != leader);
+        self.kv
+            .watches
+            .retain(|watch| Some(watch.controller) != leader);
         leader.is_some()
     }
 
@@ -266,7 +273,9 @@
         let inside: Vec<usize> = (0..self.controllers.len())
             .filter(|i| self.is_in_partition(*i))
             .collect();
-        self.kv.watches.retain(|f| !inside.contains(&f.0));
+        self.kv
+            .watches
+            .retain(|watch| !inside.contains(&watch.controller));
         true
     }
 
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -9,6 +9,8 @@
 pub mod digest;
 mod faults;
 mod kv_service;
+#[path = "../standins/kv_store.rs"]
+mod kv_store;
 pub mod recorder;
 mod users;
 mod workers;
@@ -21,7 +23,7 @@
     CloudRequest, CloudResponse, Instance, InstanceStatus, InstanceType,
 };
 use cedarladder::protocol::job::{JobStatus, JobView};
-use cedarladder::protocol::kv::{KeyValue, KvRequest, KvResponse, Txn, WatchEvent, WriteOp};
+use cedarladder::protocol::kv::{KvRequest, KvResponse, WriteOp};
 use cedarladder::protocol::peer::PeerHeartbeat;
 use cedarladder::protocol::token::FencingToken;
 use cedarladder::protocol::worker::{
@@ -240,7 +242,7 @@
                 break;
             }
             self.now = time;
-            self.kv.expire(time);
+            self.kv.expire_leases(time);
             self.kill_expired();
             self.check_waiting_jobs();
             self.task_id(what);
@@ -290,20 +292,28 @@
                     let policy = Rc::new(Policy::built_in(&settings));
                     self.controllers[i] =
                         Some(Controller::new(settings, policy, process_incarnation));
-                    self.after(0.01, SimEvent::ControllerTicks(i, self.process_incarnations[i]));
+                    self.after(
+                        0.01,
+                        SimEvent::ControllerTicks(i, self.process_incarnations[i]),
+                    );
                 }
             }
             SimEvent::ControllerCrashes(i) => {
                 self.controllers[i] = None;
                 self.process_incarnations[i] += 1;
-                self.kv.watches.retain(|f| f.0 != i);
+                self.kv.watches.retain(|watch| watch.controller != i);
                 let waiting: Vec<_> = self.answers.keys().filter(|k| k.0 == i).copied().collect();
                 for key in waiting {
                     // The connection is reset: users and workers come again.
-                    if let Some(SimEvent::UserResponseArrives(user, ask, ..)) = self.answers.remove(&key) {
+                    if let Some(SimEvent::UserResponseArrives(user, ask, ..)) =
+                        self.answers.remove(&key)
+                    {
                         let silent = self.now < self.hung_until[i];
                         let wait_s = if silent { USER_PATIENCE_S } else { 0.01 };
-                        self.after(wait_s, SimEvent::UserResponseArrives(user, ask, 599, Vec::new()));
+                        self.after(
+                            wait_s,
+                            SimEvent::UserResponseArrives(user, ask, 599, Vec::new()),
+                        );
                     }
                 }
             }
@@ -313,15 +323,12 @@
                 }
             }
             SimEvent::StateServiceOutage(out) => {
-                self.kv.is_down = out;
-                if !out {
-                    for (until, life_s) in self.kv.leases.values_mut() {
-                        *until = self.now + *life_s;
-                    }
-                }
+                self.kv.set_down(out, self.now);
             }
             SimEvent::ControllerTicks(i, process_incarnation) => {
-                if self.process_incarnations[i] == process_incarnation && self.controllers[i].is_some() {
+                if self.process_incarnations[i] == process_incarnation
+                    && self.controllers[i].is_some()
+                {
                     self.with(i, |controller| controller.tick(now));
                     self.after(0.05, SimEvent::ControllerTicks(i, process_incarnation));
                 }
@@ -356,20 +363,30 @@
             | SimEvent::DuplicateHeartbeatArrives(i, _)
             | SimEvent::PeerHeartbeatArrives(i, _)
                 if self.now < self.isolated_but_for_state[i] => {}
-            SimEvent::PeerHeartbeatArrives(i, _) if self.now < self.isolated_but_for_workers[i].max(self.peers_reject_until) => {}
+            SimEvent::PeerHeartbeatArrives(i, _)
+                if self.now < self.isolated_but_for_workers[i].max(self.peers_reject_until) => {}
             SimEvent::WorkerHeartbeatArrives(i, ref name, _)
                 if self
                     .workers
                     .get(name)
                     .is_some_and(|w| self.is_partitioned_from(i, &w.zone)) => {}
             SimEvent::UserRequestArrives(i, user, ask) if self.is_in_partition(i) => {
-                self.after(1.0, SimEvent::UserResponseArrives(user, ask, 599, Vec::new()));
+                self.after(
+                    1.0,
+                    SimEvent::UserResponseArrives(user, ask, 599, Vec::new()),
+                );
             }
             SimEvent::NoRecipient => {}
             SimEvent::InvalidRequestArrives(i, _) if self.is_in_partition(i) => {}
             SimEvent::InvalidRequestArrives(i, odd) => {
                 let (method, path, body) = odd.request();
-                self.request(i, SimEvent::InvalidRequestAnswered(odd, 0), method, path, &body);
+                self.request(
+                    i,
+                    SimEvent::InvalidRequestAnswered(odd, 0),
+                    method,
+                    path,
+                    &body,
+                );
             }
             SimEvent::InvalidRequestAnswered(odd, status) => {
                 if let Some(recorder) = &mut self.recorder {
@@ -406,8 +423,13 @@
             SimEvent::WorkerWakes(name) => self.wake(&name),
             SimEvent::WorkerHeartbeatArrives(i, name, report) => {
                 self.counts.heartbeats += 1;
-                let back =
-                    SimEvent::WorkerHeartbeatAnswered(name, report.incarnation, report.sequence, 0, Vec::new());
+                let back = SimEvent::WorkerHeartbeatAnswered(
+                    name,
+                    report.incarnation,
+                    report.sequence,
+                    0,
+                    Vec::new(),
+                );
                 let body = cbor::encode(&*report);
                 self.request(i, back, "POST", "/v1/report", &body);
             }
@@ -450,7 +472,10 @@
                 } else {
                     0.01
                 };
-                self.after(wait_s, SimEvent::UserResponseArrives(user, ask, 599, Vec::new()));
+                self.after(
+                    wait_s,
+                    SimEvent::UserResponseArrives(user, ask, 599, Vec::new()),
+                );
             }
             return;
         }
@@ -476,7 +501,10 @@
             let until = self.now + for_s;
             self.counts.pauses += 1;
             self.paused_until[i] = until;
-            self.at(until, SimEvent::PausedEffectsLeave(i, self.process_incarnations[i], actions));
+            self.at(
+                until,
+                SimEvent::PausedEffectsLeave(i, self.process_incarnations[i], actions),
+            );
             return;
         }
         self.carry_out(i, actions);
@@ -597,13 +625,18 @@
                         call,
                     ));
                 }
-                Effect::BroadcastHeartbeat(_) if self.now < self.isolated_but_for_state[i].max(self.isolated_but_for_workers[i]) => {}
+                Effect::BroadcastHeartbeat(_)
+                    if self.now
+                        < self.isolated_but_for_state[i].max(self.isolated_but_for_workers[i]) => {}
                 Effect::BroadcastHeartbeat(heartbeat) => {
                     for peer in (0..self.controllers.len()).filter(|peer| *peer != i) {
                         if self.is_in_partition(i) != self.is_in_partition(peer) {
                             continue;
                         }
-                        self.after(0.001, SimEvent::PeerHeartbeatArrives(peer, heartbeat.clone()));
+                        self.after(
+                            0.001,
+                            SimEvent::PeerHeartbeatArrives(peer, heartbeat.clone()),
+                        );
                     }
                 }
             }
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -22,7 +22,9 @@
     /// The final answer; until that can be given, 503 is one too.
     fn status(self) -> u16 {
         match self {
-            InvalidRequest::FitsNoInstance | InvalidRequest::UnknownTeam | InvalidRequest::ExceedsTeamLimit => 422,
+            InvalidRequest::FitsNoInstance
+            | InvalidRequest::UnknownTeam
+            | InvalidRequest::ExceedsTeamLimit => 422,
             InvalidRequest::MissingField => 400,
             InvalidRequest::UnknownJob => 404,
         }
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -148,7 +148,9 @@
         }
         let mut ended = BTreeSet::new();
         for (task_id, tasks) in &worker.tasks {
-            if tasks.iter().any(|t| t.exit_reason == Some(ExitReason::Completed))
+            if tasks
+                .iter()
+                .any(|t| t.exit_reason == Some(ExitReason::Completed))
                 && self.done.insert(task_id.clone())
             {
                 ended.insert(job_of(task_id).to_owned());
@@ -160,7 +162,10 @@
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        if worker.awaiting_response.is_some_and(|(_, at)| now - at > 4.0) {
+        if worker
+            .awaiting_response
+            .is_some_and(|(_, at)| now - at > 4.0)
+        {
             worker.awaiting_response = None;
             worker.controller = (worker.controller + 1) % controllers;
             worker.next_heartbeat_at = now + 1.0;
@@ -168,18 +173,29 @@
         if worker.awaiting_response.is_none() && now >= worker.next_heartbeat_at {
             let report = worker.heartbeat();
             worker.awaiting_response = Some((report.sequence, now));
-            let (at, deaf) = (worker.controller, now < worker.disconnected_until.max(worker.outbound_blocked_until));
+            let (at, deaf) = (
+                worker.controller,
+                now < worker.disconnected_until.max(worker.outbound_blocked_until),
+            );
             if !deaf {
                 if self.rng.random::<f64>() < self.faults.duplicate_heartbeats {
                     let late = 1.0 + self.rng.random::<f64>() * 3.0 * LEASE_S;
                     // It may come to a controller other than it was sent to.
                     let to = self.rng.random_range(0..controllers);
-                    self.after(late, SimEvent::DuplicateHeartbeatArrives(to, Box::new(report.clone())));
+                    self.after(
+                        late,
+                        SimEvent::DuplicateHeartbeatArrives(to, Box::new(report.clone())),
+                    );
                 }
-                if self.faults.delayed_heartbeats > 0.0 && self.rng.random::<f64>() < self.faults.delayed_heartbeats {
+                if self.faults.delayed_heartbeats > 0.0
+                    && self.rng.random::<f64>() < self.faults.delayed_heartbeats
+                {
                     let late = 4.0 + self.rng.random::<f64>() * 2.0 * LEASE_S;
                     let to = self.rng.random_range(0..controllers);
-                    self.after(late, SimEvent::DuplicateHeartbeatArrives(to, Box::new(report)));
+                    self.after(
+                        late,
+                        SimEvent::DuplicateHeartbeatArrives(to, Box::new(report)),
+                    );
                 } else {
                     self.after(
                         0.003,
