--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -324,7 +324,7 @@
         }),
         ("an array, and the leader pauses", 40, false, 1, |w| {
             w.run(60.0);
-            assert!(w.freeze_leader(9.0));
+            assert!(w.pause_leader(9.0));
         }),
     ];
     for (name, tasks, standing, times, trouble) in cases {
@@ -345,7 +345,7 @@
                 assert!(failures <= most, "{name}: {failures} failures");
             }
             assert_eq!(
-                world.deleted_busy,
+                world.deleted_while_busy,
                 Vec::<String>::new(),
                 "{name}: machines with work"
             );
@@ -365,7 +365,9 @@
             let name = format!("broken jobs: {broken}, {nodes} controllers");
             let mut world = crowded(22, nodes);
             world.run(30.0);
-            let faulty: Vec<String> = (0..4).filter_map(|n| world.break_machine(2 * n)).collect();
+            let faulty: Vec<String> = (0..4)
+                .filter_map(|n| world.make_worker_faulty(2 * n))
+                .collect();
             if broken {
                 for n in 0..3 {
                     let at = 30.5 + 2.0 * f64::from(n);
@@ -380,11 +382,11 @@
                 let failures = world.failures_on(machine);
                 failed += u32::from(failures >= 3);
                 assert!(failures <= most, "{name}: {failures} failures on {machine}");
-                let gone = !world.has_machine(machine);
+                let gone = !world.has_instance(machine);
                 assert!(gone || failures < 3, "{name}: {machine} is given back");
             }
             assert!(failed >= 2, "{name}: tasks failed on them");
-            let sound = world.deleted_busy_but(&faulty);
+            let sound = world.deleted_while_busy_except(&faulty);
             assert_eq!(sound, 0, "{name}: sound machines with work");
             world.run(260.0);
             world.check(&name);
--- a/tests/worker_heartbeats.rs
+++ b/tests/worker_heartbeats.rs
@@ -1,4 +1,4 @@
-//! What a report tells a leader, and what an old one does not.
+//! What a heartbeat tells a leader, and what an old one does not.
 
 mod common;
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// 200 with these orders, under the leader's token.
+/// 200 with these commands, under the leader's token.
 fn answer(orders: Vec<Command>) -> HeartbeatOutcome {
     HeartbeatOutcome::Commands(CommandBatch {
         token: FencingToken::new(EPOCH, 0),
@@ -141,7 +141,7 @@
     }
 }
 
-/// Who has seen a higher Epoch is sent away at once, by a late copy too.
+/// Who has seen a higher epoch is sent away at once, by a late copy too.
 #[test]
 fn a_worker_that_knows_a_higher_epoch_is_redirected() {
     for (name, epoch, expected) in [
--- /dev/null
+++ b/tests/world/kv_service.rs
@@ -0,0 +1,162 @@
+//! The state service as the simulated world's controllers reach it: its rules are in `KvStore`, here are its
+//! outages, its watches that wait, and the delays of its answers.
+
+use super::kv_store::KvStore;
+use super::*;
+use cedarladder::bookkeeping::records::{LEADER_KEY, OPEN_PREFIX};
+
+/// Keys in a page: few, so that listings take several.
+const PAGE_SIZE: usize = 3;
+
+/// A watch that waits for changes.
+#[derive(Clone)]
+pub(super) struct Watch {
+    pub(super) controller: usize,
+    process_incarnation: u64,
+    correlation_id: u64,
+    prefix: String,
+    after_revision: u64,
+    until: f64,
+}
+
+/// The state service.
+pub(super) struct KvService {
+    pub(super) store: KvStore,
+    pub(super) watches: Vec<Watch>,
+    pub(super) is_down: bool,
+}
+
+impl Default for KvService {
+    fn default() -> KvService {
+        KvService {
+            // Worlds are short: all changes are kept.
+            store: KvStore::new(usize::MAX),
+            watches: Vec::new(),
+            is_down: false,
+        }
+    }
+}
+
+impl KvService {
+    /// Ends the leases that were not kept alive; during an outage none ends.
+    pub(super) fn expire_leases(&mut self, now: f64) {
+        if !self.is_down {
+            self.store.expire_leases(now);
+        }
+    }
+
+    /// An outage begins or ends. After it leases have their whole time again.
+    pub(super) fn set_down(&mut self, is_down: bool, now: f64) {
+        self.is_down = is_down;
+        if !is_down {
+            self.store.extend_leases(now);
+        }
+    }
+
+    fn respond(&mut self, request: &KvRequest, now: f64) -> KvResponse {
+        if self.is_down {
+            return KvResponse::Unavailable;
+        }
+        match request {
+            KvRequest::Get(key) => self.store.get(key),
+            KvRequest::List { prefix, after } => {
+                self.store.list(prefix, after.as_deref(), PAGE_SIZE)
+            }
+            KvRequest::Txn(txn) => self.store.transact(txn),
+            KvRequest::GrantLease(ttl_ms) => self.store.grant_lease(*ttl_ms, now),
+            KvRequest::KeepAlive(lease_id) => self.store.keep_alive(*lease_id, now),
+            KvRequest::RevokeLease(lease_id) => self.store.revoke_lease(*lease_id),
+            KvRequest::Watch { .. } => unreachable!("watches are answered by the world"),
+        }
+    }
+}
+
+impl World {
+    pub(super) fn on_kv_request(
+        &mut self,
+        i: usize,
+        process_incarnation: u64,
+        correlation_id: u64,
+        request: KvRequest,
+    ) {
+        if self.now < self.rejected_until[i] {
+            let refused = KvResponse::Unavailable;
+            let answer =
+                SimEvent::KvResponseArrives(i, process_incarnation, correlation_id, refused);
+            self.after(0.003, answer);
+            return;
+        }
+        if let KvRequest::Watch {
+            prefix,
+            after,
+            wait_ms,
+        } = request
+        {
+            if self.process_incarnations[i] == process_incarnation {
+                self.kv.watches.push(Watch {
+                    controller: i,
+                    process_incarnation,
+                    correlation_id,
+                    prefix,
+                    after_revision: after,
+                    until: self.now + wait_ms as f64 / 1000.0,
+                });
+            }
+            return;
+        }
+        if self.now < self.listings_hang_until && matches!(request, KvRequest::List { .. }) {
+            return;
+        }
+        let response = self.kv.respond(&request, self.now);
+        if let (KvRequest::Txn(txn), KvResponse::Committed(_)) = (&request, &response)
+            && !txn.writes.is_empty()
+        {
+            let newest = self.newest_txn.entry(i).or_default();
+            self.counts.overtaken_txns += u32::from(correlation_id < *newest);
+            *newest = correlation_id.max(*newest);
+            let puts_leader =
+                |write: &WriteOp| matches!(write, WriteOp::Put { key, .. } if key == LEADER_KEY);
+            self.counts.puts_of_leader += usize::from(txn.writes.iter().any(puts_leader));
+        }
+        let answer = SimEvent::KvResponseArrives(i, process_incarnation, correlation_id, response);
+        self.deliver(0.003 + self.faults.state_service_delay_s, answer);
+    }
+
+    /// Answers the watches that have something to tell, or have waited for long enough.
+    pub(super) fn answer_watches(&mut self) {
+        if self.kv.is_down {
+            return;
+        }
+        let mut waiting = Vec::new();
+        for watch in std::mem::take(&mut self.kv.watches) {
+            match self.watch_response(&watch) {
+                None => waiting.push(watch),
+                Some(response) => {
+                    let answer = SimEvent::KvResponseArrives(
+                        watch.controller,
+                        watch.process_incarnation,
+                        watch.correlation_id,
+                        response,
+                    );
+                    self.after(0.003, answer);
+                }
+            }
+        }
+        self.kv.watches = waiting;
+    }
+
+    /// What a watch is answered now. None: it goes on waiting.
+    fn watch_response(&self, watch: &Watch) -> Option<KvResponse> {
+        let hangs =
+            watch.prefix == OPEN_PREFIX && self.now < self.watch_hangs_until[watch.controller];
+        if hangs || self.now < self.rejected_until[watch.controller] {
+            return None;
+        }
+        let response = self
+            .kv
+            .store
+            .changes_after(&watch.prefix, watch.after_revision);
+        let is_quiet = matches!(&response, KvResponse::Events { events, .. } if events.is_empty());
+        (!is_quiet || self.now >= watch.until).then_some(response)
+    }
+}
