--- /dev/null
+++ b/src/coordination/scheduler/placement.rs
@@ -0,0 +1,234 @@
+//! Placement of one job's tasks: reserves capacity and binds.
+
+use super::capacity::{ZoneIndex, resource_request};
+use super::cycle::SchedulingCycle;
+use super::preemption::PreemptionScope;
+use super::scoring::{SAMPLE_SIZE, ScoredWorker};
+use crate::bookkeeping::jobs::Job;
+use crate::bookkeeping::quotas::Quotas;
+use crate::bookkeeping::workers::Resources;
+use crate::protocol::job::{JobKind, JobSpec};
+use crate::protocol::worker::TaskId;
+use rand::Rng;
+use std::collections::HashMap;
+
+/// Tasks bound in one cycle, at most.
+const MAX_BINDS: usize = 128;
+
+/// A job whose tasks are being placed.
+pub(super) struct JobPlacement<'a> {
+    pub(super) job: &'a Job,
+    /// What one of its tasks requests.
+    pub(super) request: Resources,
+    /// Its tasks in each zone, by the zone's number.
+    tasks_per_zone: Vec<u32>,
+    /// Tasks placed on each worker in this cycle, by the worker's index.
+    placed_per_worker: HashMap<usize, u32>,
+}
+
+impl<'a> JobPlacement<'a> {
+    pub(super) fn new(job: &'a Job, zones: &mut ZoneIndex<'a>) -> JobPlacement<'a> {
+        let mut tasks_per_zone = vec![0; zones.len()];
+        for (zone, count) in &job.bound_per_zone {
+            let number = zones.number_of(zone);
+            tasks_per_zone.resize(zones.len(), 0);
+            tasks_per_zone[number] = *count;
+        }
+        JobPlacement {
+            job,
+            request: resource_request(&job.spec),
+            tasks_per_zone,
+            placed_per_worker: HashMap::new(),
+        }
+    }
+
+    pub(super) fn spec(&self) -> &'a JobSpec {
+        &self.job.spec
+    }
+
+    /// The job's tasks in a zone.
+    pub(super) fn tasks_in_zone(&self, zone: usize) -> u32 {
+        self.tasks_per_zone.get(zone).copied().unwrap_or(0)
+    }
+
+    /// Tasks placed on a worker in this cycle.
+    pub(super) fn placed_on(&self, worker: usize) -> u32 {
+        self.placed_per_worker.get(&worker).copied().unwrap_or(0)
+    }
+
+    /// Whether the job's rules on zones allow one more task in a zone.
+    pub(super) fn zone_allows(&self, zone: usize) -> bool {
+        let spec = self.spec();
+        let in_zone = self.tasks_in_zone(zone);
+        if spec.one_zone && in_zone == 0 && self.has_tasks_in_any_zone() {
+            return false;
+        }
+        in_zone < spec.zone_limit()
+    }
+
+    fn has_tasks_in_any_zone(&self) -> bool {
+        self.tasks_per_zone.iter().any(|count| *count > 0)
+    }
+
+    fn record(&mut self, worker: usize, zone: usize) {
+        self.tasks_per_zone[zone] += 1;
+        *self.placed_per_worker.entry(worker).or_default() += 1;
+    }
+}
+
+/// What came of placing a job's tasks.
+#[derive(Debug, Default)]
+pub(super) struct PlacementOutcome {
+    /// Tasks bound, or for which capacity is about to be released.
+    pub(super) placed: u32,
+    /// Tasks that found only workers which still show an earlier attempt of them.
+    pub(super) still_observed: u32,
+    /// The team's quota ended the placement.
+    pub(super) quota_exhausted: bool,
+}
+
+/// State to return to if not all tasks of a gang can be placed.
+struct GangCheckpoint {
+    bindings: usize,
+    quotas: Quotas,
+}
+
+impl<'a> SchedulingCycle<'a> {
+    /// Places the job's tasks on workers with free capacity. The tasks of a gang are placed together
+    /// or not at all.
+    pub(super) fn place_tasks(
+        &mut self,
+        placement: &mut JobPlacement<'a>,
+        rng: &mut impl Rng,
+    ) -> PlacementOutcome {
+        if placement.spec().kind != JobKind::Gang {
+            return self.place_each_task(placement, rng);
+        }
+        let checkpoint = GangCheckpoint {
+            bindings: self.assignments.bindings.len(),
+            quotas: self.quotas.clone(),
+        };
+        let outcome = self.place_each_task(placement, rng);
+        if outcome.placed < placement.job.startable_count() {
+            // The outcome stands: only tasks beyond the capacity there was count as pending demand.
+            self.roll_back(checkpoint, placement);
+        }
+        outcome
+    }
+
+    fn roll_back(&mut self, checkpoint: GangCheckpoint, placement: &mut JobPlacement) {
+        for (_, name) in self.assignments.bindings.drain(checkpoint.bindings..) {
+            let mut capacities = self.capacities.iter_mut();
+            if let Some(capacity) = capacities.find(|capacity| capacity.worker.name == name) {
+                capacity.free += placement.request;
+            }
+        }
+        self.quotas = checkpoint.quotas;
+        placement.tasks_per_zone.fill(0);
+    }
+
+    fn place_each_task(
+        &mut self,
+        placement: &mut JobPlacement<'a>,
+        rng: &mut impl Rng,
+    ) -> PlacementOutcome {
+        let job = placement.job;
+        let spec = placement.spec();
+        let mut outcome = PlacementOutcome::default();
+        let may_preempt_for_image = self.may_preempt_for_image(job);
+        let mut candidates = self.score_workers(placement, rng);
+        if spec.one_zone && !placement.has_tasks_in_any_zone() {
+            self.retain_largest_zone(&mut candidates, &placement.request);
+        }
+        let startable = job.startable_count() as usize;
+        for index in job.waiting_tasks().take(MAX_BINDS.min(startable)) {
+            if self.assignments.bindings.len() >= MAX_BINDS {
+                break;
+            }
+            if !self.quota_allows(spec) {
+                outcome.quota_exhausted = true;
+                break;
+            }
+            let task = TaskId {
+                job: spec.id.clone(),
+                index,
+            };
+            let mut best = self.best_worker(&candidates, placement, &task);
+            if best.is_none() && candidates.len() >= SAMPLE_SIZE {
+                // The sample is used up; workers outside of it may still have capacity.
+                candidates = self.score_workers(placement, rng);
+                best = self.best_worker(&candidates, placement, &task);
+            }
+            if may_preempt_for_image
+                && best.is_none_or(|worker| worker.slow_start)
+                && self.claim_or_preempt(placement, PreemptionScope::WorkersWithImage, rng)
+            {
+                // Capacity beside the image is free sooner than the image would be pulled elsewhere.
+                self.charge_quota(spec);
+                outcome.placed += 1;
+                continue;
+            }
+            if let Some(worker) = best {
+                self.reserve(worker.index, placement);
+                self.bind(worker.index, task);
+                outcome.placed += 1;
+            } else if self.is_observed_on_any(&candidates, &task) {
+                outcome.still_observed += 1;
+            } else {
+                break;
+            }
+        }
+        outcome
+    }
+
+    /// Whether a start within the job's objective is still possible, and worth stopping others for.
+    fn may_preempt_for_image(&self, job: &Job) -> bool {
+        job.spec.kind == JobKind::Service
+            && !job.failures.is_crash_looping()
+            && job
+                .start_objective_s
+                .is_some_and(|objective_s| self.now - job.waiting_since < objective_s / 2.0)
+    }
+
+    /// Whether any of the workers still shows an earlier attempt of a task.
+    fn is_observed_on_any(&self, candidates: &[ScoredWorker], task: &TaskId) -> bool {
+        candidates.iter().any(|candidate| {
+            let worker = self.capacities[candidate.index].worker;
+            worker.observed_tasks.contains_key(task)
+        })
+    }
+
+    /// Takes a worker's capacity and the team's quota for one task.
+    fn reserve(&mut self, worker: usize, placement: &mut JobPlacement) {
+        let capacity = &mut self.capacities[worker];
+        capacity.free -= placement.request;
+        placement.record(worker, capacity.zone);
+        self.charge_quota(placement.spec());
+    }
+
+    /// Assigns a task to a worker.
+    fn bind(&mut self, worker: usize, task: TaskId) {
+        let name = self.capacities[worker].worker.name.clone();
+        self.assignments.bindings.push((task, name));
+    }
+
+    /// Reserves the freest worker for a starving job, so that small tasks of other jobs don't fill
+    /// every gap before a large task fits.
+    pub(super) fn reserve_freest_worker(&mut self, placement: &JobPlacement) {
+        let free_share = |index: usize| {
+            let capacity = &self.capacities[index];
+            capacity
+                .free_after_release()
+                .dominant_share(&capacity.total)
+        };
+        let freest = (0..self.capacities.len())
+            .filter(|index| {
+                let capacity = &self.capacities[*index];
+                capacity.total.fits(&placement.request) && self.filter_worker(placement, capacity)
+            })
+            .max_by(|a, b| free_share(*a).total_cmp(&free_share(*b)).then(b.cmp(a)));
+        if let Some(index) = freest {
+            self.capacities[index].free -= placement.request;
+        }
+    }
+}
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -1,166 +1,226 @@
-//! Room for work that can't wait: what is about to be given up, and whose tasks must stop.
+//! Capacity for tasks that can't wait: claims what is about to be released, or stops other tasks.
 
-use super::{
-    JobPlacement, MAX_PREEMPTIONS, PreemptionCandidate, PreemptionScope, SAMPLE_SIZE,
-    SchedulingCycle,
-};
+use super::cycle::SchedulingCycle;
+use super::placement::JobPlacement;
+use super::scoring::SAMPLE_SIZE;
 use crate::bookkeeping::workers::Resources;
+use crate::protocol::job::PriorityClass;
+use crate::protocol::worker::TaskId;
 use rand::Rng;
 use rand::seq::index::sample;
 
-impl<'a> SchedulingCycle<'a> {
-    /// Finds room that is about to be given up, or stops tasks of lower priority for it, if the job
-    /// can't wait any longer.
-    pub(super) fn make_room(
+/// Tasks preempted in one cycle, at most.
+const MAX_PREEMPTIONS: usize = 32;
+/// Least CPUs with which the lost work of a task is computed.
+const MIN_WORK_CPUS: f64 = 0.1;
+
+/// Workers on which tasks may be preempted for a job.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum PreemptionScope {
+    NoWorkers,
+    /// Only those that have the job's image in their cache; capacity about to be released is claimed
+    /// only there too.
+    WorkersWithImage,
+    AllWorkers,
+}
+
+/// A bound task that may be preempted.
+pub(super) struct PreemptionCandidate<'a> {
+    task: &'a TaskId,
+    priority: PriorityClass,
+    is_service: bool,
+    team: &'a str,
+    request: Resources,
+    /// CPU seconds that would be lost.
+    work_lost: f64,
+    preempted: bool,
+}
+
+/// Tasks to be preempted on one worker: its candidates with the least work lost.
+struct PreemptionPlan {
+    /// Index of the worker in the cycle's capacities.
+    worker: usize,
+    /// Number of tasks.
+    victims: usize,
+    /// CPU seconds that would be lost.
+    work_lost: f64,
+    /// The worker would have to pull the job's image.
+    needs_image_pull: bool,
+}
+
+impl PreemptionPlan {
+    fn is_better_than(&self, other: &PreemptionPlan) -> bool {
+        (self.needs_image_pull, self.work_lost) < (other.needs_image_pull, other.work_lost)
+    }
+}
+
+impl SchedulingCycle<'_> {
+    /// Claims capacity for one task that is about to be released, or preempts tasks within `scope`.
+    /// Returns whether there will be capacity.
+    pub(super) fn claim_or_preempt(
         &mut self,
         placement: &JobPlacement,
-        stops: PreemptionScope,
+        scope: PreemptionScope,
         rng: &mut impl Rng,
     ) -> bool {
-        let at_image = stops == PreemptionScope::WorkersWithImage;
-        let usable: Vec<usize> = (0..self.capacities.len())
-            .filter(|i| {
-                let capacity = &self.capacities[*i];
-                (!at_image
-                    || capacity
-                        .worker
-                        .cached_images
-                        .contains(&placement.spec.image))
+        let usable = self.usable_workers(placement, scope);
+        if self.claim_releasing(&usable, &placement.request) {
+            return true;
+        }
+        if scope == PreemptionScope::NoWorkers || !self.may_preempt_any(placement) {
+            return false;
+        }
+        let Some(plan) = self.best_preemption(&usable, placement, rng) else {
+            return false;
+        };
+        if self.assignments.preemptions.len() + plan.victims > MAX_PREEMPTIONS {
+            return false;
+        }
+        self.preempt(&plan, placement);
+        true
+    }
+
+    /// Indices of the workers that the job may use, within a scope.
+    fn usable_workers(&self, placement: &JobPlacement, scope: PreemptionScope) -> Vec<usize> {
+        let image_required = scope == PreemptionScope::WorkersWithImage;
+        (0..self.capacities.len())
+            .filter(|index| {
+                let capacity = &self.capacities[*index];
+                (!image_required || capacity.has_image(&placement.spec().image))
                     && self.filter_worker(placement, capacity)
             })
-            .collect();
-        let need = &placement.request;
-        for i in &usable {
-            let capacity = &mut self.capacities[*i];
+            .collect()
+    }
+
+    /// Claims capacity that tasks being stopped will release.
+    fn claim_releasing(&mut self, usable: &[usize], request: &Resources) -> bool {
+        for index in usable {
+            let capacity = &mut self.capacities[*index];
             if capacity.releasing != Resources::default()
-                && (capacity.free + capacity.releasing).fits(need)
+                && capacity.free_after_release().fits(request)
             {
-                capacity.releasing -= *need;
+                capacity.releasing -= *request;
                 return true;
             }
         }
-        let spec = placement.spec;
-        let within = self.jobs_within_quota.contains(&spec.id);
-        if stops == PreemptionScope::Nowhere
-            || (spec.priority >= self.lowest_bound_priority && !within)
-        {
-            return false;
-        }
+        false
+    }
+
+    fn is_within_quota(&self, placement: &JobPlacement) -> bool {
+        self.jobs_within_quota.contains(&placement.spec().id)
+    }
+
+    /// Whether there may be any task that can be preempted for the job.
+    fn may_preempt_any(&self, placement: &JobPlacement) -> bool {
+        placement.spec().priority < self.lowest_bound_priority || self.is_within_quota(placement)
+    }
+
+    /// The best preemption on a random sample of the usable workers.
+    fn best_preemption(
+        &mut self,
+        usable: &[usize],
+        placement: &JobPlacement,
+        rng: &mut impl Rng,
+    ) -> Option<PreemptionPlan> {
         let count = usable.len().min(SAMPLE_SIZE);
-        let sampled: Vec<usize> = sample(rng, usable.len(), count)
-            .iter()
-            .map(|i| usable[i])
-            .collect();
-        let mut best: Option<(bool, f64, usize, usize)> = None;
-        for i in sampled {
-            self.list_preemptible(i);
-            let Some((count, lost)) = self.preemption_cost(i, placement, within) else {
+        let mut best: Option<PreemptionPlan> = None;
+        for position in sample(rng, usable.len(), count) {
+            let worker = usable[position];
+            self.list_preemptible(worker);
+            let Some(plan) = self.plan_preemption(worker, placement) else {
                 continue;
             };
-            let fetch = !self.capacities[i]
-                .worker
-                .cached_images
-                .contains(&spec.image);
-            let better = best.is_none_or(|(f, l, ..)| (fetch, lost) < (f, l));
-            if better {
-                best = Some((fetch, lost, i, count));
+            if best.as_ref().is_none_or(|best| plan.is_better_than(best)) {
+                best = Some(plan);
             }
         }
-        let Some((_, _, i, count)) = best else {
-            return false;
-        };
-        if self.assignments.preemptions.len() + count > MAX_PREEMPTIONS {
-            return false;
-        }
-        self.preempt(i, placement, within, count);
-        true
+        best
     }
 
-    fn list_preemptible(&mut self, i: usize) {
-        if self.capacities[i].preemptible.is_some() {
+    /// Lists a worker's tasks that may be preempted, those with the least work lost first.
+    fn list_preemptible(&mut self, worker: usize) {
+        if self.capacities[worker].preemptible.is_some() {
             return;
         }
-        let worker = self.capacities[i].worker;
-        let mut preemptible: Vec<PreemptionCandidate> = worker
-            .bindings
+        let bindings = &self.capacities[worker].worker.bindings;
+        let mut preemptible: Vec<PreemptionCandidate> = bindings
             .iter()
-            .filter(|(_, b)| b.eviction.is_none() && !b.unbinding)
-            .filter_map(|(task, b)| {
+            .filter(|(_, binding)| binding.eviction.is_none() && !binding.unbinding)
+            .filter_map(|(task, binding)| {
                 let job = self.jobs.get(&task.job)?;
-                let ran_s = b.running_since.map_or(0.0, |since| self.now - since);
+                let ran_s = binding.running_since.map_or(0.0, |since| self.now - since);
                 Some(PreemptionCandidate {
                     task,
                     priority: job.spec.priority,
                     is_service: job.is_service(),
-                    team: &b.team,
-                    request: b.request,
-                    work_lost: ran_s * b.request.cpus.max(0.1),
+                    team: &binding.team,
+                    request: binding.request,
+                    work_lost: ran_s * binding.request.cpus.max(MIN_WORK_CPUS),
                     preempted: false,
                 })
             })
             .collect();
         preemptible.sort_by(|a, b| a.work_lost.total_cmp(&b.work_lost));
-        self.capacities[i].preemptible = Some(preemptible);
+        self.capacities[worker].preemptible = Some(preemptible);
     }
 
-    /// Whether a task may be stopped for this job: it ranks lower, or its team has borrowed what
-    /// this job's team is guaranteed.
-    fn may_preempt(
-        &self,
-        victim: &PreemptionCandidate,
-        placement: &JobPlacement,
-        within: bool,
-    ) -> bool {
-        let need = &victim.request;
-        let borrowed = || {
-            within
+    /// Whether a task may be preempted for the job: it has lower priority, or its team has borrowed
+    /// what the job's team is entitled to by its quota.
+    fn may_preempt(&self, victim: &PreemptionCandidate, placement: &JobPlacement) -> bool {
+        let request = &victim.request;
+        let borrows_quota = || {
+            self.is_within_quota(placement)
                 && !victim.is_service
-                && victim.team != placement.spec.team
+                && victim.team != placement.spec().team
                 && self
                     .quotas
-                    .exceeds_quota_without(victim.team, need.cpus, need.gpus)
+                    .exceeds_quota_without(victim.team, request.cpus, request.gpus)
         };
-        !victim.preempted && (victim.priority > placement.spec.priority || borrowed())
+        !victim.preempted && (victim.priority > placement.spec().priority || borrows_quota())
     }
 
-    /// How many of a worker's tasks would have to stop, the least work lost first, and the work lost.
-    fn preemption_cost(
-        &self,
-        i: usize,
-        placement: &JobPlacement,
-        within: bool,
-    ) -> Option<(usize, f64)> {
-        let capacity = &self.capacities[i];
-        let mut room = capacity.free + capacity.releasing;
-        let mut lost = 0.0;
-        let mut count = 0;
-        for victim in capacity.preemptible.iter().flatten() {
-            if room.fits(&placement.request) {
+    /// The tasks of a worker that would have to be preempted for one task of the job, if any.
+    fn plan_preemption(&self, worker: usize, placement: &JobPlacement) -> Option<PreemptionPlan> {
+        let capacity = &self.capacities[worker];
+        let mut available = capacity.free_after_release();
+        let mut plan = PreemptionPlan {
+            worker,
+            victims: 0,
+            work_lost: 0.0,
+            needs_image_pull: !capacity.has_image(&placement.spec().image),
+        };
+        for candidate in capacity.preemptible.iter().flatten() {
+            if available.fits(&placement.request) {
                 break;
             }
-            if self.may_preempt(victim, placement, within) {
-                room += victim.request;
-                lost += victim.work_lost;
-                count += 1;
+            if self.may_preempt(candidate, placement) {
+                available += candidate.request;
+                plan.work_lost += candidate.work_lost;
+                plan.victims += 1;
             }
         }
-        (count > 0 && room.fits(&placement.request)).then_some((count, lost))
+        (plan.victims > 0 && available.fits(&placement.request)).then_some(plan)
     }
 
-    fn preempt(&mut self, i: usize, placement: &JobPlacement, within: bool, count: usize) {
-        let mut preemptible = self.capacities[i].preemptible.take().unwrap_or_default();
-        let mut left = count;
-        for victim in &mut preemptible {
-            if left > 0 && self.may_preempt(victim, placement, within) {
-                left -= 1;
-                victim.preempted = true;
-                let capacity = &mut self.capacities[i];
-                capacity.releasing += victim.request;
-                let halt = (capacity.worker.name.clone(), victim.task.clone());
-                self.assignments.preemptions.push(halt);
+    fn preempt(&mut self, plan: &PreemptionPlan, placement: &JobPlacement) {
+        let worker = plan.worker;
+        let mut preemptible = self.capacities[worker]
+            .preemptible
+            .take()
+            .unwrap_or_default();
+        let mut remaining = plan.victims;
+        for candidate in &mut preemptible {
+            if remaining > 0 && self.may_preempt(candidate, placement) {
+                remaining -= 1;
+                candidate.preempted = true;
+                let capacity = &mut self.capacities[worker];
+                capacity.releasing += candidate.request;
+                let name = capacity.worker.name.clone();
+                let preemption = (name, candidate.task.clone());
+                self.assignments.preemptions.push(preemption);
             }
         }
-        let capacity = &mut self.capacities[i];
+        let capacity = &mut self.capacities[worker];
         capacity.releasing -= placement.request;
         capacity.preemptible = Some(preemptible);
     }
--- /dev/null
+++ b/src/coordination/scheduler/scoring.rs
@@ -0,0 +1,241 @@
+//! Filter and score: which workers a job's tasks may run on, and which of them is best.
+
+use super::capacity::WorkerCapacity;
+use super::cycle::SchedulingCycle;
+use super::placement::JobPlacement;
+use crate::bookkeeping::workers::Resources;
+use crate::protocol::job::{JobKind, PriorityClass};
+use crate::protocol::worker::TaskId;
+use rand::Rng;
+use rand::seq::index::sample;
+use std::cmp::Ordering;
+
+/// Workers considered for one job; of more than these a random sample is considered.
+pub(super) const SAMPLE_SIZE: usize = 64;
+/// Factor on the time that pulling an image should take: workers may pull a third slower than their
+/// instance type says, and the start itself takes time too.
+const IMAGE_PULL_MARGIN: f64 = 1.5;
+/// Least rate of image pulls that is computed with, in GB per second.
+const MIN_IMAGE_PULL_GB_PER_S: f64 = 1e-6;
+
+/// A worker that has passed the filter, with the parts of its score that don't change while the
+/// job's tasks are placed.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct ScoredWorker {
+    /// Index of the worker in the cycle's capacities.
+    pub(super) index: usize,
+    /// A task of the job has failed there.
+    failed_before: bool,
+    has_image: bool,
+    /// It would have to pull the image, and the job's tasks must start sooner.
+    pub(super) slow_start: bool,
+    /// It is an on-demand instance, though the job may use spot instances.
+    on_demand: bool,
+}
+
+/// The score of a worker for one more task of a job. Of two the lesser is better, and earlier fields
+/// weigh more.
+struct Score {
+    failed_before: bool,
+    slow_start: bool,
+    on_demand: bool,
+    /// The job's tasks in the zone, if they should be spread.
+    tasks_in_zone: u32,
+    lacks_image: bool,
+    /// Replicas placed there that have to pull the image too. Each replica that has to should do so
+    /// on another worker, so that later ones find the image on many.
+    replicas_pulling: u32,
+    /// Share of the worker that would stay free: the fullest is best.
+    free_share: f64,
+}
+
+impl Score {
+    fn compare(&self, other: &Score) -> Ordering {
+        let discrete = |score: &Score| {
+            (
+                score.failed_before,
+                score.slow_start,
+                score.on_demand,
+                score.tasks_in_zone,
+                score.lacks_image,
+                score.replicas_pulling,
+            )
+        };
+        discrete(self)
+            .cmp(&discrete(other))
+            .then(self.free_share.total_cmp(&other.free_share))
+    }
+}
+
+/// Requests known to fit on no worker. Free capacity only shrinks during a cycle, so requests that
+/// are at least as large need no search.
+#[derive(Debug, Default)]
+pub(super) struct UnsatisfiableRequests {
+    /// For jobs that use on-demand instances only.
+    on_demand: Option<Resources>,
+    /// For jobs that may use any instance.
+    any: Option<Resources>,
+}
+
+impl UnsatisfiableRequests {
+    fn includes(&self, request: &Resources, may_use_spot: bool) -> bool {
+        let known = if may_use_spot {
+            self.any
+        } else {
+            self.on_demand
+        };
+        known.is_some_and(|known| request.fits(&known))
+    }
+
+    fn record(&mut self, request: Resources, may_use_spot: bool) {
+        if may_use_spot {
+            self.any = Some(request);
+        } else {
+            self.on_demand = Some(request);
+        }
+    }
+}
+
+impl SchedulingCycle<'_> {
+    /// Whether the job's tasks may run on a worker, whatever is free there.
+    pub(super) fn filter_worker(
+        &self,
+        placement: &JobPlacement,
+        capacity: &WorkerCapacity,
+    ) -> bool {
+        let worker = capacity.worker;
+        let avoided = placement
+            .job
+            .failures
+            .avoids(&worker.name, self.limits.avoid_s, self.now);
+        !avoided
+            && placement
+                .spec()
+                .allows(&worker.instance_type, &worker.zone, worker.spot)
+            && placement.zone_allows(capacity.zone)
+    }
+
+    /// The workers that have capacity for a task of the job, scored; if there are many, a random
+    /// sample of them.
+    pub(super) fn score_workers(
+        &mut self,
+        placement: &JobPlacement,
+        rng: &mut impl Rng,
+    ) -> Vec<ScoredWorker> {
+        let mut feasible = self.feasible_workers(placement);
+        if feasible.len() > SAMPLE_SIZE {
+            feasible = sample(rng, feasible.len(), SAMPLE_SIZE)
+                .iter()
+                .map(|position| feasible[position])
+                .collect();
+        }
+        feasible
+            .into_iter()
+            .map(|index| self.score_worker(index, placement))
+            .collect()
+    }
+
+    /// Indices of the workers that have capacity for a task of the job.
+    fn feasible_workers(&mut self, placement: &JobPlacement) -> Vec<usize> {
+        let spec = placement.spec();
+        let request = &placement.request;
+        if self.unsatisfiable.includes(request, spec.spot) {
+            return Vec::new();
+        }
+        let feasible: Vec<usize> = (0..self.capacities.len())
+            .filter(|index| {
+                let capacity = &self.capacities[*index];
+                capacity.free.fits(request) && self.filter_worker(placement, capacity)
+            })
+            .collect();
+        let unconstrained =
+            spec.instance_types.is_none() && spec.zone.is_none() && !spec.one_zone && !spec.spread;
+        if feasible.is_empty() && unconstrained {
+            self.unsatisfiable.record(*request, spec.spot);
+        }
+        feasible
+    }
+
+    fn score_worker(&self, index: usize, placement: &JobPlacement) -> ScoredWorker {
+        let spec = placement.spec();
+        let capacity = &self.capacities[index];
+        let worker = capacity.worker;
+        let has_image = capacity.has_image(&spec.image);
+        let pull_s = IMAGE_PULL_MARGIN * spec.image_gb
+            / capacity.image_pull_gb_per_s.max(MIN_IMAGE_PULL_GB_PER_S);
+        let pulled_in_time = placement
+            .job
+            .start_objective_s
+            .is_some_and(|objective_s| pull_s < objective_s);
+        ScoredWorker {
+            index,
+            failed_before: placement.job.failures.has_failed_on(&worker.name),
+            has_image,
+            slow_start: spec.priority <= PriorityClass::Urgent && !has_image && !pulled_in_time,
+            on_demand: spec.spot && !worker.spot,
+        }
+    }
+
+    /// Keeps the candidates of the zone with the most capacity: for a job that must stay in one zone
+    /// and has no task yet.
+    pub(super) fn retain_largest_zone(
+        &self,
+        candidates: &mut Vec<ScoredWorker>,
+        request: &Resources,
+    ) {
+        let mut fitting = vec![0; self.zones.len()];
+        for candidate in candidates.iter() {
+            let capacity = &self.capacities[candidate.index];
+            fitting[capacity.zone] += capacity.free.count_fitting(request);
+        }
+        let largest = (0..fitting.len()).max_by_key(|zone| fitting[*zone]);
+        candidates.retain(|candidate| Some(self.capacities[candidate.index].zone) == largest);
+    }
+
+    /// The candidate with the best score for one more task.
+    pub(super) fn best_worker(
+        &self,
+        candidates: &[ScoredWorker],
+        placement: &JobPlacement,
+        task: &TaskId,
+    ) -> Option<ScoredWorker> {
+        candidates
+            .iter()
+            .filter(|candidate| {
+                let capacity = &self.capacities[candidate.index];
+                capacity.free.fits(&placement.request)
+                    && placement.zone_allows(capacity.zone)
+                    && !capacity.worker.observed_tasks.contains_key(task)
+            })
+            .min_by(|a, b| {
+                let a = self.score(a, placement);
+                a.compare(&self.score(b, placement))
+            })
+            .copied()
+    }
+
+    fn score(&self, candidate: &ScoredWorker, placement: &JobPlacement) -> Score {
+        let spec = placement.spec();
+        let capacity = &self.capacities[candidate.index];
+        let tasks_in_zone = if spec.spread {
+            placement.tasks_in_zone(capacity.zone)
+        } else {
+            0
+        };
+        let replicas_pulling = if !candidate.has_image && spec.kind == JobKind::Service {
+            placement.placed_on(candidate.index)
+        } else {
+            0
+        };
+        let remaining = capacity.free - placement.request;
+        Score {
+            failed_before: candidate.failed_before,
+            slow_start: candidate.slow_start,
+            on_demand: candidate.on_demand,
+            tasks_in_zone,
+            lacks_image: !candidate.has_image,
+            replicas_pulling,
+            free_share: remaining.dominant_share(&capacity.total),
+        }
+    }
+}
