--- a/tests/permits.rs
+++ b/tests/permits.rs
@@ -74,6 +74,6 @@
 )]
 fn violations() {
     let invariant = Invariant::NoStartOfEndedJob;
-    assert!(uphold(invariant, true, format_args!("host h")));
-    assert!(!uphold(invariant, false, format_args!("host h")));
+    assert!(uphold(invariant, true, format_args!("worker h")));
+    assert!(!uphold(invariant, false, format_args!("worker h")));
 }
