--- /dev/null
+++ b/src/coordination/leader/fleet/inventory.rs
@@ -0,0 +1,96 @@
+//! The inventory: the cloud's list of instances, read page by page.
+
+use super::{CallSchedule, ScaleInReason};
+use crate::bookkeeping::workers::Worker;
+use crate::coordination::effects::{CloudRequestKind, Effects};
+use crate::coordination::leader::Leader;
+use crate::protocol::cloud::{CloudRequest, CloudResponse, Instance, InstanceStatus};
+
+/// Progress of listing the instances.
+#[derive(Debug, Default)]
+pub(super) struct Inventory {
+    call: CallSchedule,
+    /// Pages of a list that is not complete yet.
+    partial_listing: Vec<Instance>,
+    /// When the last complete list arrived.
+    pub(super) listed_at: Option<f64>,
+}
+
+impl Leader {
+    /// Requests the next page of the list, if it is due.
+    pub(super) fn list_instances(&mut self, effects: &mut Effects, now: f64) {
+        let fleet = &mut self.fleet;
+        let inventory = &mut fleet.inventory;
+        if !inventory.call.is_due(now) || !fleet.rate_limiter.take(1.0, now) {
+            return;
+        }
+        inventory.call.in_flight = true;
+        let after = inventory
+            .partial_listing
+            .last()
+            .map(|instance| instance.name.clone());
+        effects.call_cloud(
+            CloudRequestKind::ListInstances(fleet.epoch),
+            CloudRequest::ListInstances(after),
+            fleet.call_timeout_s(),
+        );
+    }
+
+    /// Takes a page of the list; with the last one, the list as a whole.
+    pub fn on_instances_listed(&mut self, response: CloudResponse, now: f64) {
+        let fleet = &mut self.fleet;
+        let inventory = &mut fleet.inventory;
+        inventory.call.in_flight = false;
+        let CloudResponse::Page { instances, more } = response else {
+            inventory.partial_listing.clear();
+            inventory.call.not_before = now + fleet.heartbeat_interval_s;
+            return;
+        };
+        let more = more && !instances.is_empty();
+        inventory.partial_listing.extend(instances);
+        if more {
+            return;
+        }
+        let instances = std::mem::take(&mut inventory.partial_listing);
+        inventory.call.not_before = now + fleet.list_lag_s;
+        inventory.listed_at = Some(now);
+        for instance in instances {
+            self.observe_instance(&instance, now);
+        }
+        self.fleet.forget_old_deletions(now);
+        self.complete_provisioning();
+    }
+
+    /// Updates the worker of a listed instance; one that is not known yet is added.
+    fn observe_instance(&mut self, instance: &Instance, now: f64) {
+        if self.fleet.is_deleted(&instance.name) {
+            return;
+        }
+        let lease_from = self.previous_leader_deadline;
+        let worker = self.workers.entry(&instance.name, || {
+            let mut worker = Worker::new(
+                &instance.name,
+                &instance.instance_type,
+                &instance.zone,
+                instance.spot,
+                now - instance.age_s,
+            );
+            worker.lease_renewed_at = lease_from;
+            worker
+        });
+        if worker.endpoint.is_empty() {
+            worker.endpoint.clone_from(&instance.endpoint);
+        }
+        worker.last_listed_at = Some(now);
+        match instance.status {
+            InstanceStatus::Running if !worker.listed_running => {
+                worker.listed_running = true;
+                self.dispatch_due.insert(instance.name.clone());
+            }
+            InstanceStatus::Failed if !worker.terminating => {
+                self.scale_in(&instance.name, ScaleInReason::Failed);
+            }
+            _ => {}
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/leader/fleet/pool.rs
@@ -0,0 +1,157 @@
+//! Pools of instances: what they are keyed by, what is measured of them, and their back-off.
+
+use super::Fleet;
+use crate::bookkeeping::workers::Worker;
+use crate::coordination::autoscaler::{RateMeter, ScalingDecision};
+use crate::protocol::cloud::MAX_INSTANCES_PER_CREATE;
+
+/// Weight of the latest value in running averages.
+const SMOOTHING: f64 = 0.1;
+/// The runtime bias is an average over all jobs: the latest value weighs less by this factor.
+const BIAS_DAMPING: f64 = 10.0;
+/// Bounds within which a single task's run time over its estimate counts.
+const RUNTIME_BIAS_RANGE: (f64, f64) = (0.2, 5.0);
+/// Least share of an instance that a task is taken to use.
+const MIN_INSTANCE_SHARE: f64 = 1e-3;
+/// Shortest time for which a pool is left alone after it could not give what was asked for, in boot
+/// times.
+const MIN_BLOCK_BOOTS: f64 = 0.5;
+/// Longest such time, in boot times.
+const MAX_BLOCK_BOOTS: f64 = 4.0;
+
+/// A pool of instances: type, zone, and whether spot.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct PoolKey {
+    /// Instance type.
+    pub instance_type: String,
+    /// Zone.
+    pub zone: String,
+    /// Spot instances; else on-demand instances.
+    pub spot: bool,
+}
+
+impl PoolKey {
+    /// The pool that a worker belongs to.
+    pub(in crate::coordination::leader) fn of(worker: &Worker) -> PoolKey {
+        PoolKey {
+            instance_type: worker.instance_type.clone(),
+            zone: worker.zone.clone(),
+            spot: worker.spot,
+        }
+    }
+
+    /// Whether a worker belongs to the pool.
+    pub(in crate::coordination::leader) fn contains(&self, worker: &Worker) -> bool {
+        worker.spot == self.spot
+            && worker.zone == self.zone
+            && worker.instance_type == self.instance_type
+    }
+}
+
+impl std::fmt::Display for PoolKey {
+    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+        let kind = if self.spot { "spot" } else { "ordinary" };
+        write!(f, "{}/{}/{kind}", self.instance_type, self.zone)
+    }
+}
+
+/// What is known of a pool from its use.
+#[derive(Debug, Default)]
+pub(in crate::coordination::leader) struct Pool {
+    /// Nothing is requested before this time.
+    blocked_until: f64,
+    /// Seconds of the last block; 0 once all that was requested could be created.
+    block_s: f64,
+    /// Starts of tasks.
+    pub(in crate::coordination::leader) starts: RateMeter,
+    /// Tasks that have finished.
+    pub(in crate::coordination::leader) finishes: RateMeter,
+    /// Average run time of a task in seconds.
+    pub(in crate::coordination::leader) task_s: Option<f64>,
+    /// Average share of an instance that a task requests.
+    pub(in crate::coordination::leader) machine_share: Option<f64>,
+    /// The decision that was last logged.
+    pub(in crate::coordination::leader) last_decision: Option<ScalingDecision>,
+}
+
+impl Pool {
+    pub(super) fn is_blocked(&self, now: f64) -> bool {
+        now < self.blocked_until
+    }
+
+    /// Notes that all instances of a request were created.
+    pub(super) fn unblock(&mut self) {
+        self.block_s = 0.0;
+    }
+
+    /// Leaves the pool alone for a while, twice as long each time.
+    fn block(&mut self, boot_time_s: f64, now: f64) {
+        self.block_s = (self.block_s * 2.0)
+            .clamp(boot_time_s * MIN_BLOCK_BOOTS, boot_time_s * MAX_BLOCK_BOOTS);
+        self.blocked_until = now + self.block_s;
+    }
+}
+
+fn average(known: Option<f64>, value: f64) -> Option<f64> {
+    Some(known.map_or(value, |known| known + (value - known) * SMOOTHING))
+}
+
+impl Fleet {
+    /// Whether a pool is known to have no capacity left.
+    pub(in crate::coordination::leader) fn is_blocked(&self, key: &PoolKey, now: f64) -> bool {
+        self.pools.get(key).is_some_and(|pool| pool.is_blocked(now))
+    }
+
+    /// How many instances of a pool may be requested in one round: a single call's worth after the
+    /// pool could not give all that was requested.
+    pub(in crate::coordination::leader) fn request_limit(&self, key: &PoolKey) -> u32 {
+        match self.pools.get(key) {
+            Some(pool) if pool.block_s > 0.0 => MAX_INSTANCES_PER_CREATE,
+            _ => u32::MAX,
+        }
+    }
+
+    /// Blocks a pool that could not give all that was requested.
+    pub(super) fn block(&mut self, key: &PoolKey, boot_time_s: f64, now: f64) {
+        let pool = self.pools.entry(key.clone()).or_default();
+        pool.block(boot_time_s, now);
+        // Other pools are asked soon for what this one can't give.
+        self.next_scaling_at = self
+            .next_scaling_at
+            .min(now + self.heartbeat_interval_s / 5.0);
+    }
+
+    /// Records the start of a task that requests `share` of its worker; `None` for tasks that don't
+    /// count in forecasts.
+    pub(in crate::coordination::leader) fn record_start(
+        &mut self,
+        worker: &Worker,
+        share: Option<f64>,
+        now: f64,
+    ) {
+        let pool = self.pools.entry(PoolKey::of(worker)).or_default();
+        if let Some(share) = share {
+            pool.starts.add(1.0, now);
+            pool.machine_share = average(pool.machine_share, share.max(MIN_INSTANCE_SHARE));
+        }
+    }
+
+    /// Records that a task has finished after `ran_s` seconds, of which its owner expected
+    /// `expected_runtime_s`.
+    pub(in crate::coordination::leader) fn record_finish(
+        &mut self,
+        worker: &Worker,
+        ran_s: f64,
+        expected_runtime_s: f64,
+        now: f64,
+    ) {
+        if expected_runtime_s > 0.0 {
+            let (least, most) = RUNTIME_BIAS_RANGE;
+            let bias = (ran_s / expected_runtime_s).clamp(least, most);
+            self.runtime_bias += (bias - self.runtime_bias) * SMOOTHING / BIAS_DAMPING;
+        }
+        let pool = self.pools.entry(PoolKey::of(worker)).or_default();
+        pool.finishes.add(1.0, now);
+        pool.task_s = average(pool.task_s, ran_s);
+    }
+}
--- /dev/null
+++ b/src/coordination/leader/fleet/provisioning.rs
@@ -0,0 +1,314 @@
+//! Scale-out: provisioning requests, from their records to the instances that come of them.
+//!
+//! A request is recorded in the state service before it is sent, under an idempotency key, so that a
+//! later leader can send it again and learn which instances were created.
+
+use super::{Fleet, PoolKey};
+use crate::bookkeeping::records::{self, ProvisioningRecord};
+use crate::bookkeeping::workers::Worker;
+use crate::bookkeeping::write_ahead_log::LogEntry;
+use crate::coordination::effects::{CloudRequestKind, Effects};
+use crate::coordination::leader::Leader;
+use crate::protocol::cloud::{
+    CloudRequest, CloudResponse, CreateInstances, MAX_INSTANCES_PER_CREATE,
+};
+use crate::protocol::job::PriorityClass;
+use crate::protocol::kv::WriteOp;
+use std::collections::BTreeMap;
+
+/// Instances requested of one pool in a round, at most; the next round sees how many it could give.
+const MAX_INSTANCES_PER_ROUND: u32 = 8 * MAX_INSTANCES_PER_CREATE;
+
+/// Where a provisioning request stands.
+#[derive(Debug, Clone, PartialEq)]
+enum ProvisioningState {
+    /// Its record is being written.
+    Recording,
+    /// To be sent, or sent again, from this time on.
+    Ready { not_before: f64 },
+    /// Sent, without a response yet.
+    InFlight,
+    /// These instances were created; not all of them have been seen yet.
+    Created { instances: Vec<String> },
+    /// Its record is being removed.
+    Completing,
+}
+
+/// The order in which requests are sent: the most urgent work's first.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct SendOrder {
+    /// The most urgent work that the request is for.
+    priority: PriorityClass,
+    /// Number of the request within the epoch; 0 for requests of earlier leaders.
+    sequence: u64,
+}
+
+#[derive(Debug, Clone)]
+struct ProvisioningRequest {
+    record: ProvisioningRecord,
+    state: ProvisioningState,
+    order: SendOrder,
+    /// It may have reached the cloud.
+    sent: bool,
+}
+
+impl ProvisioningRequest {
+    fn pool(&self) -> PoolKey {
+        PoolKey {
+            instance_type: self.record.instance_type.clone(),
+            zone: self.record.zone.clone(),
+            spot: self.record.spot,
+        }
+    }
+
+    fn is_ready(&self, now: f64) -> bool {
+        matches!(self.state, ProvisioningState::Ready { not_before } if now >= not_before)
+    }
+
+    /// Instances that may come of it and are not among the workers yet.
+    fn instances_expected(&self) -> u32 {
+        match self.state {
+            ProvisioningState::Created { .. } | ProvisioningState::Completing => 0,
+            _ => self.record.count,
+        }
+    }
+}
+
+/// Provisioning requests that are not complete, by idempotency key.
+#[derive(Debug, Default)]
+pub(super) struct Provisioning {
+    requests: BTreeMap<String, ProvisioningRequest>,
+    /// Requests made in this epoch.
+    requests_made: u64,
+    create_in_flight: bool,
+}
+
+impl Fleet {
+    /// Takes over a provisioning request that an earlier leader has recorded.
+    pub(in crate::coordination::leader) fn inherit_provisioning(
+        &mut self,
+        idempotency_key: &str,
+        record: ProvisioningRecord,
+    ) {
+        let request = ProvisioningRequest {
+            record,
+            state: ProvisioningState::Ready { not_before: 0.0 },
+            order: SendOrder {
+                priority: PriorityClass::Production,
+                sequence: 0,
+            },
+            sent: true,
+        };
+        let requests = &mut self.provisioning.requests;
+        requests.insert(idempotency_key.to_owned(), request);
+    }
+
+    /// A key was written or removed; if it is the record of a provisioning request, the request may
+    /// now be sent, or is complete.
+    pub(in crate::coordination::leader) fn on_record_written(&mut self, write: &WriteOp) {
+        let requests = &mut self.provisioning.requests;
+        match write {
+            WriteOp::Put { key, .. } => {
+                if let Some(idempotency_key) = key.strip_prefix(records::PROVISIONING_PREFIX)
+                    && let Some(request) = requests.get_mut(idempotency_key)
+                {
+                    request.state = ProvisioningState::Ready { not_before: 0.0 };
+                }
+            }
+            WriteOp::Delete { key } => {
+                if let Some(idempotency_key) = key.strip_prefix(records::PROVISIONING_PREFIX) {
+                    requests.remove(idempotency_key);
+                }
+            }
+        }
+    }
+
+    /// Whether any provisioning request is not complete.
+    pub(in crate::coordination::leader) fn is_provisioning(&self) -> bool {
+        !self.provisioning.requests.is_empty()
+    }
+
+    /// Instances of a pool that are being provisioned and are not among the workers yet.
+    pub(in crate::coordination::leader) fn instances_expected(&self, key: &PoolKey) -> u32 {
+        self.provisioning
+            .requests
+            .values()
+            .filter(|request| request.pool() == *key)
+            .map(ProvisioningRequest::instances_expected)
+            .sum()
+    }
+}
+
+/// The log entry that removes a request's record.
+fn remove_record(idempotency_key: &str) -> LogEntry {
+    LogEntry::WriteKey {
+        write: WriteOp::delete(records::provisioning_key(idempotency_key)),
+    }
+}
+
+impl Leader {
+    /// Records requests for `count` more instances of a pool, which the work of `priority` needs.
+    pub(in crate::coordination::leader) fn scale_out(
+        &mut self,
+        key: &PoolKey,
+        priority: Option<PriorityClass>,
+        count: u32,
+    ) {
+        let mut remaining = count.min(MAX_INSTANCES_PER_ROUND);
+        while remaining > 0 {
+            let provisioning = &mut self.fleet.provisioning;
+            provisioning.requests_made += 1;
+            let sequence = provisioning.requests_made;
+            let idempotency_key = format!("r-{}-{sequence}", self.epoch);
+            let record = ProvisioningRecord {
+                instance_type: key.instance_type.clone(),
+                zone: key.zone.clone(),
+                spot: key.spot,
+                count: remaining.min(MAX_INSTANCES_PER_CREATE),
+            };
+            remaining -= record.count;
+            self.log.push(LogEntry::WriteKey {
+                write: WriteOp::put(records::provisioning_key(&idempotency_key), &record),
+            });
+            let request = ProvisioningRequest {
+                record,
+                state: ProvisioningState::Recording,
+                order: SendOrder {
+                    priority: priority.unwrap_or(PriorityClass::BestEffort),
+                    sequence,
+                },
+                sent: false,
+            };
+            provisioning.requests.insert(idempotency_key, request);
+        }
+    }
+
+    /// Sends the next provisioning request, if one is ready.
+    pub(super) fn send_provisioning_request(&mut self, effects: &mut Effects, now: f64) {
+        let fleet = &mut self.fleet;
+        let timeout_s = fleet.call_timeout_s();
+        if fleet.provisioning.create_in_flight {
+            return;
+        }
+        let ready = fleet
+            .provisioning
+            .requests
+            .iter_mut()
+            .filter(|(_, request)| request.is_ready(now))
+            .min_by_key(|(_, request)| request.order);
+        let Some((idempotency_key, request)) = ready else {
+            return;
+        };
+        let pool = request.pool();
+        let blocked = fleet.pools.get(&pool).is_some_and(|p| p.is_blocked(now));
+        if blocked && !request.sent {
+            // The pool has turned out to have no capacity; the next round asks others.
+            request.state = ProvisioningState::Completing;
+            self.log.push(remove_record(idempotency_key));
+            return;
+        }
+        if !fleet.rate_limiter.take(1.0, now) {
+            return;
+        }
+        tracing::debug!(idempotency_key, %pool, again = request.sent, "provisioning request sent");
+        request.state = ProvisioningState::InFlight;
+        request.sent = true;
+        fleet.provisioning.create_in_flight = true;
+        let call = CreateInstances {
+            idempotency_key: idempotency_key.clone(),
+            instance_type: pool.instance_type,
+            zone: pool.zone,
+            spot: pool.spot,
+            count: request.record.count,
+        };
+        effects.call_cloud(
+            CloudRequestKind::CreateInstances(self.epoch, idempotency_key.clone()),
+            CloudRequest::CreateInstances(call),
+            timeout_s,
+        );
+    }
+
+    /// Takes the response to a provisioning request.
+    pub fn on_instances_created(
+        &mut self,
+        idempotency_key: &str,
+        response: CloudResponse,
+        now: f64,
+    ) {
+        let provisioning = &mut self.fleet.provisioning;
+        provisioning.create_in_flight = false;
+        let Some(request) = provisioning.requests.get_mut(idempotency_key) else {
+            return;
+        };
+        let pool = request.pool();
+        let wanted = request.record.count;
+        match response {
+            CloudResponse::Created(instances) => {
+                tracing::info!(idempotency_key, %pool, wanted, got = instances.len(), "instances created");
+                request.state = ProvisioningState::Created {
+                    instances: instances.clone(),
+                };
+                self.record_created(&pool, wanted, &instances, now);
+            }
+            CloudResponse::InsufficientCapacity | CloudResponse::InvalidRequest => {
+                tracing::info!(idempotency_key, %pool, wanted, "provisioning request rejected");
+                request.state = ProvisioningState::Completing;
+                self.block_pool(&pool, now);
+                self.log.push(remove_record(idempotency_key));
+            }
+            // It may have been carried out: it is sent again under its key until there is a response.
+            _ => {
+                request.state = ProvisioningState::Ready {
+                    not_before: now + self.fleet.heartbeat_interval_s,
+                };
+            }
+        }
+    }
+
+    /// Adds the workers of instances that were created, and notes whether the pool gave all that
+    /// were requested.
+    fn record_created(&mut self, pool: &PoolKey, wanted: u32, instances: &[String], now: f64) {
+        if instances.len() < wanted as usize {
+            self.block_pool(pool, now);
+        } else if let Some(pool) = self.fleet.pools.get_mut(pool) {
+            pool.unblock();
+        }
+        for name in instances {
+            if !self.fleet.is_deleted(name) {
+                self.workers.entry(name, || {
+                    Worker::new(name, &pool.instance_type, &pool.zone, pool.spot, now)
+                });
+            }
+        }
+        self.complete_provisioning();
+    }
+
+    fn block_pool(&mut self, pool: &PoolKey, now: f64) {
+        let boot_time_s = self
+            .instance_types
+            .iter()
+            .find(|instance_type| instance_type.name == pool.instance_type)
+            .map_or(self.fleet.heartbeat_interval_s, |instance_type| {
+                instance_type.boot_time_s
+            });
+        self.fleet.block(pool, boot_time_s, now);
+    }
+
+    /// Removes the records of provisioning requests whose instances have all been seen.
+    pub(super) fn complete_provisioning(&mut self) {
+        for (idempotency_key, request) in &mut self.fleet.provisioning.requests {
+            let ProvisioningState::Created { instances } = &request.state else {
+                continue;
+            };
+            let all_seen = instances.iter().all(|name| {
+                self.workers.get(name).is_none_or(|worker| {
+                    worker.last_listed_at.is_some() || worker.last_heartbeat_at.is_some()
+                })
+            });
+            if all_seen {
+                request.state = ProvisioningState::Completing;
+                self.log.push(remove_record(idempotency_key));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/leader/fleet/scale_in.rs
@@ -0,0 +1,122 @@
+//! Scale-in: marks workers as terminating, and deletes their instances.
+
+use super::{CallSchedule, Fleet};
+use crate::bookkeeping::permits;
+use crate::bookkeeping::write_ahead_log::LogEntry;
+use crate::coordination::effects::{CloudRequestKind, Effects};
+use crate::coordination::leader::Leader;
+use crate::protocol::cloud::{CloudRequest, CloudResponse, MAX_INSTANCES_PER_DELETE};
+use std::collections::HashMap;
+
+/// Confirmed deletions are remembered for so many list lags or heartbeat intervals, whichever is
+/// longer: lists and heartbeats may show a deleted instance for a while.
+const DELETION_MEMORY: f64 = 60.0;
+
+/// Why an instance is deleted.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(in crate::coordination::leader) enum ScaleInReason {
+    /// The cloud reclaims it.
+    Reclaimed,
+    /// It has not booted in time.
+    BootTimedOut,
+    /// Its heartbeats are missing, and direct calls to it remain unanswered.
+    Unresponsive,
+    /// Its heartbeats arrive, but neither responses nor commands reach it.
+    Unreachable,
+    /// Tasks of several jobs fail on it that succeed elsewhere.
+    FailsTasks,
+    /// The cloud no longer lists it.
+    NotListed,
+    /// The cloud lists it as failed.
+    Failed,
+    /// Nothing is bound to it, and it is not needed.
+    Idle,
+    /// Its fence can't be raised any further.
+    FenceExhausted,
+}
+
+/// Progress of deleting instances.
+#[derive(Debug, Default)]
+pub(super) struct Deletions {
+    call: CallSchedule,
+    /// Instances whose deletion was confirmed, and when.
+    deleted_at: HashMap<String, f64>,
+}
+
+impl Fleet {
+    /// Whether an instance's deletion was confirmed.
+    pub(in crate::coordination::leader) fn is_deleted(&self, name: &str) -> bool {
+        self.deletions.deleted_at.contains_key(name)
+    }
+
+    /// Forgets deletions that no list and no heartbeat can contradict any more.
+    pub(super) fn forget_old_deletions(&mut self, now: f64) {
+        let memory_s = DELETION_MEMORY * self.list_lag_s.max(self.heartbeat_interval_s);
+        let deleted_at = &mut self.deletions.deleted_at;
+        deleted_at.retain(|_, at| now - *at < memory_s);
+    }
+}
+
+impl Leader {
+    /// Marks a worker as terminating; its instance is deleted once the mark is written.
+    pub(in crate::coordination::leader) fn scale_in(&mut self, name: &str, reason: ScaleInReason) {
+        if let Some(worker) = self.workers.get_mut(name)
+            && !worker.terminating
+        {
+            tracing::info!(worker = name, ?reason, "scale-in");
+            worker.terminating = true;
+            self.log.push(LogEntry::RecordTermination {
+                worker: name.to_owned(),
+            });
+        }
+    }
+
+    /// Requests the deletion of instances that may be deleted, in one call.
+    pub(super) fn delete_instances(&mut self, effects: &mut Effects, now: f64) {
+        if !self.fleet.deletions.call.is_due(now) {
+            return;
+        }
+        let names: Vec<String> = self
+            .workers
+            .iter()
+            .filter(|worker| {
+                permits::may_delete(worker).is_ok() && !self.fleet.is_deleted(&worker.name)
+            })
+            .map(|worker| worker.name.clone())
+            .take(MAX_INSTANCES_PER_DELETE)
+            .collect();
+        if names.is_empty() || !self.fleet.rate_limiter.take(1.0, now) {
+            return;
+        }
+        self.fleet.deletions.call.in_flight = true;
+        tracing::debug!(workers = ?names, "delete request sent");
+        effects.call_cloud(
+            CloudRequestKind::DeleteInstances(self.epoch, names.clone()),
+            CloudRequest::DeleteInstances(names),
+            self.fleet.call_timeout_s(),
+        );
+    }
+
+    /// Takes the response to a delete request.
+    pub fn on_instances_deleted(&mut self, names: &[String], response: &CloudResponse, now: f64) {
+        let retry_at = now + self.fleet.heartbeat_interval_s;
+        let call = &mut self.fleet.deletions.call;
+        call.in_flight = false;
+        if !matches!(response, CloudResponse::Deleted) {
+            call.not_before = retry_at;
+            return;
+        }
+        for name in names {
+            let deleted_at = &mut self.fleet.deletions.deleted_at;
+            deleted_at.insert(name.clone(), now);
+            if self.workers.get(name).is_none() {
+                continue;
+            }
+            self.drop_all_bindings(name, now);
+            tracing::info!(worker = name, "instance deleted");
+            self.log.push(LogEntry::RemoveWorker {
+                worker: name.clone(),
+            });
+        }
+    }
+}
--- a/src/coordination/leader/scaling.rs
+++ b/src/coordination/leader/scaling.rs
@@ -1,7 +1,7 @@
 //! How many machines each pool should have: the demand of what waits, the room for replicas to come,
 //! and the autoscaler's decision.
 
-use super::fleet::{self, PoolKey, ScaleInReason, is_in};
+use super::fleet::{self, PoolKey, ScaleInReason};
 use super::{Leader, RUNTIME_ESTIMATE_MARGIN};
 use crate::bookkeeping::workers::{Resources, Worker};
 use crate::coordination::autoscaler::{self, PoolLoad};
@@ -182,7 +182,7 @@
     fn pool_inventory(&self, offer: &PoolOffer, now: f64) -> PoolInventory {
         let mut stock = PoolInventory::default();
         for worker in self.workers.iter() {
-            if worker.terminating || worker.reclaim_at.is_some() || !is_in(worker, &offer.key) {
+            if worker.terminating || worker.reclaim_at.is_some() || !offer.key.contains(worker) {
                 continue;
             }
             let overdue = worker.last_heartbeat_at.is_none()
@@ -244,7 +244,7 @@
             };
             for worker in self.workers.iter() {
                 let in_use = worker.is_schedulable() && !worker.spot && !worker.bindings.is_empty();
-                let offer = offers.iter().find(|offer| is_in(worker, &offer.key));
+                let offer = offers.iter().find(|offer| offer.key.contains(worker));
                 if let Some(offer) = offer.filter(|_| in_use && worker.zone == *zone) {
                     let free = Resources::from(offer.instance_type) - self.service_usage(worker);
                     missing = missing.saturating_sub(free.count_fitting(&need));
@@ -292,7 +292,9 @@
             let booting = self
                 .workers
                 .iter()
-                .filter(|h| !h.terminating && h.last_heartbeat_at.is_none() && is_in(h, &offer.key))
+                .filter(|h| {
+                    !h.terminating && h.last_heartbeat_at.is_none() && offer.key.contains(h)
+                })
                 .filter(|h| {
                     now - h.first_seen_at <= fleet::BOOT_USUAL * offer.instance_type.boot_time_s
                 })
@@ -488,7 +490,7 @@
             .workers
             .iter()
             .filter(|worker| {
-                !cut && is_in(worker, key)
+                !cut && key.contains(worker)
                     && !worker.terminating
                     && worker.last_heartbeat_at.is_some()
                     && worker.bindings.is_empty()
