--- a/src/coordination/job_api/mod.rs
+++ b/src/coordination/job_api/mod.rs
@@ -4,8 +4,8 @@
 //! state service, many at a time: the key of an open job never changes, so a comparison of mod revisions
 //! shows that the job is still open. So no controller can give an older answer than another has given.
 //!
-//! [`Admission`] refuses requests at once, the others wait in [`RevisionChecks`] (polls), [`JobWrites`]
-//! (submissions and cancellations) or [`JobLookups`] (whatever a comparison has failed to confirm).
+//! `Admission` refuses requests at once, the others wait in `RevisionChecks` (polls), `JobWrites`
+//! (submissions and cancellations) or `JobLookups` (whatever a comparison has failed to confirm).
 
 mod admission;
 mod batches;
--- /dev/null
+++ b/src/coordination/leader/scaling/headroom.rs
@@ -0,0 +1,125 @@
+//! Headroom: capacity that is kept in each zone for replicas to come.
+
+use super::demand::DemandFit;
+use super::pool::{PoolInventory, PoolOffer};
+use crate::bookkeeping::workers::Resources;
+use crate::coordination::leader::Leader;
+use crate::coordination::scheduler;
+use crate::policy::Figures;
+
+/// The headroom of a zone.
+pub(super) struct Headroom {
+    /// Replicas for which capacity is kept.
+    pub(super) replicas: u32,
+    /// What a replica requests on average.
+    pub(super) request: Resources,
+}
+
+/// The replicas of a zone.
+struct ZoneReplicas {
+    /// Replicas bound in the zone, and its even part of those that wait.
+    count: f64,
+    /// What one requests on average.
+    request: Resources,
+}
+
+impl Leader {
+    /// The headroom of a zone; none if it has no replicas.
+    pub(super) fn headroom(
+        &self,
+        offers: &[PoolOffer],
+        figures: &[Figures],
+        zone: &str,
+    ) -> Option<Headroom> {
+        let share = offers
+            .iter()
+            .zip(figures)
+            .filter(|(offer, _)| !offer.key.spot && offer.key.zone == zone)
+            .map(|(_, figures)| figures.headroom)
+            .fold(0.0, f64::max);
+        let replicas = self.zone_replicas(zone)?;
+        Some(Headroom {
+            replicas: (share * replicas.count).ceil() as u32,
+            request: replicas.request,
+        })
+    }
+
+    fn zone_replicas(&self, zone: &str) -> Option<ZoneReplicas> {
+        let zones = self.settings.deployment.zones.len() as f64;
+        let mut count = 0.0;
+        let mut sum = Resources::default();
+        for job in self.jobs.iter().filter(|job| job.is_service()) {
+            let bound = f64::from(job.bound_per_zone().get(zone).copied().unwrap_or(0));
+            let in_zone = bound + f64::from(job.startable_count()) / zones;
+            count += in_zone;
+            sum += scheduler::resource_request(&job.spec) * in_zone;
+        }
+        (count > 0.0).then(|| ZoneReplicas {
+            count,
+            request: sum * (1.0 / count),
+        })
+    }
+
+    /// Instances of each pool that are kept for replicas to come, whichever of a zone's pools still
+    /// has them.
+    pub(super) fn headroom_machines(
+        &self,
+        offers: &[PoolOffer],
+        fit: &DemandFit,
+        inventories: &[PoolInventory],
+        figures: &[Figures],
+    ) -> Vec<u32> {
+        let mut kept = vec![0; offers.len()];
+        for zone in &self.settings.deployment.zones {
+            let Some(headroom) = self.headroom(offers, figures, zone) else {
+                continue;
+            };
+            let request = &headroom.request;
+            let mut missing = self.replicas_beyond_workers(offers, &headroom, zone);
+            let pools: Vec<usize> = (0..offers.len())
+                .filter(|i| !offers[*i].key.spot && offers[*i].key.zone == *zone)
+                .collect();
+            // First the instances that are there without tasks.
+            for i in &pools {
+                let fitting = offers[*i].resources().count_fitting(request);
+                let unused = inventories[*i].idle + fit.unused_bins(*i);
+                while fitting > 0 && missing >= fitting && kept[*i] < unused {
+                    kept[*i] += 1;
+                    missing -= fitting;
+                }
+            }
+            // Then new ones, of the cheapest pool that may have some.
+            for i in &pools {
+                let fitting = offers[*i].resources().count_fitting(request);
+                if fitting > 0 && !offers[*i].blocked {
+                    // Less than an instance's worth is none: in a small zone it would be expensive.
+                    kept[*i] += missing / fitting;
+                    missing = 0;
+                }
+            }
+        }
+        kept
+    }
+
+    /// How many of the headroom's replicas don't fit onto the on-demand workers in use. Capacity that
+    /// arrays have taken counts as free, since they can be preempted.
+    fn replicas_beyond_workers(
+        &self,
+        offers: &[PoolOffer],
+        headroom: &Headroom,
+        zone: &str,
+    ) -> u32 {
+        let mut missing = headroom.replicas;
+        for worker in self.workers.iter() {
+            let in_use = worker.is_schedulable() && !worker.spot && !worker.bindings.is_empty();
+            if !in_use || worker.zone != zone {
+                continue;
+            }
+            if let Some(offer) = offers.iter().find(|offer| offer.key.contains(worker)) {
+                let free = offer.resources() - self.service_usage(worker);
+                missing = missing.saturating_sub(free.count_fitting(&headroom.request));
+            }
+        }
+        missing
+    }
+}
--- /dev/null
+++ b/src/coordination/leader/scaling/mod.rs
@@ -0,0 +1,87 @@
+//! A round of the autoscaler: how many instances each pool should have.
+//!
+//! The waiting tasks are fitted onto instances that are coming or would be created ([`demand`]);
+//! capacity for replicas to come is set aside ([`headroom`]); and each pool gets its target from the
+//! autoscaler, with the scale-out or scale-in that follows ([`target`]).
+
+mod demand;
+mod headroom;
+mod pool;
+mod target;
+
+use super::Leader;
+use super::fleet::ScaleInReason;
+use crate::policy::{Figures, PoolState};
+use demand::DemandFit;
+use pool::{PoolInventory, PoolOffer};
+
+impl Leader {
+    /// One round of the autoscaler.
+    pub(super) fn run_autoscaler(&mut self, now: f64) {
+        let instance_types = self.instance_types.clone();
+        let mut offers = self.pool_offers(&instance_types, now);
+        let fit = self.fit_demand(&mut offers, now);
+        let mut inventories: Vec<PoolInventory> = offers
+            .iter()
+            .map(|offer| self.pool_inventory(offer, now))
+            .collect();
+        let figures = self.policy_figures(&offers, &inventories, &fit);
+        let headroom = self.headroom_machines(&offers, &fit, &inventories, &figures);
+        let mut surplus = Vec::new();
+        for (i, offer) in offers.iter().enumerate() {
+            let inventory = &mut inventories[i];
+            inventory.machines_to_fill = fit.machines_to_fill(i);
+            inventory.headroom_machines = headroom[i];
+            let decision = self.set_target(offer, &fit.demand[i], inventory, &figures[i], now);
+            self.scale_out_pool(offer, &fit.demand[i], inventory, decision);
+            surplus.extend(self.surplus_workers(offer, inventory, &figures[i], decision, now));
+        }
+        for name in surplus {
+            self.scale_in(&name, ScaleInReason::Idle);
+        }
+        self.consolidate_zones(&offers, &figures, now);
+    }
+
+    /// The policy's figures for each pool.
+    fn policy_figures(
+        &self,
+        offers: &[PoolOffer],
+        inventories: &[PoolInventory],
+        fit: &DemandFit,
+    ) -> Vec<Figures> {
+        let pools = offers.iter().zip(inventories).zip(&fit.demand);
+        pools
+            .map(|((offer, inventory), demand)| {
+                self.policy.figures(&PoolState {
+                    spot: offer.key.spot,
+                    boot_time_s: offer.instance_type.boot_time_s,
+                    hourly: offer.price,
+                    cpus: offer.instance_type.cpus,
+                    busy: inventory.busy,
+                    machines: inventory.machines,
+                    waiting: demand.pending,
+                })
+            })
+            .collect()
+    }
+
+    /// Moves replicas together in each zone, unless some wait for capacity.
+    fn consolidate_zones(&mut self, offers: &[PoolOffer], figures: &[Figures], now: f64) {
+        let replicas_wait = self.scheduling.pending_demand.iter().any(|pending_demand| {
+            let job = self.jobs.get(&pending_demand.job);
+            job.is_some_and(|job| job.is_service())
+        });
+        // A new leader first hears from all workers.
+        let settings = self.settings.clone();
+        if replicas_wait || now - self.elected_at < settings.deployment.workers.lease_s {
+            return;
+        }
+        for zone in &settings.deployment.zones {
+            if let Some(headroom) = self.headroom(offers, figures, zone)
+                && !self.fleet.was_partitioned(zone)
+            {
+                self.consolidate(zone, headroom.replicas, &headroom.request);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/leader/scaling/target.rs
@@ -0,0 +1,146 @@
+//! A pool's target, and the scale-out or scale-in that follows from it.
+
+use super::demand::Demand;
+use super::pool::{PoolInventory, PoolOffer};
+use crate::bookkeeping::workers::Worker;
+use crate::coordination::autoscaler::{self, PoolLoad, ScalingDecision};
+use crate::coordination::leader::Leader;
+use crate::policy::Figures;
+
+impl Leader {
+    /// Measures a pool's load, and sets its target.
+    pub(super) fn set_target(
+        &mut self,
+        offer: &PoolOffer,
+        demand: &Demand,
+        inventory: &PoolInventory,
+        figures: &Figures,
+        now: f64,
+    ) -> ScalingDecision {
+        let load = self.measure_load(offer, demand, inventory, figures, now);
+        let decision = autoscaler::decide(&load, figures);
+        tracing::debug!(
+            pool = %offer.key,
+            machines = inventory.machines,
+            renting = inventory.provisioning,
+            busy = inventory.busy,
+            used = inventory.allocated.dominant_share(&offer.resources()),
+            ?load,
+            "pool"
+        );
+        let pool = self.fleet.pools.entry(offer.key.clone()).or_default();
+        if pool.last_decision != Some(decision) {
+            pool.last_decision = Some(decision);
+            tracing::info!(
+                pool = %offer.key,
+                little = decision.little,
+                trend = decision.trend,
+                drain = decision.drain,
+                target = decision.target,
+                reason = ?decision.reason,
+                machines = inventory.machines,
+                busy = inventory.busy,
+                pending = demand.pending,
+                "scaling decision"
+            );
+        }
+        decision
+    }
+
+    fn measure_load(
+        &mut self,
+        offer: &PoolOffer,
+        demand: &Demand,
+        inventory: &PoolInventory,
+        figures: &Figures,
+        now: f64,
+    ) -> PoolLoad {
+        let since = self.elected_at;
+        let least_task_s = self.fleet.heartbeat_interval_s / 5.0;
+        let pool = self.fleet.pools.entry(offer.key.clone()).or_default();
+        pool.starts.trim(figures.window_s, now);
+        pool.finishes.trim(figures.window_s, now);
+        let pending = f64::from(demand.pending.max(1));
+        let per_machine = match pool.machine_share {
+            Some(share) => 1.0 / share,
+            None if demand.pending > 0 && demand.machine_share > 0.0 => {
+                pending / demand.machine_share
+            }
+            None => 1.0,
+        };
+        let task_s = pool
+            .task_s
+            .unwrap_or(demand.expected_runtime_s / pending)
+            .max(least_task_s);
+        let events_per_s = pool.starts.rate(figures.window_s, since, now)
+            + pool.finishes.rate(figures.window_s, since, now);
+        let rate = if events_per_s > 0.0 && inventory.busy > 0 {
+            events_per_s / f64::from(inventory.busy)
+        } else {
+            per_machine / task_s
+        };
+        PoolLoad {
+            pending: demand.pending,
+            oldest_s: demand.oldest_s,
+            rate,
+            forecast: pool.starts.forecast(figures.window_s, since, now),
+            task_s,
+            per_machine,
+            service_machines: inventory.service_usage.dominant_share(&offer.resources()),
+            busy: inventory.busy,
+            headroom_machines: inventory.headroom_machines,
+            machines_to_fill: inventory.machines_to_fill,
+        }
+    }
+
+    /// Requests the instances that a pool lacks, unless an earlier request is not complete.
+    pub(super) fn scale_out_pool(
+        &mut self,
+        offer: &PoolOffer,
+        demand: &Demand,
+        inventory: &PoolInventory,
+        decision: ScalingDecision,
+    ) {
+        let machines = inventory.machines;
+        if decision.target > machines && !offer.blocked && inventory.provisioning == 0 {
+            self.scale_out(&offer.key, demand.priority, decision.target - machines);
+        }
+    }
+
+    /// The workers of a pool beyond its target that have been idle for the cooldown, those that have
+    /// been idle for longest first.
+    pub(super) fn surplus_workers(
+        &self,
+        offer: &PoolOffer,
+        inventory: &PoolInventory,
+        figures: &Figures,
+        decision: ScalingDecision,
+        now: f64,
+    ) -> Vec<String> {
+        let surplus = inventory.machines.saturating_sub(decision.target) as usize;
+        // Workers of a partitioned zone are idle only because the leader can't reach them.
+        let partitioned = self.fleet.was_partitioned(&offer.key.zone);
+        let mut idle: Vec<&Worker> = self
+            .workers
+            .iter()
+            .filter(|worker| {
+                !partitioned
+                    && offer.key.contains(worker)
+                    && !worker.terminating
+                    && worker.last_heartbeat_at.is_some()
+                    && worker.bindings.is_empty()
+                    && now - worker.idle_since > figures.cooldown_s
+            })
+            .collect();
+        idle.sort_by(|a, b| a.idle_since.total_cmp(&b.idle_since));
+        let names: Vec<String> = idle
+            .into_iter()
+            .take(surplus)
+            .map(|worker| worker.name.clone())
+            .collect();
+        if !names.is_empty() {
+            tracing::info!(pool = %offer.key, count = names.len(), target = decision.target, "scale-in of idle workers");
+        }
+        names
+    }
+}
