--- a/src/bookkeeping/failure_attribution.rs
+++ b/src/bookkeeping/failure_attribution.rs
@@ -153,9 +153,12 @@
 
     /// Number of failures, with at most `max_unproven` counted of each job that has succeeded nowhere else.
     fn count_failures(&self, max_unproven: u32) -> u32 {
-        let count = |job: &AttributedFailures| match job.job_works_elsewhere {
-            true => job.failures,
-            false => job.failures.min(max_unproven),
+        let count = |job: &AttributedFailures| {
+            if job.job_works_elsewhere {
+                job.failures
+            } else {
+                job.failures.min(max_unproven)
+            }
         };
         self.jobs.values().map(count).sum()
     }
--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -219,9 +219,10 @@
         let worker = self.workers.get(name)?;
         let missed = self.has_missed_heartbeat(worker, now);
         let may_start = freshness.may_start().is_ok();
-        let commands = match worker.token_acknowledged {
-            true => reconciliation::commands(worker, may_start, MAX_COMMANDS),
-            false => Vec::new(),
+        let commands = if worker.token_acknowledged {
+            reconciliation::commands(worker, may_start, MAX_COMMANDS)
+        } else {
+            Vec::new()
         };
         let revocation =
             reconciliation::pending_revocation(worker).filter(|_| worker.token_acknowledged);
@@ -295,7 +296,7 @@
             worker.record_call_outcome(&kind.commands, call_outcome(&response));
             match response {
                 WorkerResponse::Executed(_) | WorkerResponse::Rejected(_) => {
-                    worker.unreachable_since = None
+                    worker.unreachable_since = None;
                 }
                 WorkerResponse::OutcomeUnknown | WorkerResponse::Unreachable => {
                     worker.unreachable_since.get_or_insert(now);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -33,6 +33,8 @@
 //!    [`coordination::job_api`].
 //! 6. [`daemon`] and [`transport`], which carry bytes.
 
+#![warn(missing_docs)]
+
 pub mod bookkeeping;
 pub mod cli;
 pub mod coordination;
--- a/tests/bindings.rs
+++ b/tests/bindings.rs
@@ -86,7 +86,7 @@
                     b.eviction = Some(Eviction {
                         grace_s: 3.0,
                         reason: EvictionReason::Drained,
-                    })
+                    });
                 });
                 shows(h, 7, Running);
             },
@@ -100,7 +100,7 @@
                     b.eviction = Some(Eviction {
                         grace_s: 3.0,
                         reason: EvictionReason::Drained,
-                    })
+                    });
                 });
                 shows(h, 7, Checkpointing);
             },
@@ -311,7 +311,7 @@
                     o,
                     DeliveryPath::HeartbeatResponse(5),
                     freshness().view_age_s,
-                )
+                );
             },
             Arrival::Start,
         ),
--- a/tests/golden/pinned.rs
+++ b/tests/golden/pinned.rs
@@ -79,7 +79,7 @@
             for line in text.lines() {
                 let (case, hex) = line.split_once('\t').expect("name, tab and hex");
                 let earlier = expected.insert(case.to_owned(), from_hex(hex));
-                assert!(earlier.is_none(), "{}: two lines for {case}", name);
+                assert!(earlier.is_none(), "{name}: two lines for {case}");
             }
         }
         PinnedFile {
--- a/tests/golden/records.rs
+++ b/tests/golden/records.rs
@@ -273,25 +273,25 @@
     let steps: [(&str, Step); 8] = [
         ("empty", |_, _| {}),
         ("kind", |builder, worker| {
-            builder.describe_worker(worker, false)
+            builder.describe_worker(worker, false);
         }),
         ("returning host", |builder, worker| {
-            builder.describe_worker(worker, true)
+            builder.describe_worker(worker, true);
         }),
         ("binding", |builder, worker| {
             builder.bind(&worker.name, &task("j-000412", 3), &binding("vision", 2, 1));
         }),
         ("end", |builder, worker| {
-            builder.end_binding(&worker.name, &task("j-2", 4), 5)
+            builder.end_binding(&worker.name, &task("j-2", 4), 5);
         }),
         ("binding of a job named before", |builder, worker| {
             builder.bind(&worker.name, &task("j-2", 6), &binding("guest", 7, 8));
         }),
         ("gone host", |builder, _| {
-            builder.remove_worker("host-000232")
+            builder.remove_worker("host-000232");
         }),
         ("done", |builder, _| {
-            builder.complete("j-000412", 1, "0f8".into())
+            builder.complete("j-000412", 1, "0f8".into());
         }),
     ];
     // Each step adds to those before it.
--- a/tests/job_api.rs
+++ b/tests/job_api.rs
@@ -58,13 +58,13 @@
                     let response = state_service(&request, stored);
                     match kind {
                         KvRequestKind::RevisionCheck(check) => {
-                            job_api.on_revision_check_completed(check, response, effects, 0.1)
+                            job_api.on_revision_check_completed(check, response, effects, 0.1);
                         }
                         KvRequestKind::JobWrites(batch) => {
                             job_api.on_writes_completed(batch, response, effects, 0.1);
                         }
                         KvRequestKind::JobLookup(id) => {
-                            job_api.on_lookup_completed(&id, response, effects, 0.1)
+                            job_api.on_lookup_completed(&id, response, effects, 0.1);
                         }
                         _ => unreachable!(),
                     }
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -131,7 +131,7 @@
             Scene::new(
                 all(),
                 vec![with("j-1", 1, |s| {
-                    s.instance_types = Some(vec!["x".into()])
+                    s.instance_types = Some(vec!["x".into()]);
                 })],
             ),
             vec![],
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -334,12 +334,12 @@
                 }
             }
             SimEvent::KvRequestArrives(i, process_incarnation, correlation_id, call) => {
-                self.on_kv_request(i, process_incarnation, correlation_id, call)
+                self.on_kv_request(i, process_incarnation, correlation_id, call);
             }
             SimEvent::KvResponseArrives(i, process_incarnation, correlation_id, reply) => {
                 if self.process_incarnations[i] == process_incarnation {
                     self.with(i, |controller| {
-                        controller.on_kv_response(correlation_id, reply, now)
+                        controller.on_kv_response(correlation_id, reply, now);
                     });
                 }
             }
@@ -353,7 +353,7 @@
             SimEvent::CloudResponseArrives(i, process_incarnation, correlation_id, reply) => {
                 if self.process_incarnations[i] == process_incarnation {
                     self.with(i, |controller| {
-                        controller.on_cloud_response(correlation_id, reply, now)
+                        controller.on_cloud_response(correlation_id, reply, now);
                     });
                 }
             }
@@ -400,7 +400,7 @@
                 self.request(i, SimEvent::NoRecipient, "POST", "/v1/report", &body);
             }
             SimEvent::WorkerRequestArrives(i, process_incarnation, correlation_id, host, call) => {
-                self.on_worker_request(i, process_incarnation, correlation_id, &host, &call)
+                self.on_worker_request(i, process_incarnation, correlation_id, &host, &call);
             }
             SimEvent::DelayedCommandArrives(i, process_incarnation, correlation_id, host, call) => {
                 self.count_delayed_command(&host, &call);
@@ -413,12 +413,12 @@
                         .or_default()
                         .remove(&correlation_id);
                     self.with(i, |controller| {
-                        controller.on_worker_response(correlation_id, reply, now)
+                        controller.on_worker_response(correlation_id, reply, now);
                     });
                 }
             }
             SimEvent::PeerHeartbeatArrives(i, heartbeat) => {
-                self.with(i, |controller| controller.on_peer_heartbeat(heartbeat, now))
+                self.with(i, |controller| controller.on_peer_heartbeat(heartbeat, now));
             }
             SimEvent::WorkerWakes(name) => self.wake(&name),
             SimEvent::WorkerHeartbeatArrives(i, name, report) => {
@@ -483,7 +483,7 @@
         self.next_request += 1;
         self.answers.insert((i, request), back);
         self.with(i, |controller| {
-            controller.on_request(request, method, path, body, now)
+            controller.on_request(request, method, path, body, now);
         });
     }
 
--- a/tests/write_ahead_log.rs
+++ b/tests/write_ahead_log.rs
@@ -283,7 +283,7 @@
                         workers.get_mut(&worker).unwrap().bindings.remove(&task);
                     }
                     LogEntry::RecordTermination { worker } => {
-                        workers.get_mut(&worker).unwrap().termination_recorded = true
+                        workers.get_mut(&worker).unwrap().termination_recorded = true;
                     }
                     _ => {}
                 }
