--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -12,7 +12,9 @@
 mod worker_heartbeats;
 mod write_budget;
 
-use super::effects::{CloudRequestKind, CorrelationId, Effect, Effects, KvRequestKind};
+use super::effects::{
+    CloudRequestKind, CorrelationId, Effect, Effects, KvRequestKind, PendingKvRequest,
+};
 use super::election::{Election, ElectionTimeouts};
 use super::instance_catalog::InstanceCatalog;
 use super::job_api::{self, JobApi};
@@ -210,27 +212,25 @@
         response: KvResponse,
         now: Now,
     ) {
-        let Some((kind, sent)) = self.effects.take_kv_request(correlation_id) else {
+        let Some(pending) = self.effects.take_kv_request(correlation_id) else {
             return;
         };
         self.state_service
             .observe_response(&response, now.monotonic);
-        let leader_may_act = kind.may_concern_leader();
-        self.dispatch_kv_response(kind, response, sent, now);
+        let leader_may_act = pending.kind.may_concern_leader();
+        self.dispatch_kv_response(pending, response, now);
         self.tell_leader_of_finished_jobs();
         if leader_may_act {
             self.poll_leader(now.monotonic);
         }
     }
 
-    /// Passes a response to the component that made the call at `sent`.
-    fn dispatch_kv_response(
-        &mut self,
-        kind: KvRequestKind,
-        response: KvResponse,
-        sent: f64,
-        now: Now,
-    ) {
+    /// Passes a response to the component that sent the request.
+    fn dispatch_kv_response(&mut self, request: PendingKvRequest, response: KvResponse, now: Now) {
+        let PendingKvRequest {
+            kind,
+            sent_at: sent,
+        } = request;
         let t = now.monotonic;
         let effects = &mut self.effects;
         match kind {
--- a/src/coordination/controller/worker_heartbeats.rs
+++ b/src/coordination/controller/worker_heartbeats.rs
@@ -73,7 +73,7 @@
     /// then not certain that it still leads.
     fn leader_hint(&self, now: f64) -> Option<String> {
         let known = match self.peers.latest_leader(self.heartbeat_interval_s(), now) {
-            Some((epoch, leader)) if epoch >= self.election.highest_epoch() => leader,
+            Some(latest) if latest.epoch >= self.election.highest_epoch() => latest.label,
             _ => self.election.leader(),
         };
         let known = known.map(str::to_owned);
--- a/src/coordination/effects.rs
+++ b/src/coordination/effects.rs
@@ -1,93 +1,96 @@
-//! What the coordinator wants done: actions for the event loop, and the meaning of their answers.
+//! Effects: what a controller wants done, for the event loop to carry out, and what each response is for.
+//!
+//! A controller performs no I/O. Its components queue [`Effect`]s in [`Effects`]; requests get a correlation
+//! id, by which the response finds the component that asked.
 
 use crate::protocol::cloud::CloudRequest;
 use crate::protocol::job::ErrorBody;
 use crate::protocol::kv::KvRequest;
 use crate::protocol::peer::PeerHeartbeat;
-use crate::protocol::worker::WorkerRequest;
-use crate::protocol::{cbor, job};
+use crate::protocol::worker::{Command, WorkerRequest};
+use crate::protocol::{cbor, http_status, job};
 use std::collections::{BTreeMap, HashMap};
 
-/// Names an action that will be answered.
+/// Identifies a request until its response has come.
 pub type CorrelationId = u64;
 
-/// Something for the event loop to do.
+/// One thing for the event loop to do.
 #[derive(Debug, Clone)]
 pub enum Effect {
-    /// Answer a request.
+    /// Respond to a request of a user, a worker or the load balancer.
     Respond {
-        /// Which request.
+        /// The request, by the id that the event loop gave it.
         request_id: u64,
-        /// Status.
+        /// HTTP status.
         status: u16,
-        /// Body.
+        /// Body, encoded.
         body: Vec<u8>,
-        /// `Retry-After`.
+        /// Seconds for the `Retry-After` header.
         retry_after_s: Option<u32>,
     },
     /// Call the state service.
     CallKv {
-        /// Names the call.
+        /// Identifies the response.
         correlation_id: CorrelationId,
-        /// The call.
+        /// The request.
         request: KvRequest,
-        /// Seconds after which to give up.
+        /// Seconds after which the outcome counts as unknown.
         timeout_s: f64,
     },
     /// Call the cloud.
     CallCloud {
-        /// Names the call.
+        /// Identifies the response.
         correlation_id: CorrelationId,
-        /// The call.
+        /// The request.
         request: CloudRequest,
-        /// Seconds after which to give up.
+        /// Seconds after which the outcome counts as unknown.
         timeout_s: f64,
     },
     /// Call a worker.
     CallWorker {
-        /// Names the call.
+        /// Identifies the response.
         correlation_id: CorrelationId,
         /// Its address.
         endpoint: String,
-        /// The call.
+        /// The request.
         request: WorkerRequest,
-        /// Seconds after which to give up.
+        /// Seconds after which the outcome counts as unknown.
         timeout_s: f64,
     },
-    /// Tell all peers.
+    /// Send a heartbeat to every peer.
     BroadcastHeartbeat(PeerHeartbeat),
 }
 
-/// Which part asked the state service, and for what.
+/// Which component asked the state service, and for what.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KvRequestKind {
-    /// The mirror of open jobs.
+    /// Listing or watch of `open/`.
     OpenJobsWatch,
-    /// The watch on `leader`.
+    /// Listing or watch of `leader`.
     LeaderWatch,
     /// A new lease for the election.
     GrantLease,
-    /// The transaction that takes `leader`.
+    /// The election's transaction that puts `leader`.
     Campaign,
-    /// The renewal of the lease.
+    /// The renewal of the leader's lease.
     KeepAlive,
-    /// The end of a lease.
+    /// The revocation of a lease.
     RevokeLease,
-    /// The job API's comparison for polls, by its number.
+    /// A batch of revision checks for status requests, by its number.
     RevisionCheck(u64),
-    /// The job API's submits and cancels, by their number.
+    /// A batch of submissions and cancellations, by its number.
     JobWrites(u64),
-    /// The job API's look at one job.
+    /// The lookup of one job, by its id.
     JobLookup(String),
-    /// The leader's reading of all its records, for this epoch.
+    /// A page of the records that a new leader reads, with its epoch.
     RecoveryRead(u64),
-    /// The leader's transaction, for this epoch.
+    /// A transaction of the leader's write-ahead log, with its epoch.
     LogAppend(u64),
-    /// The leader's look at the log, to learn the outcome of its transaction.
+    /// The leader's read of a log segment that tells the outcome of a transaction, with its epoch.
     LogReadBack(u64),
-    /// The stored instance catalog.
+    /// The stored instance types.
     InstanceCatalog,
-    /// A call whose answer does not matter.
+    /// A request whose response does not matter.
     Ignored,
 }
 
@@ -105,158 +108,204 @@
     }
 }
 
-/// Which part asked the cloud, and for what.
+/// Which component asked the cloud, and for what.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudRequestKind {
-    /// The instance catalog.
+    /// The instance types.
     ListInstanceTypes,
-    /// The list, for this epoch.
+    /// A page of the instance list, with the leader's epoch.
     ListInstances(u64),
-    /// A provisioning request, for this epoch.
+    /// A provisioning request: the leader's epoch and the idempotency key.
     CreateInstances(u64, String),
-    /// A deletion, for this epoch.
+    /// A deletion: the leader's epoch and the names of the instances.
     DeleteInstances(u64, Vec<String>),
 }
 
-/// A direct call to a worker.
+/// What a direct call to a worker was for.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WorkerRequestContext {
     /// The leader's epoch.
     pub epoch: u64,
     /// The worker.
     pub worker: String,
-    /// The commands sent.
-    pub commands: Vec<crate::protocol::worker::Command>,
+    /// The commands that were sent.
+    pub commands: Vec<Command>,
 }
 
-/// Collects actions and remembers what their answers are for.
+/// What was refused, counted by status and reason.
 #[derive(Debug, Default)]
-pub struct Effects {
-    /// Actions in order.
-    pub queue: Vec<Effect>,
-    next_correlation_id: CorrelationId,
-    call_kv: HashMap<CorrelationId, (KvRequestKind, f64)>,
-    call_cloud: HashMap<CorrelationId, CloudRequestKind>,
-    call_worker: HashMap<CorrelationId, WorkerRequestContext>,
-    /// Refusals since the last log of them, by status and reason.
-    refusals: BTreeMap<(u16, String), u32>,
+struct RefusalCounters {
+    counts: BTreeMap<(u16, String), u32>,
 }
 
-/// Reasons told apart between two logs; those of malformed requests are many.
-const MAX_REASONS: usize = 16;
+impl RefusalCounters {
+    /// Reasons told apart between two logs; those of malformed requests are many.
+    const MAX_REASONS: usize = 16;
+    /// Stands for the reasons beyond these.
+    const OTHER_REASONS: &str = "others";
 
-impl Effects {
-    fn new_correlation_id(&mut self) -> CorrelationId {
-        self.next_correlation_id += 1;
-        self.next_correlation_id
+    fn count(&mut self, status: u16, reason: &str) {
+        let mut key = (status, reason.to_owned());
+        if self.counts.len() >= Self::MAX_REASONS && !self.counts.contains_key(&key) {
+            key.1 = Self::OTHER_REASONS.to_owned();
+        }
+        *self.counts.entry(key).or_default() += 1;
+    }
+
+    fn log(&mut self) {
+        for ((status, reason), count) in std::mem::take(&mut self.counts) {
+            tracing::info!(status, reason, count, "requests rejected");
+        }
     }
+}
 
-    /// Calls the state service.
-    pub fn call_kv(&mut self, kind: KvRequestKind, call: KvRequest, within_s: f64, now: f64) {
-        let correlation_id = self.new_correlation_id();
-        self.call_kv.insert(correlation_id, (kind, now));
+/// A request to the state service that has no response yet.
+#[derive(Debug)]
+pub struct PendingKvRequest {
+    /// Which component asked, and for what.
+    pub kind: KvRequestKind,
+    /// When it was sent, in monotonic seconds.
+    pub sent_at: f64,
+}
+
+/// The requests that have no response yet.
+#[derive(Debug, Default)]
+struct PendingRequests {
+    last_id: CorrelationId,
+    kv: HashMap<CorrelationId, PendingKvRequest>,
+    cloud: HashMap<CorrelationId, CloudRequestKind>,
+    worker: HashMap<CorrelationId, WorkerRequestContext>,
+}
+
+impl PendingRequests {
+    fn next_id(&mut self) -> CorrelationId {
+        self.last_id += 1;
+        self.last_id
+    }
+}
+
+/// The queue of effects, and the requests among them that wait for a response.
+#[derive(Debug, Default)]
+pub struct Effects {
+    /// Effects in order.
+    pub queue: Vec<Effect>,
+    pending: PendingRequests,
+    refusals: RefusalCounters,
+}
+
+impl Effects {
+    /// Sends a request to the state service.
+    pub fn call_kv(&mut self, kind: KvRequestKind, request: KvRequest, timeout_s: f64, now: f64) {
+        let correlation_id = self.pending.next_id();
+        let pending = PendingKvRequest { kind, sent_at: now };
+        self.pending.kv.insert(correlation_id, pending);
         self.queue.push(Effect::CallKv {
             correlation_id,
-            request: call,
-            timeout_s: within_s,
+            request,
+            timeout_s,
         });
     }
 
-    /// Calls the cloud.
-    pub fn call_cloud(&mut self, kind: CloudRequestKind, call: CloudRequest, within_s: f64) {
-        let correlation_id = self.new_correlation_id();
-        self.call_cloud.insert(correlation_id, kind);
+    /// Sends a request to the cloud.
+    pub fn call_cloud(&mut self, kind: CloudRequestKind, request: CloudRequest, timeout_s: f64) {
+        let correlation_id = self.pending.next_id();
+        self.pending.cloud.insert(correlation_id, kind);
         self.queue.push(Effect::CallCloud {
             correlation_id,
-            request: call,
-            timeout_s: within_s,
+            request,
+            timeout_s,
         });
     }
 
-    /// Calls a worker.
+    /// Calls a worker directly.
     pub fn call_worker(
         &mut self,
-        kind: WorkerRequestContext,
+        context: WorkerRequestContext,
         endpoint: String,
-        call: WorkerRequest,
-        within_s: f64,
+        request: WorkerRequest,
+        timeout_s: f64,
     ) {
-        let correlation_id = self.new_correlation_id();
-        self.call_worker.insert(correlation_id, kind);
+        let correlation_id = self.pending.next_id();
+        self.pending.worker.insert(correlation_id, context);
         self.queue.push(Effect::CallWorker {
             correlation_id,
             endpoint,
-            request: call,
-            timeout_s: within_s,
+            request,
+            timeout_s,
         });
     }
 
-    /// What a store call was for and when it was made; once only.
-    pub fn take_kv_request(
-        &mut self,
-        correlation_id: CorrelationId,
-    ) -> Option<(KvRequestKind, f64)> {
-        self.call_kv.remove(&correlation_id)
+    /// The request to the state service that a response belongs to. None: it has had its response.
+    pub fn take_kv_request(&mut self, correlation_id: CorrelationId) -> Option<PendingKvRequest> {
+        self.pending.kv.remove(&correlation_id)
     }
-    /// What a cloud call was for; once only.
+
+    /// The request to the cloud that a response belongs to. None: it has had its response.
     pub fn take_cloud_request(
         &mut self,
         correlation_id: CorrelationId,
     ) -> Option<CloudRequestKind> {
-        self.call_cloud.remove(&correlation_id)
+        self.pending.cloud.remove(&correlation_id)
     }
-    /// What a worker call was for; once only.
+
+    /// The direct call that a response belongs to. None: it has had its response.
     pub fn take_worker_request(
         &mut self,
         correlation_id: CorrelationId,
     ) -> Option<WorkerRequestContext> {
-        self.call_worker.remove(&correlation_id)
+        self.pending.worker.remove(&correlation_id)
     }
 
-    /// Answers with a message.
-    pub fn respond<T: serde::Serialize>(&mut self, to: u64, status: u16, message: &T) {
+    /// Responds with a message.
+    pub fn respond<T: serde::Serialize>(&mut self, request_id: u64, status: u16, message: &T) {
         self.queue.push(Effect::Respond {
-            request_id: to,
+            request_id,
             status,
             body: cbor::encode(message),
             retry_after_s: None,
         });
     }
 
-    /// Answers with a job's state.
-    pub fn respond_job_status(&mut self, to: u64, status: u16, id: &str, state: job::JobStatus) {
+    /// Responds with a job's status.
+    pub fn respond_job_status(
+        &mut self,
+        request_id: u64,
+        status: u16,
+        id: &str,
+        job_status: job::JobStatus,
+    ) {
         let accepted = job::JobAccepted {
             id: id.to_owned(),
-            status: state,
+            status: job_status,
         };
-        self.respond(to, status, &accepted);
+        self.respond(request_id, status, &accepted);
     }
 
-    /// Logs what was refused since the last time.
-    pub fn log_refusals(&mut self) {
-        for ((status, reason), count) in std::mem::take(&mut self.refusals) {
-            tracing::info!(status, reason, count, "requests rejected");
-        }
-    }
-
-    /// Answers with a refusal; `retry_after_s` tells when to come back.
-    pub fn respond_error(&mut self, to: u64, status: u16, why: &str, retry_after_s: Option<u32>) {
-        // That there is no such job is an answer like others.
-        if status != 404 {
-            let mut reason = (status, why.to_owned());
-            if self.refusals.len() >= MAX_REASONS && !self.refusals.contains_key(&reason) {
-                reason.1 = "others".to_owned();
-            }
-            *self.refusals.entry(reason).or_default() += 1;
+    /// Responds with an error; `retry_after_s` tells when to try again.
+    pub fn respond_error(
+        &mut self,
+        request_id: u64,
+        status: u16,
+        reason: &str,
+        retry_after_s: Option<u32>,
+    ) {
+        // That there is no such job is an ordinary answer.
+        if status != http_status::NOT_FOUND {
+            self.refusals.count(status, reason);
         }
-        let refusal = ErrorBody {
-            error: why.to_owned(),
+        let error = ErrorBody {
+            error: reason.to_owned(),
         };
         self.queue.push(Effect::Respond {
-            request_id: to,
+            request_id,
             status,
-            body: cbor::encode(&refusal),
+            body: cbor::encode(&error),
             retry_after_s,
         });
     }
+
+    /// Logs what was refused since the previous call.
+    pub fn log_refusals(&mut self) {
+        self.refusals.log();
+    }
 }
--- a/tests/job_api.rs
+++ b/tests/job_api.rs
@@ -54,7 +54,7 @@
                     request,
                     ..
                 } => {
-                    let (kind, _) = effects.take_kv_request(correlation_id).unwrap();
+                    let kind = effects.take_kv_request(correlation_id).unwrap().kind;
                     let response = state_service(&request, stored);
                     match kind {
                         KvRequestKind::RevisionCheck(check) => {
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -72,7 +72,7 @@
                             ..
                         } => {
                             calls += 1;
-                            let (ask, _) = out.take_kv_request(correlation_id).expect("a call");
+                            let ask = out.take_kv_request(correlation_id).expect("a call").kind;
                             if let KvRequest::Txn(txn) = &call {
                                 assert!(txn.writes.len() <= limits.txn_ops, "{name}");
                                 changes += txn.writes.len();
@@ -171,7 +171,7 @@
             }
             while back.front().is_some_and(|(at, ..)| *at <= now) {
                 let (_, correlation_id, call) = back.pop_front().expect("a call");
-                let (ask, _) = out.take_kv_request(correlation_id).expect("a call");
+                let ask = out.take_kv_request(correlation_id).expect("a call").kind;
                 match (ask, call) {
                     (KvRequestKind::RevisionCheck(check), KvRequest::Txn(txn)) => {
                         let failed: Vec<String> = txn
@@ -381,8 +381,9 @@
                         request: call,
                         ..
                     } => {
-                        let Some((KvRequestKind::JobWrites(number), _)) =
-                            out.take_kv_request(correlation_id)
+                        let pending = out.take_kv_request(correlation_id);
+                        let Some(KvRequestKind::JobWrites(number)) =
+                            pending.map(|pending| pending.kind)
                         else {
                             continue;
                         };
