--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -310,7 +310,7 @@
 /// Crash-looping jobs get no machine released, are tried again one task at a time, stay known, and are
 /// cancelled at once.
 #[test]
-fn crash_looping_jobs_cordon_no_workers() {
+fn crash_looping_jobs_get_no_busy_worker_released() {
     type Trouble = fn(&mut World);
     // Tasks, service, how often all of them may fail at once, and what else goes on.
     let cases: [(&str, u32, bool, u32, Trouble); 5] = [
