--- /dev/null
+++ b/tests/golden/controllers.rs
@@ -0,0 +1,117 @@
+//! Heartbeats between controllers, and the HTTP and frames that carry messages.
+
+use super::pinned::PinnedFile;
+use cedarladder::protocol::peer::{self, Ack, Counts, Heartbeat, Termination, Terminations};
+use cedarladder::transport::frames;
+use cedarladder::transport::http;
+
+/// A heartbeat in which every field has a value of its own.
+fn full_heartbeat() -> Heartbeat {
+    let counts = |job: &str, done, running| Counts {
+        job: job.into(),
+        done,
+        running,
+    };
+    let termination = |job: &str, aborted, done| Termination {
+        job: job.into(),
+        aborted,
+        done,
+    };
+    let ack = |label: &str, life, up_to| Ack {
+        label: label.into(),
+        life,
+        up_to,
+    };
+    Heartbeat {
+        label: "rung-1-with-a-long-name".into(),
+        epoch: 41,
+        leader: Some("rung-2".into()),
+        state_ok: true,
+        redirected: 6,
+        counts: vec![counts("j-000412", 3, 13), counts("j-1", 4, 0)],
+        suspects: vec!["j-000398".into(), "j-3".into()],
+        changes_per_s: 4.5,
+        ends: Terminations {
+            life: 5,
+            first: 8,
+            list: vec![
+                termination("j-000377", true, 9),
+                termination("j-000378", false, 10),
+            ],
+            acks: vec![
+                ack("rung-2", 11, 12),
+                ack("rung-3-with-a-long-name", 14, 15),
+            ],
+        },
+    }
+}
+
+fn empty_heartbeat() -> Heartbeat {
+    Heartbeat {
+        label: String::new(),
+        epoch: 0,
+        leader: None,
+        state_ok: false,
+        redirected: 0,
+        counts: Vec::new(),
+        suspects: Vec::new(),
+        changes_per_s: 0.0,
+        ends: Terminations::default(),
+    }
+}
+
+#[test]
+fn heartbeats_keep_their_bytes_and_are_read_from_them() {
+    let mut file = PinnedFile::open("heartbeats");
+    for (case, heartbeat) in [("full", full_heartbeat()), ("empty", empty_heartbeat())] {
+        let pinned = file.pin(case, &peer::encode(&heartbeat));
+        assert_eq!(peer::decode(&pinned), Some(heartbeat), "{case}");
+        let cut = &pinned[..pinned.len() - 1];
+        assert_eq!(peer::decode(cut), None, "{case}, cut off");
+    }
+    file.finish();
+}
+
+/// The statuses that controllers answer with, and one that they don't.
+const STATUSES: [u16; 14] = [
+    200, 201, 400, 404, 405, 408, 413, 421, 422, 429, 431, 500, 503, 599,
+];
+/// A body of any kind.
+const BODY: &[u8] = b"body";
+/// For `Retry-After`.
+const RETRY_AFTER_S: u32 = 1;
+/// More than any frame here.
+const FRAME_LIMIT: usize = 100;
+
+#[test]
+fn http_heads_keep_their_bytes() {
+    let mut file = PinnedFile::open("http");
+    for status in STATUSES {
+        let answer = http::write_response(status, BODY, None, true);
+        file.pin(&format!("answer {status}"), &answer);
+    }
+    let later = http::write_response(503, BODY, Some(RETRY_AFTER_S), true);
+    file.pin("answer with a time to come back", &later);
+    let last = http::write_response(200, &[], None, false);
+    file.pin("last answer of a connection", &last);
+    for (method, body) in [
+        ("GET", &[] as &[u8]),
+        ("POST", &[]),
+        ("POST", BODY),
+        ("DELETE", &[]),
+    ] {
+        let request = http::write_request(method, "10.2.0.1:2379", "/keys/a/b", body);
+        file.pin(&format!("{method} with {} bytes", body.len()), &request);
+    }
+    file.finish();
+}
+
+#[test]
+fn frames_are_read_from_their_bytes() {
+    let mut file = PinnedFile::open("frames");
+    let mut inbox = file.pin("two frames", b"\x04\0\0\0body\0\0\0\0");
+    let read = frames::split(&mut inbox, FRAME_LIMIT).expect("no frame is too long");
+    assert_eq!(read, [BODY, &[]]);
+    assert!(inbox.is_empty());
+    file.finish();
+}
--- /dev/null
+++ b/tests/golden/pinned.rs
@@ -0,0 +1,301 @@
+//! Data files of pinned cases, and texts for values that are compared with them.
+
+use cedarladder::protocol::cbor;
+use ciborium::Value;
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use std::collections::BTreeMap;
+use std::fmt::Write as _;
+use std::path::{Path, PathBuf};
+
+/// With this environment variable the data files are written instead of compared.
+const WRITE_VARIABLE: &str = "GOLDEN_WRITE";
+/// Hexadecimal digits of a byte.
+const DIGITS_PER_BYTE: usize = 2;
+/// Base of hexadecimal digits.
+const HEXADECIMAL: u32 = 16;
+
+/// All data files, each of which some test opens.
+const DATA_FILES: [&str; 38] = [
+    "answers_to_users",
+    "built_segments",
+    "cloud_answers",
+    "cloud_objects",
+    "cloud_requests",
+    "commands",
+    "completed_tasks",
+    "frames",
+    "heartbeats",
+    "http",
+    "keys",
+    "policy",
+    "policy_problems",
+    "policy_variables",
+    "program_calls",
+    "program_check",
+    "program_help",
+    "program_mistakes",
+    "program_unreached",
+    "records_of_finished_jobs",
+    "records_of_open_jobs",
+    "records_of_the_catalogue",
+    "records_of_the_leader",
+    "records_of_the_log",
+    "reports_read",
+    "reports_written",
+    "settings",
+    "settings_errors",
+    "settings_without_a_key",
+    "state_answers",
+    "state_items",
+    "state_requests",
+    "submissions",
+    "tokens",
+    "user_requests",
+    "user_requests_overload",
+    "worker_calls",
+    "worker_requests",
+];
+
+/// A data file with its cases, and what the sources give for them today.
+pub struct PinnedFile {
+    path: PathBuf,
+    is_written: bool,
+    expected: BTreeMap<String, Vec<u8>>,
+    /// In the order in which the test names them.
+    produced: Vec<(String, Vec<u8>)>,
+}
+
+impl PinnedFile {
+    /// Opens `tests/golden/<name>.txt`.
+    pub fn open(name: &str) -> PinnedFile {
+        assert!(DATA_FILES.contains(&name), "{name} is not listed");
+        let path = directory().join(format!("{name}.txt"));
+        let is_written = std::env::var_os(WRITE_VARIABLE).is_some();
+        let mut expected = BTreeMap::new();
+        if !is_written {
+            let text = std::fs::read_to_string(&path).expect("the data file can be read");
+            for line in text.lines() {
+                let (case, hex) = line.split_once('\t').expect("name, tab and hex");
+                let earlier = expected.insert(case.to_owned(), from_hex(hex));
+                assert!(earlier.is_none(), "{}: two lines for {case}", name);
+            }
+        }
+        PinnedFile {
+            path,
+            is_written,
+            expected,
+            produced: Vec::new(),
+        }
+    }
+
+    /// Adds a case, and returns its pinned bytes for a test that reads them.
+    pub fn pin(&mut self, case: &str, bytes: &[u8]) -> Vec<u8> {
+        assert!(!case.contains(['\t', '\n']), "{case:?} can't be a name");
+        assert!(
+            self.produced.iter().all(|(other, _)| other != case),
+            "{case} is named twice"
+        );
+        self.produced.push((case.to_owned(), bytes.to_vec()));
+        match self.expected.get(case) {
+            Some(pinned) => pinned.clone(),
+            None => bytes.to_vec(),
+        }
+    }
+
+    /// Adds a case whose bytes are a text.
+    pub fn pin_text(&mut self, case: &str, text: &str) {
+        self.pin(case, text.as_bytes());
+    }
+
+    /// Adds a message as it is encoded, and what its pinned bytes are read as.
+    pub fn pin_message<T: Serialize + DeserializeOwned>(&mut self, case: &str, message: &T) {
+        let bytes = self.pin(case, &cbor::encode(message));
+        self.pin_reading::<T>(case, &bytes);
+    }
+
+    /// Adds a message of somebody else, and what its pinned bytes are read as.
+    pub fn pin_received<T: Serialize + DeserializeOwned>(&mut self, case: &str, message: &Value) {
+        let bytes = self.pin(case, &cbor::encode(message));
+        self.pin_reading::<T>(case, &bytes);
+    }
+
+    fn pin_reading<T: Serialize + DeserializeOwned>(&mut self, case: &str, bytes: &[u8]) {
+        let reading = match cbor::decode::<T>(bytes) {
+            Ok(message) => show(&message),
+            Err(error) => format!("refused: {error}"),
+        };
+        self.pin_text(&format!("{case}, read"), &reading);
+    }
+
+    /// Compares all cases with the data file, or writes it.
+    pub fn finish(self) {
+        if self.is_written {
+            let lines: String = self
+                .produced
+                .iter()
+                .map(|(case, bytes)| format!("{case}\t{}\n", to_hex(bytes)))
+                .collect();
+            std::fs::write(&self.path, lines).expect("the data file can be written");
+            return;
+        }
+        let file = self.path.display().to_string();
+        let differences = self.differences();
+        assert!(differences.is_empty(), "{file}\n{differences}");
+    }
+
+    /// What differs from the data file, a line or more for each case.
+    fn differences(self) -> String {
+        let mut expected = self.expected;
+        let mut differences = String::new();
+        for (case, bytes) in self.produced {
+            let difference = match expected.remove(&case) {
+                None => "has no line".to_owned(),
+                Some(pinned) if pinned == bytes => continue,
+                Some(pinned) => format!("\n  pinned {}\n  now    {}", both(&pinned), both(&bytes)),
+            };
+            let _ = writeln!(differences, "{case}: {difference}");
+        }
+        for case in expected.keys() {
+            let _ = writeln!(differences, "{case}: no test uses this line");
+        }
+        differences
+    }
+}
+
+/// Where the data files are.
+pub fn directory() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden")
+}
+
+fn to_hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn from_hex(hex: &str) -> Vec<u8> {
+    assert!(hex.is_ascii(), "{hex:?} is not hexadecimal");
+    assert_eq!(hex.len() % DIGITS_PER_BYTE, 0, "half a byte in {hex}");
+    (0..hex.len())
+        .step_by(DIGITS_PER_BYTE)
+        .map(|at| u8::from_str_radix(&hex[at..at + DIGITS_PER_BYTE], HEXADECIMAL))
+        .collect::<Result<_, _>>()
+        .expect("hexadecimal digits")
+}
+
+/// Bytes for whoever reads a failure.
+fn both(bytes: &[u8]) -> String {
+    format!("{} ({:?})", to_hex(bytes), String::from_utf8_lossy(bytes))
+}
+
+/// One of our own types in its wire form, with the names of the wire.
+pub fn show<T: Serialize>(message: &T) -> String {
+    show_value(&Value::serialized(message).expect("our own types can be written"))
+}
+
+/// A value in a form like JSON; decimal numbers keep their point.
+pub fn show_value(value: &Value) -> String {
+    match value {
+        Value::Null => "null".to_owned(),
+        Value::Bool(flag) => flag.to_string(),
+        Value::Integer(number) => i128::from(*number).to_string(),
+        Value::Float(number) => format!("{number:?}"),
+        Value::Text(text) => format!("{text:?}"),
+        Value::Array(items) => {
+            let items: Vec<String> = items.iter().map(show_value).collect();
+            format!("[{}]", items.join(","))
+        }
+        Value::Map(fields) => {
+            let fields: Vec<String> = fields
+                .iter()
+                .map(|(name, item)| format!("{}:{}", show_value(name), show_value(item)))
+                .collect();
+            format!("{{{}}}", fields.join(","))
+        }
+        other => panic!("no message of ours holds {other:?}"),
+    }
+}
+
+/// The fields of a map; panics for any other value.
+pub fn fields_of(value: Value) -> Vec<(Value, Value)> {
+    value.into_map().expect("a map")
+}
+
+/// A map without one of its fields.
+pub fn without(map: &Value, name: &str) -> Value {
+    let mut fields = fields_of(map.clone());
+    let before = fields.len();
+    fields.retain(|(key, _)| key.as_text() != Some(name));
+    assert_eq!(fields.len() + 1, before, "{name} is a field");
+    Value::Map(fields)
+}
+
+/// A map with one field given another value, or added.
+pub fn with(map: &Value, name: &str, value: Value) -> Value {
+    let mut fields = fields_of(map.clone());
+    match fields
+        .iter_mut()
+        .find(|(key, _)| key.as_text() == Some(name))
+    {
+        Some(field) => field.1 = value,
+        None => fields.push((Value::Text(name.to_owned()), value)),
+    }
+    Value::Map(fields)
+}
+
+/// Names of a map's fields.
+pub fn names_of(map: &Value) -> Vec<String> {
+    fields_of(map.clone())
+        .into_iter()
+        .map(|(name, _)| name.into_text().expect("a text"))
+        .collect()
+}
+
+#[test]
+fn every_data_file_is_listed() {
+    let mut found: Vec<String> = std::fs::read_dir(directory())
+        .expect("the directory of the data files")
+        .map(|entry| entry.expect("an entry").path())
+        .filter(|path| path.extension().is_some_and(|kind| kind == "txt"))
+        .filter_map(|path| Some(path.file_stem()?.to_str()?.to_owned()))
+        .collect();
+    found.sort();
+    assert_eq!(found, DATA_FILES);
+}
+
+/// A comparison that can't fail would pin nothing: each kind of difference is told.
+#[test]
+fn differences_are_told() {
+    let file = |pinned: &[(&str, &[u8])], produced: &[(&str, &[u8])]| {
+        let cases = |cases: &[(&str, &[u8])]| -> Vec<(String, Vec<u8>)> {
+            let owned = |(case, bytes): &(&str, &[u8])| ((*case).to_owned(), bytes.to_vec());
+            cases.iter().map(owned).collect()
+        };
+        PinnedFile {
+            path: PathBuf::new(),
+            is_written: false,
+            expected: cases(pinned).into_iter().collect(),
+            produced: cases(produced),
+        }
+    };
+    let (one, other): (&[u8], &[u8]) = (b"1", b"2");
+    for (name, pinned, produced, told) in [
+        ("none", vec![("a", one)], vec![("a", one)], ""),
+        (
+            "other bytes",
+            vec![("a", one)],
+            vec![("a", other)],
+            "a: \n  pinned 31",
+        ),
+        ("no line", vec![], vec![("a", one)], "a: has no line"),
+        (
+            "no case",
+            vec![("a", one)],
+            vec![],
+            "a: no test uses this line",
+        ),
+    ] {
+        let differences = file(&pinned, &produced).differences();
+        assert_eq!(differences.is_empty(), told.is_empty(), "{name}");
+        assert!(differences.starts_with(told), "{name}: {differences}");
+    }
+}
--- /dev/null
+++ b/tests/golden/records.rs
@@ -0,0 +1,256 @@
+//! Records in the state service: keys, values as they are written, and values as they are read.
+
+use super::pinned::{PinnedFile, names_of, show, with, without};
+use super::services::machine_type;
+use super::users::specifications;
+use cedarladder::bookkeeping::hosts::{Host, Room};
+use cedarladder::bookkeeping::jobs::TaskSet;
+use cedarladder::bookkeeping::records::{self, Ending, LeaderRecord, OverRecord, RentalRecord};
+use cedarladder::bookkeeping::segment::{self, Amount, Builder, CHUNK, Segment};
+use cedarladder::protocol::cbor;
+use cedarladder::protocol::cloud::Flavor;
+use cedarladder::protocol::job::JobSpec;
+use cedarladder::protocol::state::{StoreCall, Txn, Write};
+use ciborium::{Value, cbor};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+
+/// Pins a record as a transaction writes it, and what its pinned bytes are read as.
+fn pin_record<T: Serialize + DeserializeOwned>(
+    file: &mut PinnedFile,
+    case: &str,
+    key: &str,
+    record: &T,
+) {
+    let writes = vec![Write::set(key, record)];
+    let when = Vec::new();
+    let (_, _, body) = StoreCall::Txn(Txn { when, writes }).request();
+    file.pin(&format!("{case}, transaction"), &body);
+    let bytes = file.pin(&format!("{case}, value"), &cbor::encode(record));
+    let value: Value = cbor::decode(&bytes).expect("CBOR");
+    pin_reading::<T>(file, case, &value);
+}
+
+/// Pins what a value in the state service is read as.
+fn pin_reading<T: Serialize + DeserializeOwned>(file: &mut PinnedFile, case: &str, value: &Value) {
+    let reading = match cbor::from_value::<T>(value) {
+        Ok(record) => show(&record),
+        Err(error) => format!("refused: {error}"),
+    };
+    file.pin_text(&format!("{case}, read"), &reading);
+}
+
+/// Pins what a record is read as whole, without each of its fields, and with one that is unknown.
+fn pin_readings<T: Serialize + DeserializeOwned>(file: &mut PinnedFile, case: &str, whole: &Value) {
+    pin_reading::<T>(file, &format!("{case} as stored"), whole);
+    for name in names_of(whole) {
+        let partial = without(whole, &name);
+        pin_reading::<T>(file, &format!("{case} without {name}"), &partial);
+    }
+    let newer = with(whole, "New", Value::from(1));
+    pin_reading::<T>(file, &format!("{case} with an unknown field"), &newer);
+}
+
+#[test]
+fn keys_keep_their_names() {
+    let mut file = PinnedFile::open("keys");
+    for (case, key) in [
+        ("leader", records::LEADER.to_owned()),
+        ("catalogue", records::CATALOGUE.to_owned()),
+        ("prefix of open jobs", records::OPEN.to_owned()),
+        ("prefix of finished jobs", records::OVER.to_owned()),
+        ("prefix of the log", records::LOG.to_owned()),
+        ("prefix of rentals", records::RENTAL.to_owned()),
+        ("open job", records::open("j-000412")),
+        ("finished job", records::over("j-000412")),
+        ("first slot", records::log(0)),
+        ("slot", records::log(412)),
+        ("slot of six digits", records::log(123_456)),
+        ("rental", records::rental("r-17")),
+    ] {
+        file.pin_text(case, &key);
+    }
+    file.finish();
+}
+
+#[test]
+fn leader_and_rental_records_keep_their_bytes() {
+    let mut file = PinnedFile::open("records_of_the_leader");
+    let leader = LeaderRecord {
+        label: "rung-1".into(),
+        life: u64::MAX,
+    };
+    pin_record(&mut file, "leader", records::LEADER, &leader);
+    let stored = cbor!({"Label" => "rung-1", "Life" => 5}).expect("a value");
+    pin_readings::<LeaderRecord>(&mut file, "leader", &stored);
+    let rental = RentalRecord {
+        flavor: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        count: 12,
+    };
+    pin_record(&mut file, "rental", &records::rental("r-17"), &rental);
+    let stored = cbor!({"Flavor" => "g8", "Grove" => "a", "Windfall" => true, "Count" => 12});
+    pin_readings::<RentalRecord>(&mut file, "rental", &stored.expect("a value"));
+    file.finish();
+}
+
+#[test]
+fn records_of_finished_jobs_keep_their_bytes() {
+    let mut file = PinnedFile::open("records_of_finished_jobs");
+    let key = records::over("j-000412");
+    for (case, ending) in [("done", Ending::Done), ("aborted", Ending::Aborted)] {
+        let record = OverRecord { ending, done: 3 };
+        pin_record(&mut file, case, &key, &record);
+        let stored = cbor!({"Status" => case, "Done" => 3}).expect("a value");
+        pin_readings::<OverRecord>(&mut file, case, &stored);
+    }
+    let unknown = cbor!({"Status" => "lost", "Done" => 3}).expect("a value");
+    pin_reading::<OverRecord>(&mut file, "unknown ending", &unknown);
+    file.finish();
+}
+
+#[test]
+fn records_of_open_jobs_keep_their_bytes() {
+    let mut file = PinnedFile::open("records_of_open_jobs");
+    for (case, spec) in specifications() {
+        pin_record(&mut file, &case, &records::open(&spec.id), &spec);
+    }
+    let stored = cbor!({"NameId" => "j-000412", "Jobclass" => "train", "Owner" => "vision",
+        "Shape" => "array", "Rank" => "urgent", "Steps" => 16, "Cores" => 8, "Gpus" => 1,
+        "RamGb" => 64, "Flavors" => ["g8"], "Grove" => "a", "OneZone" => true,
+        "Spread" => false, "Windfall" => true, "Bundle" => "img-07", "PullGb" => 6.2,
+        "ExpectS" => 240, "SnapshotS" => 30, "FlushS" => 4, "DueS" => 900, "At" => 5});
+    pin_readings::<JobSpec>(&mut file, "job", &stored.expect("a value"));
+    file.finish();
+}
+
+#[test]
+fn the_stored_catalogue_keeps_its_bytes() {
+    let mut file = PinnedFile::open("records_of_the_catalogue");
+    let types = vec![machine_type(Some(4.5)), machine_type(None)];
+    pin_record(&mut file, "catalogue", records::CATALOGUE, &types);
+    let none: Vec<Flavor> = Vec::new();
+    pin_record(&mut file, "empty catalogue", records::CATALOGUE, &none);
+    let stored = cbor!({"Label" => "g8", "Cores" => 96, "Gpus" => 8, "RamGb" => 768,
+        "LocalGb" => 200, "PullGbPerS" => 1, "Hourly" => 12, "MarketPrice" => null,
+        "ReadyS" => 45, "Groves" => ["a", "b"]});
+    pin_readings::<Flavor>(&mut file, "type", &stored.expect("a value"));
+    file.finish();
+}
+
+/// A segment with every kind of entry.
+fn full_segment() -> Segment {
+    Segment {
+        seq: 17,
+        epoch: 41,
+        hosts: vec!["host-000231".into(), "host-000232".into()],
+        jobs: vec![
+            (
+                "j-000412".into(),
+                "vision".into(),
+                Amount(8.0),
+                Amount(1.0),
+                Amount(64.5),
+            ),
+            (
+                "j-1".into(),
+                String::new(),
+                Amount(0.0),
+                Amount(0.0),
+                Amount(0.0),
+            ),
+        ],
+        kinds: vec![(
+            0,
+            "g8".into(),
+            "a".into(),
+            true,
+            "10.1.0.232:9000".into(),
+            false,
+        )],
+        binds: vec![(0, 1, 2, 3, 4)],
+        ends: vec![(5, 6, 7, 8)],
+        gone: vec![9, 10],
+        done: vec![(0, 1, "0f8".into())],
+    }
+}
+
+#[test]
+fn segments_of_the_log_keep_their_bytes() {
+    let mut file = PinnedFile::open("records_of_the_log");
+    let key = records::log(5);
+    pin_record(&mut file, "full", &key, &full_segment());
+    pin_record(&mut file, "empty", &key, &Segment::default());
+    let stored = cbor!({"Seq" => 17, "Epoch" => 41, "H" => ["host-000231"],
+        "J" => [["j-000412", "vision", 8, 1, 64]],
+        "K" => [[0, "g8", "a", true, "10.1.0.232:9000", false]],
+        "B" => [[0, 1, 2, 3, 4]], "E" => [[5, 6, 7, 8]], "G" => [9, 10], "D" => [[0, 1, "0f8"]]});
+    pin_readings::<Segment>(&mut file, "segment", &stored.expect("a value"));
+    file.finish();
+}
+
+/// What the tests here need of a task.
+const NEED: Room = Room {
+    cpus: 8.0,
+    gpus: 1.0,
+    ram: 64.5,
+};
+
+#[test]
+fn built_segments_keep_their_bytes_and_their_counted_size() {
+    let mut file = PinnedFile::open("built_segments");
+    let mut host = Host::new("host-000231", "g8", "a", true, 0.0);
+    host.endpoint = "10.1.0.232:9000".into();
+    type Step = fn(&mut Builder, &Host);
+    let steps: [(&str, Step); 8] = [
+        ("empty", |_, _| {}),
+        ("kind", |builder, host| builder.kind(host, false)),
+        ("returning host", |builder, host| builder.kind(host, true)),
+        ("binding", |builder, host| {
+            let task = ("j-000412", 3);
+            builder.bind(&host.name, task, ("vision", NEED), (2, 1));
+        }),
+        ("end", |builder, host| builder.end(&host.name, "j-2", 4, 5)),
+        ("binding of a job named before", |builder, host| {
+            builder.bind(&host.name, ("j-2", 6), ("guest", NEED), (7, 8));
+        }),
+        ("gone host", |builder, _| builder.gone("host-000232")),
+        ("done", |builder, _| {
+            builder.done("j-000412", 1, "0f8".into())
+        }),
+    ];
+    // Each step adds to those before it.
+    for count in 1..=steps.len() {
+        let mut builder = Builder::new(41, 17);
+        for (_, step) in &steps[..count] {
+            step(&mut builder, &host);
+        }
+        let case = steps[count - 1].0;
+        file.pin_text(&format!("{case}, size"), &builder.bytes().to_string());
+        file.pin(case, &cbor::encode(&builder.finish()));
+    }
+    let size = Builder::entry_bytes(&host, "j-000412", "vision");
+    file.pin_text("size of any entry", &size.to_string());
+    file.finish();
+}
+
+#[test]
+fn completed_tasks_keep_their_bitmaps() {
+    let mut file = PinnedFile::open("completed_tasks");
+    let tasks = CHUNK + 10;
+    let mut done = TaskSet::new(tasks);
+    let numbers = [0, 1, 5, 255, CHUNK, CHUNK + 9];
+    for number in numbers {
+        assert!(done.insert(number));
+    }
+    let mut read = Vec::new();
+    for chunk in [0, 1] {
+        let bits = segment::encode_chunk(&done, chunk, tasks);
+        let pinned = file.pin(&format!("chunk {chunk}"), bits.as_bytes());
+        let bits = String::from_utf8(pinned).expect("a text");
+        read.extend(segment::decode_chunk(chunk, &bits));
+    }
+    assert_eq!(read, numbers);
+    file.finish();
+}
--- /dev/null
+++ b/tests/golden/services.rs
@@ -0,0 +1,353 @@
+//! Calls to the state service, the cloud and the workers: each request, and what each answer is taken for.
+
+use super::pinned::{PinnedFile, show, without};
+use super::workers::{received_report, two_orders};
+use cedarladder::protocol::cbor;
+use cedarladder::protocol::cloud::{CloudCall, CloudReply, Flavor, Machine, MachineStatus, Rental};
+use cedarladder::protocol::state::{Condition, Item, StoreCall, StoreReply, Txn, Write};
+use cedarladder::protocol::worker::{WorkerCall, WorkerReply};
+use ciborium::{Value, cbor};
+
+/// Every status that some answer may have, with statuses that none should have.
+const STATUSES: [u16; 13] = [
+    200, 201, 204, 299, 400, 404, 409, 410, 421, 429, 500, 503, 504,
+];
+
+fn pin_request(
+    file: &mut PinnedFile,
+    case: &str,
+    (method, path, body): (&'static str, String, Vec<u8>),
+) {
+    file.pin_text(
+        &format!("{case}, method and path"),
+        &format!("{method} {path}"),
+    );
+    file.pin(&format!("{case}, body"), &body);
+}
+
+/// Pins the bodies of answers, and for each call and each body, with every status, what the answer is taken
+/// for: one line of text for a status. Each body is an answer to every call, also where it makes no sense.
+fn pin_answers<Call>(
+    file: &mut PinnedFile,
+    calls: &[(&'static str, Call)],
+    bodies: &[(&'static str, Value)],
+    reading: impl Fn(&Call, u16, &[u8]) -> String,
+) {
+    for (body_name, body) in bodies {
+        let body = file.pin(&format!("body, {body_name}"), &cbor::encode(body));
+        for (call_name, call) in calls {
+            let lines: Vec<String> = STATUSES
+                .iter()
+                .map(|status| format!("{status}: {}", reading(call, *status, &body)))
+                .collect();
+            file.pin_text(&format!("{call_name}, {body_name}"), &lines.join("\n"));
+        }
+    }
+}
+
+fn store_calls() -> Vec<(&'static str, StoreCall)> {
+    let attached = Write::Set {
+        key: "leader".into(),
+        value: cbor!({"Label" => "n0", "Life" => 5}).expect("a value"),
+        hold: Some(7),
+    };
+    let list = |from: Option<&str>| StoreCall::List {
+        under: "open/".into(),
+        from: from.map(str::to_owned),
+    };
+    vec![
+        ("get", StoreCall::Get("open/j-000412".into())),
+        ("first page", list(None)),
+        ("next page", list(Some("open/j-000412"))),
+        ("empty transaction", StoreCall::Txn(Txn::default())),
+        (
+            "transaction",
+            StoreCall::Txn(Txn {
+                when: vec![
+                    Condition::new("open/j-1", 412),
+                    Condition::new("over/j-1", 0),
+                ],
+                writes: vec![
+                    attached,
+                    Write::set("over/j-1", &1.0),
+                    Write::remove("open/j-1"),
+                ],
+            }),
+        ),
+        ("grant", StoreCall::Grant(5000)),
+        ("renew", StoreCall::Renew(7)),
+        ("drop", StoreCall::Drop(7)),
+        (
+            "follow",
+            StoreCall::Follow {
+                under: "open/".into(),
+                from: 431,
+                wait_ms: 10_000,
+            },
+        ),
+    ]
+}
+
+fn store_reading(reply: &StoreReply) -> String {
+    match reply {
+        StoreReply::Found(item) => format!("found {}", show(item)),
+        StoreReply::Missing => "missing".to_owned(),
+        StoreReply::Page(items, more, revision) => {
+            format!("page {}, more {more}, revision {revision}", show(items))
+        }
+        StoreReply::Committed(revision) => format!("committed at {revision}"),
+        StoreReply::Conflict(keys) => format!("conflict {}", show(keys)),
+        StoreReply::Granted(lease) => format!("granted {lease}"),
+        StoreReply::Ok => "ok".to_owned(),
+        StoreReply::Gone => "gone".to_owned(),
+        StoreReply::Events(events, revision) => {
+            format!("events {}, revision {revision}", show(events))
+        }
+        StoreReply::Busy => "over the rate limit".to_owned(),
+        StoreReply::Refused => "not executed".to_owned(),
+        StoreReply::Bad => "malformed".to_owned(),
+        StoreReply::Silent => "no usable answer".to_owned(),
+    }
+}
+
+/// Bodies of the state service's answers.
+fn store_bodies() -> Vec<(&'static str, Value)> {
+    let item = cbor!({"Path" => "a/b", "V" => {"x" => 1.5}, "Stamp" => 412, "Hold" => 7});
+    let bodies = [
+        ("nothing", cbor!(null)),
+        ("item", item),
+        (
+            "item without lease",
+            cbor!({"Path" => "a/b", "V" => [1], "Stamp" => 412}),
+        ),
+        (
+            "item with an unknown field",
+            cbor!({"Path" => "a/b", "V" => null, "Stamp" => 412, "Hold" => null, "New" => 1}),
+        ),
+        (
+            "item without version",
+            cbor!({"Path" => "a/b", "V" => null}),
+        ),
+        (
+            "page",
+            cbor!({"Items" => [{"Path" => "a/b", "V" => "x", "Stamp" => 3}], "More" => true, "Ledger" => 431}),
+        ),
+        ("revision", cbor!({"Ledger" => 432})),
+        ("conflict", cbor!({"failed" => ["a/b"], "Ledger" => 431})),
+        ("lease", cbor!({"Hold" => 7})),
+        (
+            "events",
+            cbor!({"Ledger" => 433, "Events" => [
+                {"Set" => "c/9", "V" => {"x" => 1}, "Stamp" => 433},
+                {"Remove" => "c/d", "Stamp" => 432}]}),
+        ),
+        ("error", cbor!({"error" => "no such lease"})),
+    ];
+    bodies
+        .map(|(name, body)| (name, body.expect("a value")))
+        .into()
+}
+
+#[test]
+fn requests_to_the_state_service_keep_their_bytes() {
+    let mut file = PinnedFile::open("state_requests");
+    for (case, call) in store_calls() {
+        pin_request(&mut file, case, call.request());
+    }
+    file.finish();
+}
+
+#[test]
+fn answers_of_the_state_service_keep_their_meaning() {
+    let mut file = PinnedFile::open("state_answers");
+    pin_answers(
+        &mut file,
+        &store_calls(),
+        &store_bodies(),
+        |call, status, body| store_reading(&call.reply(status, body)),
+    );
+    file.finish();
+}
+
+#[test]
+fn items_keep_their_bytes() {
+    let mut file = PinnedFile::open("state_items");
+    let item = |hold| Item {
+        key: "open/j-1".into(),
+        value: Value::from(5),
+        stamp: 412,
+        hold,
+    };
+    file.pin_message("attached", &item(Some(7)));
+    file.pin_message("free", &item(None));
+    file.finish();
+}
+
+fn cloud_calls() -> Vec<(&'static str, CloudCall)> {
+    let rental = Rental {
+        bid: "r-17".into(),
+        flavor: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        count: 12,
+    };
+    vec![
+        ("types", CloudCall::Types),
+        ("rent", CloudCall::Rent(rental)),
+        (
+            "delete",
+            CloudCall::Delete(vec!["host-000231".into(), "host-000232".into()]),
+        ),
+        ("first page", CloudCall::List(None)),
+        ("next page", CloudCall::List(Some("host-000230".into()))),
+    ]
+}
+
+fn cloud_reading(reply: &CloudReply) -> String {
+    match reply {
+        CloudReply::Types(types) => format!("types {}", show(types)),
+        CloudReply::Rented(names) => format!("rented {}", show(names)),
+        CloudReply::NoCapacity => "no capacity".to_owned(),
+        CloudReply::Deleted => "deleted".to_owned(),
+        CloudReply::Page(machines, more) => format!("page {}, more {more}", show(machines)),
+        CloudReply::Busy => "over the rate limit".to_owned(),
+        CloudReply::Trouble => "outage".to_owned(),
+        CloudReply::Bad => "malformed".to_owned(),
+        CloudReply::Silent => "no usable answer".to_owned(),
+    }
+}
+
+/// The type of the protocol's example as the cloud sends it, with integers for amounts.
+fn received_type() -> Value {
+    cbor!({"Label" => "g8", "Cores" => 96, "Gpus" => 8, "RamGb" => 768, "LocalGb" => 200,
+        "PullGbPerS" => 1.0, "Hourly" => 12.0, "MarketPrice" => 4.5, "ReadyS" => 45,
+        "Groves" => ["a", "b"]})
+    .expect("a value")
+}
+
+/// The machine of the protocol's example.
+fn received_machine(status: &str) -> Value {
+    cbor!({"NameId" => "host-000231", "Endpoint" => "10.1.0.232:9000", "Flavor" => "g8",
+        "Grove" => "a", "Windfall" => true, "Status" => status, "AgeS" => 61.5})
+    .expect("a value")
+}
+
+fn cloud_bodies() -> Vec<(&'static str, Value)> {
+    let machines = ["starting", "running", "failed", "hibernating"].map(received_machine);
+    let bare_machine = without(&without(&received_machine("running"), "Endpoint"), "AgeS");
+    let mut bare_type = received_type();
+    for name in ["Gpus", "LocalGb", "PullGbPerS", "MarketPrice"] {
+        bare_type = without(&bare_type, name);
+    }
+    let bodies = [
+        ("nothing", cbor!(null)),
+        ("types", cbor!({"Flavors" => [received_type(), bare_type]})),
+        (
+            "type without price",
+            cbor!({"Flavors" => [without(&received_type(), "Hourly")]}),
+        ),
+        ("names", cbor!({"Hosts" => ["host-000231"]})),
+        (
+            "machines",
+            cbor!({"Hosts" => machines.to_vec(), "More" => true}),
+        ),
+        ("bare machine", cbor!({"Hosts" => [bare_machine]})),
+        ("no capacity", cbor!({"error" => "no capacity"})),
+        ("trouble", cbor!({"error" => "trouble"})),
+    ];
+    bodies
+        .map(|(name, body)| (name, body.expect("a value")))
+        .into()
+}
+
+#[test]
+fn requests_to_the_cloud_keep_their_bytes() {
+    let mut file = PinnedFile::open("cloud_requests");
+    for (case, call) in cloud_calls() {
+        pin_request(&mut file, case, call.request());
+    }
+    file.finish();
+}
+
+#[test]
+fn answers_of_the_cloud_keep_their_meaning() {
+    let mut file = PinnedFile::open("cloud_answers");
+    pin_answers(
+        &mut file,
+        &cloud_calls(),
+        &cloud_bodies(),
+        |call, status, body| cloud_reading(&call.reply(status, body)),
+    );
+    file.finish();
+}
+
+/// Every field has a value of its own, so that none can take another's place.
+pub fn machine_type(market_price: Option<f64>) -> Flavor {
+    Flavor {
+        name: "g8".into(),
+        cpus: 96.0,
+        gpus: 8.0,
+        ram: 768.0,
+        cache_gb: 200.0,
+        pull_gb_s: 1.5,
+        hourly: 12.0,
+        market_price,
+        ready_s: 45.0,
+        zones: vec!["a".into(), "b".into()],
+    }
+}
+
+#[test]
+fn machines_and_their_types_keep_their_bytes() {
+    let mut file = PinnedFile::open("cloud_objects");
+    file.pin_message("type", &machine_type(Some(4.5)));
+    file.pin_message("type without spot price", &machine_type(None));
+    for (case, status) in [
+        ("starting", MachineStatus::Starting),
+        ("running", MachineStatus::Running),
+        ("failed", MachineStatus::Failed),
+        ("unknown", MachineStatus::Other),
+    ] {
+        let machine = Machine {
+            name: "host-000231".into(),
+            endpoint: "10.1.0.232:9000".into(),
+            flavor: "g8".into(),
+            zone: "a".into(),
+            spot: true,
+            status,
+            age_s: 61.5,
+        };
+        file.pin_message(&format!("machine, {case}"), &machine);
+    }
+    file.finish();
+}
+
+fn worker_reading(reply: &WorkerReply) -> String {
+    match reply {
+        WorkerReply::Done(report) => format!("done {}", show(report)),
+        WorkerReply::Mismatch(report) => format!("mismatch {}", show(report)),
+        WorkerReply::NotSent => "never sent".to_owned(),
+        WorkerReply::Unreached => "no connection".to_owned(),
+        WorkerReply::Silent => "no usable answer".to_owned(),
+    }
+}
+
+#[test]
+fn direct_commands_and_their_answers_keep_their_bytes() {
+    let mut file = PinnedFile::open("worker_calls");
+    let call = WorkerCall::Commands(two_orders(Some(3)));
+    pin_request(&mut file, "commands", call.request());
+    let bodies = [
+        ("report", received_report()),
+        ("nothing", Value::Null),
+        (
+            "report without session",
+            without(&received_report(), "Tenure"),
+        ),
+    ];
+    let calls = [("commands", call)];
+    pin_answers(&mut file, &calls, &bodies, |_, status, body| {
+        worker_reading(&WorkerCall::reply(status, body))
+    });
+    file.finish();
+}
--- /dev/null
+++ b/tests/golden/users.rs
@@ -0,0 +1,520 @@
+//! The users' API: what is taken for a submission, what is said of what is not, and every answer.
+
+use super::pinned::{PinnedFile, names_of, show, with, without};
+use super::workers::received_report;
+use cedarladder::bookkeeping::records::{self, Ending, OverRecord};
+use cedarladder::coordination::controller::{Controller, Now};
+use cedarladder::coordination::outbox::Action;
+use cedarladder::policy::Policy;
+use cedarladder::protocol::cbor;
+use cedarladder::protocol::job::{
+    Accepted, JobSpec, JobStatus, JobView, Rank, Refusal, Shape, parse,
+};
+use cedarladder::protocol::peer::{Heartbeat, Terminations};
+use cedarladder::protocol::state::{Item, StoreCall, StoreReply};
+use cedarladder::settings::Settings;
+use cedarladder::transport::http;
+use ciborium::{Value, cbor};
+use std::rc::Rc;
+
+/// Time of day at which the submissions here come.
+const SUBMITTED_AT: f64 = 1_700_000_000.5;
+
+/// Jobs with every shape and rank, and with every optional field there and not there.
+pub fn specifications() -> Vec<(String, JobSpec)> {
+    let whole = JobSpec {
+        id: "j-000412".into(),
+        class: "train".into(),
+        team: "vision".into(),
+        shape: Shape::Array,
+        rank: Rank::Urgent,
+        tasks: 16,
+        cpus: 8.0,
+        gpus: 1.0,
+        ram: 64.0,
+        flavors: Some(vec!["g8".into(), "g4".into()]),
+        zone: Some("a".into()),
+        one_zone: true,
+        spread: false,
+        spot: true,
+        image: "img-07".into(),
+        image_gb: 6.2,
+        expect_s: 240.0,
+        snapshot_s: 30.0,
+        flush_s: 4.0,
+        due_s: Some(900.0),
+        at: SUBMITTED_AT,
+    };
+    let bare = JobSpec {
+        flavors: None,
+        zone: None,
+        one_zone: false,
+        spread: true,
+        spot: false,
+        due_s: None,
+        ..whole.clone()
+    };
+    let mut all = vec![
+        ("whole".to_owned(), whole.clone()),
+        ("bare".to_owned(), bare),
+    ];
+    for (word, shape) in [("group", Shape::Group), ("standing", Shape::Standing)] {
+        let spec = JobSpec {
+            shape,
+            ..whole.clone()
+        };
+        all.push((word.to_owned(), spec));
+    }
+    for (word, rank) in [
+        ("production", Rank::Production),
+        ("normal", Rank::Normal),
+        ("best effort", Rank::BestEffort),
+    ] {
+        let spec = JobSpec {
+            rank,
+            ..whole.clone()
+        };
+        all.push((word.to_owned(), spec));
+    }
+    all
+}
+
+/// The submission of the protocol's example, in which every field has a value of its own.
+fn submission() -> Value {
+    cbor!({"NameId" => "j-000412", "Jobclass" => "train", "Owner" => "vision",
+        "Shape" => "array", "Rank" => "urgent", "Steps" => 16, "Cores" => 8.0, "Gpus" => 1.0,
+        "RamGb" => 64.0, "Bundle" => "img-07", "PullGb" => 6.2, "Flavors" => ["g8"],
+        "Grove" => "a", "OneZone" => true, "Spread" => false, "Windfall" => true,
+        "ExpectS" => 240.0, "SnapshotS" => 30.0, "FlushS" => 4.0, "DueS" => 900.0})
+    .expect("a value")
+}
+
+fn text(word: &str) -> Value {
+    Value::Text(word.to_owned())
+}
+
+fn texts(count: usize) -> Value {
+    Value::Array(vec![text("g8"); count])
+}
+
+/// Values at and beyond the limits of fields.
+fn values_of_fields() -> Vec<(&'static str, &'static str, Value)> {
+    let amounts = [
+        ("an integer", Value::from(2)),
+        ("zero", Value::Float(0.0)),
+        ("the highest", Value::Float(1e9)),
+        ("above the highest", Value::Float(1.1e9)),
+        ("below zero", Value::Float(-0.5)),
+        ("not a number", Value::Float(f64::NAN)),
+        ("infinite", Value::Float(f64::INFINITY)),
+        ("a text", text("2")),
+    ];
+    let names = [
+        "Cores",
+        "Gpus",
+        "RamGb",
+        "PullGb",
+        "ExpectS",
+        "SnapshotS",
+        "FlushS",
+        "DueS",
+    ];
+    let mut cases = Vec::new();
+    for name in names {
+        cases.extend(
+            amounts
+                .iter()
+                .map(|(what, value)| (name, *what, value.clone())),
+        );
+    }
+    let longest = "x".repeat(200);
+    for name in ["Jobclass", "Owner", "Bundle", "Grove"] {
+        cases.extend([
+            (name, "empty", text("")),
+            (name, "the longest", text(&longest)),
+            (name, "too long", text(&format!("{longest}x"))),
+            (name, "a number", Value::from(5)),
+        ]);
+    }
+    for name in ["OneZone", "Spread", "Windfall"] {
+        cases.push((name, "a number", Value::from(1)));
+    }
+    cases.extend([
+        ("NameId", "of another form", text("x-1")),
+        ("NameId", "without a number", text("j-")),
+        ("NameId", "of a task", text("j-1/2")),
+        ("NameId", "the longest", text("j-12345678901234567890")),
+        ("NameId", "too long", text("j-123456789012345678901")),
+        ("NameId", "a number", Value::from(5)),
+        ("Shape", "group", text("group")),
+        ("Shape", "standing", text("standing")),
+        ("Shape", "unknown", text("circle")),
+        ("Shape", "a number", Value::from(5)),
+        ("Rank", "production", text("production")),
+        ("Rank", "normal", text("normal")),
+        ("Rank", "best effort", text("best_effort")),
+        ("Rank", "unknown", text("low")),
+        ("Steps", "none", Value::from(0)),
+        ("Steps", "the most", Value::from(100_000)),
+        ("Steps", "too many", Value::from(100_001)),
+        ("Steps", "below zero", Value::from(-1)),
+        ("Steps", "a decimal", Value::Float(2.0)),
+        ("Flavors", "empty", texts(0)),
+        ("Flavors", "the most", texts(64)),
+        ("Flavors", "too many", texts(65)),
+        ("Flavors", "numbers", Value::Array(vec![Value::from(1)])),
+        ("Flavors", "a text", text("g8")),
+        ("Unknown", "whatever", text("is ignored")),
+    ]);
+    cases
+}
+
+fn reading(body: &[u8]) -> String {
+    match parse(body, SUBMITTED_AT) {
+        Ok(spec) => show(&spec),
+        Err(error) => error.to_string(),
+    }
+}
+
+#[test]
+fn submissions_keep_their_meaning_and_refusals_their_texts() {
+    let mut file = PinnedFile::open("submissions");
+    let whole = submission();
+    let mut cases = vec![
+        ("whole".to_owned(), whole.clone()),
+        ("not a map".to_owned(), Value::from(1)),
+        ("empty map".to_owned(), Value::Map(Vec::new())),
+        (
+            "key that is no text".to_owned(),
+            Value::Map(vec![(Value::from(1), Value::from(1))]),
+        ),
+    ];
+    for name in names_of(&whole) {
+        cases.push((format!("without {name}"), without(&whole, &name)));
+        cases.push((format!("{name} null"), with(&whole, &name, Value::Null)));
+    }
+    for (name, what, value) in values_of_fields() {
+        cases.push((format!("{name} {what}"), with(&whole, name, value)));
+    }
+    for (case, submission) in cases {
+        let body = file.pin(&case, &cbor::encode(&submission));
+        file.pin_text(&format!("{case}, read"), &reading(&body));
+    }
+    file.pin_text("no CBOR, read", &reading(b"{}"));
+    file.pin_text("empty body, read", &reading(b""));
+    file.finish();
+}
+
+#[test]
+fn bodies_of_answers_keep_their_bytes() {
+    let mut file = PinnedFile::open("answers_to_users");
+    for (word, status) in [
+        ("queued", JobStatus::Queued),
+        ("running", JobStatus::Running),
+        ("done", JobStatus::Done),
+        ("aborted", JobStatus::Aborted),
+    ] {
+        let accepted = Accepted {
+            id: "j-000412".into(),
+            status,
+        };
+        file.pin_message(&format!("accepted, {word}"), &accepted);
+        let view = JobView {
+            id: "j-000412".into(),
+            status,
+            done: 3,
+            running: 13,
+        };
+        file.pin_message(&format!("view, {word}"), &view);
+    }
+    let error = "no such job".into();
+    file.pin_message("refusal", &Refusal { error });
+    file.finish();
+}
+
+/// What the state service says of every call of a node.
+#[derive(Clone, Copy)]
+enum Truth {
+    /// No job has ever been there.
+    Empty,
+    /// The job is open.
+    Open,
+    /// The job is over.
+    Over(Ending),
+    /// It refuses.
+    Out,
+}
+
+/// A job that fits the settings and the machine types here.
+const JOB: &str = "j-1";
+/// Revision of what is in the state service.
+const STAMP: u64 = 5;
+/// The request whose answer is pinned.
+const REQUEST: u64 = 1;
+/// Address of the state service.
+const STATE_SERVICE: &str = "10.2.0.1:2379";
+/// Rounds in which a node has made all its calls.
+const ROUNDS: usize = 10;
+/// Polls after which a node takes no more.
+const MANY_POLLS: u64 = 3_000;
+const START: Now = Now {
+    steady: 0.0,
+    wall: SUBMITTED_AT,
+};
+
+fn node() -> Controller {
+    let text = include_str!("../world/settings.toml");
+    let settings = Rc::new(Settings::parse(text).expect("good settings"));
+    let policy = Rc::new(Policy::built_in(&settings));
+    Controller::new(settings, policy, 1)
+}
+
+/// A node that has seen the machine types.
+fn node_with_types() -> Controller {
+    let mut node = node();
+    node.tick(START);
+    tell_types(&mut node);
+    node.take_actions();
+    node
+}
+
+/// A node that has seen the machine types and the open jobs, of which there are none.
+fn ready_node() -> Controller {
+    let mut node = node();
+    node.tick(START);
+    for action in tell_types(&mut node) {
+        if let Action::Store { tag, call, .. } = action
+            && matches!(call, StoreCall::List { .. })
+        {
+            let page = StoreReply::Page(Vec::new(), false, STAMP);
+            node.store_reply(tag, page, START);
+        }
+    }
+    node.take_actions();
+    node
+}
+
+/// A node that has been told by a peer who leads.
+fn node_with_a_leader() -> Controller {
+    let mut node = ready_node();
+    let heartbeat = Heartbeat {
+        label: "n1".into(),
+        epoch: STAMP,
+        leader: Some("n1".into()),
+        state_ok: true,
+        redirected: 0,
+        counts: Vec::new(),
+        suspects: Vec::new(),
+        changes_per_s: 0.0,
+        ends: Terminations::default(),
+    };
+    node.heartbeat(heartbeat, START);
+    node
+}
+
+/// Answers a node's question for the machine types, and returns what else it wants done.
+fn tell_types(node: &mut Controller) -> Vec<Action> {
+    let types = cbor!({"Flavors" => [{"Label" => "f", "Cores" => 8, "RamGb" => 32,
+        "Hourly" => 1, "ReadyS" => 25, "Groves" => ["a", "b"]}]});
+    let body = cbor::encode(&types.expect("a value"));
+    let mut others = Vec::new();
+    for action in node.take_actions() {
+        match action {
+            Action::Cloud { tag, call, .. } => {
+                node.cloud_reply(tag, call.reply(200, &body), START);
+            }
+            other => others.push(other),
+        }
+    }
+    others
+}
+
+fn state_service(call: &StoreCall, truth: Truth) -> StoreReply {
+    let value_of = |key: &str| match truth {
+        Truth::Open if key == records::open(JOB) => Some(small_job()),
+        Truth::Over(ending) if key == records::over(JOB) => {
+            Some(cbor::to_value(&OverRecord { ending, done: 3 }))
+        }
+        _ => None,
+    };
+    let stamp = |key: &str| value_of(key).map_or(0, |_| STAMP);
+    match (truth, call) {
+        (Truth::Out, _) => StoreReply::Refused,
+        (_, StoreCall::Txn(txn)) => {
+            let mut failed = Vec::new();
+            for condition in &txn.when {
+                if stamp(&condition.key) != condition.stamp {
+                    failed.push(condition.key.clone());
+                }
+            }
+            if failed.is_empty() {
+                StoreReply::Committed(STAMP + 1)
+            } else {
+                StoreReply::Conflict(failed)
+            }
+        }
+        (_, StoreCall::Get(key)) => match value_of(key) {
+            Some(value) => StoreReply::Found(Item {
+                key: key.clone(),
+                value,
+                stamp: STAMP,
+                hold: None,
+            }),
+            None => StoreReply::Missing,
+        },
+        _ => StoreReply::Silent,
+    }
+}
+
+/// Sends a request to a node, and pins the answer and the calls to the state service that lead to it, all as
+/// they are written to connections.
+fn pin_exchange(
+    file: &mut PinnedFile,
+    case: &str,
+    mut node: Controller,
+    truth: Truth,
+    (method, path, body): (&str, &str, &[u8]),
+) {
+    node.request(REQUEST, method, path, body, START);
+    let mut calls = 0;
+    for _ in 0..ROUNDS {
+        for action in node.take_actions() {
+            match action {
+                Action::Answer {
+                    to: REQUEST,
+                    status,
+                    body,
+                    retry_after_s,
+                } => {
+                    let answer = http::write_response(status, &body, retry_after_s, true);
+                    file.pin(case, &answer);
+                    return;
+                }
+                Action::Store { tag, call, .. } => {
+                    calls += 1;
+                    let (method, path, body) = call.request();
+                    let request = http::write_request(method, STATE_SERVICE, &path, &body);
+                    file.pin(&format!("{case}, call {calls}"), &request);
+                    node.store_reply(tag, state_service(&call, truth), START);
+                }
+                _ => {}
+            }
+        }
+    }
+    panic!("{case}: no answer");
+}
+
+fn small_job() -> Value {
+    let job = with(&submission(), "NameId", text(JOB));
+    let job = with(&job, "Owner", text("t"));
+    let job = with(&job, "Gpus", Value::Float(0.0));
+    let job = with(&job, "RamGb", Value::Float(8.0));
+    with(&job, "Flavors", Value::Null)
+}
+
+/// What users are told by a node that knows the machine types, by what the state service has.
+#[test]
+fn answers_to_users_keep_their_bytes() {
+    let mut file = PinnedFile::open("user_requests");
+    let body = |job: &Value| cbor::encode(job);
+    let job = small_job();
+    let good = body(&job);
+    let stranger = body(&with(&job, "Owner", text("nobody")));
+    let huge = body(&with(&job, "RamGb", Value::Float(64.0)));
+    let greedy = body(&with(&job, "Cores", Value::Float(41.0)));
+    let partial = body(&without(&job, "Owner"));
+    let wrong = body(&with(&job, "Steps", Value::from(0)));
+    let (poll, cancel) = ("/work/j-1", "/work/j-1/cancel");
+    let (done, aborted) = (Truth::Over(Ending::Done), Truth::Over(Ending::Aborted));
+    type Case<'a> = (&'a str, Truth, (&'a str, &'a str, &'a [u8]));
+    let cases: Vec<Case> = vec![
+        ("submit", Truth::Empty, ("POST", "/work", &good)),
+        ("submit again", Truth::Open, ("POST", "/work", &good)),
+        ("submit a done job", done, ("POST", "/work", &good)),
+        ("submit a cancelled job", aborted, ("POST", "/work", &good)),
+        ("submit in an outage", Truth::Out, ("POST", "/work", &good)),
+        ("unknown team", Truth::Empty, ("POST", "/work", &stranger)),
+        ("too large", Truth::Empty, ("POST", "/work", &huge)),
+        ("above the limit", Truth::Empty, ("POST", "/work", &greedy)),
+        ("accepted once", Truth::Open, ("POST", "/work", &huge)),
+        ("missing field", Truth::Empty, ("POST", "/work", &partial)),
+        ("invalid field", Truth::Empty, ("POST", "/work", &wrong)),
+        ("no CBOR", Truth::Empty, ("POST", "/work", b"{}")),
+        ("poll of nothing", Truth::Empty, ("GET", poll, b"")),
+        ("poll", Truth::Open, ("GET", poll, b"")),
+        ("poll of a done job", done, ("GET", poll, b"")),
+        ("poll of a cancelled job", aborted, ("GET", poll, b"")),
+        ("poll in an outage", Truth::Out, ("GET", poll, b"")),
+        ("cancel nothing", Truth::Empty, ("POST", cancel, b"")),
+        ("cancel", Truth::Open, ("POST", cancel, b"")),
+        ("cancel a done job", done, ("POST", cancel, b"")),
+        ("cancel a cancelled job", aborted, ("POST", cancel, b"")),
+        ("cancel in an outage", Truth::Out, ("POST", cancel, b"")),
+        ("wrong method", Truth::Empty, ("DELETE", poll, b"")),
+        ("no such path", Truth::Empty, ("GET", "/jobs", b"")),
+        ("impossible id", Truth::Empty, ("GET", "/work/x-1", b"")),
+    ];
+    for (case, truth, request) in cases {
+        pin_exchange(&mut file, case, node_with_types(), truth, request);
+    }
+    let early = "submit before the types are known";
+    let request = ("POST", "/work", &good[..]);
+    pin_exchange(&mut file, early, node(), Truth::Empty, request);
+    file.finish();
+}
+
+#[test]
+fn answers_to_workers_and_probes_keep_their_bytes() {
+    let mut file = PinnedFile::open("worker_requests");
+    let whole = received_report();
+    let report = cbor::encode(&whole);
+    let partial = cbor::encode(&without(&whole, "Host"));
+    let impossible = cbor::encode(&with(&whole, "Epoch", Value::from(u64::MAX)));
+    let negative = cbor::encode(&with(&whole, "Epoch", Value::from(-1)));
+    type Case<'a> = (&'a str, fn() -> Controller, (&'a str, &'a str, &'a [u8]));
+    let cases: Vec<Case> = vec![
+        ("probe too early", node, ("GET", "/healthz", b"")),
+        ("probe", ready_node, ("GET", "/healthz", b"")),
+        ("nobody leads", ready_node, ("POST", "/v1/report", &report)),
+        (
+            "a peer leads",
+            node_with_a_leader,
+            ("POST", "/v1/report", &report),
+        ),
+        ("no CBOR", ready_node, ("POST", "/v1/report", b"{}")),
+        (
+            "missing field",
+            ready_node,
+            ("POST", "/v1/report", &partial),
+        ),
+        (
+            "impossible token",
+            ready_node,
+            ("POST", "/v1/report", &impossible),
+        ),
+        (
+            "token below zero",
+            ready_node,
+            ("POST", "/v1/report", &negative),
+        ),
+        ("wrong method", ready_node, ("GET", "/v1/report", b"")),
+    ];
+    for (case, node, request) in cases {
+        pin_exchange(&mut file, case, node(), Truth::Empty, request);
+    }
+    file.finish();
+}
+
+#[test]
+fn refusals_of_too_many_requests_keep_their_bytes() {
+    let mut file = PinnedFile::open("user_requests_overload");
+    let mut node = node_with_types();
+    for request in 0..MANY_POLLS {
+        let path = format!("/work/j-{request}");
+        node.request(REQUEST + 1 + request, "GET", &path, &[], START);
+    }
+    node.take_actions();
+    let request = ("GET", "/work/j-1", &[][..]);
+    pin_exchange(&mut file, "too many requests", node, Truth::Empty, request);
+    file.finish();
+}
--- /dev/null
+++ b/tests/golden/workers.rs
@@ -0,0 +1,220 @@
+//! Messages of the worker protocol: as we write them, and as we read those of workers of any version.
+
+use super::pinned::{PinnedFile, names_of, with, without};
+use cedarladder::protocol::token::{MAX_EPOCH, MAX_FENCE, Token};
+use cedarladder::protocol::worker::{
+    Cause, Commands, Order, Redirect, Report, StepReport, StepStatus, TaskId, Verb,
+};
+use ciborium::{Value, cbor};
+
+/// The token of the messages here.
+fn token() -> Token {
+    Token::new(41, 7)
+}
+
+/// A report as a worker sends it.
+pub fn received_report() -> Value {
+    cbor!({"Host" => "host-000231", "Endpoint" => "10.1.0.232:9000", "Flavor" => "g8",
+        "Grove" => "a", "Windfall" => true, "Tenure" => 1, "Tick" => 88, "Epoch" => 41,
+        "WarningS" => 25.5,
+        "Steps" => [{"Step" => "j-000412/3", "Try" => 2, "Status" => "running"},
+            {"Step" => "j-000398/0", "Try" => 1, "Status" => "exited", "Cause" => "done"}]})
+    .expect("a value")
+}
+
+/// An answer to a report, or, with a session, a direct command.
+pub fn two_orders(tenure: Option<u64>) -> Commands {
+    let order = |verb, step: &str, attempt, drain_s| Order {
+        verb,
+        step: step.into(),
+        attempt,
+        drain_s,
+    };
+    Commands {
+        token: token(),
+        tenure,
+        orders: vec![
+            order(Verb::Start, "j-000412/4", 2, None),
+            order(Verb::Halt, "j-000377/1", 1, Some(10.0)),
+            order(Verb::Clear, "j-000398/0", 3, None),
+        ],
+    }
+}
+
+fn with_task(name: &str, value: Value) -> Value {
+    let task = cbor!({"Step" => "j-000412/3", "Try" => 2, "Status" => "exited", "Cause" => "done"});
+    let task = with(&task.expect("a value"), name, value);
+    with(&received_report(), "Steps", Value::Array(vec![task]))
+}
+
+fn text(word: &str) -> Value {
+    Value::Text(word.to_owned())
+}
+
+#[test]
+fn reports_keep_their_bytes() {
+    let mut file = PinnedFile::open("reports_written");
+    let report = |warning_s, steps| Report {
+        host: "host-000231".into(),
+        endpoint: "10.1.0.232:9000".into(),
+        flavor: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        tenure: 3,
+        tick: 88,
+        token: token(),
+        warning_s,
+        steps,
+    };
+    file.pin_message("empty", &report(None, Vec::new()));
+    file.pin_message("notice", &report(Some(25.5), Vec::new()));
+    for (word, status) in [
+        ("fetching", StepStatus::Fetching),
+        ("running", StepStatus::Running),
+        ("flushing", StepStatus::Flushing),
+        ("exited", StepStatus::Exited),
+        ("unknown", StepStatus::Other),
+    ] {
+        let step = StepReport {
+            step: "j-000412/3".into(),
+            attempt: 2,
+            status,
+            cause: None,
+        };
+        file.pin_message(&format!("state {word}"), &report(None, vec![step]));
+    }
+    for (word, cause) in [
+        ("done", Cause::Done),
+        ("stopped", Cause::Stopped),
+        ("error", Cause::Error),
+        ("full", Cause::Full),
+        ("busy", Cause::Busy),
+        ("no such", Cause::NoSuch),
+        ("unknown", Cause::Other),
+    ] {
+        let step = StepReport {
+            step: "j-000412/3".into(),
+            attempt: 2,
+            status: StepStatus::Exited,
+            cause: Some(cause),
+        };
+        file.pin_message(&format!("cause {word}"), &report(None, vec![step]));
+    }
+    file.finish();
+}
+
+#[test]
+fn reports_of_any_worker_keep_their_meaning() {
+    let mut file = PinnedFile::open("reports_read");
+    let whole = received_report();
+    let mut cases = vec![("whole".to_owned(), whole.clone())];
+    for name in names_of(&whole) {
+        cases.push((format!("without {name}"), without(&whole, &name)));
+        cases.push((format!("{name} null"), with(&whole, &name, Value::Null)));
+    }
+    for name in ["Step", "Try", "Status", "Cause"] {
+        cases.push((
+            format!("task with {name} null"),
+            with_task(name, Value::Null),
+        ));
+    }
+    for word in ["fetching", "running", "flushing", "exited", "dreaming", ""] {
+        let report = with_task("Status", text(word));
+        cases.push((format!("state {word:?}"), report));
+    }
+    for word in [
+        "done", "stopped", "error", "full", "busy", "no_such", "bored", "",
+    ] {
+        let report = with_task("Cause", text(word));
+        cases.push((format!("cause {word:?}"), report));
+    }
+    for (case, name, value) in [
+        ("notice as an integer", "WarningS", Value::from(25)),
+        ("notice below zero", "WarningS", Value::from(-1)),
+        ("notice not a number", "WarningS", Value::Float(f64::NAN)),
+        ("notice a text", "WarningS", text("25")),
+        ("session as a decimal", "Tenure", Value::Float(1.0)),
+        ("session below zero", "Tenure", Value::from(-1)),
+        ("highest session", "Tenure", Value::from(u64::MAX)),
+        ("highest token", "Epoch", Value::from(u64::MAX)),
+        ("token below zero", "Epoch", Value::from(-1)),
+        ("token a text", "Epoch", text("41")),
+        ("name a number", "Host", Value::from(5)),
+        ("no tasks", "Steps", Value::Array(Vec::new())),
+        ("unknown field", "Mood", text("good")),
+    ] {
+        cases.push((case.to_owned(), with(&whole, name, value)));
+    }
+    cases.push((
+        "unknown task field".into(),
+        with_task("Stored", true.into()),
+    ));
+    cases.push(("not a map".into(), Value::from(1)));
+    for (case, report) in cases {
+        file.pin_received::<Report>(&case, &report);
+    }
+    file.finish();
+}
+
+#[test]
+fn commands_and_redirections_keep_their_bytes() {
+    let mut file = PinnedFile::open("commands");
+    let none = Commands {
+        token: Token::default(),
+        tenure: None,
+        orders: Vec::new(),
+    };
+    file.pin_message("no orders", &none);
+    file.pin_message("answer to a report", &two_orders(None));
+    file.pin_message("direct", &two_orders(Some(3)));
+    for (case, foreman) in [("to a node", Some("rung-2")), ("to any", None)] {
+        let foreman = foreman.map(str::to_owned);
+        file.pin_message(&format!("redirection {case}"), &Redirect { foreman });
+    }
+    let received = cbor!({"Epoch" => 41, "Orders" => [
+        {"Verb" => "halt", "Step" => "j-000377/1", "Try" => 1, "DrainS" => 10.0}]});
+    file.pin_received::<Commands>("received", &received.expect("a value"));
+    let unknown = cbor!({"Epoch" => 41, "Orders" => [
+        {"Verb" => "dance", "Step" => "j-000377/1", "Try" => 1}]});
+    file.pin_received::<Commands>("received with an unknown verb", &unknown.expect("a value"));
+    file.finish();
+}
+
+#[test]
+fn tokens_and_task_names_keep_their_forms() {
+    let mut file = PinnedFile::open("tokens");
+    for (case, token) in [
+        ("none", Token::default()),
+        ("plain epoch", Token::from_wire(41)),
+        ("first fence", Token::new(41, 0)),
+        ("later fence", token()),
+        ("highest fence", Token::new(41, MAX_FENCE)),
+        ("highest", Token::new(MAX_EPOCH, MAX_FENCE)),
+        ("beyond the highest", Token::new(u64::MAX, u32::MAX)),
+        ("impossible", Token::from_wire(u64::MAX)),
+    ] {
+        file.pin_message(case, &token);
+        let verdict = match token.check() {
+            Ok(()) => "possible".to_owned(),
+            Err(error) => error.to_string(),
+        };
+        let parts = format!("{token} epoch {} fence {}", token.epoch(), token.fence());
+        file.pin_text(&format!("{case}, parts"), &format!("{parts}: {verdict}"));
+    }
+    for name in [
+        "j-000412/3",
+        "j-1/0",
+        "j-1/x",
+        "j-1",
+        "a/b/7",
+        "j-1/-1",
+        "j-1/",
+    ] {
+        let reading = match TaskId::parse(name) {
+            Some(task) => format!("job {}, task {}: {task}", task.job, task.index),
+            None => "no task".to_owned(),
+        };
+        file.pin_text(&format!("task name {name}"), &reading);
+    }
+    file.finish();
+}
