--- a/src/coordination/leader/scaling.rs
+++ b/src/coordination/leader/scaling.rs
@@ -3,7 +3,7 @@
 
 use super::fleet::{self, GiveBackReason, PoolKey, is_in};
 use super::{EXPECT_MARGIN, Leader};
-use crate::bookkeeping::hosts::{Host, Room};
+use crate::bookkeeping::workers::{Resources, Worker};
 use crate::coordination::autoscaler::{self, Load};
 use crate::coordination::scheduler;
 use crate::policy::{Figures, PoolView};
@@ -22,7 +22,7 @@
 /// A machine that is on its way or would be rented, with the room that is left on it.
 struct Bin {
     pool: usize,
-    free: Room,
+    free: Resources,
     used: bool,
 }
 
@@ -54,9 +54,9 @@
     /// Machines up without tasks.
     idle: u32,
     /// What tasks take.
-    used: Room,
+    used: Resources,
     /// What replicas take of that.
-    standing: Room,
+    standing: Resources,
     /// Machines not in use that what waits would fill.
     fill: u32,
     /// Machines not in use that are kept for replicas to come.
@@ -108,7 +108,7 @@
     fn pack_zones(&mut self, offers: &[Offer], figures: &[Figures], now: f64) {
         let replicas_wait = self.unplaced.iter().any(|unplaced| {
             let job = self.jobs.get(&unplaced.job);
-            job.is_some_and(|job| job.standing())
+            job.is_some_and(|job| job.is_service())
         });
         // A new leader first hears from everybody.
         let settings = self.settings.clone();
@@ -125,7 +125,12 @@
     }
 
     /// For how many replicas to come room is kept in a zone, and what one takes on average.
-    fn headroom(&self, offers: &[Offer], figures: &[Figures], zone: &str) -> Option<(u32, Room)> {
+    fn headroom(
+        &self,
+        offers: &[Offer],
+        figures: &[Figures],
+        zone: &str,
+    ) -> Option<(u32, Resources)> {
         let here = |offer: &Offer| !offer.key.spot && offer.key.zone == zone;
         let shares = offers.iter().zip(figures).filter(|(offer, _)| here(offer));
         let share = shares.map(|(_, f)| f.headroom).fold(0.0, f64::max);
@@ -172,19 +177,19 @@
     fn stock(&self, offer: &Offer, now: f64) -> Stock {
         let mut stock = Stock::default();
         for host in self.hosts.iter() {
-            if host.returning || host.taken_at.is_some() || !is_in(host, &offer.key) {
+            if host.terminating || host.reclaim_at.is_some() || !is_in(host, &offer.key) {
                 continue;
             }
-            let overdue = host.heard.is_none()
-                && !host.listed_up
-                && now - host.since > fleet::BOOT_USUAL * offer.flavor.boot_time_s;
+            let overdue = host.last_heartbeat_at.is_none()
+                && !host.listed_running
+                && now - host.first_seen_at > fleet::BOOT_USUAL * offer.flavor.boot_time_s;
             if overdue {
                 continue;
             }
             stock.machines += 1;
             stock.busy += u32::from(!host.bindings.is_empty());
-            stock.idle += u32::from(host.bindings.is_empty() && host.usable());
-            stock.used = stock.used.plus(&host.used());
+            stock.idle += u32::from(host.bindings.is_empty() && host.is_schedulable());
+            stock.used = stock.used.plus(&host.allocated());
             stock.standing = stock.standing.plus(&self.standing_on(host));
         }
         stock.renting = self.fleet.renting(&offer.key);
@@ -193,11 +198,11 @@
     }
 
     /// What replicas take of a host.
-    fn standing_on(&self, host: &Host) -> Room {
+    fn standing_on(&self, host: &Worker) -> Resources {
         host.bindings
             .iter()
-            .filter(|(task, _)| self.jobs.get(&task.job).is_some_and(|job| job.standing()))
-            .fold(Room::default(), |sum, (_, b)| sum.plus(&b.need))
+            .filter(|(task, _)| self.jobs.get(&task.job).is_some_and(|job| job.is_service()))
+            .fold(Resources::default(), |sum, (_, b)| sum.plus(&b.request))
     }
 
     fn figures(&self, offer: &Offer, stock: &Stock, demand: &Demand) -> Figures {
@@ -231,15 +236,15 @@
                 continue;
             };
             for host in self.hosts.iter() {
-                let in_use = host.usable() && !host.spot && !host.bindings.is_empty();
+                let in_use = host.is_schedulable() && !host.spot && !host.bindings.is_empty();
                 let offer = offers.iter().find(|offer| is_in(host, &offer.key));
                 if let Some(offer) = offer.filter(|_| in_use && host.zone == *zone) {
-                    let free = Room::of_flavor(offer.flavor).minus(&self.standing_on(host));
-                    missing = missing.saturating_sub(free.count(&need));
+                    let free = Resources::of_instance_type(offer.flavor).minus(&self.standing_on(host));
+                    missing = missing.saturating_sub(free.count_fitting(&need));
                 }
             }
             for i in &here {
-                let each = Room::of_flavor(offers[*i].flavor).count(&need);
+                let each = Resources::of_instance_type(offers[*i].flavor).count_fitting(&need);
                 let unused = bins.iter().filter(|b| b.pool == *i && !b.used).count() as u32;
                 let there = stocks[*i].idle + unused;
                 while each > 0 && missing >= each && spare[*i] < there {
@@ -248,7 +253,7 @@
                 }
             }
             for i in &here {
-                let each = Room::of_flavor(offers[*i].flavor).count(&need);
+                let each = Resources::of_instance_type(offers[*i].flavor).count_fitting(&need);
                 if each > 0 && !offers[*i].blocked {
                     // Less than a machine's worth is none: in a small zone it would be dear.
                     spare[*i] += missing / each;
@@ -260,13 +265,13 @@
     }
 
     /// How many replicas a zone has or will have, and what one takes on average.
-    fn usual_replica(&self, zone: &str) -> Option<(f64, Room)> {
+    fn usual_replica(&self, zone: &str) -> Option<(f64, Resources)> {
         let zones = self.settings.deployment.zones.len() as f64;
         let mut count = 0.0;
-        let mut sum = Room::default();
-        for job in self.jobs.iter().filter(|job| job.standing()) {
-            let here = f64::from(job.zones.get(zone).copied().unwrap_or(0));
-            let here = here + f64::from(job.startable()) / zones;
+        let mut sum = Resources::default();
+        for job in self.jobs.iter().filter(|job| job.is_service()) {
+            let here = f64::from(job.bound_per_zone.get(zone).copied().unwrap_or(0));
+            let here = here + f64::from(job.startable_count()) / zones;
             count += here;
             sum = sum.plus(&scheduler::need(&job.spec).times(here));
         }
@@ -280,14 +285,14 @@
             let booting = self
                 .hosts
                 .iter()
-                .filter(|h| !h.returning && h.heard.is_none() && is_in(h, &offer.key))
-                .filter(|h| now - h.since <= fleet::BOOT_USUAL * offer.flavor.boot_time_s)
+                .filter(|h| !h.terminating && h.last_heartbeat_at.is_none() && is_in(h, &offer.key))
+                .filter(|h| now - h.first_seen_at <= fleet::BOOT_USUAL * offer.flavor.boot_time_s)
                 .count() as u32;
             let expected = self.fleet.renting(&offer.key);
             for _ in 0..booting + expected {
                 bins.push(Bin {
                     pool: i,
-                    free: Room::of_flavor(offer.flavor),
+                    free: Resources::of_instance_type(offer.flavor),
                     used: false,
                 });
             }
@@ -319,21 +324,21 @@
             };
             let spec = &job.spec;
             let need = scheduler::need(spec);
-            let mut zones = job.zones.clone();
+            let mut zones = job.bound_per_zone.clone();
             // Work that may use spot machines waits for them as long as it can still be on time
             // with an ordinary machine rented later.
             let time_s = EXPECT_MARGIN * self.fleet.bias * spec.expected_runtime_s;
             let patient = |offer: &Offer| {
                 let ready_s = offer.flavor.boot_time_s;
-                spec.spot && job.due.is_some_and(|due| now + ready_s + time_s < due)
+                spec.spot && job.deadline.is_some_and(|due| now + ready_s + time_s < due)
             };
             // What will have its turn in time on the machines there are, or sooner than a new one is
             // up, needs no others.
             let served = |ahead: f64| {
                 let turn_s = margin * ahead / freed.max(1e-6);
-                let on_time = job.due.is_some_and(|due| now + turn_s + time_s <= due);
+                let on_time = job.deadline.is_some_and(|due| now + turn_s + time_s <= due);
                 let soon = turn_s <= ready_s;
-                freed > 0.0 && !job.standing() && (on_time || soon)
+                freed > 0.0 && !job.is_service() && (on_time || soon)
             };
             // Bins that have no room for one task have none for the next.
             let mut from = 0;
@@ -353,11 +358,14 @@
                 let offer = &offers[bin.pool];
                 *zones.entry(offer.key.zone.clone()).or_default() += 1;
                 let pool = &mut demand[bin.pool];
-                pool.rank = Some(pool.rank.map_or(spec.priority, |rank| rank.min(spec.priority)));
+                pool.rank = Some(
+                    pool.rank
+                        .map_or(spec.priority, |rank| rank.min(spec.priority)),
+                );
                 pool.pending += 1;
                 pool.oldest_s = pool.oldest_s.max(unplaced.age_s);
                 pool.expect_s += spec.expected_runtime_s;
-                pool.share += need.share_of(&Room::of_flavor(offer.flavor));
+                pool.share += need.dominant_share(&Resources::of_instance_type(offer.flavor));
             }
         }
         if left == 0 {
@@ -368,13 +376,13 @@
     /// CPUs that the tasks of arrays give back each second by ending, and how many tasks these are.
     fn freed_per_s(&self) -> (f64, u32) {
         let (mut freed, mut running) = (0.0, 0);
-        for host in self.hosts.iter().filter(|host| host.usable()) {
+        for host in self.hosts.iter().filter(|host| host.is_schedulable()) {
             for (task, binding) in &host.bindings {
                 if let Some(job) = self.jobs.get(&task.job)
-                    && !job.standing()
+                    && !job.is_service()
                 {
                     let takes_s = self.fleet.bias * job.spec.expected_runtime_s;
-                    freed += binding.need.cpus / takes_s.max(self.fleet.report_s / 2.0);
+                    freed += binding.request.cpus / takes_s.max(self.fleet.report_s / 2.0);
                     running += 1;
                 }
             }
@@ -392,7 +400,7 @@
         now: f64,
     ) -> Vec<String> {
         let key = &offer.key;
-        let whole = Room::of_flavor(offer.flavor);
+        let whole = Resources::of_instance_type(offer.flavor);
         let (machines, busy) = (stock.machines, stock.busy);
         let since = self.since;
         let pool = self.fleet.pools.entry(key.clone()).or_default();
@@ -422,7 +430,7 @@
             forecast: pool.starts.forecast(figures.window_s, since, now),
             task_s,
             per_machine,
-            standing: stock.standing.share_of(&whole),
+            standing: stock.standing.dominant_share(&whole),
             busy,
             spare: stock.spare,
             fill: stock.fill,
@@ -433,7 +441,7 @@
             machines,
             renting = stock.renting,
             busy,
-            used = stock.used.share_of(&whole),
+            used = stock.used.dominant_share(&whole),
             ?load,
             "pool"
         );
@@ -458,13 +466,13 @@
         let surplus = machines.saturating_sub(decision.target) as usize;
         // Machines in a zone that is cut off are idle only for want of somebody to ask them.
         let cut = self.fleet.was_cut(&key.zone);
-        let mut idle: Vec<&Host> = self
+        let mut idle: Vec<&Worker> = self
             .hosts
             .iter()
             .filter(|host| {
                 !cut && is_in(host, key)
-                    && !host.returning
-                    && host.heard.is_some()
+                    && !host.terminating
+                    && host.last_heartbeat_at.is_some()
                     && host.bindings.is_empty()
                     && now - host.idle_since > figures.cooldown_s
             })
@@ -489,7 +497,7 @@
     bins: &mut Vec<Bin>,
     from: usize,
     spec: &JobSpec,
-    need: &Room,
+    need: &Resources,
     zones: &HashMap<String, u32>,
     patient: impl Fn(&Offer) -> bool,
 ) -> Option<usize> {
@@ -522,11 +530,11 @@
             !offer.blocked
                 && offer.left > 0
                 && suits(offer)
-                && Room::of_flavor(offer.flavor).fits(need)
+                && Resources::of_instance_type(offer.flavor).fits(need)
         })
         .min_by(|(_, a), (_, b)| {
             let cost = |offer: &Offer| {
-                offer.price / f64::from(Room::of_flavor(offer.flavor).count(need).max(1))
+                offer.price / f64::from(Resources::of_instance_type(offer.flavor).count_fitting(need).max(1))
             };
             replicas(a)
                 .cmp(&replicas(b))
@@ -534,7 +542,7 @@
         })?;
     bins.push(Bin {
         pool,
-        free: Room::of_flavor(offer.flavor),
+        free: Resources::of_instance_type(offer.flavor),
         used: false,
     });
     offers[pool].left -= 1;
--- a/src/coordination/leader/verdicts.rs
+++ b/src/coordination/leader/verdicts.rs
@@ -1,8 +1,8 @@
 //! What failed and completed tasks tell about their jobs and machines.
 
 use super::{AVOID_LEASES, Leader};
-use crate::bookkeeping::hosts::Hosts;
 use crate::bookkeeping::jobs::Job;
+use crate::bookkeeping::workers::Workers;
 use crate::protocol::peer::MAX_CRASH_LOOPING_JOBS;
 use crate::protocol::worker::{ExitReason, TaskId};
 use rand::Rng;
@@ -21,7 +21,7 @@
         let Some(host) = self.hosts.get(host) else {
             return;
         };
-        let running = host.bindings.get(task).and_then(|binding| binding.running);
+        let running = host.bindings.get(task).and_then(|binding| binding.running_since);
         if let Some(since) = running {
             let job = self.jobs.get(&task.job);
             let expect_s = job.map_or(0.0, |job| job.spec.expected_runtime_s);
@@ -33,23 +33,23 @@
     /// the machine's fault, unless the job is suspect.
     pub(super) fn note_success(&mut self, host: &str, job: &str) {
         if let Some(host) = self.hosts.get_mut(host) {
-            host.failures.note_success();
+            host.failures.record_success();
         }
         let Some(job) = self.jobs.get_mut(job) else {
             return;
         };
-        if job.failures.is_suspect() {
+        if job.failures.is_crash_looping() {
             tracing::info!(job = job.spec.id, "a task completed: no longer suspect");
-            job.not_before = 0.0;
+            job.eligible_at = 0.0;
             self.schedule_due = true;
         } else {
-            for name in job.failures.hosts() {
+            for name in job.failures.workers() {
                 if let Some(host) = self.hosts.get_mut(name) {
-                    host.failures.note_proven(&job.spec.id);
+                    host.failures.attribute_to_worker(&job.spec.id);
                 }
             }
         }
-        job.failures.note_success();
+        job.failures.record_success();
     }
 
     /// A replica of a failing service runs on a host: it never completes, so having run for a while is
@@ -70,12 +70,12 @@
             return;
         };
         tracing::info!(host, %task, ?cause, "task failed");
-        let probed = job.failures.is_suspect() && now >= job.not_before;
-        let newly_suspect = job.failures.note_failure(host, avoid_s, now);
+        let probed = job.failures.is_crash_looping() && now >= job.eligible_at;
+        let newly_suspect = job.failures.record_failure(host, avoid_s, now);
         if probed || newly_suspect {
             let jitter = self.rng.random_range(1.0 - JITTER..1.0 + JITTER);
             let wait_s = job.failures.next_backoff_s(shortest_s) * jitter;
-            job.not_before = now + wait_s;
+            job.eligible_at = now + wait_s;
             tracing::info!(
                 job = job.spec.id,
                 wait_s,
@@ -85,17 +85,17 @@
         if newly_suspect {
             withdraw_failures(job, &mut self.hosts);
         } else if cause == ExitReason::Failed
-            && !job.failures.is_suspect()
+            && !job.failures.is_crash_looping()
             && let Some(host) = self.hosts.get_mut(host)
         {
             let proven = job.failures.has_succeeded();
-            host.failures.note_failure(&task.job, proven);
+            host.failures.record_failure(&task.job, proven);
         }
     }
 
     /// Jobs that are suspect, for the leader after this one.
     pub fn suspects(&self) -> Vec<String> {
-        let suspect = self.jobs.iter().filter(|job| job.failures.is_suspect());
+        let suspect = self.jobs.iter().filter(|job| job.failures.is_crash_looping());
         let ids = suspect.map(|job| job.spec.id.clone());
         ids.take(MAX_CRASH_LOOPING_JOBS).collect()
     }
@@ -110,7 +110,7 @@
     pub(super) fn take_inherited_suspects(&mut self) {
         for id in std::mem::take(&mut self.inherited_suspects) {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.failures.inherit_suspicion();
+                job.failures.inherit_crash_loop();
             }
         }
     }
@@ -125,10 +125,10 @@
 }
 
 /// Withdraws what a job's failures told about machines.
-fn withdraw_failures(job: &Job, hosts: &mut Hosts) {
-    for name in job.failures.hosts() {
+fn withdraw_failures(job: &Job, hosts: &mut Workers) {
+    for name in job.failures.workers() {
         if let Some(host) = hosts.get_mut(name) {
-            host.failures.withdraw(&job.spec.id);
+            host.failures.attribute_to_job(&job.spec.id);
         }
     }
 }
--- a/src/coordination/leader/writes.rs
+++ b/src/coordination/leader/writes.rs
@@ -1,9 +1,9 @@
 //! The leader's transactions and what follows from their answers.
 
 use super::{Leader, Notice, STATE_SHARE};
-use crate::bookkeeping::ledger::Change;
-use crate::bookkeeping::records::{self, Ending, OverRecord};
+use crate::bookkeeping::records::{self, FinishedRecord, JobOutcome};
 use crate::bookkeeping::segment::Segment;
+use crate::bookkeeping::write_ahead_log::LogEntry;
 use crate::coordination::outbox::{Outbox, StoreAsk};
 use crate::protocol::cbor;
 use crate::protocol::kv::{KvRequest, KvResponse};
@@ -15,26 +15,26 @@
     /// Sends the next transaction if there is one and the budget has room for it; or once more the
     /// one whose fate is unknown.
     pub(super) fn drive_writes(&mut self, out: &mut Outbox, now: f64) {
-        if self.loading() || self.writing || now < self.write_at || self.requests.level(now) < 1.0 {
+        if self.loading() || self.writing || now < self.write_at || self.requests.available(now) < 1.0 {
             return;
         }
-        let txn = match self.ledger.again() {
+        let txn = match self.ledger.retry_of_unknown() {
             Some(txn) => txn,
             None => {
-                let budget = self.changes.level(now).max(0.0) as usize;
+                let budget = self.changes.available(now).max(0.0) as usize;
                 let txn = self
                     .ledger
-                    .next(self.epoch, &self.hosts, &self.jobs, budget);
+                    .next_transaction(self.epoch, &self.hosts, &self.jobs, budget);
                 // Binds of jobs that have ended meanwhile: nothing was written, no start was sent.
-                for (host, task, attempt) in self.ledger.take_void() {
+                for (host, task, attempt) in self.ledger.take_rejected_bindings() {
                     self.drop_binding(&host, &task, attempt, now);
                 }
                 let Some(txn) = txn else { return };
                 txn
             }
         };
-        self.requests.force(1.0, now);
-        self.changes.force(txn.writes.len() as f64, now);
+        self.requests.take_with_debt(1.0, now);
+        self.changes.take_with_debt(txn.writes.len() as f64, now);
         self.writing = true;
         // Small transactions wait for company, the longer the more of the budget is gone.
         let state = &self.settings.deployment.state;
@@ -54,10 +54,10 @@
         match reply {
             KvResponse::Committed(stamp) => self.commit(stamp, now),
             KvResponse::CompareFailed(failed) => {
-                if failed.iter().any(|key| key == records::LEADER) {
+                if failed.iter().any(|key| key == records::LEADER_KEY) {
                     self.note(Notice::Deposed);
-                } else if let Some(key) = self.ledger.witness()
-                    && self.ledger.doubtful()
+                } else if let Some(key) = self.ledger.read_back_key()
+                    && self.ledger.is_outcome_unknown()
                 {
                     // Its own first copy may be what it met.
                     self.refused_for = failed;
@@ -68,27 +68,27 @@
             }
             KvResponse::RateLimited | KvResponse::Unavailable => {
                 // An earlier copy may still be on its way; if there is none, all may be put anew.
-                if !self.ledger.doubtful() {
-                    self.ledger.not_executed();
+                if !self.ledger.is_outcome_unknown() {
+                    self.ledger.requeue_in_flight();
                 }
                 self.write_at = now + report_s / 10.0;
             }
             KvResponse::InvalidRequest => {
                 tracing::error!("the state service calls a transaction malformed");
-                self.ledger.not_executed();
+                self.ledger.requeue_in_flight();
                 self.write_at = now + report_s;
             }
             // It may have been applied, or may yet be.
             _ => {
                 tracing::info!("transaction without answer");
-                self.ledger.unanswered();
+                self.ledger.mark_outcome_unknown();
             }
         }
     }
 
     fn look_at_witness(&mut self, key: String, out: &mut Outbox, now: f64) {
         self.writing = true;
-        self.requests.force(1.0, now);
+        self.requests.take_with_debt(1.0, now);
         let ask = StoreAsk::Witness(self.epoch);
         out.store(ask, KvRequest::Get(key), self.patience_s(), now);
     }
@@ -98,11 +98,11 @@
         self.writing = false;
         let ours = match &reply {
             KvResponse::Value(item) => cbor::from_value::<Segment>(&item.value)
-                .is_ok_and(|segment| self.ledger.is_witness(&segment))
+                .is_ok_and(|segment| self.ledger.is_own_segment(&segment))
                 .then_some(item.mod_revision),
             KvResponse::NotFound => None,
             _ => {
-                if let Some(key) = self.ledger.witness() {
+                if let Some(key) = self.ledger.read_back_key() {
                     self.look_at_witness(key, out, now);
                 }
                 return;
@@ -118,7 +118,7 @@
     }
 
     fn commit(&mut self, stamp: u64, now: f64) {
-        for change in self.ledger.committed(stamp) {
+        for change in self.ledger.complete_in_flight(stamp) {
             self.apply(&change, now);
         }
     }
@@ -126,7 +126,10 @@
     /// A transaction met conditions that do not hold, and so never will.
     fn refused(&mut self, failed: &[String]) {
         tracing::info!(?failed, "transaction refused by its conditions");
-        if failed.iter().any(|key| key.starts_with(records::LOG)) {
+        if failed
+            .iter()
+            .any(|key| key.starts_with(records::LOG_PREFIX))
+        {
             // Somebody else writes the log: whoever it is, this node should not.
             self.note(Notice::Deposed);
             return;
@@ -134,20 +137,20 @@
         // Keys of jobs change only by their end.
         for key in failed {
             let id = key
-                .strip_prefix(records::OPEN)
-                .or_else(|| key.strip_prefix(records::OVER));
+                .strip_prefix(records::OPEN_PREFIX)
+                .or_else(|| key.strip_prefix(records::FINISHED_PREFIX));
             if let Some(id) = id {
                 self.closed(id);
             }
         }
-        self.ledger.not_executed();
+        self.ledger.requeue_in_flight();
     }
 
     /// Does what a committed change allows.
-    pub(super) fn apply(&mut self, change: &Change, now: f64) {
+    pub(super) fn apply(&mut self, change: &LogEntry, now: f64) {
         match change {
-            Change::Bind {
-                host,
+            LogEntry::Bind {
+                worker: host,
                 task,
                 attempt,
             } => {
@@ -159,49 +162,49 @@
                     self.push_due.insert(host.clone());
                 }
             }
-            Change::Unbind {
-                host,
+            LogEntry::Unbind {
+                worker: host,
                 task,
                 attempt,
                 ..
             } => self.drop_binding(host, task, *attempt, now),
-            Change::End { job } => {
+            LogEntry::FinishJob { job } => {
                 tracing::debug!(job, "done");
                 // The watch may have told of it first.
                 if let Some(known) = self.jobs.remove(job) {
-                    let record = OverRecord {
-                        ending: Ending::Done,
-                        done: known.done.len(),
+                    let record = FinishedRecord {
+                        outcome: JobOutcome::Done,
+                        completed_tasks: known.completed.len(),
                     };
                     self.note(Notice::Over(job.clone(), record));
                     self.halt_orphans_of(&known);
                 }
             }
-            Change::Mark { host } => {
+            LogEntry::RecordTermination { worker: host } => {
                 if let Some(known) = self.hosts.get_mut(host) {
-                    known.marked = true;
+                    known.termination_recorded = true;
                 }
             }
-            Change::Forget { host } => {
+            LogEntry::RemoveWorker { worker: host } => {
                 // A record that was read again meanwhile may have brought bindings back.
                 self.drop_all_bindings(host, now);
                 self.hosts.remove(host);
                 self.push_due.remove(host);
                 self.pushed_at.remove(host);
             }
-            Change::Put { write } => self.fleet.written(write),
+            LogEntry::WriteKey { write } => self.fleet.written(write),
         }
     }
 
     /// Writes down that all tasks of a job are done.
     pub(super) fn end_job(&mut self, id: &str) {
         if let Some(job) = self.jobs.get_mut(id)
-            && !job.ending
-            && !job.standing()
-            && job.done.len() == job.spec.tasks
+            && !job.finishing
+            && !job.is_service()
+            && job.completed.len() == job.spec.tasks
         {
-            job.ending = true;
-            self.ledger.push(Change::End { job: id.to_owned() });
+            job.finishing = true;
+            self.ledger.push(LogEntry::FinishJob { job: id.to_owned() });
         }
     }
 }
--- a/src/coordination/scheduler/mod.rs
+++ b/src/coordination/scheduler/mod.rs
@@ -2,10 +2,10 @@
 
 mod preemption;
 
-use crate::bookkeeping::failures::JobFailures;
-use crate::bookkeeping::hosts::{Host, Hosts, Room};
+use crate::bookkeeping::failure_attribution::JobFailures;
 use crate::bookkeeping::jobs::{Job, Jobs};
 use crate::bookkeeping::quotas::Quotas;
+use crate::bookkeeping::workers::{Resources, Worker, Workers};
 use crate::protocol::cloud::InstanceType;
 use crate::protocol::job::{JobKind, JobSpec, PriorityClass};
 use crate::protocol::worker::TaskId;
@@ -45,24 +45,24 @@
 }
 
 /// What a task takes.
-pub fn need(spec: &JobSpec) -> Room {
-    Room {
+pub fn need(spec: &JobSpec) -> Resources {
+    Resources {
         cpus: spec.cpus,
         gpus: spec.gpus,
-        ram: spec.ram_gb,
+        ram_gb: spec.ram_gb,
     }
 }
 
 struct Slot<'a> {
-    host: &'a Host,
+    host: &'a Worker,
     /// Number of its zone.
     zone: usize,
-    whole: Room,
+    whole: Resources,
     /// GB of images that it fetches per second.
     pull_gb_s: f64,
-    free: Room,
+    free: Resources,
     /// Room that tasks being stopped will give, minus what it is already meant for.
-    leaving: Room,
+    leaving: Resources,
     /// Its tasks that might be stopped for others; worked out when first asked for.
     movable: Option<Vec<Movable<'a>>>,
 }
@@ -73,7 +73,7 @@
     rank: PriorityClass,
     standing: bool,
     team: &'a str,
-    need: Room,
+    need: Resources,
     /// Work that would be lost.
     lost: f64,
     stopped: bool,
@@ -95,7 +95,7 @@
 struct Placing<'a> {
     spec: &'a JobSpec,
     failures: &'a JobFailures,
-    need: Room,
+    need: Resources,
     /// Its tasks in each zone, by the zone's number.
     zones: Vec<u32>,
     /// Its tasks on each host, by the slot's number, as far as placed in this pass.
@@ -130,7 +130,7 @@
     plan: Plan,
     within: HashSet<String>,
     /// Needs that found no free room on ordinary machines, or on any: room only shrinks in a pass.
-    unsatisfiable: [Option<Room>; 2],
+    unsatisfiable: [Option<Resources>; 2],
     /// The lowest rank that has tasks bound.
     lowest: PriorityClass,
     limits: Limits,
@@ -150,8 +150,8 @@
 fn within_guarantee(jobs: &Jobs, quotas: &Quotas) -> HashSet<String> {
     let mut by_age: Vec<&Job> = jobs.iter().collect();
     by_age.sort_by(|a, b| {
-        a.since
-            .total_cmp(&b.since)
+        a.submitted_at
+            .total_cmp(&b.submitted_at)
             .then_with(|| a.spec.id.cmp(&b.spec.id))
     });
     let mut sums: HashMap<&str, (f64, f64)> = HashMap::new();
@@ -161,7 +161,7 @@
         let sum = sums.entry(&spec.team).or_default();
         sum.0 += spec.cpus * f64::from(spec.tasks);
         sum.1 += spec.gpus * f64::from(spec.tasks);
-        if quotas.guarantees(&spec.team, sum.0, sum.1) {
+        if quotas.is_within_quota(&spec.team, sum.0, sum.1) {
             within.insert(spec.id.clone());
         }
     }
@@ -172,7 +172,7 @@
     /// Prepares a pass.
     pub fn new(
         jobs: &'a Jobs,
-        hosts: &'a Hosts,
+        hosts: &'a Workers,
         flavors: &[InstanceType],
         quotas: &Quotas,
         limits: Limits,
@@ -183,22 +183,22 @@
         let mut zones: Vec<&str> = Vec::new();
         let slots = hosts
             .iter()
-            .filter(|host| host.usable() && !host.failures.is_suspect())
+            .filter(|host| host.is_schedulable() && !host.failures.is_cordoned())
             .filter_map(|host| {
-                let flavor = kinds.get(host.flavor.as_str())?;
-                let whole = Room::of_flavor(flavor);
+                let flavor = kinds.get(host.instance_type.as_str())?;
+                let whole = Resources::of_instance_type(flavor);
                 Some(Slot {
                     host,
                     zone: number_of(&mut zones, &host.zone),
                     whole,
                     pull_gb_s: flavor.image_pull_gb_per_s,
-                    free: whole.minus(&host.used()),
-                    leaving: host.leaving(),
+                    free: whole.minus(&host.allocated()),
+                    leaving: host.releasing(),
                     movable: None,
                 })
             })
             .collect();
-        let bound = jobs.iter().filter(|job| !job.bound.is_empty());
+        let bound = jobs.iter().filter(|job| !job.bound_workers.is_empty());
         Pass {
             jobs,
             quotas: quotas.clone(),
@@ -222,8 +222,8 @@
         let mut order: Vec<(OrderKey, &Job)> = self
             .jobs
             .iter()
-            .filter(|job| now >= job.not_before && job.startable() > 0)
-            .filter(|job| job.spec.kind != JobKind::Gang || job.bound.is_empty())
+            .filter(|job| now >= job.eligible_at && job.startable_count() > 0)
+            .filter(|job| job.spec.kind != JobKind::Gang || job.bound_workers.is_empty())
             .map(|job| (self.order_key(job), job))
             .collect();
         order.sort_by(|(a, x), (b, y)| {
@@ -242,17 +242,17 @@
         OrderKey {
             rank: job.spec.priority,
             beyond: !self.within.contains(&job.spec.id),
-            patient: job.begun()
-                || job.failures.is_suspect()
-                || self.now - job.since < self.limits.ageing_s,
-            late: job.due.is_some_and(|due| due < self.now),
-            due: job.due.unwrap_or(job.since),
+            patient: job.has_started()
+                || job.failures.is_crash_looping()
+                || self.now - job.submitted_at < self.limits.ageing_s,
+            late: job.deadline.is_some_and(|due| due < self.now),
+            due: job.deadline.unwrap_or(job.submitted_at),
         }
     }
 
     fn place_job(&mut self, job: &'a Job, starving: bool, rng: &mut impl Rng) {
         let spec = &job.spec;
-        let waiting = job.startable();
+        let waiting = job.startable_count();
         let mut placing = Placing {
             spec,
             failures: &job.failures,
@@ -260,7 +260,7 @@
             zones: vec![0; self.zones.len()],
             placed: HashMap::new(),
         };
-        for (zone, count) in &job.zones {
+        for (zone, count) in &job.bound_per_zone {
             let number = number_of(&mut self.zones, zone);
             placing.zones.resize(self.zones.len(), 0);
             placing.zones[number] = *count;
@@ -286,20 +286,20 @@
             return;
         }
         let mut missing = waiting - placed - barred;
-        let fits = |quotas: &Quotas| quotas.fits(&spec.team, spec.cpus, spec.gpus);
-        let stops = if self.now >= job.patient_until && !job.failures.is_suspect() {
+        let fits = |quotas: &Quotas| quotas.has_capacity(&spec.team, spec.cpus, spec.gpus);
+        let stops = if self.now >= job.latest_unhurried_start && !job.failures.is_crash_looping() {
             Stops::Anywhere
         } else {
             Stops::Nowhere
         };
         while missing > 0 && fits(&self.quotas) && self.make_room(&placing, stops, rng) {
-            self.quotas.take(&spec.team, spec.cpus, spec.gpus);
+            self.quotas.charge(&spec.team, spec.cpus, spec.gpus);
             missing -= 1;
         }
         if starving && missing > 0 && placed == 0 {
             self.reserve(&placing);
         }
-        let missing = (missing + barred).min(self.quotas.room(&spec.team, spec.cpus, spec.gpus));
+        let missing = (missing + barred).min(self.quotas.remaining_tasks(&spec.team, spec.cpus, spec.gpus));
         if missing > 0 {
             self.plan.unplaced.push(Unplaced {
                 job: spec.id.clone(),
@@ -321,20 +321,20 @@
         let (mut placed, mut barred, mut expected) = (0, 0, 0);
         // Worth stopping others for: a start within the time that is asked for.
         let prompt = spec.kind == JobKind::Service
-            && !job.failures.is_suspect()
+            && !job.failures.is_crash_looping()
             && job
-                .prompt_s
+                .start_objective_s
                 .is_some_and(|s| self.now - job.waiting_since < s / 2.0);
         let mut candidates = self.candidates(placing, rng);
         if spec.one_zone && placing.zones.iter().all(|count| *count == 0) {
             self.choose_zone(&mut candidates, &placing.need);
         }
-        let startable = job.startable() as usize;
+        let startable = job.startable_count() as usize;
         for index in job.waiting_tasks().take(MAX_BINDS.min(startable)) {
             if self.plan.binds.len() >= MAX_BINDS {
                 break;
             }
-            if !self.quotas.fits(&spec.team, spec.cpus, spec.gpus) {
+            if !self.quotas.has_capacity(&spec.team, spec.cpus, spec.gpus) {
                 return (placed + expected, barred, true);
             }
             let task = TaskId {
@@ -352,12 +352,12 @@
                 && self.make_room(placing, Stops::AtImage, rng)
             {
                 // Room at the image is free sooner than the image would be fetched elsewhere.
-                self.quotas.take(&spec.team, spec.cpus, spec.gpus);
+                self.quotas.charge(&spec.team, spec.cpus, spec.gpus);
                 expected += 1;
                 continue;
             }
             let Some(found) = found else {
-                let shown = |c: &Candidate| self.slots[c.slot].host.steps.contains_key(&task);
+                let shown = |c: &Candidate| self.slots[c.slot].host.observed_tasks.contains_key(&task);
                 if candidates.iter().any(shown) {
                     barred += 1;
                     continue;
@@ -369,7 +369,7 @@
             chosen.free = chosen.free.minus(&placing.need);
             placing.zones[chosen.zone] += 1;
             *placing.placed.entry(slot).or_default() += 1;
-            self.quotas.take(&spec.team, spec.cpus, spec.gpus);
+            self.quotas.charge(&spec.team, spec.cpus, spec.gpus);
             self.plan.binds.push((task, chosen.host.name.clone()));
             placed += 1;
         }
@@ -383,7 +383,7 @@
             .failures
             .avoids(&host.name, self.limits.avoid_s, self.now);
         !avoids
-            && placing.spec.allows(&host.flavor, &host.zone, host.spot)
+            && placing.spec.allows(&host.instance_type, &host.zone, host.spot)
             && placing.zone_allows(slot.zone)
     }
 
@@ -392,7 +392,7 @@
         let spec = placing.spec;
         let need = &placing.need;
         let kind = usize::from(spec.spot);
-        let prompt_s = self.jobs.get(&spec.id).and_then(|job| job.prompt_s);
+        let prompt_s = self.jobs.get(&spec.id).and_then(|job| job.start_objective_s);
         if self.unsatisfiable[kind].is_some_and(|known| need.fits(&known)) {
             return Vec::new();
         }
@@ -412,7 +412,7 @@
         all.into_iter()
             .map(|slot| {
                 let host = self.slots[slot].host;
-                let image = host.images.contains(&spec.image);
+                let image = host.cached_images.contains(&spec.image);
                 let fetch_s = PULL_MARGIN * spec.image_gb / self.slots[slot].pull_gb_s.max(1e-6);
                 let waits = prompt_s.is_some_and(|prompt_s| fetch_s < prompt_s);
                 Candidate {
@@ -427,11 +427,11 @@
     }
 
     /// For a job that must stay in one zone and has no task anywhere: the zone with most room.
-    fn choose_zone(&self, candidates: &mut Vec<Candidate>, need: &Room) {
+    fn choose_zone(&self, candidates: &mut Vec<Candidate>, need: &Resources) {
         let mut room = vec![0; self.zones.len()];
         for candidate in candidates.iter() {
             let slot = &self.slots[candidate.slot];
-            room[slot.zone] += slot.free.count(need);
+            room[slot.zone] += slot.free.count_fitting(need);
         }
         let most = (0..room.len()).max_by_key(|zone| room[*zone]);
         candidates.retain(|c| Some(self.slots[c.slot].zone) == most);
@@ -454,7 +454,7 @@
                 let slot = &self.slots[c.slot];
                 slot.free.fits(&placing.need)
                     && placing.zone_allows(slot.zone)
-                    && !slot.host.steps.contains_key(task)
+                    && !slot.host.observed_tasks.contains_key(task)
             })
             .min_by(|(_, a), (_, b)| {
                 let key = |c: &Candidate| {
@@ -464,7 +464,7 @@
                     } else {
                         0
                     };
-                    let left = slot.free.minus(&placing.need).share_of(&slot.whole);
+                    let left = slot.free.minus(&placing.need).dominant_share(&slot.whole);
                     let mates = match placing.placed.get(&c.slot) {
                         Some(count) if !c.image && spec.kind == JobKind::Service => *count,
                         _ => 0,
@@ -488,7 +488,7 @@
             .max_by(|a, b| {
                 let free = |i: usize| {
                     let slot = &self.slots[i];
-                    slot.free.plus(&slot.leaving).share_of(&slot.whole)
+                    slot.free.plus(&slot.leaving).dominant_share(&slot.whole)
                 };
                 free(*a).total_cmp(&free(*b)).then(b.cmp(a))
             });
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -1,7 +1,7 @@
 //! Room for work that can't wait: what is about to be given up, and whose tasks must stop.
 
 use super::{MAX_HALTS, Movable, Pass, Placing, SAMPLE, Stops};
-use crate::bookkeeping::hosts::Room;
+use crate::bookkeeping::workers::Resources;
 use rand::Rng;
 use rand::seq::index::sample;
 
@@ -18,14 +18,14 @@
         let usable: Vec<usize> = (0..self.slots.len())
             .filter(|i| {
                 let slot = &self.slots[*i];
-                (!at_image || slot.host.images.contains(&placing.spec.image))
+                (!at_image || slot.host.cached_images.contains(&placing.spec.image))
                     && self.allows(placing, slot)
             })
             .collect();
         let need = &placing.need;
         for i in &usable {
             let slot = &mut self.slots[*i];
-            if slot.leaving != Room::default() && slot.free.plus(&slot.leaving).fits(need) {
+            if slot.leaving != Resources::default() && slot.free.plus(&slot.leaving).fits(need) {
                 slot.leaving = slot.leaving.minus(need);
                 return true;
             }
@@ -46,7 +46,7 @@
             let Some((count, lost)) = self.victims(i, placing, within) else {
                 continue;
             };
-            let fetch = !self.slots[i].host.images.contains(&spec.image);
+            let fetch = !self.slots[i].host.cached_images.contains(&spec.image);
             let better = best.is_none_or(|(f, l, ..)| (fetch, lost) < (f, l));
             if better {
                 best = Some((fetch, lost, i, count));
@@ -70,17 +70,17 @@
         let mut movable: Vec<Movable> = host
             .bindings
             .iter()
-            .filter(|(_, b)| b.halt.is_none() && !b.ending)
+            .filter(|(_, b)| b.eviction.is_none() && !b.unbinding)
             .filter_map(|(task, b)| {
                 let job = self.jobs.get(&task.job)?;
-                let ran_s = b.running.map_or(0.0, |since| self.now - since);
+                let ran_s = b.running_since.map_or(0.0, |since| self.now - since);
                 Some(Movable {
                     task,
                     rank: job.spec.priority,
-                    standing: job.standing(),
+                    standing: job.is_service(),
                     team: &b.team,
-                    need: b.need,
-                    lost: ran_s * b.need.cpus.max(0.1),
+                    need: b.request,
+                    lost: ran_s * b.request.cpus.max(0.1),
                     stopped: false,
                 })
             })
@@ -99,7 +99,7 @@
                 && victim.team != placing.spec.team
                 && self
                     .quotas
-                    .beyond_without(victim.team, need.cpus, need.gpus)
+                    .exceeds_quota_without(victim.team, need.cpus, need.gpus)
         };
         !victim.stopped && (victim.rank > placing.spec.priority || borrowed())
     }
--- a/src/coordination/terminations.rs
+++ b/src/coordination/terminations.rs
@@ -94,7 +94,10 @@
         while self.first < all && !self.queue.is_empty() {
             self.drop_first();
         }
-        let up_to = ends.first_sequence.saturating_add(ends.entries.len() as u64);
-        self.heard.insert(peer.to_owned(), (ends.process_incarnation, up_to));
+        let up_to = ends
+            .first_sequence
+            .saturating_add(ends.entries.len() as u64);
+        self.heard
+            .insert(peer.to_owned(), (ends.process_incarnation, up_to));
     }
 }
--- a/src/coordination/watch.rs
+++ b/src/coordination/watch.rs
@@ -123,9 +123,11 @@
                 events
                     .into_iter()
                     .map(|event| match event {
-                        WatchEvent::Put { key, value, mod_revision: stamp } => {
-                            WatchUpdate::Set(key, value, stamp)
-                        }
+                        WatchEvent::Put {
+                            key,
+                            value,
+                            mod_revision: stamp,
+                        } => WatchUpdate::Set(key, value, stamp),
                         WatchEvent::Delete { key, .. } => WatchUpdate::Removed(key),
                     })
                     .collect()
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -177,13 +177,17 @@
     pub fn http_request(&self) -> (&'static str, String, Vec<u8>) {
         match self {
             CloudRequest::ListInstanceTypes => ("GET", "/machine_types".to_owned(), Vec::new()),
-            CloudRequest::CreateInstances(rental) => ("POST", "/machines".to_owned(), cbor::encode(rental)),
+            CloudRequest::CreateInstances(rental) => {
+                ("POST", "/machines".to_owned(), cbor::encode(rental))
+            }
             CloudRequest::DeleteInstances(hosts) => (
                 "POST",
                 "/machines/delete".to_owned(),
                 cbor::encode(&Names { hosts }),
             ),
-            CloudRequest::ListInstances(None) => ("GET", format!("/machines?Page={PAGE_SIZE}"), Vec::new()),
+            CloudRequest::ListInstances(None) => {
+                ("GET", format!("/machines?Page={PAGE_SIZE}"), Vec::new())
+            }
             CloudRequest::ListInstances(Some(from)) => (
                 "GET",
                 format!("/machines?From={from}&Page={PAGE_SIZE}"),
@@ -195,11 +199,14 @@
     /// Reads the answer.
     pub fn response(&self, status: u16, body: &[u8]) -> CloudResponse {
         match (status, self) {
-            (200, CloudRequest::ListInstanceTypes) => match cbor::decode::<InstanceTypeList>(body) {
-                Ok(list) => CloudResponse::InstanceTypes(list.instance_types),
-                Err(_) => CloudResponse::OutcomeUnknown,
-            },
-            (200, CloudRequest::CreateInstances(_)) => match cbor::decode::<CreatedInstances>(body) {
+            (200, CloudRequest::ListInstanceTypes) => {
+                match cbor::decode::<InstanceTypeList>(body) {
+                    Ok(list) => CloudResponse::InstanceTypes(list.instance_types),
+                    Err(_) => CloudResponse::OutcomeUnknown,
+                }
+            }
+            (200, CloudRequest::CreateInstances(_)) => match cbor::decode::<CreatedInstances>(body)
+            {
                 Ok(rented) => CloudResponse::Created(rented.hosts),
                 Err(_) => CloudResponse::OutcomeUnknown,
             },
@@ -208,10 +215,14 @@
                 Ok(page) => CloudResponse::Page(page.hosts, page.more),
                 Err(_) => CloudResponse::OutcomeUnknown,
             },
-            (503, CloudRequest::CreateInstances(_)) => match cbor::decode::<super::job::ErrorBody>(body) {
-                Ok(refusal) if refusal.error == "no capacity" => CloudResponse::InsufficientCapacity,
-                _ => CloudResponse::Unavailable,
-            },
+            (503, CloudRequest::CreateInstances(_)) => {
+                match cbor::decode::<super::job::ErrorBody>(body) {
+                    Ok(refusal) if refusal.error == "no capacity" => {
+                        CloudResponse::InsufficientCapacity
+                    }
+                    _ => CloudResponse::Unavailable,
+                }
+            }
             (503, _) => CloudResponse::Unavailable,
             (429, _) => CloudResponse::RateLimited,
             (400, _) => CloudResponse::InvalidRequest,
--- a/src/protocol/kv.rs
+++ b/src/protocol/kv.rs
@@ -244,7 +244,10 @@
     pub fn http_request(&self) -> (&'static str, String, Vec<u8>) {
         match self {
             KvRequest::Get(key) => ("GET", format!("/keys/{key}"), Vec::new()),
-            KvRequest::List { prefix: under, after: from } => {
+            KvRequest::List {
+                prefix: under,
+                after: from,
+            } => {
                 let from = from
                     .as_ref()
                     .map(|key| format!("&From={key}"))
@@ -283,7 +286,8 @@
             400 => return KvResponse::InvalidRequest,
             _ => {}
         }
-        self.decode(status, body).unwrap_or(KvResponse::OutcomeUnknown)
+        self.decode(status, body)
+            .unwrap_or(KvResponse::OutcomeUnknown)
     }
 
     fn decode(&self, status: u16, body: &[u8]) -> Option<KvResponse> {
