--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -2,12 +2,12 @@
 //! is with what is wanted. Pure: inputs and the time come in, actions go out.
 
 pub mod autoscaler;
-pub mod catalogue;
 pub mod controller;
+pub mod effects;
 pub mod election;
-pub mod frontend;
+pub mod instance_catalog;
+pub mod job_api;
 pub mod leader;
-pub mod outbox;
 pub mod peers;
 pub mod routes;
 pub mod scheduler;
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -17,47 +17,47 @@
 
 impl Peers {
     /// Takes a heartbeat.
-    pub fn take(&mut self, heartbeat: PeerHeartbeat, now: f64) {
+    pub fn record(&mut self, heartbeat: PeerHeartbeat, now: f64) {
         let label = heartbeat.label.clone();
         let peer = Peer { heartbeat, at: now };
         self.known.insert(label, peer);
     }
 
     /// The heartbeats that were heard within so long.
-    fn heard(&self, within_s: f64, now: f64) -> impl Iterator<Item = &PeerHeartbeat> {
+    fn fresh(&self, within_s: f64, now: f64) -> impl Iterator<Item = &PeerHeartbeat> {
         let fresh = self.known.values();
         let fresh = fresh.filter(move |peer| now - peer.at < within_s);
         fresh.map(|peer| &peer.heartbeat)
     }
 
     /// Whether nobody was heard within so long.
-    pub fn are_silent(&self, within_s: f64, now: f64) -> bool {
-        self.heard(within_s, now).next().is_none()
+    pub fn none_fresh(&self, within_s: f64, now: f64) -> bool {
+        self.fresh(within_s, now).next().is_none()
     }
 
     /// Whether the state service has lately answered some peer.
     pub fn any_served(&self, within_s: f64, now: f64) -> bool {
-        self.heard(within_s, now)
+        self.fresh(within_s, now)
             .any(|heartbeat| heartbeat.state_service_ok)
     }
 
     /// Whether workers have lately come to some peer while this node leads.
     pub fn any_redirected(&self, within_s: f64, now: f64) -> bool {
-        self.heard(within_s, now)
+        self.fresh(within_s, now)
             .any(|heartbeat| heartbeat.redirected_workers > 0)
     }
 
     /// The highest epoch that peers have told, and who leads with it.
     pub fn latest_leader(&self, within_s: f64, now: f64) -> Option<(u64, Option<&str>)> {
-        let told = self.heard(within_s, now);
+        let told = self.fresh(within_s, now);
         let told = told.filter(|heartbeat| heartbeat.epoch > 0);
         let latest = told.max_by_key(|heartbeat| heartbeat.epoch)?;
         Some((latest.epoch, latest.leader.as_deref()))
     }
 
     /// Jobs that leaders have told to be suspect.
-    pub fn suspects(&self, within_s: f64, now: f64) -> BTreeSet<String> {
-        let told = self.heard(within_s, now);
+    pub fn crash_looping_jobs(&self, within_s: f64, now: f64) -> BTreeSet<String> {
+        let told = self.fresh(within_s, now);
         told.flat_map(|heartbeat| heartbeat.crash_looping_jobs.iter().cloned())
             .collect()
     }
--- a/src/coordination/scheduler/mod.rs
+++ b/src/coordination/scheduler/mod.rs
@@ -14,17 +14,17 @@
 use std::collections::{HashMap, HashSet};
 
 /// Hosts looked at for one job; where there are more, a random sample stands for all.
-const SAMPLE: usize = 64;
+const SAMPLE_SIZE: usize = 64;
 /// Tasks placed in one pass.
 const MAX_BINDS: usize = 128;
 /// Machines may fetch a third slower than their type says, and the start takes its time too.
-const PULL_MARGIN: f64 = 1.5;
+const IMAGE_PULL_MARGIN: f64 = 1.5;
 /// Tasks stopped in one pass.
-const MAX_HALTS: usize = 32;
+const MAX_PREEMPTIONS: usize = 32;
 
 /// Tasks of a job that found no room.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Unplaced {
+pub struct PendingDemand {
     /// Job id.
     pub job: String,
     /// How many.
@@ -35,17 +35,17 @@
 
 /// What a pass decided.
 #[derive(Debug, Default, PartialEq)]
-pub struct Plan {
+pub struct Assignments {
     /// Tasks and their hosts.
-    pub binds: Vec<(TaskId, String)>,
+    pub bindings: Vec<(TaskId, String)>,
     /// Bound tasks to be stopped for others: host and task.
-    pub halts: Vec<(String, TaskId)>,
+    pub preemptions: Vec<(String, TaskId)>,
     /// What found no room.
-    pub unplaced: Vec<Unplaced>,
+    pub pending_demand: Vec<PendingDemand>,
 }
 
 /// What a task takes.
-pub fn need(spec: &JobSpec) -> Resources {
+pub fn resource_request(spec: &JobSpec) -> Resources {
     Resources {
         cpus: spec.cpus,
         gpus: spec.gpus,
@@ -53,59 +53,59 @@
     }
 }
 
-struct Slot<'a> {
-    host: &'a Worker,
+struct WorkerCapacity<'a> {
+    worker: &'a Worker,
     /// Number of its zone.
     zone: usize,
-    whole: Resources,
+    total: Resources,
     /// GB of images that it fetches per second.
-    pull_gb_s: f64,
+    image_pull_gb_per_s: f64,
     free: Resources,
     /// Room that tasks being stopped will give, minus what it is already meant for.
-    leaving: Resources,
+    releasing: Resources,
     /// Its tasks that might be stopped for others; worked out when first asked for.
-    movable: Option<Vec<Movable<'a>>>,
+    preemptible: Option<Vec<PreemptionCandidate<'a>>>,
 }
 
 /// A bound task that might be stopped for others.
-struct Movable<'a> {
+struct PreemptionCandidate<'a> {
     task: &'a TaskId,
-    rank: PriorityClass,
-    standing: bool,
+    priority: PriorityClass,
+    is_service: bool,
     team: &'a str,
-    need: Resources,
+    request: Resources,
     /// Work that would be lost.
-    lost: f64,
-    stopped: bool,
+    work_lost: f64,
+    preempted: bool,
 }
 
 /// A host that a job's tasks may go to, with what does not change while they are placed.
-struct Candidate {
-    slot: usize,
+struct ScoredWorker {
+    capacity: usize,
     /// A task of the job has failed there.
-    failed: bool,
-    image: bool,
+    failed_before: bool,
+    has_image: bool,
     /// It would have to fetch the image, which what must start soon can't wait for.
-    slow: bool,
+    slow_start: bool,
     /// Ordinary, though the job may use spot machines.
-    dear: bool,
+    on_demand: bool,
 }
 
 /// A job that is being placed.
-struct Placing<'a> {
+struct JobPlacement<'a> {
     spec: &'a JobSpec,
     failures: &'a JobFailures,
-    need: Resources,
+    request: Resources,
     /// Its tasks in each zone, by the zone's number.
-    zones: Vec<u32>,
+    tasks_per_zone: Vec<u32>,
     /// Its tasks on each host, by the slot's number, as far as placed in this pass.
-    placed: HashMap<usize, u32>,
+    placed_per_worker: HashMap<usize, u32>,
 }
 
-impl Placing<'_> {
+impl JobPlacement<'_> {
     fn zone_allows(&self, zone: usize) -> bool {
-        let here = self.zones.get(zone).copied().unwrap_or(0);
-        if self.spec.one_zone && here == 0 && self.zones.iter().any(|count| *count > 0) {
+        let here = self.tasks_per_zone.get(zone).copied().unwrap_or(0);
+        if self.spec.one_zone && here == 0 && self.tasks_per_zone.iter().any(|count| *count > 0) {
             return false;
         }
         here < self.spec.zone_limit()
@@ -114,32 +114,32 @@
 
 /// Where other work may be stopped for a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Stops {
+enum PreemptionScope {
     Nowhere,
     /// Only where its image is.
-    AtImage,
+    WorkersWithImage,
     Anywhere,
 }
 
 /// One pass over the waiting tasks.
-pub struct Pass<'a> {
+pub struct SchedulingCycle<'a> {
     jobs: &'a Jobs,
     quotas: Quotas,
-    slots: Vec<Slot<'a>>,
+    capacities: Vec<WorkerCapacity<'a>>,
     zones: Vec<&'a str>,
-    plan: Plan,
-    within: HashSet<String>,
+    assignments: Assignments,
+    jobs_within_quota: HashSet<String>,
     /// Needs that found no free room on ordinary machines, or on any: room only shrinks in a pass.
     unsatisfiable: [Option<Resources>; 2],
     /// The lowest rank that has tasks bound.
-    lowest: PriorityClass,
-    limits: Limits,
+    lowest_bound_priority: PriorityClass,
+    limits: CycleLimits,
     now: f64,
 }
 
 /// Times that bound what a pass does for a job.
 #[derive(Debug, Clone, Copy)]
-pub struct Limits {
+pub struct CycleLimits {
     /// A job that has waited for so long without a start goes first among its equals.
     pub ageing_s: f64,
     /// For so long a job's tasks avoid a host on which one of them has failed.
@@ -168,16 +168,16 @@
     within
 }
 
-impl<'a> Pass<'a> {
+impl<'a> SchedulingCycle<'a> {
     /// Prepares a pass.
     pub fn new(
         jobs: &'a Jobs,
         hosts: &'a Workers,
         flavors: &[InstanceType],
         quotas: &Quotas,
-        limits: Limits,
+        limits: CycleLimits,
         now: f64,
-    ) -> Pass<'a> {
+    ) -> SchedulingCycle<'a> {
         let kinds: HashMap<&str, &InstanceType> =
             flavors.iter().map(|f| (f.name.as_str(), f)).collect();
         let mut zones: Vec<&str> = Vec::new();
@@ -187,27 +187,27 @@
             .filter_map(|host| {
                 let flavor = kinds.get(host.instance_type.as_str())?;
                 let whole = Resources::of_instance_type(flavor);
-                Some(Slot {
-                    host,
+                Some(WorkerCapacity {
+                    worker: host,
                     zone: number_of(&mut zones, &host.zone),
-                    whole,
-                    pull_gb_s: flavor.image_pull_gb_per_s,
+                    total: whole,
+                    image_pull_gb_per_s: flavor.image_pull_gb_per_s,
                     free: whole.minus(&host.allocated()),
-                    leaving: host.releasing(),
-                    movable: None,
+                    releasing: host.releasing(),
+                    preemptible: None,
                 })
             })
             .collect();
         let bound = jobs.iter().filter(|job| !job.bound_workers.is_empty());
-        Pass {
+        SchedulingCycle {
             jobs,
             quotas: quotas.clone(),
-            slots,
+            capacities: slots,
             zones,
-            plan: Plan::default(),
-            within: within_guarantee(jobs, quotas),
+            assignments: Assignments::default(),
+            jobs_within_quota: within_guarantee(jobs, quotas),
             unsatisfiable: [None, None],
-            lowest: bound
+            lowest_bound_priority: bound
                 .map(|job| job.spec.priority)
                 .max()
                 .unwrap_or(PriorityClass::Production),
@@ -217,69 +217,69 @@
     }
 
     /// Decides.
-    pub fn run(mut self, rng: &mut impl Rng) -> Plan {
+    pub fn run(mut self, rng: &mut impl Rng) -> Assignments {
         let now = self.now;
-        let mut order: Vec<(OrderKey, &Job)> = self
+        let mut order: Vec<(QueuePosition, &Job)> = self
             .jobs
             .iter()
             .filter(|job| now >= job.eligible_at && job.startable_count() > 0)
             .filter(|job| job.spec.kind != JobKind::Gang || job.bound_workers.is_empty())
-            .map(|job| (self.order_key(job), job))
+            .map(|job| (self.queue_position(job), job))
             .collect();
         order.sort_by(|(a, x), (b, y)| {
-            (a.rank, a.beyond, a.patient, a.late)
-                .cmp(&(b.rank, b.beyond, b.patient, b.late))
-                .then(a.due.total_cmp(&b.due))
+            (a.priority, a.beyond_quota, a.not_starving, a.late)
+                .cmp(&(b.priority, b.beyond_quota, b.not_starving, b.late))
+                .then(a.deadline.total_cmp(&b.deadline))
                 .then(x.spec.id.cmp(&y.spec.id))
         });
         for (key, job) in order {
-            self.place_job(job, !key.patient, rng);
+            self.schedule_job(job, !key.not_starving, rng);
         }
-        self.plan
+        self.assignments
     }
 
-    fn order_key(&self, job: &Job) -> OrderKey {
-        OrderKey {
-            rank: job.spec.priority,
-            beyond: !self.within.contains(&job.spec.id),
-            patient: job.has_started()
+    fn queue_position(&self, job: &Job) -> QueuePosition {
+        QueuePosition {
+            priority: job.spec.priority,
+            beyond_quota: !self.jobs_within_quota.contains(&job.spec.id),
+            not_starving: job.has_started()
                 || job.failures.is_crash_looping()
                 || self.now - job.submitted_at < self.limits.ageing_s,
             late: job.deadline.is_some_and(|due| due < self.now),
-            due: job.deadline.unwrap_or(job.submitted_at),
+            deadline: job.deadline.unwrap_or(job.submitted_at),
         }
     }
 
-    fn place_job(&mut self, job: &'a Job, starving: bool, rng: &mut impl Rng) {
+    fn schedule_job(&mut self, job: &'a Job, starving: bool, rng: &mut impl Rng) {
         let spec = &job.spec;
         let waiting = job.startable_count();
-        let mut placing = Placing {
+        let mut placing = JobPlacement {
             spec,
             failures: &job.failures,
-            need: need(spec),
-            zones: vec![0; self.zones.len()],
-            placed: HashMap::new(),
+            request: resource_request(spec),
+            tasks_per_zone: vec![0; self.zones.len()],
+            placed_per_worker: HashMap::new(),
         };
         for (zone, count) in &job.bound_per_zone {
             let number = number_of(&mut self.zones, zone);
-            placing.zones.resize(self.zones.len(), 0);
-            placing.zones[number] = *count;
+            placing.tasks_per_zone.resize(self.zones.len(), 0);
+            placing.tasks_per_zone[number] = *count;
         }
         // The tasks of a group start together or not at all; what has been tried is taken back, and
         // only what is beyond the room there was counts as missing.
         let together = spec.kind == JobKind::Gang;
-        let before = together.then(|| (self.plan.binds.len(), self.quotas.clone()));
-        let (placed, barred, limited) = self.place_tasks(job, &mut placing, rng);
+        let before = together.then(|| (self.assignments.bindings.len(), self.quotas.clone()));
+        let (placed, barred, limited) = self.reserve_tasks(job, &mut placing, rng);
         if let Some((first, quotas)) = before
             && placed < waiting
         {
-            for (_, name) in self.plan.binds.drain(first..) {
-                if let Some(slot) = self.slots.iter_mut().find(|s| s.host.name == name) {
-                    slot.free = slot.free.plus(&placing.need);
+            for (_, name) in self.assignments.bindings.drain(first..) {
+                if let Some(slot) = self.capacities.iter_mut().find(|s| s.worker.name == name) {
+                    slot.free = slot.free.plus(&placing.request);
                 }
             }
             self.quotas = quotas;
-            placing.zones.fill(0);
+            placing.tasks_per_zone.fill(0);
         }
         if limited {
             // More room would not help: the team's limit holds them back.
@@ -288,20 +288,23 @@
         let mut missing = waiting - placed - barred;
         let fits = |quotas: &Quotas| quotas.has_capacity(&spec.team, spec.cpus, spec.gpus);
         let stops = if self.now >= job.latest_unhurried_start && !job.failures.is_crash_looping() {
-            Stops::Anywhere
+            PreemptionScope::Anywhere
         } else {
-            Stops::Nowhere
+            PreemptionScope::Nowhere
         };
         while missing > 0 && fits(&self.quotas) && self.make_room(&placing, stops, rng) {
             self.quotas.charge(&spec.team, spec.cpus, spec.gpus);
             missing -= 1;
         }
         if starving && missing > 0 && placed == 0 {
-            self.reserve(&placing);
+            self.reserve_freest_worker(&placing);
         }
-        let missing = (missing + barred).min(self.quotas.remaining_tasks(&spec.team, spec.cpus, spec.gpus));
+        let missing = (missing + barred).min(
+            self.quotas
+                .remaining_tasks(&spec.team, spec.cpus, spec.gpus),
+        );
         if missing > 0 {
-            self.plan.unplaced.push(Unplaced {
+            self.assignments.pending_demand.push(PendingDemand {
                 job: spec.id.clone(),
                 count: missing,
                 age_s: self.now - job.waiting_since,
@@ -311,10 +314,10 @@
 
     /// Places what has room. Returns how many were placed, how many found only machines that still
     /// show them from an attempt that may come back, and whether the team's limit ended it.
-    fn place_tasks(
+    fn reserve_tasks(
         &mut self,
         job: &Job,
-        placing: &mut Placing,
+        placing: &mut JobPlacement,
         rng: &mut impl Rng,
     ) -> (u32, u32, bool) {
         let spec = placing.spec;
@@ -325,13 +328,13 @@
             && job
                 .start_objective_s
                 .is_some_and(|s| self.now - job.waiting_since < s / 2.0);
-        let mut candidates = self.candidates(placing, rng);
-        if spec.one_zone && placing.zones.iter().all(|count| *count == 0) {
-            self.choose_zone(&mut candidates, &placing.need);
+        let mut candidates = self.score_workers(placing, rng);
+        if spec.one_zone && placing.tasks_per_zone.iter().all(|count| *count == 0) {
+            self.choose_zone(&mut candidates, &placing.request);
         }
         let startable = job.startable_count() as usize;
         for index in job.waiting_tasks().take(MAX_BINDS.min(startable)) {
-            if self.plan.binds.len() >= MAX_BINDS {
+            if self.assignments.bindings.len() >= MAX_BINDS {
                 break;
             }
             if !self.quotas.has_capacity(&spec.team, spec.cpus, spec.gpus) {
@@ -341,15 +344,15 @@
                 job: spec.id.clone(),
                 index,
             };
-            let mut found = self.best_slot(&candidates, placing, &task);
-            if found.is_none() && candidates.len() >= SAMPLE {
+            let mut found = self.best_worker(&candidates, placing, &task);
+            if found.is_none() && candidates.len() >= SAMPLE_SIZE {
                 // The sample is used up; the rest may still have room.
-                candidates = self.candidates(placing, rng);
-                found = self.best_slot(&candidates, placing, &task);
+                candidates = self.score_workers(placing, rng);
+                found = self.best_worker(&candidates, placing, &task);
             }
             if prompt
-                && found.is_none_or(|c| candidates[c].slow)
-                && self.make_room(placing, Stops::AtImage, rng)
+                && found.is_none_or(|c| candidates[c].slow_start)
+                && self.make_room(placing, PreemptionScope::WorkersWithImage, rng)
             {
                 // Room at the image is free sooner than the image would be fetched elsewhere.
                 self.quotas.charge(&spec.team, spec.cpus, spec.gpus);
@@ -357,93 +360,100 @@
                 continue;
             }
             let Some(found) = found else {
-                let shown = |c: &Candidate| self.slots[c.slot].host.observed_tasks.contains_key(&task);
+                let shown =
+                    |c: &ScoredWorker| self.capacities[c.capacity].worker.observed_tasks.contains_key(&task);
                 if candidates.iter().any(shown) {
                     barred += 1;
                     continue;
                 }
                 break;
             };
-            let slot = candidates[found].slot;
-            let chosen = &mut self.slots[slot];
-            chosen.free = chosen.free.minus(&placing.need);
-            placing.zones[chosen.zone] += 1;
-            *placing.placed.entry(slot).or_default() += 1;
+            let slot = candidates[found].capacity;
+            let chosen = &mut self.capacities[slot];
+            chosen.free = chosen.free.minus(&placing.request);
+            placing.tasks_per_zone[chosen.zone] += 1;
+            *placing.placed_per_worker.entry(slot).or_default() += 1;
             self.quotas.charge(&spec.team, spec.cpus, spec.gpus);
-            self.plan.binds.push((task, chosen.host.name.clone()));
+            self.assignments.bindings.push((task, chosen.worker.name.clone()));
             placed += 1;
         }
         (placed + expected, barred, false)
     }
 
     /// Whether the job's tasks may go to a host at all.
-    fn allows(&self, placing: &Placing, slot: &Slot) -> bool {
-        let host = slot.host;
+    fn filter_worker(&self, placing: &JobPlacement, slot: &WorkerCapacity) -> bool {
+        let host = slot.worker;
         let avoids = placing
             .failures
             .avoids(&host.name, self.limits.avoid_s, self.now);
         !avoids
-            && placing.spec.allows(&host.instance_type, &host.zone, host.spot)
+            && placing
+                .spec
+                .allows(&host.instance_type, &host.zone, host.spot)
             && placing.zone_allows(slot.zone)
     }
 
     /// Hosts with room for a task of the job; where there are many, a random sample.
-    fn candidates(&mut self, placing: &Placing, rng: &mut impl Rng) -> Vec<Candidate> {
+    fn score_workers(&mut self, placing: &JobPlacement, rng: &mut impl Rng) -> Vec<ScoredWorker> {
         let spec = placing.spec;
-        let need = &placing.need;
+        let need = &placing.request;
         let kind = usize::from(spec.spot);
-        let prompt_s = self.jobs.get(&spec.id).and_then(|job| job.start_objective_s);
+        let prompt_s = self
+            .jobs
+            .get(&spec.id)
+            .and_then(|job| job.start_objective_s);
         if self.unsatisfiable[kind].is_some_and(|known| need.fits(&known)) {
             return Vec::new();
         }
-        let mut all: Vec<usize> = (0..self.slots.len())
-            .filter(|i| self.slots[*i].free.fits(need) && self.allows(placing, &self.slots[*i]))
+        let mut all: Vec<usize> = (0..self.capacities.len())
+            .filter(|i| self.capacities[*i].free.fits(need) && self.filter_worker(placing, &self.capacities[*i]))
             .collect();
         let anywhere = spec.instance_types.is_none() && spec.zone.is_none();
         if all.is_empty() && anywhere && !spec.one_zone && !spec.spread {
             self.unsatisfiable[kind] = Some(*need);
         }
-        if all.len() > SAMPLE {
-            all = sample(rng, all.len(), SAMPLE)
+        if all.len() > SAMPLE_SIZE {
+            all = sample(rng, all.len(), SAMPLE_SIZE)
                 .iter()
                 .map(|i| all[i])
                 .collect();
         }
         all.into_iter()
             .map(|slot| {
-                let host = self.slots[slot].host;
+                let host = self.capacities[slot].worker;
                 let image = host.cached_images.contains(&spec.image);
-                let fetch_s = PULL_MARGIN * spec.image_gb / self.slots[slot].pull_gb_s.max(1e-6);
+                let fetch_s =
+                    IMAGE_PULL_MARGIN * spec.image_gb / self.capacities[slot].image_pull_gb_per_s.max(1e-6);
                 let waits = prompt_s.is_some_and(|prompt_s| fetch_s < prompt_s);
-                Candidate {
-                    slot,
-                    failed: placing.failures.has_failed_on(&host.name),
-                    image,
-                    slow: spec.priority <= PriorityClass::Urgent && !image && !waits,
-                    dear: spec.spot && !host.spot,
+                ScoredWorker {
+                    capacity: slot,
+                    failed_before: placing.failures.has_failed_on(&host.name),
+                    has_image: image,
+                    slow_start: spec.priority <= PriorityClass::Urgent && !image && !waits,
+                    on_demand: spec.spot && !host.spot,
                 }
             })
             .collect()
     }
 
     /// For a job that must stay in one zone and has no task anywhere: the zone with most room.
-    fn choose_zone(&self, candidates: &mut Vec<Candidate>, need: &Resources) {
+    fn choose_zone(&self, candidates: &mut Vec<ScoredWorker>, need: &Resources) {
         let mut room = vec![0; self.zones.len()];
         for candidate in candidates.iter() {
-            let slot = &self.slots[candidate.slot];
+            let slot = &self.capacities[candidate.capacity];
             room[slot.zone] += slot.free.count_fitting(need);
         }
         let most = (0..room.len()).max_by_key(|zone| room[*zone]);
-        candidates.retain(|c| Some(self.slots[c.slot].zone) == most);
+        candidates.retain(|c| Some(self.capacities[c.capacity].zone) == most);
     }
 
     /// The candidate that a task goes to: for jobs that may use spot machines those first; fewer
     /// replicas in the zone; the image at hand; then the fullest. Replicas that must fetch their
     /// image do so each on another host, so that later ones find it on many.
-    fn best_slot(
+    fn best_worker(
         &self,
-        candidates: &[Candidate],
-        placing: &Placing,
+        candidates: &[ScoredWorker],
+        placing: &JobPlacement,
         task: &TaskId,
     ) -> Option<usize> {
         let spec = placing.spec;
@@ -451,25 +461,25 @@
             .iter()
             .enumerate()
             .filter(|(_, c)| {
-                let slot = &self.slots[c.slot];
-                slot.free.fits(&placing.need)
+                let slot = &self.capacities[c.capacity];
+                slot.free.fits(&placing.request)
                     && placing.zone_allows(slot.zone)
-                    && !slot.host.observed_tasks.contains_key(task)
+                    && !slot.worker.observed_tasks.contains_key(task)
             })
             .min_by(|(_, a), (_, b)| {
-                let key = |c: &Candidate| {
-                    let slot = &self.slots[c.slot];
+                let key = |c: &ScoredWorker| {
+                    let slot = &self.capacities[c.capacity];
                     let replicas = if spec.spread {
-                        placing.zones[slot.zone]
+                        placing.tasks_per_zone[slot.zone]
                     } else {
                         0
                     };
-                    let left = slot.free.minus(&placing.need).dominant_share(&slot.whole);
-                    let mates = match placing.placed.get(&c.slot) {
-                        Some(count) if !c.image && spec.kind == JobKind::Service => *count,
+                    let left = slot.free.minus(&placing.request).dominant_share(&slot.total);
+                    let mates = match placing.placed_per_worker.get(&c.capacity) {
+                        Some(count) if !c.has_image && spec.kind == JobKind::Service => *count,
                         _ => 0,
                     };
-                    ((c.failed, c.slow, c.dear, replicas, !c.image, mates), left)
+                    ((c.failed_before, c.slow_start, c.on_demand, replicas, !c.has_image, mates), left)
                 };
                 let (a, b) = (key(a), key(b));
                 a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))
@@ -479,22 +489,22 @@
 
     /// Keeps the freest host for a job that has waited for long, so that small tasks of others don't
     /// fill every gap before a large one fits.
-    fn reserve(&mut self, placing: &Placing) {
-        let freest = (0..self.slots.len())
+    fn reserve_freest_worker(&mut self, placing: &JobPlacement) {
+        let freest = (0..self.capacities.len())
             .filter(|i| {
-                let slot = &self.slots[*i];
-                slot.whole.fits(&placing.need) && self.allows(placing, slot)
+                let slot = &self.capacities[*i];
+                slot.total.fits(&placing.request) && self.filter_worker(placing, slot)
             })
             .max_by(|a, b| {
                 let free = |i: usize| {
-                    let slot = &self.slots[i];
-                    slot.free.plus(&slot.leaving).dominant_share(&slot.whole)
+                    let slot = &self.capacities[i];
+                    slot.free.plus(&slot.releasing).dominant_share(&slot.total)
                 };
                 free(*a).total_cmp(&free(*b)).then(b.cmp(a))
             });
         if let Some(i) = freest {
-            let slot = &mut self.slots[i];
-            slot.free = slot.free.minus(&placing.need);
+            let slot = &mut self.capacities[i];
+            slot.free = slot.free.minus(&placing.request);
         }
     }
 }
@@ -513,10 +523,10 @@
 /// The order in which jobs get room: priority, then within the guarantee, then those that have
 /// waited for long without a start, then those that can still be on time, the earliest deadline
 /// first.
-struct OrderKey {
-    rank: PriorityClass,
-    beyond: bool,
-    patient: bool,
+struct QueuePosition {
+    priority: PriorityClass,
+    beyond_quota: bool,
+    not_starving: bool,
     late: bool,
-    due: f64,
+    deadline: f64,
 }
--- a/src/coordination/terminations.rs
+++ b/src/coordination/terminations.rs
@@ -10,18 +10,18 @@
 /// What this node has to tell, and what it has heard.
 #[derive(Debug)]
 pub struct TerminationQueue {
-    me: String,
+    label: String,
     /// Tells this process from earlier ones of the same node, whose numbers are others.
-    life: u64,
+    process_incarnation: u64,
     /// Number of the first end in the queue.
-    first: u64,
+    first_sequence: u64,
     queue: VecDeque<(f64, Termination)>,
     /// For so long a peer may need to hear of an end.
-    keep_s: f64,
+    retention_s: f64,
     /// Each peer's high-water mark: it has heard of all ends before this number.
-    acked: BTreeMap<String, u64>,
+    acknowledged: BTreeMap<String, u64>,
     /// Each peer's life, and the number up to which it was heard.
-    heard: BTreeMap<String, (u64, u64)>,
+    on_message: BTreeMap<String, (u64, u64)>,
 }
 
 impl TerminationQueue {
@@ -33,18 +33,18 @@
         keep_s: f64,
     ) -> TerminationQueue {
         TerminationQueue {
-            me: me.to_owned(),
-            life,
-            first: 0,
+            label: me.to_owned(),
+            process_incarnation: life,
+            first_sequence: 0,
             queue: VecDeque::new(),
-            keep_s,
-            acked: peers.map(|label| (label, 0)).collect(),
-            heard: BTreeMap::new(),
+            retention_s: keep_s,
+            acknowledged: peers.map(|label| (label, 0)).collect(),
+            on_message: BTreeMap::new(),
         }
     }
 
     /// Adds ends that peers are to be told of.
-    pub fn add(&mut self, ended: Vec<Termination>, now: f64) {
+    pub fn push(&mut self, ended: Vec<Termination>, now: f64) {
         self.queue.extend(ended.into_iter().map(|e| (now, e)));
         while self.queue.len() > MAX_TERMINATIONS {
             self.drop_first();
@@ -53,22 +53,22 @@
 
     fn drop_first(&mut self) {
         self.queue.pop_front();
-        self.first += 1;
+        self.first_sequence += 1;
     }
 
     /// What goes into this node's next word to its peers.
-    pub fn word(&mut self, now: f64) -> TerminationLog {
+    pub fn next_message(&mut self, now: f64) -> TerminationLog {
         while let Some((since, _)) = self.queue.front()
-            && now - since > self.keep_s
+            && now - since > self.retention_s
         {
             self.drop_first();
         }
         TerminationLog {
-            process_incarnation: self.life,
-            first_sequence: self.first,
+            process_incarnation: self.process_incarnation,
+            first_sequence: self.first_sequence,
             entries: self.queue.iter().map(|(_, ended)| ended.clone()).collect(),
             acks: self
-                .heard
+                .on_message
                 .iter()
                 .map(|(label, (life, up_to))| TerminationAck {
                     label: label.clone(),
@@ -81,23 +81,23 @@
 
     /// Takes a peer's word: what it has acknowledged need not be told any more, and what it tells is
     /// acknowledged with this node's next word.
-    pub fn heard(&mut self, peer: &str, ends: &TerminationLog) {
-        let Some(mark) = self.acked.get_mut(peer) else {
+    pub fn on_message(&mut self, peer: &str, ends: &TerminationLog) {
+        let Some(mark) = self.acknowledged.get_mut(peer) else {
             return;
         };
         let acks = ends
             .acks
             .iter()
-            .filter(|ack| ack.label == self.me && ack.process_incarnation == self.life);
+            .filter(|ack| ack.label == self.label && ack.process_incarnation == self.process_incarnation);
         *mark = acks.map(|ack| ack.up_to).fold(*mark, u64::max);
-        let all = self.acked.values().copied().min().unwrap_or(0);
-        while self.first < all && !self.queue.is_empty() {
+        let all = self.acknowledged.values().copied().min().unwrap_or(0);
+        while self.first_sequence < all && !self.queue.is_empty() {
             self.drop_first();
         }
         let up_to = ends
             .first_sequence
             .saturating_add(ends.entries.len() as u64);
-        self.heard
+        self.on_message
             .insert(peer.to_owned(), (ends.process_incarnation, up_to));
     }
 }
--- a/src/coordination/watch.rs
+++ b/src/coordination/watch.rs
@@ -1,6 +1,6 @@
 //! Follows a prefix of the state service: one listing, then changes.
 
-use super::outbox::{Outbox, StoreAsk};
+use super::effects::{Effects, KvRequestKind};
 use crate::protocol::kv::{KeyValue, KvRequest, KvResponse, WatchEvent};
 use ciborium::Value;
 
@@ -10,23 +10,23 @@
     /// The whole content, at a revision.
     Reset(Vec<KeyValue>, u64),
     /// A key was put.
-    Set(String, Value, u64),
+    Put(String, Value, u64),
     /// A key was deleted.
-    Removed(String),
+    Deleted(String),
 }
 
 /// A watch on a prefix.
 #[derive(Debug)]
 pub struct Watch {
     prefix: &'static str,
-    ask: StoreAsk,
+    request_kind: KvRequestKind,
     wait_s: f64,
-    patience_s: f64,
+    request_timeout_s: f64,
     revision: Option<u64>,
     partial: Vec<KeyValue>,
-    listing_at: Option<u64>,
+    listing_revision: Option<u64>,
     in_flight: bool,
-    known: bool,
+    complete: bool,
     /// The last call had no usable answer.
     failed: bool,
     retry_at: f64,
@@ -34,7 +34,7 @@
 }
 
 /// How often a watch that waits asks anew before it is no longer thought to be in step.
-const IN_STEP: f64 = 2.0;
+const CAUGHT_UP_FACTOR: f64 = 2.0;
 
 /// Keys that a watch keeps of an unfinished listing; more are not held.
 const MAX_ITEMS: usize = 50_000;
@@ -43,17 +43,17 @@
     /// A watch whose waits last `wait_s`; other calls may take `patience_s`.
     ///
     /// The shorter the waits, the better it is known up to when the content is current.
-    pub fn new(prefix: &'static str, ask: StoreAsk, wait_s: f64, patience_s: f64) -> Watch {
+    pub fn new(prefix: &'static str, ask: KvRequestKind, wait_s: f64, patience_s: f64) -> Watch {
         Watch {
             prefix,
-            ask,
+            request_kind: ask,
             wait_s,
-            patience_s,
+            request_timeout_s: patience_s,
             revision: None,
             partial: Vec::new(),
-            listing_at: None,
+            listing_revision: None,
             in_flight: false,
-            known: false,
+            complete: false,
             failed: false,
             retry_at: 0.0,
             current_at: f64::NEG_INFINITY,
@@ -61,8 +61,8 @@
     }
 
     /// Whether the content is known, though perhaps late.
-    pub fn listed(&self) -> bool {
-        self.known
+    pub fn is_complete(&self) -> bool {
+        self.complete
     }
 
     /// Up to when the content is certainly current: every change that was made before is known. That
@@ -72,7 +72,7 @@
     }
 
     /// Makes the next call if it is time.
-    pub fn drive(&mut self, out: &mut Outbox, now: f64) {
+    pub fn poll(&mut self, out: &mut Effects, now: f64) {
         if self.in_flight || now < self.retry_at {
             return;
         }
@@ -80,40 +80,41 @@
         let (call, within_s) = match self.revision {
             Some(from) => {
                 // After an interruption it catches up first, and waits for news then.
-                let in_step = now - self.current_at < IN_STEP * self.wait_s + self.patience_s;
+                let in_step =
+                    now - self.current_at < CAUGHT_UP_FACTOR * self.wait_s + self.request_timeout_s;
                 let wait_s = if in_step { self.wait_s } else { 0.0 };
                 let call = KvRequest::Watch {
                     prefix: self.prefix.to_owned(),
                     after: from,
                     wait_ms: (wait_s * 1000.0) as u64,
                 };
-                (call, wait_s + self.patience_s)
+                (call, wait_s + self.request_timeout_s)
             }
             None => (
                 KvRequest::List {
                     prefix: self.prefix.to_owned(),
                     after: self.partial.last().map(|item| item.key.clone()),
                 },
-                self.patience_s,
+                self.request_timeout_s,
             ),
         };
-        out.store(self.ask.clone(), call, within_s, now);
+        out.call_kv(self.request_kind.clone(), call, within_s, now);
     }
 
     /// Takes the answer to the call that was made at `sent`.
-    pub fn reply(&mut self, reply: KvResponse, sent: f64, now: f64) -> Vec<WatchUpdate> {
+    pub fn on_response(&mut self, reply: KvResponse, sent: f64, now: f64) -> Vec<WatchUpdate> {
         self.in_flight = false;
         match reply {
             KvResponse::Page(items, more, revision) => {
-                let at = *self.listing_at.get_or_insert(revision);
+                let at = *self.listing_revision.get_or_insert(revision);
                 let progress = !items.is_empty();
                 self.partial.extend(items);
                 if more && progress && self.partial.len() < MAX_ITEMS {
                     return Vec::new();
                 }
-                self.listing_at = None;
+                self.listing_revision = None;
                 self.revision = Some(at);
-                self.known = true;
+                self.complete = true;
                 vec![WatchUpdate::Reset(std::mem::take(&mut self.partial), at)]
             }
             KvResponse::Events(events, revision) => {
@@ -127,8 +128,8 @@
                             key,
                             value,
                             mod_revision: stamp,
-                        } => WatchUpdate::Set(key, value, stamp),
-                        WatchEvent::Delete { key, .. } => WatchUpdate::Removed(key),
+                        } => WatchUpdate::Put(key, value, stamp),
+                        WatchEvent::Delete { key, .. } => WatchUpdate::Deleted(key),
                     })
                     .collect()
             }
@@ -145,7 +146,7 @@
             }
             other => {
                 self.failed = matches!(other, KvResponse::OutcomeUnknown);
-                self.retry_at = now + self.patience_s / 4.0;
+                self.retry_at = now + self.request_timeout_s / 4.0;
                 Vec::new()
             }
         }
--- a/src/node.rs
+++ b/src/daemon.rs
@@ -1,7 +1,7 @@
 //! Wires sockets, timers and the controller into one event loop.
 
 use crate::coordination::controller::{Controller, Now};
-use crate::coordination::outbox::{Action, Tag};
+use crate::coordination::effects::{CorrelationId, Effect};
 use crate::latency::Latency;
 use crate::policy::Policy;
 use crate::protocol::cloud::{CloudRequest, CloudResponse};
@@ -25,7 +25,7 @@
 
 /// Why a node can't run.
 #[derive(Debug, thiserror::Error)]
-pub enum NodeError {
+pub enum DaemonError {
     /// An address can't be listened at.
     #[error("cannot listen at {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
@@ -77,12 +77,12 @@
 }
 
 enum Waiting {
-    Store(Tag, KvRequest, f64),
-    Cloud(Tag, CloudRequest),
-    Worker(Tag),
+    Store(CorrelationId, KvRequest, f64),
+    Cloud(CorrelationId, CloudRequest),
+    Worker(CorrelationId),
 }
 
-struct Node {
+struct Daemon {
     controller: Controller,
     server: Server,
     clients: HashMap<Pool, Client>,
@@ -91,7 +91,7 @@
     peers: Vec<Outgoing>,
     incoming: HashMap<u64, Incoming>,
     next_incoming: u64,
-    handle: LoopHandle<'static, Node>,
+    handle: LoopHandle<'static, Daemon>,
     tokens: HashMap<Source, RegistrationToken>,
     state: SocketAddr,
     cloud: SocketAddr,
@@ -103,19 +103,19 @@
 }
 
 /// Runs a node until it is killed.
-pub fn run(settings: Settings, policy: Policy) -> Result<(), NodeError> {
-    let mut event_loop: EventLoop<'static, Node> = EventLoop::try_new()?;
+pub fn run(settings: Settings, policy: Policy) -> Result<(), DaemonError> {
+    let mut event_loop: EventLoop<'static, Daemon> = EventLoop::try_new()?;
     let handle = event_loop.handle();
     let listen = |address| {
-        socket::listen(address, BACKLOG).map_err(|error| NodeError::Listen(address, error))
+        socket::listen(address, BACKLOG).map_err(|error| DaemonError::Listen(address, error))
     };
     let users = listen(settings.bind)?;
     let controllers = listen(settings.peer_bind)?;
-    let report_s = settings.deployment.workers.report_s;
+    let report_s = settings.deployment.workers.heartbeat_interval_s;
     let quota = &settings.deployment.quota;
     // All that is not set aside for others is for those who come: workers, users and probes.
     let set_aside = quota.direct_sockets()
-        + (1 + INCOMING_PER_PEER) * settings.seeds.len()
+        + (1 + INCOMING_PER_PEER) * settings.peers.len()
         + STATE_CONNS
         + CLOUD_CONNS
         + (quota.max_sockets as f64 * SPARE_SHARE) as usize;
@@ -141,14 +141,14 @@
     );
     let settings = Rc::new(settings);
     let life = SmallRng::from_os_rng().random();
-    let mut node = Node {
+    let mut daemon = Daemon {
         controller: Controller::new(settings.clone(), Rc::new(policy), life),
         server: Server::new(incoming, idle_s * 2.0, report_s * 4.0),
         clients,
         waiting: HashMap::new(),
         next_call: 1,
         peers: settings
-            .seeds
+            .peers
             .iter()
             .map(|seed| Outgoing::new(seed.address, report_s))
             .collect(),
@@ -164,44 +164,44 @@
         answers: Latency::new("answers", report_s * REPORTS_PER_LOG),
         state_calls: Latency::new("state service", report_s * REPORTS_PER_LOG),
     };
-    add_listener(&handle, users, Node::accept_user)?;
-    add_listener(&handle, controllers, Node::accept_peer)?;
+    add_listener(&handle, users, Daemon::accept_user)?;
+    add_listener(&handle, controllers, Daemon::accept_peer)?;
     let tick = Duration::from_secs_f64(report_s / TICKS_PER_REPORT);
     handle
-        .insert_source(Timer::immediate(), move |_, _, node: &mut Node| {
-            node.tick();
+        .insert_source(Timer::immediate(), move |_, _, daemon: &mut Daemon| {
+            daemon.tick();
             TimeoutAction::ToDuration(tick)
         })
-        .map_err(|error| NodeError::Source(error.to_string()))?;
-    event_loop.run(None, &mut node, |_| {})?;
+        .map_err(|error| DaemonError::Source(error.to_string()))?;
+    event_loop.run(None, &mut daemon, |_| {})?;
     Ok(())
 }
 
 fn add_listener(
-    handle: &LoopHandle<'static, Node>,
+    handle: &LoopHandle<'static, Daemon>,
     listener: TcpListener,
-    accept: fn(&mut Node, TcpStream),
-) -> Result<(), NodeError> {
+    accept: fn(&mut Daemon, TcpStream),
+) -> Result<(), DaemonError> {
     let source = Generic::new(listener, Interest::READ, Mode::Level);
     handle
-        .insert_source(source, move |_, listener, node: &mut Node| {
+        .insert_source(source, move |_, listener, daemon: &mut Daemon| {
             // A failed accept (out of sockets, say) is tried again when the loop comes round.
             while let Ok((stream, _)) = listener.accept() {
                 let _ = stream.set_nodelay(true);
                 if stream.set_nonblocking(true).is_ok() {
-                    accept(node, stream);
+                    accept(daemon, stream);
                 }
             }
             Ok(PostAction::Continue)
         })
-        .map_err(|error| NodeError::Source(error.to_string()))?;
+        .map_err(|error| DaemonError::Source(error.to_string()))?;
     Ok(())
 }
 
-impl Node {
+impl Daemon {
     fn now(&self) -> Now {
         Now {
-            steady: self.started.elapsed().as_secs_f64(),
+            monotonic: self.started.elapsed().as_secs_f64(),
             wall: SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .map_or(0.0, |since| since.as_secs_f64()),
@@ -213,8 +213,8 @@
         let generic = Generic::new(stream, Interest::BOTH, Mode::Edge);
         let inserted = self
             .handle
-            .insert_source(generic, move |_, _, node: &mut Node| {
-                node.ready(source);
+            .insert_source(generic, move |_, _, daemon: &mut Daemon| {
+                daemon.ready(source);
                 Ok(PostAction::Continue)
             });
         match inserted {
@@ -248,7 +248,7 @@
 
     fn accept_user(&mut self, stream: TcpStream) {
         let now = self.now();
-        let (id, evicted) = self.server.accept(stream, now.steady);
+        let (id, evicted) = self.server.accept(stream, now.monotonic);
         if let Some(old) = evicted {
             self.forget(Source::Server(old));
         }
@@ -277,12 +277,12 @@
         let now = self.now();
         match source {
             Source::Server(id) => {
-                let after = self.server.ready(id, now.steady);
+                let after = self.server.ready(id, now.monotonic);
                 self.follow(id, after, now);
             }
             Source::Client(pool, id) => {
                 if let Some(client) = self.clients.get_mut(&pool) {
-                    let opened = client.ready(id, now.steady);
+                    let opened = client.ready(id, now.monotonic);
                     if client.stream(id).is_none() {
                         self.unregister(source);
                     }
@@ -291,7 +291,7 @@
             }
             Source::Peer(index) => {
                 if let Some(outgoing) = self.peers.get_mut(index)
-                    && !outgoing.ready(now.steady)
+                    && !outgoing.ready(now.monotonic)
                 {
                     self.unregister(source);
                 }
@@ -301,7 +301,7 @@
                     let (frames, open) = incoming.ready(peer::MAX_FRAME);
                     for frame in frames {
                         if let Some(heartbeat) = peer::decode(&frame) {
-                            self.controller.heartbeat(heartbeat, now);
+                            self.controller.on_peer_heartbeat(heartbeat, now);
                         }
                     }
                     if !open {
@@ -335,7 +335,7 @@
                         self.server.close_if_crowded(to);
                     }
                     self.controller
-                        .request(to, &request.method, &request.path, &request.body, now);
+                        .on_request(to, &request.method, &request.path, &request.body, now);
                     // An answer that is there already goes out at once, and the next request in.
                     after = After::Keep;
                 }
@@ -350,16 +350,16 @@
             let Some(client) = self.clients.get_mut(&pool) else {
                 continue;
             };
-            let opened = client.expire(now.steady);
+            let opened = client.expire(now.monotonic);
             for id in opened {
                 self.register_client(pool, Some(id));
             }
         }
-        if now.steady >= self.sweep_at {
-            self.sweep_at = now.steady + self.report_s / 5.0;
-            self.answers.drive(now.steady);
-            self.state_calls.drive(now.steady);
-            for id in self.server.overdue(now.steady) {
+        if now.monotonic >= self.sweep_at {
+            self.sweep_at = now.monotonic + self.report_s / 5.0;
+            self.answers.drive(now.monotonic);
+            self.state_calls.drive(now.monotonic);
+            for id in self.server.overdue(now.monotonic) {
                 self.forget(Source::Server(id));
             }
             self.drop_stale_tokens();
@@ -390,7 +390,7 @@
     fn pump(&mut self) {
         loop {
             let now = self.now();
-            let actions = self.controller.take_actions();
+            let actions = self.controller.take_effects();
             let idle = actions.is_empty();
             for action in actions {
                 self.act(action, now);
@@ -401,45 +401,45 @@
         }
     }
 
-    fn act(&mut self, action: Action, now: Now) {
+    fn act(&mut self, action: Effect, now: Now) {
         match action {
-            Action::Answer {
-                to,
+            Effect::Respond {
+                request_id: to,
                 status,
                 body,
                 retry_after_s,
             } => {
                 let answered = self
                     .server
-                    .answer(to, status, &body, retry_after_s, now.steady);
+                    .answer(to, status, &body, retry_after_s, now.monotonic);
                 if let Some((id, after, waited_s)) = answered {
                     self.answers.record(waited_s);
                     self.follow(id, after, now);
                 }
             }
-            Action::Store {
-                tag,
-                call,
-                within_s,
+            Effect::CallKv {
+                correlation_id: tag,
+                request: call,
+                timeout_s: within_s,
             } => {
                 let request = call.http_request();
-                let waiting = Waiting::Store(tag, call, now.steady);
+                let waiting = Waiting::Store(tag, call, now.monotonic);
                 self.send(Pool::State, self.state, request, waiting, within_s, now);
             }
-            Action::Cloud {
-                tag,
-                call,
-                within_s,
+            Effect::CallCloud {
+                correlation_id: tag,
+                request: call,
+                timeout_s: within_s,
             } => {
                 let request = call.http_request();
                 let waiting = Waiting::Cloud(tag, call);
                 self.send(Pool::Cloud, self.cloud, request, waiting, within_s, now);
             }
-            Action::Worker {
-                tag,
+            Effect::CallWorker {
+                correlation_id: tag,
                 endpoint,
-                call,
-                within_s,
+                request: call,
+                timeout_s: within_s,
             } => match endpoint.parse::<SocketAddr>() {
                 Ok(to) => {
                     let request = call.http_request();
@@ -449,13 +449,13 @@
                 Err(_) => {
                     tracing::warn!(endpoint, "not an address");
                     self.controller
-                        .worker_reply(tag, WorkerResponse::NotSent, now);
+                        .on_worker_response(tag, WorkerResponse::NotSent, now);
                 }
             },
-            Action::Heartbeat(heartbeat) => {
+            Effect::BroadcastHeartbeat(heartbeat) => {
                 let bytes = peer::encode(&heartbeat);
                 for index in 0..self.peers.len() {
-                    if let Some(stream) = self.peers[index].send(&bytes, now.steady) {
+                    if let Some(stream) = self.peers[index].send(&bytes, now.monotonic) {
                         self.unregister(Source::Peer(index));
                         self.register(Source::Peer(index), stream);
                     }
@@ -480,12 +480,12 @@
             id,
             to,
             bytes: http::write_request(method, &to.to_string(), &path, &body),
-            until: now.steady + within_s,
+            until: now.monotonic + within_s,
         };
         let opened = self
             .clients
             .get_mut(&pool)
-            .and_then(|client| client.call(call, now.steady));
+            .and_then(|client| client.call(call, now.monotonic));
         self.register_client(pool, opened);
     }
 
@@ -504,7 +504,7 @@
             match waiting {
                 Waiting::Store(tag, call, sent) => {
                     if !matches!(call, KvRequest::Watch { .. }) {
-                        self.state_calls.record(now.steady - sent);
+                        self.state_calls.record(now.monotonic - sent);
                     }
                     let reply = match outcome {
                         Outcome::Answer(r) => call.response(r.status, &r.body),
@@ -513,7 +513,7 @@
                             KvResponse::OutcomeUnknown
                         }
                     };
-                    self.controller.store_reply(tag, reply, now);
+                    self.controller.on_kv_response(tag, reply, now);
                 }
                 Waiting::Cloud(tag, call) => {
                     let reply = match outcome {
@@ -522,7 +522,7 @@
                             CloudResponse::OutcomeUnknown
                         }
                     };
-                    self.controller.cloud_reply(tag, reply, now);
+                    self.controller.on_cloud_response(tag, reply, now);
                 }
                 Waiting::Worker(tag) => {
                     let reply = match outcome {
@@ -531,7 +531,7 @@
                         Outcome::Unreached => WorkerResponse::Unreachable,
                         Outcome::Silent => WorkerResponse::OutcomeUnknown,
                     };
-                    self.controller.worker_reply(tag, reply, now);
+                    self.controller.on_worker_response(tag, reply, now);
                 }
             }
         }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -30,7 +30,7 @@
 
 /// What a pool's figures may depend on.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct PoolView {
+pub struct PoolState {
     /// Spot machines.
     pub spot: bool,
     /// Usual boot time.
@@ -130,7 +130,7 @@
             programs: Vec::new(),
             defaults: Vec::new(),
             platform: Platform {
-                report_s: d.workers.report_s,
+                report_s: d.workers.heartbeat_interval_s,
                 lease_s: d.workers.lease_s,
                 list_lag_s: d.cloud.list_lag_s,
             },
@@ -190,7 +190,7 @@
     }
 
     /// The figures of a pool. An expression that fails for these values gives way to the default.
-    pub fn figures(&self, pool: &PoolView) -> Figures {
+    pub fn figures(&self, pool: &PoolState) -> Figures {
         let value = |i: usize| -> f64 {
             let (name, least, most) = NAMES[i];
             let own = self
@@ -291,7 +291,7 @@
         }
         for spot in [false, true] {
             for (busy, machines, waiting) in [(0, 0, 0), (3, 5, 0), (40, 40, 1000)] {
-                let pool = PoolView {
+                let pool = PoolState {
                     spot,
                     ready_s: 30.0,
                     hourly: 1.0,
@@ -310,7 +310,7 @@
 fn evaluate(
     program: &Program,
     platform: &Platform,
-    pool: &PoolView,
+    pool: &PoolState,
     least: f64,
     most: f64,
 ) -> Result<f64, String> {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -40,8 +40,8 @@
     /// Address for the other controllers.
     pub peer_bind: SocketAddr,
     /// The other controllers.
-    #[serde(default)]
-    pub seeds: Vec<Seed>,
+    #[serde(rename = "seeds", default)]
+    pub peers: Vec<PeerAddress>,
     /// Outside systems.
     pub services: Services,
     /// The deployment.
@@ -50,7 +50,7 @@
 
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Seed {
+pub struct PeerAddress {
     /// Its name.
     pub label: String,
     /// Its zone.
@@ -134,7 +134,8 @@
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerSettings {
     /// Interval of reports.
-    pub report_s: f64,
+    #[serde(rename = "report_s")]
+    pub heartbeat_interval_s: f64,
     /// Lease of a session.
     pub lease_s: f64,
     /// Time for the tasks of a cancelled job to be gone.
@@ -214,7 +215,7 @@
         };
         let d = &self.deployment;
         for (field, value) in [
-            ("deployment.workers.report_s", d.workers.report_s),
+            ("deployment.workers.report_s", d.workers.heartbeat_interval_s),
             ("deployment.workers.lease_s", d.workers.lease_s),
             ("deployment.workers.cancel_s", d.workers.cancel_s),
             ("deployment.state.rps", d.state.rps),
@@ -254,18 +255,18 @@
         if d.quota.max_sockets < 32 {
             return invalid("deployment.quota.max_sockets", "must be at least 32");
         }
-        if d.workers.report_s >= d.workers.lease_s {
+        if d.workers.heartbeat_interval_s >= d.workers.lease_s {
             return invalid(
                 "deployment.workers.report_s",
                 "must be shorter than deployment.workers.lease_s",
             );
         }
-        for (i, seed) in self.seeds.iter().enumerate() {
+        for (i, seed) in self.peers.iter().enumerate() {
             let field = format!("seeds[{i}].label");
             if seed.label.is_empty() || seed.label == self.label {
                 return invalid(&field, "must be another node's name");
             }
-            if self.seeds[..i]
+            if self.peers[..i]
                 .iter()
                 .any(|other| other.label == seed.label)
             {
