--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,9 +1,9 @@
-//! The command line: running a node, checking its files, and talking to a running service.
+//! The command line: running a controller, checking its files, and requests to a running service.
 
 use crate::daemon;
-use crate::policy::Policy;
+use crate::policy::{Policy, Problem};
 use crate::protocol::cbor;
-use crate::settings::Settings;
+use crate::settings::{Settings, SettingsError};
 use crate::transport::http::{self, Parsed, Response};
 use ciborium::Value;
 use clap::{Args, Parser, Subcommand};
@@ -74,10 +74,10 @@
     to: String,
 }
 
-/// Exit code for wrong words, files or settings.
+/// Exit code for wrong arguments, files or settings.
 const USAGE: u8 = 2;
-/// Longest wait for an answer, as users wait.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Longest wait for a connection or response, as users wait.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Runs the program.
 pub fn main() -> ExitCode {
@@ -87,8 +87,10 @@
         Some(Command::Run(args)) => run(&args),
         Some(Command::Check(args)) => check(&args),
         Some(Command::Submit { at, job }) => submit(&at, &job),
-        Some(Command::Status { at, id }) => talk(&at, "GET", &format!("/work/{id}"), &[]),
-        Some(Command::Cancel { at, id }) => talk(&at, "POST", &format!("/work/{id}/cancel"), &[]),
+        Some(Command::Status { at, id }) => request(&at, "GET", &format!("/work/{id}"), &[]),
+        Some(Command::Cancel { at, id }) => {
+            request(&at, "POST", &format!("/work/{id}/cancel"), &[])
+        }
     }
 }
 
@@ -96,28 +98,46 @@
     eprintln!("cedarladder: {what}");
 }
 
-/// Reads both files, and complains of every problem found.
-fn load(args: &RunArgs) -> Result<(Settings, Policy), ()> {
-    let Some(config) = &args.config else {
-        complain("--config FILE is missing; see --help");
-        return Err(());
-    };
-    let settings = Settings::load(config).map_err(complain)?;
+/// Why the two files cannot be used.
+#[derive(Debug, thiserror::Error)]
+enum LoadError {
+    #[error("--config FILE is missing; see --help")]
+    NoConfig,
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    #[error("{} problems in the policy", .0.len())]
+    Policy(Vec<Problem>),
+}
+
+impl LoadError {
+    /// Reports every problem on a line of its own.
+    fn report(&self) {
+        match self {
+            LoadError::Policy(problems) => problems.iter().for_each(complain),
+            other => complain(other),
+        }
+    }
+}
+
+/// Reads and checks both files.
+fn load(args: &RunArgs) -> Result<(Settings, Policy), LoadError> {
+    let config = args.config.as_ref().ok_or(LoadError::NoConfig)?;
+    let settings = Settings::load(config)?;
     let policy = match &args.policy {
         None => Policy::built_in(&settings),
-        Some(path) => Policy::load(path, &settings).map_err(|problems| {
-            for problem in problems {
-                complain(problem);
-            }
-        })?,
+        Some(path) => Policy::load(path, &settings).map_err(LoadError::Policy)?,
     };
     Ok((settings, policy))
 }
 
 fn run(args: &RunArgs) -> ExitCode {
     start_log();
-    let Ok((settings, policy)) = load(args) else {
-        return ExitCode::from(USAGE);
+    let (settings, policy) = match load(args) {
+        Ok(loaded) => loaded,
+        Err(error) => {
+            error.report();
+            return ExitCode::from(USAGE);
+        }
     };
     match daemon::run(settings, policy) {
         Ok(()) => ExitCode::SUCCESS,
@@ -134,7 +154,10 @@
             println!("no problems");
             ExitCode::SUCCESS
         }
-        Err(()) => ExitCode::from(USAGE),
+        Err(error) => {
+            error.report();
+            ExitCode::from(USAGE)
+        }
     }
 }
 
@@ -153,11 +176,11 @@
             return ExitCode::from(USAGE);
         }
     };
-    talk(at, "POST", "/work", &cbor::encode(&table))
+    request(at, "POST", "/work", &cbor::encode(&table))
 }
 
-/// Makes one request and shows the answer.
-fn talk(at: &At, method: &str, path: &str, body: &[u8]) -> ExitCode {
+/// Makes one request and prints the response.
+fn request(at: &At, method: &str, path: &str, body: &[u8]) -> ExitCode {
     let response = match call(&at.to, method, path, body) {
         Ok(response) => response,
         Err(error) => {
@@ -169,19 +192,19 @@
         Ok(Value::Map(fields)) => fields,
         _ => Vec::new(),
     };
-    let words: Vec<String> = fields
+    let shown: Vec<String> = fields
         .iter()
         .map(|(name, value)| format!("{} {}", show(name), show(value)))
         .collect();
     if response.status < 300 {
-        println!("{}", words.join(", "));
+        println!("{}", shown.join(", "));
         ExitCode::SUCCESS
     } else {
         complain(format_args!(
             "{} answers {}: {}",
             at.to,
             response.status,
-            words.join(", ")
+            shown.join(", ")
         ));
         ExitCode::FAILURE
     }
@@ -200,8 +223,8 @@
         .to_socket_addrs()?
         .next()
         .ok_or_else(|| std::io::Error::other("no such address"))?;
-    let mut stream = TcpStream::connect_timeout(&address, PATIENCE)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+    let mut stream = TcpStream::connect_timeout(&address, REQUEST_TIMEOUT)?;
+    stream.set_read_timeout(Some(REQUEST_TIMEOUT))?;
     stream.write_all(&http::write_request(method, to, path, body))?;
     let mut bytes = Vec::new();
     let mut chunk = [0; 4096];
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,7 @@
 //! The platform's settings file: reading and checking.
+//!
+//! It is read once, at the start of a controller. Names that differ from the file's are mapped by `serde(rename)`;
+//! `docs/architecture.md` says where each value ends up.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -31,9 +34,9 @@
 /// The whole file.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
-    /// This node's name.
+    /// This controller's name.
     pub label: String,
-    /// This node's zone.
+    /// This controller's zone.
     pub site: String,
     /// Address for users, workers and health checks.
     pub bind: SocketAddr,
@@ -42,7 +45,7 @@
     /// The other controllers.
     #[serde(rename = "seeds", default)]
     pub peers: Vec<PeerAddress>,
-    /// Outside systems.
+    /// The outside services.
     pub services: Services,
     /// The deployment.
     pub deployment: Deployment,
@@ -60,7 +63,7 @@
     pub address: SocketAddr,
 }
 
-/// Addresses of the outside systems.
+/// Addresses of the outside services.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Services {
     /// Cloud API.
@@ -76,13 +79,13 @@
     pub initial_size: u32,
     /// Zones with machines.
     pub zones: Vec<String>,
-    /// Bound of the error of the time of day.
+    /// Bound of the error of the time of day, in milliseconds.
     #[serde(default)]
     pub skew_ms: f64,
     /// Teams.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// The users' aims.
+    /// Service objectives, by class of jobs.
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Worker protocol.
@@ -114,15 +117,15 @@
     pub gpus_max: f64,
 }
 
-/// An aim for a class of jobs.
+/// A service objective for a class of jobs.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// Kind of aim.
+    /// Kind of objective.
     pub kind: String,
     /// Class of jobs.
     #[serde(default)]
     pub class: String,
-    /// Time within which it is to happen.
+    /// Seconds within which it is to happen.
     #[serde(default)]
     pub within_s: Option<f64>,
     /// Share that is to meet it.
@@ -130,13 +133,13 @@
     pub share: Option<f64>,
 }
 
-/// Figures of the worker protocol.
+/// Times of the worker protocol, in seconds.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerSettings {
-    /// Interval of reports.
+    /// Interval of workers' heartbeats.
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
-    /// Lease of a session.
+    /// Lease of a worker: without a response to a heartbeat for so long, it ends its tasks.
     pub lease_s: f64,
     /// Time for the tasks of a cancelled job to be gone.
     pub cancel_s: f64,
@@ -145,22 +148,22 @@
 /// Limits of the state service.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
-    /// Requests per second, of all nodes together.
+    /// Requests per second, of all controllers together.
     pub rps: f64,
-    /// Changes per second, of all nodes together.
+    /// Writes per second, of all controllers together.
     pub write_rps: f64,
     /// Largest value in KiB.
     pub value_kb: f64,
-    /// Changes in a transaction.
+    /// Writes in a transaction.
     pub txn_ops: usize,
 }
 
 /// Limits of the cloud.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
-    /// Requests per second, of all nodes together.
+    /// Requests per second, of all controllers together.
     pub rps: f64,
-    /// Usual lag of the machine list.
+    /// Usual lag of the instance list, in seconds.
     pub list_lag_s: f64,
 }
 
@@ -169,12 +172,16 @@
 pub struct Limits {
     /// Share of a core.
     pub core_share: f64,
-    /// Memory.
+    /// Memory in MB.
     pub mem_mb: f64,
     /// Sockets.
     pub max_sockets: usize,
 }
 
+/// The fewest writes that a transaction must be allowed.
+const MIN_TXN_OPS: usize = 4;
+/// The fewest sockets that a controller can work with.
+const MIN_SOCKETS: usize = 32;
 /// Share of the sockets for direct calls to workers.
 const DIRECT_SHARE: f64 = 0.12;
 
@@ -185,7 +192,7 @@
     }
 }
 
-/// Steady clocks run apart by at most this share.
+/// Steady clocks of different machines run apart by at most this share.
 pub const DRIFT: f64 = 0.0005;
 
 impl Settings {
@@ -206,98 +213,162 @@
         Ok(settings)
     }
 
+    /// Checks the values, section by section, and reports the first problem.
     fn check(&self) -> Result<(), SettingsError> {
-        let invalid = |field: &str, reason: &str| {
-            Err(SettingsError::Invalid {
-                field: field.to_owned(),
-                reason: reason.to_owned(),
-            })
-        };
-        let d = &self.deployment;
+        self.deployment.check_amounts()?;
+        self.check_controller()?;
+        self.deployment.check_sizes()?;
+        self.deployment.workers.check()?;
+        self.check_peers()?;
+        self.deployment.check_teams()
+    }
+
+    fn check_controller(&self) -> Result<(), SettingsError> {
+        require(!self.label.is_empty(), "label", "must not be empty")?;
+        require(
+            self.bind != self.peer_bind,
+            "peer_bind",
+            "must differ from bind",
+        )
+    }
+
+    fn check_peers(&self) -> Result<(), SettingsError> {
+        for (i, peer) in self.peers.iter().enumerate() {
+            let field = format!("seeds[{i}].label");
+            require(
+                !peer.label.is_empty() && peer.label != self.label,
+                &field,
+                "must be another node's name",
+            )?;
+            let named_before = self.peers[..i]
+                .iter()
+                .any(|other| other.label == peer.label);
+            require(!named_before, &field, "is named twice")?;
+        }
+        Ok(())
+    }
+}
+
+impl Deployment {
+    fn check_amounts(&self) -> Result<(), SettingsError> {
         for (field, value) in [
             (
                 "deployment.workers.report_s",
-                d.workers.heartbeat_interval_s,
+                self.workers.heartbeat_interval_s,
             ),
-            ("deployment.workers.lease_s", d.workers.lease_s),
-            ("deployment.workers.cancel_s", d.workers.cancel_s),
-            ("deployment.state.rps", d.state.rps),
-            ("deployment.state.write_rps", d.state.write_rps),
-            ("deployment.state.value_kb", d.state.value_kb),
-            ("deployment.cloud.rps", d.cloud.rps),
-            ("deployment.quota.core_share", d.quota.core_share),
-            ("deployment.quota.mem_mb", d.quota.mem_mb),
+            ("deployment.workers.lease_s", self.workers.lease_s),
+            ("deployment.workers.cancel_s", self.workers.cancel_s),
+            ("deployment.state.rps", self.state.rps),
+            ("deployment.state.write_rps", self.state.write_rps),
+            ("deployment.state.value_kb", self.state.value_kb),
+            ("deployment.cloud.rps", self.cloud.rps),
+            ("deployment.quota.core_share", self.quota.core_share),
+            ("deployment.quota.mem_mb", self.quota.mem_mb),
         ] {
-            if !(value.is_finite() && value > 0.0) {
-                return invalid(field, "must be a number above 0");
-            }
+            require_positive(value, field)?;
         }
         for (field, value) in [
-            ("deployment.cloud.list_lag_s", d.cloud.list_lag_s),
-            ("deployment.skew_ms", d.skew_ms),
+            ("deployment.cloud.list_lag_s", self.cloud.list_lag_s),
+            ("deployment.skew_ms", self.skew_ms),
         ] {
-            if !(value.is_finite() && value >= 0.0) {
-                return invalid(field, "must be a number of at least 0");
-            }
-        }
-        if self.label.is_empty() {
-            return invalid("label", "must not be empty");
-        }
-        if self.bind == self.peer_bind {
-            return invalid("peer_bind", "must differ from bind");
-        }
-        if d.initial_size == 0 {
-            return invalid("deployment.initial_size", "must be at least 1");
-        }
-        if d.zones.is_empty() {
-            return invalid("deployment.zones", "must name a zone");
-        }
-        if d.state.txn_ops < 4 {
-            return invalid("deployment.state.txn_ops", "must be at least 4");
-        }
-        if d.quota.max_sockets < 32 {
-            return invalid("deployment.quota.max_sockets", "must be at least 32");
-        }
-        if d.workers.heartbeat_interval_s >= d.workers.lease_s {
-            return invalid(
-                "deployment.workers.report_s",
-                "must be shorter than deployment.workers.lease_s",
-            );
-        }
-        for (i, seed) in self.peers.iter().enumerate() {
-            let field = format!("seeds[{i}].label");
-            if seed.label.is_empty() || seed.label == self.label {
-                return invalid(&field, "must be another node's name");
-            }
-            if self.peers[..i]
-                .iter()
-                .any(|other| other.label == seed.label)
-            {
-                return invalid(&field, "is named twice");
-            }
+            require_not_negative(value, field)?;
         }
-        for (i, team) in d.teams.iter().enumerate() {
-            let field = |name: &str| format!("deployment.teams[{i}].{name}");
-            if team.name.is_empty() || d.teams[..i].iter().any(|t| t.name == team.name) {
-                return invalid(&field("name"), "must be a name of its own");
-            }
-            for (name, value) in [
-                ("cpus", team.cpus),
-                ("cpus_max", team.cpus_max),
-                ("gpus", team.gpus),
-                ("gpus_max", team.gpus_max),
-            ] {
-                if !(value.is_finite() && value >= 0.0) {
-                    return invalid(&field(name), "must be a number of at least 0");
-                }
-            }
-            if team.cpus_max > 0.0 && team.cpus > team.cpus_max {
-                return invalid(&field("cpus"), "must not exceed cpus_max");
-            }
-            if team.gpus_max > 0.0 && team.gpus > team.gpus_max {
-                return invalid(&field("gpus"), "must not exceed gpus_max");
-            }
+        Ok(())
+    }
+
+    fn check_sizes(&self) -> Result<(), SettingsError> {
+        require(
+            self.initial_size > 0,
+            "deployment.initial_size",
+            "must be at least 1",
+        )?;
+        require(
+            !self.zones.is_empty(),
+            "deployment.zones",
+            "must name a zone",
+        )?;
+        require(
+            self.state.txn_ops >= MIN_TXN_OPS,
+            "deployment.state.txn_ops",
+            "must be at least 4",
+        )?;
+        require(
+            self.quota.max_sockets >= MIN_SOCKETS,
+            "deployment.quota.max_sockets",
+            "must be at least 32",
+        )
+    }
+
+    fn check_teams(&self) -> Result<(), SettingsError> {
+        for (i, team) in self.teams.iter().enumerate() {
+            let named_before = self.teams[..i].iter().any(|other| other.name == team.name);
+            require(
+                !team.name.is_empty() && !named_before,
+                &format!("deployment.teams[{i}].name"),
+                "must be a name of its own",
+            )?;
+            team.check(i)?;
         }
         Ok(())
     }
 }
+
+impl WorkerSettings {
+    fn check(&self) -> Result<(), SettingsError> {
+        require(
+            self.heartbeat_interval_s < self.lease_s,
+            "deployment.workers.report_s",
+            "must be shorter than deployment.workers.lease_s",
+        )
+    }
+}
+
+impl Team {
+    fn check(&self, index: usize) -> Result<(), SettingsError> {
+        let field = |name: &str| format!("deployment.teams[{index}].{name}");
+        for (name, value) in [
+            ("cpus", self.cpus),
+            ("cpus_max", self.cpus_max),
+            ("gpus", self.gpus),
+            ("gpus_max", self.gpus_max),
+        ] {
+            require_not_negative(value, &field(name))?;
+        }
+        require(
+            self.cpus_max <= 0.0 || self.cpus <= self.cpus_max,
+            &field("cpus"),
+            "must not exceed cpus_max",
+        )?;
+        require(
+            self.gpus_max <= 0.0 || self.gpus <= self.gpus_max,
+            &field("gpus"),
+            "must not exceed gpus_max",
+        )
+    }
+}
+
+fn require(holds: bool, field: &str, reason: &str) -> Result<(), SettingsError> {
+    if holds {
+        return Ok(());
+    }
+    Err(SettingsError::Invalid {
+        field: field.to_owned(),
+        reason: reason.to_owned(),
+    })
+}
+
+fn require_positive(value: f64, field: &str) -> Result<(), SettingsError> {
+    require(
+        value.is_finite() && value > 0.0,
+        field,
+        "must be a number above 0",
+    )
+}
+
+fn require_not_negative(value: f64, field: &str) -> Result<(), SettingsError> {
+    require(
+        value.is_finite() && value >= 0.0,
+        field,
+        "must be a number of at least 0",
+    )
+}
