--- a/tests/bindings.rs
+++ b/tests/bindings.rs
@@ -170,7 +170,7 @@
     }
 }
 
-/// Orders that go out directly, and what became of the call.
+/// Commands that go out directly, and what became of the call.
 fn sent_directly(worker: &mut Worker, orders: &[Command], fate: CallOutcome) {
     worker.record_sent(orders, DeliveryPath::DirectCall, &freshness());
     worker.record_call_outcome(orders, fate);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -79,7 +79,7 @@
     }
 }
 
-/// A host that is up and takes tasks.
+/// A worker that is up and takes tasks.
 pub fn worker(name: &str, zone: &str, spot: bool) -> Worker {
     let mut worker = Worker::new(name, "f", zone, spot, 0.0);
     worker.token_acknowledged = true;
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -8,7 +8,7 @@
 use cedarladder::settings::WorkerSettings;
 
 const LEASE_S: f64 = 10.0;
-/// What is left of `CANCEL_S` after a lease and half a report interval, by the slower of two clocks.
+/// What is left of `CANCEL_S` after a lease and half a heartbeat interval, by the slower of two clocks.
 const HOLD_OVER_S: f64 = 18.98;
 
 fn workers() -> WorkerSettings {
@@ -50,7 +50,7 @@
         self.election
             .on_response(&ask, &reply, sent, &mut self.out, now)
     }
-    /// Wins with Epoch 42 at time 0.1; the lease was asked for at time 0.
+    /// Wins with epoch 42 at time 0.1; the lease was asked for at time 0.
     fn won(mut self) -> Bed {
         self.election.poll(true, 0.0, &mut self.out, 0.0);
         self.reply(
@@ -71,7 +71,7 @@
     }
 }
 
-/// A step of a node whose view of the open jobs was current at `current_at`.
+/// A step of a controller whose view of the open jobs was current at `current_at`.
 fn drive(bed: &mut Bed, current_at: f64, now: f64) -> LeadershipChange {
     bed.election.poll(true, current_at, &mut bed.out, now)
 }
@@ -267,7 +267,7 @@
     assert_eq!(not_elected.may_renew(), Err(Denial::NotLeader));
 }
 
-/// Another node takes the lead while this node's lease is on its way: its key is left alone. Taking
+/// Another controller takes leadership while this controller's lease is on its way: its key is left alone. Taking
 /// over by the version just seen, as if it were one's own, deposed a leader of a few milliseconds.
 #[test]
 fn beaten_to_it() {
--- a/tests/frontend.rs
+++ b/tests/frontend.rs
@@ -1,4 +1,4 @@
-//! The users' frontend: every wish against every state of the job's keys.
+//! The users' job API: every wish against every state of the job's keys.
 
 mod common;
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// Answers the frontend's calls as a state service in this state would, until the user is answered.
+/// Answers the job API's calls as a state service in this state would, until the user is answered.
 fn serve(frontend: &mut JobApi, out: &mut Effects, truth: Truth) -> (u16, String) {
     for _ in 0..10 {
         for action in std::mem::take(&mut out.queue) {
@@ -135,7 +135,7 @@
         ("cancel", Aborted, 200, "aborted"),
     ];
     for (wish, truth, status, word) in cases {
-        // What the node believes may be late in either way.
+        // What the controller believes may be late in either way.
         for belief in [Never, Open] {
             let mut frontend = JobApi::new(&limits(), 1.0, 1.0);
             let mut out = Effects::default();
--- a/tests/golden/leaders.rs
+++ b/tests/golden/leaders.rs
@@ -1,4 +1,4 @@
-//! A node that starts, comes to lead, and answers a worker: its calls to the state service, with the key
+//! A controller that starts, comes to lead, and answers a worker: its calls to the state service, with the key
 //! that says who leads, and its answer with a token.
 
 use super::pinned::PinnedFile;
@@ -11,7 +11,7 @@
 use cedarladder::transport::http;
 use std::collections::BTreeSet;
 
-/// Time between two ticks of the node, and the number of them in which it has come to lead.
+/// Time between two ticks of the controller, and the number of them in which it has come to lead.
 const TICK_S: f64 = 0.5;
 const TICKS: u32 = 40;
 /// Time of day at the start.
@@ -41,7 +41,7 @@
     }
 }
 
-/// Lets a node run for a tick, and collects the calls that it makes of the state service.
+/// Lets a controller run for a tick, and collects the calls that it makes of the state service.
 fn run_for_a_tick(node: &mut Controller, requests: &mut BTreeSet<Vec<u8>>, now: Now) {
     node.tick(now);
     for action in tell_types(node) {
--- a/tests/golden/users.rs
+++ b/tests/golden/users.rs
@@ -232,7 +232,7 @@
     file.finish();
 }
 
-/// What the state service says of every call of a node.
+/// What the state service says of every call of a controller.
 #[derive(Clone, Copy)]
 enum Truth {
     /// No job has ever been there.
@@ -245,7 +245,7 @@
     Out,
 }
 
-/// A job that fits the settings and the machine types here.
+/// A job that fits the settings and the instance types here.
 const JOB: &str = "j-1";
 /// Revision of what is in the state service.
 const STAMP: u64 = 5;
@@ -253,9 +253,9 @@
 const REQUEST: u64 = 1;
 /// Address of the state service.
 pub const STATE_SERVICE: &str = "10.2.0.1:2379";
-/// Rounds in which a node has made all its calls.
+/// Rounds in which a controller has made all its calls.
 const ROUNDS: usize = 10;
-/// Polls after which a node takes no more.
+/// Polls after which a controller takes no more.
 const MANY_POLLS: u64 = 3_000;
 const START: Now = Now {
     monotonic: 0.0,
@@ -269,7 +269,7 @@
     Controller::new(settings, policy, 1)
 }
 
-/// A node that has seen the machine types.
+/// A controller that has seen the instance types.
 fn node_with_types() -> Controller {
     let mut node = node();
     node.tick(START);
@@ -278,7 +278,7 @@
     node
 }
 
-/// A node that has seen the machine types and the open jobs, of which there are none.
+/// A controller that has seen the instance types and the open jobs, of which there are none.
 fn ready_node() -> Controller {
     let mut node = node();
     node.tick(START);
@@ -302,7 +302,7 @@
     node
 }
 
-/// A node that has been told by a peer who leads.
+/// A controller that has been told by a peer who leads.
 fn node_with_a_leader() -> Controller {
     let mut node = ready_node();
     let heartbeat = PeerHeartbeat {
@@ -320,7 +320,7 @@
     node
 }
 
-/// Answers a node's question for the machine types, and returns what else it wants done.
+/// Answers a controller's question for the instance types, and returns what else it wants done.
 pub fn tell_types(node: &mut Controller) -> Vec<Effect> {
     let types = cbor!({"Flavors" => [{"Label" => "f", "Cores" => 8, "RamGb" => 32,
         "Hourly" => 1, "ReadyS" => 25, "Groves" => ["a", "b"]}]});
@@ -381,7 +381,7 @@
     }
 }
 
-/// Sends a request to a node, and pins the answer and the calls to the state service that lead to it, all as
+/// Sends a request to a controller, and pins the answer and the calls to the state service that lead to it, all as
 /// they are written to connections.
 fn pin_exchange(
     file: &mut PinnedFile,
@@ -431,7 +431,7 @@
     with(&job, "Flavors", Value::Null)
 }
 
-/// What users are told by a node that knows the machine types, by what the state service has.
+/// What users are told by a controller that knows the instance types, by what the state service has.
 #[test]
 fn answers_to_users_keep_their_bytes() {
     let mut file = PinnedFile::open("user_requests");
--- a/tests/golden/workers.rs
+++ b/tests/golden/workers.rs
@@ -13,7 +13,7 @@
     FencingToken::new(41, 7)
 }
 
-/// A report as a worker sends it.
+/// A heartbeat as a worker sends it.
 pub fn received_report() -> Value {
     cbor!({"Host" => "host-000231", "Endpoint" => "10.1.0.232:9000", "Flavor" => "g8",
         "Grove" => "a", "Windfall" => true, "Tenure" => 1, "Tick" => 88, "Epoch" => 41,
@@ -23,7 +23,7 @@
     .expect("a value")
 }
 
-/// An answer to a report, or, with a session, a direct command.
+/// An answer to a heartbeat, or, with an incarnation, a direct command.
 pub fn two_orders(incarnation: Option<u64>) -> CommandBatch {
     let order = |verb, step: &str, attempt, drain_s| Command {
         kind: verb,
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -88,7 +88,7 @@
         [usize; 4],
     );
     let slot = "log/00000=0";
-    // Entries: kinds of hosts, bindings, ends, chunks of completed tasks.
+    // Entries: kinds of workers, bindings, ends, chunks of completed tasks.
     let cases: Vec<Case> = vec![
         (
             "a bind is conditional on leader, slot and job",
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -16,7 +16,7 @@
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 
-/// Submits, polls and cancels at many times what the state service lets a node do: each gets a
+/// Submits, polls and cancels at many times what the state service lets a controller do: each gets a
 /// final answer soon, a refusal tells when to come back, and the limits are kept.
 #[test]
 fn prompt_answers() {
@@ -124,7 +124,7 @@
     }
 }
 
-/// A node that all users ask answers for jobs that have ended too: looks are not starved by the
+/// A controller that all users ask answers for jobs that have ended too: looks are not starved by the
 /// comparisons for those that are open. What a peer has told needs no look.
 #[test]
 fn ended_jobs_beside_many_polls() {
@@ -310,7 +310,7 @@
     assert_eq!(overdue.len(), 3, "all are idle for too long");
 }
 
-/// What a node may use of a budget that all share: what the others leave, and its equal part at least.
+/// What a controller may use of a budget that all share: what the others leave, and its equal part at least.
 #[test]
 fn shares_of_a_budget() {
     let idle = Some(0.0);
@@ -337,8 +337,8 @@
     }
 }
 
-/// Many small jobs submitted at one of five nodes are accepted at once while the other nodes are idle,
-/// and no faster than the node's equal part while it hears nothing of them.
+/// Many small jobs submitted at one of five controllers are accepted at once while the other controllers are idle,
+/// and no faster than the controller's equal part while it hears nothing of them.
 #[test]
 fn submissions_at_one_of_many_nodes() {
     let limits = StateLimits {
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -61,7 +61,7 @@
     a.on_message("b", &b.next_message(7.0));
     a.on_message("c", &c.next_message(7.0));
     assert_eq!(jobs(&a.next_message(8.0)), Vec::<&str>::new());
-    // An acknowledgement for an earlier life of this node says nothing about its ends now.
+    // An acknowledgement for an earlier life of this controller says nothing about its ends now.
     let mut a = queue("a", 10);
     a.push(vec![ended(4)], 9.0);
     a.on_message("b", &b.next_message(9.0));
--- a/tests/permits.rs
+++ b/tests/permits.rs
@@ -7,7 +7,7 @@
 use common::freshness;
 
 /// Each: what differs from a leader that has just been confirmed, whether it may start tasks, and whether
-/// it may renew leases. Views are good for starts for 4 s, the hold-over lasts 10 s.
+/// it may renew leases. Views are good for starts for 4 s, the lease grace period lasts 10 s.
 #[test]
 fn knowledge_of_every_age() {
     type Case = (
--- a/tests/reports.rs
+++ b/tests/reports.rs
@@ -1,4 +1,4 @@
-//! What a report tells a leader, and what an old one does not.
+//! What a heartbeat tells a leader, and what an old one does not.
 
 mod common;
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// 200 with these orders, under the leader's token.
+/// 200 with these commands, under the leader's token.
 fn answer(orders: Vec<Command>) -> HeartbeatOutcome {
     HeartbeatOutcome::Commands(CommandBatch {
         token: FencingToken::new(EPOCH, 0),
@@ -122,7 +122,7 @@
     }
 }
 
-/// Who has seen a higher Epoch is sent away at once, by a late copy too.
+/// Who has seen a higher epoch is sent away at once, by a late copy too.
 #[test]
 fn superseded() {
     for (name, epoch, expected) in [
@@ -150,7 +150,7 @@
         exit_reason: None,
     };
     let running = || vec![step(TaskState::Running)];
-    // Each: whether the tables are loaded, the tasks, whether the node may renew, whether it knows the
+    // Each: whether the tables are loaded, the tasks, whether the controller may renew, whether it knows the
     // job as open, and whether the lease is renewed.
     let cases = [
         (
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -70,7 +70,7 @@
     s
 }
 
-/// (name, scene, hosts of the binds in order, halted tasks, tasks without room)
+/// (name, scene, workers of the binds in order, evicted tasks, tasks without room)
 type Case = (
     &'static str,
     Scene,
--- a/tests/tokens.rs
+++ b/tests/tokens.rs
@@ -23,7 +23,7 @@
     Controller::new(settings, policy, 1)
 }
 
-/// A report with whatever stands for its token.
+/// A heartbeat with whatever stands for its token.
 fn report(epoch: Value) -> Vec<u8> {
     let text = |s: &str| Value::Text(s.to_owned());
     let fields = vec![
@@ -40,7 +40,7 @@
     cbor::encode(&Value::Map(fields))
 }
 
-/// Status and body of the answer to a report.
+/// Status and body of the answer to a heartbeat.
 fn answer(epoch: Value) -> (u16, String) {
     let mut node = controller();
     node.on_request(1, "POST", "/v1/report", &report(epoch), START);
@@ -99,7 +99,7 @@
     );
 }
 
-/// A report whose token can't be is refused with the field and a remedy.
+/// A heartbeat whose token can't be is refused with the field and a remedy.
 #[test]
 fn impossible_reports() {
     for (name, epoch, remedy) in [
