--- a/tests/soak/options.rs
+++ b/tests/soak/options.rs
@@ -25,7 +25,7 @@
     /// Machines that the cloud has.
     #[arg(long, default_value_t = 24, value_parser = clap::value_parser!(u64).range(4..=1000))]
     pub machines: u64,
-    /// Seconds during which troubles begin.
+    /// Seconds during which faults begin.
     #[arg(long, default_value_t = 40.0, value_parser = positive)]
     pub duration: f64,
     /// Seconds of the run for a second of the protocol's times.
@@ -37,7 +37,7 @@
     /// Where the controllers' logs are kept; they are dropped after a run without findings unless given.
     #[arg(long)]
     pub logs: Option<PathBuf>,
-    /// Print the schedule of troubles and run nothing.
+    /// Print the schedule of faults and run nothing.
     #[arg(long)]
     pub plan: bool,
 }
