--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -13,7 +13,7 @@
 mod write_budget;
 
 use super::effects::{
-    CloudRequestKind, CorrelationId, Effect, Effects, KvRequestKind, PendingKvRequest,
+    CloudRequestKind, CorrelationId, Effect, Effects, KvRequestContext, PendingKvRequest,
 };
 use super::election::{Election, ElectionTimeouts};
 use super::instance_catalog::InstanceCatalog;
@@ -217,7 +217,7 @@
         };
         self.state_service
             .observe_response(&response, now.monotonic);
-        let leader_may_act = pending.kind.may_concern_leader();
+        let leader_may_act = pending.context.may_concern_leader();
         self.dispatch_kv_response(pending, response, now);
         self.tell_leader_of_finished_jobs();
         if leader_may_act {
@@ -228,43 +228,45 @@
     /// Passes a response to the component that sent the request.
     fn dispatch_kv_response(&mut self, request: PendingKvRequest, response: KvResponse, now: Now) {
         let PendingKvRequest {
-            kind,
+            context,
             sent_at: sent,
         } = request;
         let t = now.monotonic;
         let effects = &mut self.effects;
-        match kind {
-            KvRequestKind::OpenJobsWatch => {
+        match context {
+            KvRequestContext::OpenJobsWatch => {
                 let updates = self.jobs_watch.on_response(response, sent, t);
                 self.apply_open_jobs_updates(updates, now);
             }
-            KvRequestKind::LeaderWatch => {
+            KvRequestContext::LeaderWatch => {
                 let updates = self.leader_watch.on_response(response, sent, t);
                 self.apply_leader_key_updates(updates, t);
             }
-            KvRequestKind::GrantLease
-            | KvRequestKind::Campaign
-            | KvRequestKind::KeepAlive
-            | KvRequestKind::RevokeLease => {
+            KvRequestContext::GrantLease
+            | KvRequestContext::Campaign
+            | KvRequestContext::KeepAlive
+            | KvRequestContext::RevokeLease => {
                 let change = self
                     .election
-                    .on_response(&kind, &response, sent, effects, t);
+                    .on_response(&context, &response, sent, effects, t);
                 self.apply_leadership_change(change, t);
             }
-            KvRequestKind::RevisionCheck(check) => {
+            KvRequestContext::RevisionCheck(check) => {
                 self.job_api
                     .on_revision_check_completed(check, response, effects, t);
             }
-            KvRequestKind::JobLookup(id) => {
+            KvRequestContext::JobLookup(id) => {
                 self.job_api.on_lookup_completed(&id, response, effects, t);
             }
-            KvRequestKind::JobWrites(batch) => self.on_job_writes_completed(batch, response, now),
-            KvRequestKind::RecoveryRead(epoch)
-            | KvRequestKind::LogAppend(epoch)
-            | KvRequestKind::LogReadBack(epoch) => {
-                self.on_leader_kv_response(&kind, epoch, response, now);
+            KvRequestContext::JobWrites(batch) => {
+                self.on_job_writes_completed(batch, response, now);
+            }
+            KvRequestContext::RecoveryRead(epoch)
+            | KvRequestContext::LogAppend(epoch)
+            | KvRequestContext::LogReadBack(epoch) => {
+                self.on_leader_kv_response(&context, epoch, response, now);
             }
-            KvRequestKind::InstanceCatalog => {
+            KvRequestContext::InstanceCatalog => {
                 let changed = self.catalog.on_kv_response(&response);
                 self.set_instance_types_if(changed);
             }
@@ -285,7 +287,7 @@
     /// Passes a response to the leader, if it still leads with the epoch of the call.
     fn on_leader_kv_response(
         &mut self,
-        kind: &KvRequestKind,
+        context: &KvRequestContext,
         epoch: u64,
         response: KvResponse,
         now: Now,
@@ -295,9 +297,9 @@
         let Some(leader) = leader.filter(|leader| leader.epoch() == epoch) else {
             return;
         };
-        match kind {
-            KvRequestKind::RecoveryRead(_) => leader.on_recovery_page(response, t, now.wall),
-            KvRequestKind::LogAppend(_) => {
+        match context {
+            KvRequestContext::RecoveryRead(_) => leader.on_recovery_page(response, t, now.wall),
+            KvRequestContext::LogAppend(_) => {
                 leader.on_commit_completed(response, &mut self.effects, t);
             }
             _ => leader.on_read_back(response, &mut self.effects, t),
@@ -407,7 +409,7 @@
 fn open_jobs_watch(workers: &WorkerSettings, request_timeout_s: f64) -> Watch {
     Watch::new(
         records::OPEN_PREFIX,
-        KvRequestKind::OpenJobsWatch,
+        KvRequestContext::OpenJobsWatch,
         workers.heartbeat_interval_s / WATCHES_PER_HEARTBEAT,
         request_timeout_s,
     )
@@ -416,7 +418,7 @@
 fn leader_watch(workers: &WorkerSettings, request_timeout_s: f64) -> Watch {
     Watch::new(
         records::LEADER_KEY,
-        KvRequestKind::LeaderWatch,
+        KvRequestContext::LeaderWatch,
         workers.lease_s,
         request_timeout_s,
     )
--- a/src/coordination/effects.rs
+++ b/src/coordination/effects.rs
@@ -63,7 +63,7 @@
 
 /// Which component asked the state service, and for what.
 #[derive(Debug, Clone, PartialEq)]
-pub enum KvRequestKind {
+pub enum KvRequestContext {
     /// Listing or watch of `open/`.
     OpenJobsWatch,
     /// Listing or watch of `leader`.
@@ -92,16 +92,16 @@
     InstanceCatalog,
 }
 
-impl KvRequestKind {
+impl KvRequestContext {
     /// Whether the response may give the leader something to do. Those to users' requests and to the
     /// renewal of the lease do not, and are many.
     pub(super) fn may_concern_leader(&self) -> bool {
         !matches!(
             self,
-            KvRequestKind::RevisionCheck(_)
-                | KvRequestKind::JobLookup(_)
-                | KvRequestKind::KeepAlive
-                | KvRequestKind::JobWrites(_)
+            KvRequestContext::RevisionCheck(_)
+                | KvRequestContext::JobLookup(_)
+                | KvRequestContext::KeepAlive
+                | KvRequestContext::JobWrites(_)
         )
     }
 }
@@ -161,7 +161,7 @@
 #[derive(Debug)]
 pub struct PendingKvRequest {
     /// Which component asked, and for what.
-    pub kind: KvRequestKind,
+    pub context: KvRequestContext,
     /// When it was sent, in monotonic seconds.
     pub sent_at: f64,
 }
@@ -193,9 +193,18 @@
 
 impl Effects {
     /// Sends a request to the state service.
-    pub fn call_kv(&mut self, kind: KvRequestKind, request: KvRequest, timeout_s: f64, now: f64) {
+    pub fn call_kv(
+        &mut self,
+        context: KvRequestContext,
+        request: KvRequest,
+        timeout_s: f64,
+        now: f64,
+    ) {
         let correlation_id = self.pending.next_id();
-        let pending = PendingKvRequest { kind, sent_at: now };
+        let pending = PendingKvRequest {
+            context,
+            sent_at: now,
+        };
         self.pending.kv.insert(correlation_id, pending);
         self.queue.push(Effect::CallKv {
             correlation_id,
@@ -205,9 +214,9 @@
     }
 
     /// Sends a request to the cloud.
-    pub fn call_cloud(&mut self, kind: CloudRequestKind, request: CloudRequest, timeout_s: f64) {
+    pub fn call_cloud(&mut self, context: CloudRequestKind, request: CloudRequest, timeout_s: f64) {
         let correlation_id = self.pending.next_id();
-        self.pending.cloud.insert(correlation_id, kind);
+        self.pending.cloud.insert(correlation_id, context);
         self.queue.push(Effect::CallCloud {
             correlation_id,
             request,
--- a/src/coordination/election/mod.rs
+++ b/src/coordination/election/mod.rs
@@ -11,7 +11,7 @@
 pub use state::{LeadershipChange, ObservedLeader};
 pub use timeouts::ElectionTimeouts;
 
-use super::effects::{Effects, KvRequestKind};
+use super::effects::{Effects, KvRequestContext};
 use crate::bookkeeping::permits::{FreshnessLimits, ViewFreshness};
 use crate::bookkeeping::records::{self, LeaderRecord};
 use crate::protocol::cbor;
@@ -226,7 +226,7 @@
                 ..leadership
             });
             let request = KvRequest::KeepAlive(leadership.lease_id);
-            self.call(KvRequestKind::KeepAlive, request, effects, now);
+            self.call(KvRequestContext::KeepAlive, request, effects, now);
         }
         LeadershipChange::None
     }
@@ -265,7 +265,7 @@
         self.state = ElectionState::AcquiringLease;
         let lease_ms = (self.timeouts.leader_lease_s * 1000.0) as u64;
         let request = KvRequest::GrantLease(lease_ms);
-        self.call(KvRequestKind::GrantLease, request, effects, now);
+        self.call(KvRequestContext::GrantLease, request, effects, now);
     }
 
     /// The transaction that takes the `leader` key, if its mod revision is still `replaced_revision`.
@@ -287,35 +287,35 @@
 
     // ---- calls and responses
 
-    fn call(&self, kind: KvRequestKind, request: KvRequest, effects: &mut Effects, now: f64) {
-        effects.call_kv(kind, request, self.timeouts.request_timeout_s(), now);
+    fn call(&self, context: KvRequestContext, request: KvRequest, effects: &mut Effects, now: f64) {
+        effects.call_kv(context, request, self.timeouts.request_timeout_s(), now);
     }
 
     fn revoke_lease(&self, lease_id: u64, effects: &mut Effects, now: f64) {
         let request = KvRequest::RevokeLease(lease_id);
-        self.call(KvRequestKind::RevokeLease, request, effects, now);
+        self.call(KvRequestContext::RevokeLease, request, effects, now);
     }
 
     /// Takes the response to a call of the election that was made at `sent`. One that comes in another
     /// state than that of the call is dropped.
     pub fn on_response(
         &mut self,
-        kind: &KvRequestKind,
+        context: &KvRequestContext,
         response: &KvResponse,
         sent: f64,
         effects: &mut Effects,
         now: f64,
     ) -> LeadershipChange {
-        match (kind, &self.state) {
-            (KvRequestKind::GrantLease, ElectionState::AcquiringLease) => {
+        match (context, &self.state) {
+            (KvRequestContext::GrantLease, ElectionState::AcquiringLease) => {
                 self.on_lease_response(response, sent, effects, now);
                 LeadershipChange::None
             }
-            (KvRequestKind::Campaign, ElectionState::Campaigning(campaign)) => {
+            (KvRequestContext::Campaign, ElectionState::Campaigning(campaign)) => {
                 let campaign = *campaign;
                 self.on_campaign_response(campaign, response, effects, now)
             }
-            (KvRequestKind::KeepAlive, ElectionState::Leader(leadership)) => {
+            (KvRequestContext::KeepAlive, ElectionState::Leader(leadership)) => {
                 let leadership = *leadership;
                 self.on_keep_alive_response(leadership, response, sent, now)
             }
@@ -345,7 +345,7 @@
             lease_requested_at: sent,
         });
         let request = KvRequest::Txn(self.campaign_txn(replaced_revision, lease_id));
-        self.call(KvRequestKind::Campaign, request, effects, now);
+        self.call(KvRequestContext::Campaign, request, effects, now);
     }
 
     fn on_campaign_response(
--- a/src/coordination/instance_catalog.rs
+++ b/src/coordination/instance_catalog.rs
@@ -1,7 +1,7 @@
 //! The instance types, as the cloud tells them and as the state service keeps them for controllers that start while
 //! the cloud is out.
 
-use super::effects::{CloudRequestKind, Effects, KvRequestKind};
+use super::effects::{CloudRequestKind, Effects, KvRequestContext};
 use crate::bookkeeping::records;
 use crate::protocol::cbor;
 use crate::protocol::cloud::{CloudRequest, CloudResponse, InstanceType};
@@ -63,7 +63,7 @@
         );
         if !self.stored_read {
             let call = KvRequest::Get(records::INSTANCE_CATALOG_KEY.to_owned());
-            effects.call_kv(KvRequestKind::InstanceCatalog, call, within_s, now);
+            effects.call_kv(KvRequestContext::InstanceCatalog, call, within_s, now);
         } else if let Some(epoch) = epoch {
             self.store_types(epoch, within_s, effects, now);
         }
@@ -87,8 +87,8 @@
             )],
         };
         self.being_stored = Some(instance_types.clone());
-        let kind = KvRequestKind::InstanceCatalog;
-        effects.call_kv(kind, KvRequest::Txn(txn), within_s, now);
+        let context = KvRequestContext::InstanceCatalog;
+        effects.call_kv(context, KvRequest::Txn(txn), within_s, now);
     }
 
     /// Takes the cloud's answer. True: the types are new.
--- a/src/coordination/job_api/lookups.rs
+++ b/src/coordination/job_api/lookups.rs
@@ -4,7 +4,7 @@
 use super::pending_request::PendingRequest;
 use crate::bookkeeping::rate_limit::TokenBucket;
 use crate::bookkeeping::records::{self, FinishedRecord};
-use crate::coordination::effects::{Effects, KvRequestKind};
+use crate::coordination::effects::{Effects, KvRequestContext};
 use crate::protocol::cbor;
 use crate::protocol::job::JobSpec;
 use crate::protocol::kv::{KeyValue, KvRequest, KvResponse};
@@ -144,8 +144,8 @@
             LookupPhase::ReadingFinished => records::finished_key(job),
             LookupPhase::Queued | LookupPhase::ReadingOpen => records::open_key(job),
         };
-        let kind = KvRequestKind::JobLookup(job.to_owned());
-        effects.call_kv(kind, KvRequest::Get(key), request_timeout_s / 2.0, now);
+        let context = KvRequestContext::JobLookup(job.to_owned());
+        effects.call_kv(context, KvRequest::Get(key), request_timeout_s / 2.0, now);
     }
 
     /// Takes the response to the read of one of the job's keys.
--- a/src/coordination/job_api/revision_checks.rs
+++ b/src/coordination/job_api/revision_checks.rs
@@ -5,7 +5,7 @@
 use super::pending_request::{PendingRequest, RequestQueue};
 use crate::bookkeeping::rate_limit::TokenBucket;
 use crate::bookkeeping::records;
-use crate::coordination::effects::{Effects, KvRequestKind};
+use crate::coordination::effects::{Effects, KvRequestContext};
 use crate::protocol::kv::{COMPARES_PER_WRITE, Compare, KvRequest, Txn};
 use crate::settings::StateLimits;
 use std::collections::HashSet;
@@ -66,8 +66,8 @@
             compares: compares(&batch, open),
             writes: Vec::new(),
         };
-        let kind = KvRequestKind::RevisionCheck(self.in_flight.add(batch, now));
-        effects.call_kv(kind, KvRequest::Txn(txn), request_timeout_s, now);
+        let context = KvRequestContext::RevisionCheck(self.in_flight.add(batch, now));
+        effects.call_kv(context, KvRequest::Txn(txn), request_timeout_s, now);
     }
 
     /// Removes a check that was answered, and returns its polls.
--- a/src/coordination/job_api/writes.rs
+++ b/src/coordination/job_api/writes.rs
@@ -6,7 +6,7 @@
 use super::pending_request::{PendingRequest, RequestKind, RequestQueue};
 use crate::bookkeeping::rate_limit::TokenBucket;
 use crate::bookkeeping::records::{self, FinishedRecord, JobOutcome};
-use crate::coordination::effects::{Effects, KvRequestKind};
+use crate::coordination::effects::{Effects, KvRequestContext};
 use crate::protocol::kv::{Compare, KvRequest, MAX_TXN_BYTES, Txn, WriteOp};
 
 /// Bytes of writes in one transaction, unless its only request needs more.
@@ -86,8 +86,8 @@
             self.budget.take_with_debt(operations, now);
             self.operations_sent += operations;
             request_budget.take_with_debt(1.0, now);
-            let kind = KvRequestKind::JobWrites(self.in_flight.add(draft.requests, now));
-            effects.call_kv(kind, KvRequest::Txn(draft.txn), request_timeout_s, now);
+            let context = KvRequestContext::JobWrites(self.in_flight.add(draft.requests, now));
+            effects.call_kv(context, KvRequest::Txn(draft.txn), request_timeout_s, now);
         }
         not_open
     }
--- a/src/coordination/leader/commit.rs
+++ b/src/coordination/leader/commit.rs
@@ -7,7 +7,7 @@
 use crate::bookkeeping::records::{self, FinishedRecord, JobOutcome};
 use crate::bookkeeping::wal::{LogEntry, RejectedBinding, Segment, TxnLimits, WriteAheadLog};
 use crate::bookkeeping::workers::Workers;
-use crate::coordination::effects::{Effects, KvRequestKind};
+use crate::coordination::effects::{Effects, KvRequestContext};
 use crate::protocol::cbor;
 use crate::protocol::kv::{KvRequest, KvResponse};
 use crate::settings::Settings;
@@ -124,8 +124,8 @@
             self.in_flight = true;
             // Small transactions are batched, the longer the more of the budget is used up.
             self.next_commit_at = now + self.commit_interval_s;
-            let kind = KvRequestKind::LogAppend(self.epoch);
-            effects.call_kv(kind, KvRequest::Txn(txn), self.request_timeout_s(), now);
+            let context = KvRequestContext::LogAppend(self.epoch);
+            effects.call_kv(context, KvRequest::Txn(txn), self.request_timeout_s(), now);
         }
         self.log.take_rejected_bindings()
     }
@@ -192,8 +192,8 @@
     fn read_back(&mut self, key: String, effects: &mut Effects, now: f64) {
         self.in_flight = true;
         self.request_budget.take_with_debt(1.0, now);
-        let kind = KvRequestKind::LogReadBack(self.epoch);
-        effects.call_kv(kind, KvRequest::Get(key), self.request_timeout_s(), now);
+        let context = KvRequestContext::LogReadBack(self.epoch);
+        effects.call_kv(context, KvRequest::Get(key), self.request_timeout_s(), now);
     }
 
     /// Takes the response to the read that tells whether a transaction of unknown outcome was executed.
--- a/src/coordination/leader/recovery.rs
+++ b/src/coordination/leader/recovery.rs
@@ -6,7 +6,7 @@
 use crate::bookkeeping::jobs::ClosedJobs;
 use crate::bookkeeping::records::{self, ProvisioningRecord};
 use crate::bookkeeping::wal::Segment;
-use crate::coordination::effects::{Effects, KvRequestKind};
+use crate::coordination::effects::{Effects, KvRequestContext};
 use crate::protocol::cbor;
 use crate::protocol::job::JobSpec;
 use crate::protocol::kv::{KeyValue, KvRequest, KvResponse};
@@ -218,8 +218,8 @@
             return;
         };
         self.commits.charge_request(now);
-        let kind = KvRequestKind::RecoveryRead(self.epoch);
-        effects.call_kv(kind, request, self.commits.request_timeout_s(), now);
+        let context = KvRequestContext::RecoveryRead(self.epoch);
+        effects.call_kv(context, request, self.commits.request_timeout_s(), now);
     }
 
     /// Takes a page of records. The last one completes the recovery.
--- a/src/coordination/watch.rs
+++ b/src/coordination/watch.rs
@@ -1,6 +1,6 @@
 //! Follows a prefix of the state service: one listing, then changes.
 
-use super::effects::{Effects, KvRequestKind};
+use super::effects::{Effects, KvRequestContext};
 use crate::protocol::kv::{KeyValue, KvRequest, KvResponse, WatchEvent};
 
 /// What a watch has learned.
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub struct Watch {
     prefix: &'static str,
-    request_kind: KvRequestKind,
+    context: KvRequestContext,
     wait_s: f64,
     request_timeout_s: f64,
     revision: Option<u64>,
@@ -59,13 +59,13 @@
     /// The shorter the waits, the better it is known up to when the content is current.
     pub fn new(
         prefix: &'static str,
-        kind: KvRequestKind,
+        context: KvRequestContext,
         wait_s: f64,
         request_timeout_s: f64,
     ) -> Watch {
         Watch {
             prefix,
-            request_kind: kind,
+            context,
             wait_s,
             request_timeout_s,
             revision: None,
@@ -117,7 +117,7 @@
                 self.request_timeout_s,
             ),
         };
-        effects.call_kv(self.request_kind.clone(), call, within_s, now);
+        effects.call_kv(self.context.clone(), call, within_s, now);
     }
 
     /// Takes the answer to the call that was made at `sent`.
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -2,7 +2,7 @@
 
 use cedarladder::bookkeeping::permits::Denial;
 use cedarladder::bookkeeping::records::LeaderRecord;
-use cedarladder::coordination::effects::{Effect, Effects, KvRequestKind};
+use cedarladder::coordination::effects::{Effect, Effects, KvRequestContext};
 use cedarladder::coordination::election::{
     Election, ElectionTimeouts, LeadershipChange, ObservedLeader,
 };
@@ -44,25 +44,25 @@
     }
     fn respond(
         &mut self,
-        kind: KvRequestKind,
+        context: KvRequestContext,
         response: KvResponse,
         sent: f64,
         now: f64,
     ) -> LeadershipChange {
         self.election
-            .on_response(&kind, &response, sent, &mut self.effects, now)
+            .on_response(&context, &response, sent, &mut self.effects, now)
     }
     /// Elected with epoch 42 at time 0.1; the lease was asked for at time 0.
     fn elected(mut self) -> Harness {
         self.election.poll(true, 0.0, &mut self.effects, 0.0);
         self.respond(
-            KvRequestKind::GrantLease,
+            KvRequestContext::GrantLease,
             KvResponse::LeaseGranted(9),
             0.0,
             0.05,
         );
         let outcome = self.respond(
-            KvRequestKind::Campaign,
+            KvRequestContext::Campaign,
             KvResponse::Committed(42),
             0.05,
             0.1,
@@ -122,7 +122,7 @@
         };
         assert_eq!(granted, vec![KvRequest::GrantLease(2000)], "{name}");
         harness.respond(
-            KvRequestKind::GrantLease,
+            KvRequestContext::GrantLease,
             KvResponse::LeaseGranted(9),
             1.0,
             1.1,
@@ -141,19 +141,33 @@
     let cases: [(&str, Steps, LeadershipChange, bool); 12] = [
         (
             "a renewal",
-            |harness| harness.respond(KvRequestKind::KeepAlive, KvResponse::LeaseOk, 1.0, 1.1),
+            |harness| harness.respond(KvRequestContext::KeepAlive, KvResponse::LeaseOk, 1.0, 1.1),
             LeadershipChange::None,
             true,
         ),
         (
             "the lease has expired",
-            |harness| harness.respond(KvRequestKind::KeepAlive, KvResponse::LeaseExpired, 1.0, 1.1),
+            |harness| {
+                harness.respond(
+                    KvRequestContext::KeepAlive,
+                    KvResponse::LeaseExpired,
+                    1.0,
+                    1.1,
+                )
+            },
             LeadershipChange::Deposed,
             false,
         ),
         (
             "a refused renewal: the lease grace period",
-            |harness| harness.respond(KvRequestKind::KeepAlive, KvResponse::Unavailable, 1.0, 1.1),
+            |harness| {
+                harness.respond(
+                    KvRequestContext::KeepAlive,
+                    KvResponse::Unavailable,
+                    1.0,
+                    1.1,
+                )
+            },
             LeadershipChange::None,
             true,
         ),
@@ -204,7 +218,7 @@
         (
             "renewed, with a view of the open jobs as old as the lease grace period",
             |harness| {
-                harness.respond(KvRequestKind::KeepAlive, KvResponse::LeaseOk, 25.0, 25.1);
+                harness.respond(KvRequestContext::KeepAlive, KvResponse::LeaseOk, 25.0, 25.1);
                 poll(harness, 9.0, 9.0 + LEASE_GRACE_S - 0.1)
             },
             LeadershipChange::None,
@@ -213,7 +227,7 @@
         (
             "renewed, with a view of the open jobs that is older than that",
             |harness| {
-                harness.respond(KvRequestKind::KeepAlive, KvResponse::LeaseOk, 25.0, 25.1);
+                harness.respond(KvRequestContext::KeepAlive, KvResponse::LeaseOk, 25.0, 25.1);
                 poll(harness, 9.0, 9.0 + LEASE_GRACE_S + 0.1)
             },
             LeadershipChange::Deposed,
@@ -240,7 +254,7 @@
     for (now, held) in [(0.1, true), (1.9, true), (2.0, false), (5.0, false)] {
         assert_eq!(harness.election.holds_lease(now), held, "at {now}");
     }
-    harness.respond(KvRequestKind::KeepAlive, KvResponse::LeaseOk, 1.5, 5.0);
+    harness.respond(KvRequestContext::KeepAlive, KvResponse::LeaseOk, 1.5, 5.0);
     for (now, held) in [(3.4, true), (3.5, false)] {
         assert_eq!(harness.election.holds_lease(now), held, "renewed, at {now}");
     }
@@ -262,7 +276,7 @@
     ];
     for (name, current_at, now, expected) in cases {
         let mut harness = Harness::new().elected();
-        harness.respond(KvRequestKind::KeepAlive, KvResponse::LeaseOk, 10.0, 10.1);
+        harness.respond(KvRequestContext::KeepAlive, KvResponse::LeaseOk, 10.0, 10.1);
         let freshness = harness
             .election
             .view_freshness(current_at, f64::NEG_INFINITY, now);
@@ -285,7 +299,7 @@
         .observe_leader(Some(observed("n1", 5, 7)), 0.0, 0.05);
     harness.calls();
     harness.respond(
-        KvRequestKind::GrantLease,
+        KvRequestContext::GrantLease,
         KvResponse::LeaseGranted(9),
         0.0,
         0.1,
@@ -301,14 +315,14 @@
     let mut harness = Harness::new();
     harness.election.poll(true, 0.0, &mut harness.effects, 0.0);
     harness.respond(
-        KvRequestKind::GrantLease,
+        KvRequestContext::GrantLease,
         KvResponse::LeaseGranted(9),
         0.0,
         0.1,
     );
     harness.calls();
     harness.respond(
-        KvRequestKind::Campaign,
+        KvRequestContext::Campaign,
         KvResponse::OutcomeUnknown,
         0.1,
         0.8,
--- a/tests/job_api.rs
+++ b/tests/job_api.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use cedarladder::bookkeeping::records::{self, FinishedRecord, JobOutcome};
-use cedarladder::coordination::effects::{Effect, Effects, KvRequestKind};
+use cedarladder::coordination::effects::{Effect, Effects, KvRequestContext};
 use cedarladder::coordination::job_api::{JobApi, UnsatisfiableJob};
 use cedarladder::protocol::cbor;
 use cedarladder::protocol::kv::{KeyValue, KvRequest, KvResponse, Txn};
@@ -54,16 +54,16 @@
                     request,
                     ..
                 } => {
-                    let kind = effects.take_kv_request(correlation_id).unwrap().kind;
+                    let context = effects.take_kv_request(correlation_id).unwrap().context;
                     let response = state_service(&request, stored);
-                    match kind {
-                        KvRequestKind::RevisionCheck(check) => {
+                    match context {
+                        KvRequestContext::RevisionCheck(check) => {
                             job_api.on_revision_check_completed(check, response, effects, 0.1);
                         }
-                        KvRequestKind::JobWrites(batch) => {
+                        KvRequestContext::JobWrites(batch) => {
                             job_api.on_writes_completed(batch, response, effects, 0.1);
                         }
-                        KvRequestKind::JobLookup(id) => {
+                        KvRequestContext::JobLookup(id) => {
                             job_api.on_lookup_completed(&id, response, effects, 0.1);
                         }
                         _ => unreachable!(),
--- a/tests/late_leader_records.rs
+++ b/tests/late_leader_records.rs
@@ -14,7 +14,7 @@
 mod common;
 mod scene;
 
-use cedarladder::coordination::effects::{Effects, KvRequestKind};
+use cedarladder::coordination::effects::{Effects, KvRequestContext};
 use cedarladder::coordination::election::{Election, ElectionTimeouts, LeadershipChange};
 use cedarladder::protocol::kv::KvResponse;
 use cedarladder::settings::WorkerSettings;
@@ -75,7 +75,7 @@
     election.poll(true, from, effects, from);
     let granted = KvResponse::LeaseGranted(lease_id);
     election.on_response(
-        &KvRequestKind::GrantLease,
+        &KvRequestContext::GrantLease,
         &granted,
         from,
         effects,
@@ -83,7 +83,7 @@
     );
     let committed = KvResponse::Committed(epoch);
     let change = election.on_response(
-        &KvRequestKind::Campaign,
+        &KvRequestContext::Campaign,
         &committed,
         from + 0.1,
         effects,
@@ -98,8 +98,8 @@
     for response in [KvResponse::LeaseExpired, KvResponse::LeaseOk] {
         let mut effects = Effects::default();
         let mut election = won_again(&mut effects);
-        let kind = KvRequestKind::KeepAlive;
-        let change = election.on_response(&kind, &response, 3.0, &mut effects, 3.5);
+        let context = KvRequestContext::KeepAlive;
+        let change = election.on_response(&context, &response, 3.0, &mut effects, 3.5);
         assert_eq!(change, LeadershipChange::None, "{response:?}");
         assert_eq!(election.epoch(), Some(44), "{response:?}");
         // The lease was asked for at 3.1 and is certainly held for just under two seconds.
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -4,7 +4,7 @@
 
 use cedarladder::bookkeeping::rate_limit::fair_share_rate;
 use cedarladder::bookkeeping::records::{FinishedRecord, JobOutcome};
-use cedarladder::coordination::effects::{Effect, Effects, KvRequestKind};
+use cedarladder::coordination::effects::{Effect, Effects, KvRequestContext};
 use cedarladder::coordination::job_api::JobApi;
 use cedarladder::protocol::cbor;
 use cedarladder::protocol::kv::{KeyValue, KvRequest, KvResponse};
@@ -72,13 +72,13 @@
                             ..
                         } => {
                             calls += 1;
-                            let ask = out.take_kv_request(correlation_id).expect("a call").kind;
+                            let ask = out.take_kv_request(correlation_id).expect("a call").context;
                             if let KvRequest::Txn(txn) = &call {
                                 assert!(txn.writes.len() <= limits.txn_ops, "{name}");
                                 changes += txn.writes.len();
                             }
                             match ask {
-                                KvRequestKind::RevisionCheck(call) => {
+                                KvRequestContext::RevisionCheck(call) => {
                                     frontend.on_revision_check_completed(
                                         call,
                                         KvResponse::Committed(9),
@@ -86,7 +86,7 @@
                                         now,
                                     );
                                 }
-                                KvRequestKind::JobWrites(call) => {
+                                KvRequestContext::JobWrites(call) => {
                                     frontend.on_writes_completed(
                                         call,
                                         KvResponse::Committed(9),
@@ -94,7 +94,7 @@
                                         now,
                                     );
                                 }
-                                KvRequestKind::JobLookup(id) => {
+                                KvRequestContext::JobLookup(id) => {
                                     frontend.on_lookup_completed(
                                         &id,
                                         KvResponse::NotFound,
@@ -171,9 +171,9 @@
             }
             while back.front().is_some_and(|(at, ..)| *at <= now) {
                 let (_, correlation_id, call) = back.pop_front().expect("a call");
-                let ask = out.take_kv_request(correlation_id).expect("a call").kind;
+                let ask = out.take_kv_request(correlation_id).expect("a call").context;
                 match (ask, call) {
-                    (KvRequestKind::RevisionCheck(check), KvRequest::Txn(txn)) => {
+                    (KvRequestContext::RevisionCheck(check), KvRequest::Txn(txn)) => {
                         let failed: Vec<String> = txn
                             .compares
                             .iter()
@@ -187,7 +187,7 @@
                         };
                         frontend.on_revision_check_completed(check, reply, &mut out, now);
                     }
-                    (KvRequestKind::JobLookup(id), KvRequest::Get(key)) => {
+                    (KvRequestContext::JobLookup(id), KvRequest::Get(key)) => {
                         looks += 1;
                         let reply = if key.starts_with("over/") {
                             let record = FinishedRecord {
@@ -382,8 +382,8 @@
                         ..
                     } => {
                         let pending = out.take_kv_request(correlation_id);
-                        let Some(KvRequestKind::JobWrites(number)) =
-                            pending.map(|pending| pending.kind)
+                        let Some(KvRequestContext::JobWrites(number)) =
+                            pending.map(|pending| pending.context)
                         else {
                             continue;
                         };
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -1,6 +1,6 @@
 //! What peers tell one another of ended jobs, and how a watch knows that it is current.
 
-use cedarladder::coordination::effects::{Effect, Effects, KvRequestKind};
+use cedarladder::coordination::effects::{Effect, Effects, KvRequestContext};
 use cedarladder::coordination::terminations::TerminationQueue;
 use cedarladder::coordination::watch::Watch;
 use cedarladder::protocol::kv::{KvRequest, KvResponse};
@@ -150,7 +150,7 @@
         ),
     ];
     for (name, replies, current_at) in cases {
-        let mut watch = Watch::new("open/", KvRequestKind::OpenJobsWatch, 1.0, 0.5);
+        let mut watch = Watch::new("open/", KvRequestContext::OpenJobsWatch, 1.0, 0.5);
         for (reply, sent, at) in replies {
             watch.on_response(reply, sent, at);
         }
@@ -162,7 +162,7 @@
 /// is current.
 #[test]
 fn a_watch_catches_up_first() {
-    let mut watch = Watch::new("open/", KvRequestKind::OpenJobsWatch, 1.0, 0.5);
+    let mut watch = Watch::new("open/", KvRequestContext::OpenJobsWatch, 1.0, 0.5);
     let wait_ms = |watch: &mut Watch, now: f64| {
         let mut out = Effects::default();
         watch.poll(&mut out, now);
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -4,13 +4,13 @@
 //! complete: all jobs that it did not show were closed, and their tasks evicted. Revisions were not looked at, so that a
 //! state service that was set back, or a proxy that answers from an older state, could reopen what had ended.
 
-use cedarladder::coordination::effects::KvRequestKind;
+use cedarladder::coordination::effects::KvRequestContext;
 use cedarladder::coordination::watch::{Watch, WatchUpdate};
 use cedarladder::protocol::kv::{KeyValue, KvResponse, WatchEvent};
 use ciborium::Value;
 
 fn watch() -> Watch {
-    Watch::new("open/", KvRequestKind::OpenJobsWatch, 1.0, 0.5)
+    Watch::new("open/", KvRequestContext::OpenJobsWatch, 1.0, 0.5)
 }
 
 fn item(n: u64, mod_revision: u64) -> KeyValue {
