--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -13,7 +13,7 @@
 mod write_budget;
 
 use super::effects::{
-    CloudRequestKind, CorrelationId, Effect, Effects, KvRequestContext, PendingKvRequest,
+    CloudRequestContext, CorrelationId, Effect, Effects, KvRequestContext, PendingKvRequest,
 };
 use super::election::{Election, ElectionTimeouts};
 use super::instance_catalog::InstanceCatalog;
@@ -341,26 +341,26 @@
         response: CloudResponse,
         now: Now,
     ) {
-        let Some(kind) = self.effects.take_cloud_request(correlation_id) else {
+        let Some(context) = self.effects.take_cloud_request(correlation_id) else {
             return;
         };
         let t = now.monotonic;
-        match kind {
-            CloudRequestKind::ListInstanceTypes => {
+        match context {
+            CloudRequestContext::ListInstanceTypes => {
                 let changed = self.catalog.on_cloud_response(response, t);
                 self.set_instance_types_if(changed);
             }
-            CloudRequestKind::ListInstances(epoch) => {
+            CloudRequestContext::ListInstances(epoch) => {
                 if let Some(leader) = self.leader_with_epoch(epoch) {
                     leader.on_instances_listed(response, t);
                 }
             }
-            CloudRequestKind::CreateInstances(epoch, idempotency_key) => {
+            CloudRequestContext::CreateInstances(epoch, idempotency_key) => {
                 if let Some(leader) = self.leader_with_epoch(epoch) {
                     leader.on_instances_created(&idempotency_key, response, t);
                 }
             }
-            CloudRequestKind::DeleteInstances(epoch, workers) => {
+            CloudRequestContext::DeleteInstances(epoch, workers) => {
                 if let Some(leader) = self.leader_with_epoch(epoch) {
                     leader.on_instances_deleted(&workers, &response, t);
                 }
--- a/src/coordination/effects.rs
+++ b/src/coordination/effects.rs
@@ -108,7 +108,7 @@
 
 /// Which component asked the cloud, and for what.
 #[derive(Debug, Clone, PartialEq)]
-pub enum CloudRequestKind {
+pub enum CloudRequestContext {
     /// The instance types.
     ListInstanceTypes,
     /// A page of the instance list, with the leader's epoch.
@@ -171,7 +171,7 @@
 struct PendingRequests {
     last_id: CorrelationId,
     kv: HashMap<CorrelationId, PendingKvRequest>,
-    cloud: HashMap<CorrelationId, CloudRequestKind>,
+    cloud: HashMap<CorrelationId, CloudRequestContext>,
     worker: HashMap<CorrelationId, WorkerRequestContext>,
 }
 
@@ -214,7 +214,12 @@
     }
 
     /// Sends a request to the cloud.
-    pub fn call_cloud(&mut self, context: CloudRequestKind, request: CloudRequest, timeout_s: f64) {
+    pub fn call_cloud(
+        &mut self,
+        context: CloudRequestContext,
+        request: CloudRequest,
+        timeout_s: f64,
+    ) {
         let correlation_id = self.pending.next_id();
         self.pending.cloud.insert(correlation_id, context);
         self.queue.push(Effect::CallCloud {
@@ -251,7 +256,7 @@
     pub fn take_cloud_request(
         &mut self,
         correlation_id: CorrelationId,
-    ) -> Option<CloudRequestKind> {
+    ) -> Option<CloudRequestContext> {
         self.pending.cloud.remove(&correlation_id)
     }
 
--- a/src/coordination/instance_catalog.rs
+++ b/src/coordination/instance_catalog.rs
@@ -1,7 +1,7 @@
 //! The instance types, as the cloud tells them and as the state service keeps them for controllers that start while
 //! the cloud is out.
 
-use super::effects::{CloudRequestKind, Effects, KvRequestContext};
+use super::effects::{CloudRequestContext, Effects, KvRequestContext};
 use crate::bookkeeping::records;
 use crate::protocol::cbor;
 use crate::protocol::cloud::{CloudRequest, CloudResponse, InstanceType};
@@ -57,7 +57,7 @@
         self.refresh_at = now + self.lease_s;
         let within_s = self.heartbeat_interval_s * REQUEST_TIMEOUT_HEARTBEATS;
         effects.call_cloud(
-            CloudRequestKind::ListInstanceTypes,
+            CloudRequestContext::ListInstanceTypes,
             CloudRequest::ListInstanceTypes,
             within_s,
         );
--- a/src/coordination/leader/fleet/inventory.rs
+++ b/src/coordination/leader/fleet/inventory.rs
@@ -2,7 +2,7 @@
 
 use super::{CallSchedule, ScaleInReason};
 use crate::bookkeeping::workers::Worker;
-use crate::coordination::effects::{CloudRequestKind, Effects};
+use crate::coordination::effects::{CloudRequestContext, Effects};
 use crate::coordination::leader::Leader;
 use crate::protocol::cloud::{CloudRequest, CloudResponse, Instance, InstanceStatus};
 
@@ -30,7 +30,7 @@
             .last()
             .map(|instance| instance.name.clone());
         effects.call_cloud(
-            CloudRequestKind::ListInstances(fleet.epoch),
+            CloudRequestContext::ListInstances(fleet.epoch),
             CloudRequest::ListInstances(after),
             fleet.call_timeout_s(),
         );
--- a/src/coordination/leader/fleet/provisioning.rs
+++ b/src/coordination/leader/fleet/provisioning.rs
@@ -7,7 +7,7 @@
 use crate::bookkeeping::records::{self, ProvisioningRecord};
 use crate::bookkeeping::wal::LogEntry;
 use crate::bookkeeping::workers::Worker;
-use crate::coordination::effects::{CloudRequestKind, Effects};
+use crate::coordination::effects::{CloudRequestContext, Effects};
 use crate::coordination::leader::Leader;
 use crate::protocol::cloud::{
     CloudRequest, CloudResponse, CreateInstances, MAX_INSTANCES_PER_CREATE,
@@ -222,7 +222,7 @@
             count: request.record.count,
         };
         effects.call_cloud(
-            CloudRequestKind::CreateInstances(self.epoch, idempotency_key.clone()),
+            CloudRequestContext::CreateInstances(self.epoch, idempotency_key.clone()),
             CloudRequest::CreateInstances(call),
             timeout_s,
         );
--- a/src/coordination/leader/fleet/scale_in.rs
+++ b/src/coordination/leader/fleet/scale_in.rs
@@ -3,7 +3,7 @@
 use super::{CallSchedule, Fleet};
 use crate::bookkeeping::permits;
 use crate::bookkeeping::wal::LogEntry;
-use crate::coordination::effects::{CloudRequestKind, Effects};
+use crate::coordination::effects::{CloudRequestContext, Effects};
 use crate::coordination::leader::Leader;
 use crate::protocol::cloud::{CloudRequest, CloudResponse, MAX_INSTANCES_PER_DELETE};
 use std::collections::HashMap;
@@ -91,7 +91,7 @@
         self.fleet.deletions.call.in_flight = true;
         tracing::debug!(workers = ?names, "delete request sent");
         effects.call_cloud(
-            CloudRequestKind::DeleteInstances(self.epoch, names.clone()),
+            CloudRequestContext::DeleteInstances(self.epoch, names.clone()),
             CloudRequest::DeleteInstances(names),
             self.fleet.call_timeout_s(),
         );
