--- a/src/coordination/controller/peer_heartbeats.rs
+++ b/src/coordination/controller/peer_heartbeats.rs
@@ -24,7 +24,7 @@
         self.tell_leader_of_finished_jobs();
         match &mut self.leader {
             Some(leader) if heartbeat.epoch >= leader.epoch() => {
-                leader.acknowledged_by(&heartbeat.label, now);
+                leader.on_epoch_acknowledged(&heartbeat.label, now);
             }
             // A leader that does not know yet that it is deposed tells old counts.
             None if heartbeat.epoch >= self.election.highest_epoch() => {
--- a/src/coordination/leader/leases.rs
+++ b/src/coordination/leader/leases.rs
@@ -67,7 +67,7 @@
 
     /// A peer knows this epoch, or a higher one. Returns whether all peers do with it, so that no
     /// earlier leader renews leases from now on.
-    pub(super) fn on_acknowledged(&mut self, label: &str, now: f64) -> bool {
+    pub(super) fn on_epoch_acknowledged(&mut self, label: &str, now: f64) -> bool {
         if !self.acknowledged_by.insert(label.to_owned())
             || !self
                 .peers
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -169,8 +169,8 @@
 
     /// A controller has shown that it knows this epoch, or a higher one: it never again answers
     /// heartbeats for an earlier one. Once all have, no other controller renews any lease.
-    pub fn acknowledged_by(&mut self, label: &str, now: f64) {
-        if self.leases.on_acknowledged(label, now) {
+    pub fn on_epoch_acknowledged(&mut self, label: &str, now: f64) {
+        if self.leases.on_epoch_acknowledged(label, now) {
             for worker in self.workers.iter_mut() {
                 worker.lease_renewed_at = worker.lease_renewed_at.min(now);
             }
