--- a/src/coordination/controller/leadership.rs
+++ b/src/coordination/controller/leadership.rs
@@ -96,7 +96,7 @@
     /// the peers are silent too.
     pub(super) fn resign_if_partitioned(&mut self, now: f64) {
         let Some(leader) = &self.leader else { return };
-        let silent_s = leader.unresponsive_for(now);
+        let silent_s = leader.worker_contact_lost_s(now);
         if self.settings.peers.is_empty()
             || silent_s < UNREACHABLE_HEARTBEATS * self.heartbeat_interval_s()
         {
--- a/src/coordination/leader/leases.rs
+++ b/src/coordination/leader/leases.rs
@@ -108,7 +108,7 @@
     }
 
     /// Seconds for which no worker has shown that it receives this leader's answers, although some should.
-    pub(super) fn unresponsive_for(&self, workers: &Workers, now: f64) -> f64 {
+    pub(super) fn worker_contact_lost_s(&self, workers: &Workers, now: f64) -> f64 {
         // A worker whose first heartbeat has just come has not had an answer yet.
         let first_contact = workers
             .iter()
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -198,11 +198,11 @@
     }
 
     /// Seconds for which no worker has shown that it receives this leader's answers, although some should.
-    pub fn unresponsive_for(&self, now: f64) -> f64 {
+    pub fn worker_contact_lost_s(&self, now: f64) -> f64 {
         if self.is_recovering() {
             return 0.0;
         }
-        self.leases.unresponsive_for(&self.workers, now)
+        self.leases.worker_contact_lost_s(&self.workers, now)
     }
 
     /// Does all that is due and that `freshness` allows.
--- a/tests/worker_heartbeats.rs
+++ b/tests/worker_heartbeats.rs
@@ -137,7 +137,7 @@
             let got = leader.on_heartbeat(&heartbeat, &freshness(), |_| true, at);
             assert_eq!(got, answer(Vec::new()), "{name}");
         }
-        assert_eq!(leader.unresponsive_for(30.0), silence, "{name}");
+        assert_eq!(leader.worker_contact_lost_s(30.0), silence, "{name}");
     }
 }
 
