--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -300,7 +300,7 @@
         match context {
             KvRequestContext::RecoveryRead(_) => leader.on_recovery_page(response, t, now.wall),
             KvRequestContext::LogAppend(_) => {
-                leader.on_commit_completed(response, &mut self.effects, t);
+                leader.on_commit_response(response, &mut self.effects, t);
             }
             _ => leader.on_read_back(response, &mut self.effects, t),
         }
--- a/src/coordination/leader/commit.rs
+++ b/src/coordination/leader/commit.rs
@@ -260,7 +260,7 @@
     }
 
     /// Takes the response to a transaction.
-    pub fn on_commit_completed(&mut self, response: KvResponse, effects: &mut Effects, now: f64) {
+    pub fn on_commit_response(&mut self, response: KvResponse, effects: &mut Effects, now: f64) {
         let outcome = self.commits.on_txn_response(response, effects, now);
         self.apply_commit_outcome(outcome, now);
     }
