--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -302,7 +302,7 @@
             KvRequestContext::LogAppend(_) => {
                 leader.on_commit_response(response, &mut self.effects, t);
             }
-            _ => leader.on_read_back(response, &mut self.effects, t),
+            _ => leader.on_commit_read_back(response, &mut self.effects, t),
         }
     }
 
--- a/src/coordination/leader/commit.rs
+++ b/src/coordination/leader/commit.rs
@@ -266,7 +266,7 @@
     }
 
     /// Takes the response to the read that tells whether a transaction of unknown outcome was executed.
-    pub fn on_read_back(&mut self, response: KvResponse, effects: &mut Effects, now: f64) {
+    pub fn on_commit_read_back(&mut self, response: KvResponse, effects: &mut Effects, now: f64) {
         let outcome = self.commits.on_read_back_response(&response, effects, now);
         self.apply_commit_outcome(outcome, now);
     }
