--- a/src/coordination/leader/recovery.rs
+++ b/src/coordination/leader/recovery.rs
@@ -162,7 +162,7 @@
     }
 
     fn decode_job(&self, item: &KeyValue) -> Option<RecoveredJob> {
-        let spec = read_or_log::<JobSpec>(item, "job record unreadable")?;
+        let spec = decode_or_log::<JobSpec>(item, "job record unreadable")?;
         let mod_revision = item.mod_revision;
         let is_news = self.closed_jobs.allow_open(&spec.id, mod_revision);
         is_news.then_some(RecoveredJob { mod_revision, spec })
@@ -170,7 +170,7 @@
 }
 
 /// Decodes a record; one that can't be decoded is logged and left out.
-fn read_or_log<T: DeserializeOwned>(item: &KeyValue, message: &str) -> Option<T> {
+fn decode_or_log<T: DeserializeOwned>(item: &KeyValue, message: &str) -> Option<T> {
     match cbor::from_value::<T>(&item.value) {
         Ok(record) => Some(record),
         Err(error) => {
@@ -181,7 +181,7 @@
 }
 
 fn decode_segment(item: KeyValue, epoch: u64) -> Option<RecoveredSegment> {
-    let segment = read_or_log::<Segment>(&item, "log segment unreadable")?;
+    let segment = decode_or_log::<Segment>(&item, "log segment unreadable")?;
     if segment.epoch > epoch {
         tracing::error!(
             key = item.key,
@@ -200,7 +200,7 @@
 
 fn decode_provisioning(item: &KeyValue) -> Option<RecoveredProvisioning> {
     let idempotency_key = item.key.strip_prefix(records::PROVISIONING_PREFIX)?;
-    let record = read_or_log::<ProvisioningRecord>(item, "provisioning record unreadable")?;
+    let record = decode_or_log::<ProvisioningRecord>(item, "provisioning record unreadable")?;
     Some(RecoveredProvisioning {
         idempotency_key: idempotency_key.to_owned(),
         record,
