--- a/src/bookkeeping/reconciliation/revocation.rs
+++ b/src/bookkeeping/reconciliation/revocation.rs
@@ -7,7 +7,7 @@
 /// an earlier fence than the present one is revoked already.
 pub fn pending_revocation(worker: &Worker) -> Option<RevocationReason> {
     let evicted = evicted_start(worker);
-    if evicted == Some(RevocationReason::JobEnded) || worker.revoke_ended_jobs {
+    if evicted == Some(RevocationReason::JobEnded) || worker.revoke_starts_of_ended_jobs {
         return Some(RevocationReason::JobEnded);
     }
     if evicted.is_some() {
--- a/src/bookkeeping/workers/revocation.rs
+++ b/src/bookkeeping/workers/revocation.rs
@@ -37,7 +37,7 @@
             raised,
             "starts revoked"
         );
-        self.revoke_ended_jobs = false;
+        self.revoke_starts_of_ended_jobs = false;
         raised
     }
 
--- a/src/bookkeeping/workers/worker.rs
+++ b/src/bookkeeping/workers/worker.rs
@@ -56,7 +56,7 @@
     /// Starts that may still arrive, and the worker's fence.
     pub pending_starts: PendingStarts,
     /// Starts may still arrive of a job that has ended and of which nothing is bound here.
-    pub revoke_ended_jobs: bool,
+    pub revoke_starts_of_ended_jobs: bool,
     /// Container images that the worker is believed to have, the latest last.
     pub cached_images: Vec<String>,
     /// When the worker was first known.
@@ -95,7 +95,7 @@
             reclaim_at: None,
             bindings: BTreeMap::new(),
             pending_starts: PendingStarts::default(),
-            revoke_ended_jobs: false,
+            revoke_starts_of_ended_jobs: false,
             cached_images: Vec::new(),
             first_seen_at: now,
             idle_since: now,
--- a/src/coordination/leader/jobs.rs
+++ b/src/coordination/leader/jobs.rs
@@ -68,7 +68,7 @@
     fn revoke_start_copies(&mut self, job: &Job) {
         for name in &job.workers_with_start_copies {
             if let Some(worker) = self.workers.get_mut(name) {
-                worker.revoke_ended_jobs = true;
+                worker.revoke_starts_of_ended_jobs = true;
                 self.dispatcher.mark_due(name);
             }
         }
--- a/tests/bindings.rs
+++ b/tests/bindings.rs
@@ -418,7 +418,7 @@
             "its job has ended and it completed here: copies may follow",
             |h| {
                 h.bindings.clear();
-                h.revoke_ended_jobs = true;
+                h.revoke_starts_of_ended_jobs = true;
             },
             Some((RevocationReason::JobEnded, true)),
         ),
