--- a/src/bookkeeping/workers/pending_starts.rs
+++ b/src/bookkeeping/workers/pending_starts.rs
@@ -142,7 +142,7 @@
     }
 
     /// Takes a new incarnation of the worker: it executes no command for an earlier one.
-    pub fn end_session(&mut self) {
+    pub fn clear_for_new_incarnation(&mut self) {
         self.starts.clear();
     }
 
--- a/src/coordination/leader/bindings.rs
+++ b/src/coordination/leader/bindings.rs
@@ -21,7 +21,7 @@
             if let Some(worker) = self.workers.get_mut(&name) {
                 worker.token_acknowledged = false;
                 worker.observed_tasks.clear();
-                worker.pending_starts.end_session();
+                worker.pending_starts.clear_for_new_incarnation();
             }
             self.end_lost_bindings(&name, |_| true);
         }
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -228,7 +228,7 @@
         // It lost an incarnation although we answered it: perhaps our answers don't arrive.
         worker.unreachable_since = Some(now);
     }
-    worker.pending_starts.end_session();
+    worker.pending_starts.clear_for_new_incarnation();
     worker.idle_since = now;
     // Its lease runs from its beginning, which a direct answer may be the first to show.
     worker.lease_renewed_at = worker.lease_renewed_at.max(now);
--- a/tests/bindings.rs
+++ b/tests/bindings.rs
@@ -426,7 +426,7 @@
             "its job has ended, and the incarnation as well",
             |h| {
                 evict(h, EvictionReason::JobEnded);
-                h.pending_starts.end_session();
+                h.pending_starts.clear_for_new_incarnation();
             },
             None,
         ),
