--- a/src/bookkeeping/jobs/job.rs
+++ b/src/bookkeeping/jobs/job.rs
@@ -38,7 +38,7 @@
     /// The workers that each bound task is bound to; after failures there may be several.
     bound_workers: BTreeMap<u32, Vec<BoundWorker>>,
     /// Workers where its tasks have completed while copies of their starts may still arrive.
-    pub workers_with_start_copies: BTreeSet<String>,
+    pub workers_with_duplicate_starts: BTreeSet<String>,
     /// Number of bindings in each zone.
     bound_per_zone: HashMap<String, u32>,
     /// Number of bound tasks that are complete already.
@@ -71,7 +71,7 @@
             submitted_at: since,
             completed: TaskSet::new(tasks),
             bound_workers: BTreeMap::new(),
-            workers_with_start_copies: BTreeSet::new(),
+            workers_with_duplicate_starts: BTreeSet::new(),
             bound_per_zone: HashMap::new(),
             bound_completed: 0,
             running_tasks: 0,
--- a/src/coordination/leader/binding_reconciliation.rs
+++ b/src/coordination/leader/binding_reconciliation.rs
@@ -144,7 +144,7 @@
                     worker.is_some_and(|worker| worker.pending_starts.may_arrive(task, attempt));
                 if let Some(job) = self.jobs.get_mut(&task.job).filter(|job| !job.is_service()) {
                     if copies {
-                        job.workers_with_start_copies.insert(name.to_owned());
+                        job.workers_with_duplicate_starts.insert(name.to_owned());
                     }
                     done = job.complete(task.index);
                 }
--- a/src/coordination/leader/jobs.rs
+++ b/src/coordination/leader/jobs.rs
@@ -54,7 +54,7 @@
                 job = id,
                 mod_revision = job.mod_revision,
                 bound = job.bound_workers().len(),
-                copies_on = job.workers_with_start_copies.len(),
+                copies_on = job.workers_with_duplicate_starts.len(),
                 "job ended: tasks evicted"
             );
             self.commits.forget_job(id);
@@ -66,7 +66,7 @@
     /// Revokes start commands of a job's completed tasks that may still arrive: no task of a job that
     /// may have been cancelled may be started, not even to exit at once.
     fn revoke_start_copies(&mut self, job: &Job) {
-        for name in &job.workers_with_start_copies {
+        for name in &job.workers_with_duplicate_starts {
             if let Some(worker) = self.workers.get_mut(name) {
                 worker.revoke_starts_of_ended_jobs = true;
                 self.dispatcher.mark_due(name);
