--- a/src/bookkeeping/permits/worker_actions.rs
+++ b/src/bookkeeping/permits/worker_actions.rs
@@ -41,7 +41,7 @@
     let harmless = task_status.exit_reason == Some(ExitReason::Completed)
         && worker
             .pending_starts
-            .only_answered_copies(task, task_status.attempt);
+            .has_only_answered_duplicates(task, task_status.attempt);
     if worker.pending_starts.may_arrive(task, task_status.attempt) && !harmless {
         return Err(Denial::StartMayArrive);
     }
--- a/src/bookkeeping/workers/pending_starts.rs
+++ b/src/bookkeeping/workers/pending_starts.rs
@@ -152,7 +152,7 @@
     }
 
     /// Whether only copies of answered commands may still arrive of this attempt's start.
-    pub fn only_answered_copies(&self, task: &TaskId, attempt: u64) -> bool {
+    pub fn has_only_answered_duplicates(&self, task: &TaskId, attempt: u64) -> bool {
         self.get(task, attempt).is_some_and(|start| {
             start.in_flight_under.is_none() && start.in_response.is_none() && !start.unanswered
         })
--- a/tests/bindings.rs
+++ b/tests/bindings.rs
@@ -348,7 +348,7 @@
         let task = task("j-1", 0);
         let arrival = match worker.pending_starts.may_arrive(&task, 7) {
             false => Arrival::Nothing,
-            true if worker.pending_starts.only_answered_copies(&task, 7) => Arrival::Copies,
+            true if worker.pending_starts.has_only_answered_duplicates(&task, 7) => Arrival::Copies,
             true => Arrival::Start,
         };
         assert_eq!(arrival, expected, "{name}");
@@ -369,7 +369,7 @@
     assert!(
         !worker
             .pending_starts
-            .only_answered_copies(&task("j-1", 0), 7)
+            .has_only_answered_duplicates(&task("j-1", 0), 7)
     );
 }
 
