--- a/src/bookkeeping/jobs/closed_jobs.rs
+++ b/src/bookkeeping/jobs/closed_jobs.rs
@@ -42,7 +42,7 @@
 
     /// Whether a record of an open job is news. One of a closed job is not: it is older than the job's end, or
     /// was written by something that reuses ids.
-    pub fn allow_open(&self, id: &str, mod_revision: u64) -> bool {
+    pub fn accepts_open_record(&self, id: &str, mod_revision: u64) -> bool {
         let Some(closed_at) = self.revisions.get(id) else {
             return true;
         };
--- a/src/coordination/job_api/open_jobs.rs
+++ b/src/coordination/job_api/open_jobs.rs
@@ -69,7 +69,7 @@
     /// Records come in any order: pages of a listing that began before a job's end, and responses to
     /// submissions and lookups, may arrive after it.
     pub(super) fn insert(&mut self, id: &str, job: OpenJob) -> bool {
-        if !self.closed.allow_open(id, job.mod_revision) {
+        if !self.closed.accepts_open_record(id, job.mod_revision) {
             return false;
         }
         let known = self.jobs.get(id);
--- a/src/coordination/leader/recovery.rs
+++ b/src/coordination/leader/recovery.rs
@@ -164,7 +164,7 @@
     fn decode_job(&self, item: &KeyValue) -> Option<RecoveredJob> {
         let spec = decode_or_log::<JobSpec>(item, "job record unreadable")?;
         let mod_revision = item.mod_revision;
-        let is_news = self.closed_jobs.allow_open(&spec.id, mod_revision);
+        let is_news = self.closed_jobs.accepts_open_record(&spec.id, mod_revision);
         is_news.then_some(RecoveredJob { mod_revision, spec })
     }
 }
--- a/tests/older_knowledge.rs
+++ b/tests/older_knowledge.rs
@@ -94,11 +94,17 @@
         closed.insert(&format!("j-{n}"), None);
     }
     assert!(!closed.contains("j-0"));
-    assert!(closed.allow_open("j-0", 1));
+    assert!(closed.accepts_open_record("j-0", 1));
     for id in ["j-1", "j-20000"] {
         assert!(closed.contains(id), "{id}");
-        assert!(!closed.allow_open(id, 1), "{id}: older than its end");
-        assert!(!closed.allow_open(id, 50_000), "{id}: an id is used once");
+        assert!(
+            !closed.accepts_open_record(id, 1),
+            "{id}: older than its end"
+        );
+        assert!(
+            !closed.accepts_open_record(id, 50_000),
+            "{id}: an id is used once"
+        );
     }
 }
 
