--- a/src/bookkeeping/jobs/job.rs
+++ b/src/bookkeeping/jobs/job.rs
@@ -32,7 +32,7 @@
     /// Seconds within which its tasks should start.
     pub start_objective_s: Option<f64>,
     /// Until then the job can wait, rather than preempt other tasks.
-    pub latest_unhurried_start: f64,
+    pub may_preempt_from: f64,
     /// Completed tasks, committed or about to be.
     completed: TaskSet,
     /// The workers that each bound task is bound to; after failures there may be several.
@@ -65,7 +65,7 @@
         Job {
             deadline,
             start_objective_s: None,
-            latest_unhurried_start: since,
+            may_preempt_from: since,
             spec,
             mod_revision,
             submitted_at: since,
--- a/src/coordination/leader/jobs.rs
+++ b/src/coordination/leader/jobs.rs
@@ -24,8 +24,7 @@
         }
         job.start_objective_s = self.objective("wait", &spec.class);
         if let (Some(deadline), None) = (job.deadline, job.start_objective_s) {
-            job.latest_unhurried_start =
-                deadline - RUNTIME_ESTIMATE_MARGIN * spec.expected_runtime_s;
+            job.may_preempt_from = deadline - RUNTIME_ESTIMATE_MARGIN * spec.expected_runtime_s;
         }
         tracing::debug!(job = spec.id, mod_revision, "job opened");
         self.jobs.insert(job);
--- a/src/coordination/scheduler/cycle.rs
+++ b/src/coordination/scheduler/cycle.rs
@@ -104,7 +104,7 @@
         rng: &mut impl Rng,
     ) -> u32 {
         let job = placement.job;
-        let urgent = self.now >= job.latest_unhurried_start && !job.failures.is_crash_looping();
+        let urgent = self.now >= job.may_preempt_from && !job.failures.is_crash_looping();
         let scope = if urgent {
             PreemptionScope::AllWorkers
         } else {
