--- a/src/bookkeeping/invariants.rs
+++ b/src/bookkeeping/invariants.rs
@@ -28,7 +28,7 @@
 
 /// Checks an invariant. Returns false if it does not hold: the action must not be taken.
 #[must_use]
-pub fn uphold(invariant: Invariant, holds: bool, details: Arguments) -> bool {
+pub fn check(invariant: Invariant, holds: bool, details: Arguments) -> bool {
     if !holds {
         let count = VIOLATIONS.fetch_add(1, Ordering::Relaxed) + 1;
         tracing::error!(?invariant, count, %details, "invariant violated: action refused");
--- a/src/coordination/controller/worker_heartbeats.rs
+++ b/src/coordination/controller/worker_heartbeats.rs
@@ -93,5 +93,5 @@
     let age_s = freshness.lease_age_s.max(freshness.view_age_s);
     let within = age_s <= freshness.limits.lease_grace_s;
     let details = format_args!("worker {}, after {age_s} s", heartbeat.worker);
-    invariants::uphold(Invariant::NoRenewalBeyondLeaseGrace, within, details)
+    invariants::check(Invariant::NoRenewalBeyondLeaseGrace, within, details)
 }
--- a/src/coordination/job_api/responses.rs
+++ b/src/coordination/job_api/responses.rs
@@ -71,7 +71,7 @@
 ) {
     let is_recorded = recorded.get(job).map(|known| known.outcome) == Some(record.outcome);
     let details = format_args!("job {job}, {:?}", record.outcome);
-    if !invariants::uphold(Invariant::NoAbortedWithoutCommit, is_recorded, details) {
+    if !invariants::check(Invariant::NoAbortedWithoutCommit, is_recorded, details) {
         respond_error(request_id, RequestError::TimedOut, effects);
         return;
     }
--- a/src/coordination/leader/binding_reconciliation.rs
+++ b/src/coordination/leader/binding_reconciliation.rs
@@ -105,7 +105,7 @@
         let exited = worker.has_exited(task, attempt);
         let gone = exited || !worker.pending_starts.may_arrive(task, attempt);
         let details = format_args!("worker {name}, task {task}, attempt {attempt}");
-        if !invariants::uphold(Invariant::NoUnbindWhileStartMayArrive, gone, details) {
+        if !invariants::check(Invariant::NoUnbindWhileStartMayArrive, gone, details) {
             return;
         }
         if let Some(binding) = worker.bindings.get_mut(task)
--- a/src/coordination/leader/bindings.rs
+++ b/src/coordination/leader/bindings.rs
@@ -66,7 +66,7 @@
                 let was_known = job.unbind(task.index, name, &worker.zone, now);
                 let details = format_args!("worker {name}, task {task}, attempt {attempt}");
                 // There is nothing to refuse: the binding is gone, and the job has not counted it.
-                let _ = invariants::uphold(Invariant::NoBindingUnknownToItsJob, was_known, details);
+                let _ = invariants::check(Invariant::NoBindingUnknownToItsJob, was_known, details);
             }
             self.scheduling.request();
             self.dispatcher.mark_due(name);
--- a/src/coordination/leader/fencing.rs
+++ b/src/coordination/leader/fencing.rs
@@ -88,7 +88,7 @@
     match command.kind {
         CommandKind::Start => {
             let open = jobs.get(&task.job).is_some();
-            invariants::uphold(Invariant::NoStartOfEndedJob, open, details)
+            invariants::check(Invariant::NoStartOfEndedJob, open, details)
         }
         CommandKind::Clear => {
             let cause = worker
@@ -96,7 +96,7 @@
                 .and_then(|task_status| task_status.exit_reason);
             let harmless = cause == Some(ExitReason::Completed)
                 || !worker.pending_starts.may_arrive(&task, attempt);
-            invariants::uphold(Invariant::NoClearWhileStartMayArrive, harmless, details)
+            invariants::check(Invariant::NoClearWhileStartMayArrive, harmless, details)
         }
         CommandKind::Stop => true,
     }
--- a/tests/permits.rs
+++ b/tests/permits.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use cedarladder::bookkeeping::invariants::{Invariant, uphold};
+use cedarladder::bookkeeping::invariants::{Invariant, check};
 use cedarladder::bookkeeping::permits::{Denial, ViewFreshness};
 use common::freshness;
 
@@ -74,6 +74,6 @@
 )]
 fn violations_are_refused_and_end_debug_builds() {
     let invariant = Invariant::NoStartOfEndedJob;
-    assert!(uphold(invariant, true, format_args!("worker h")));
-    assert!(!uphold(invariant, false, format_args!("worker h")));
+    assert!(check(invariant, true, format_args!("worker h")));
+    assert!(!check(invariant, false, format_args!("worker h")));
 }
