--- a/src/bookkeeping/wal/log.rs
+++ b/src/bookkeeping/wal/log.rs
@@ -56,7 +56,7 @@
     }
 
     /// Drops the completed tasks of a job that has ended.
-    pub fn forget_job(&mut self, job: &str) {
+    pub fn remove_job(&mut self, job: &str) {
         self.ring.remove_job(job);
     }
 
--- a/src/coordination/leader/commit.rs
+++ b/src/coordination/leader/commit.rs
@@ -81,8 +81,8 @@
     }
 
     /// A job has ended: its completed tasks need not be kept in the log.
-    pub(super) fn forget_job(&mut self, job: &str) {
-        self.log.forget_job(job);
+    pub(super) fn remove_job(&mut self, job: &str) {
+        self.log.remove_job(job);
     }
 
     /// Takes over a segment that an earlier leader wrote. Segments come in the log's order.
--- a/src/coordination/leader/jobs.rs
+++ b/src/coordination/leader/jobs.rs
@@ -56,7 +56,7 @@
                 copies_on = job.workers_with_duplicate_starts.len(),
                 "job ended: tasks evicted"
             );
-            self.commits.forget_job(id);
+            self.commits.remove_job(id);
             self.evict_tasks_of(&job);
             self.revoke_start_copies(&job);
         }
