--- a/src/bookkeeping/wal/log.rs
+++ b/src/bookkeeping/wal/log.rs
@@ -82,7 +82,7 @@
     }
 
     /// The transaction whose outcome is unknown, to be sent once more as it was.
-    pub fn retry_of_unknown(&self) -> Option<Txn> {
+    pub fn transaction_to_retry(&self) -> Option<Txn> {
         let sent = self
             .in_flight
             .as_ref()
--- a/src/coordination/leader/commit.rs
+++ b/src/coordination/leader/commit.rs
@@ -113,7 +113,7 @@
         if self.in_flight || now < self.next_commit_at || self.request_budget.available(now) < 1.0 {
             return Vec::new();
         }
-        let txn = self.log.retry_of_unknown().or_else(|| {
+        let txn = self.log.transaction_to_retry().or_else(|| {
             let budget = self.write_budget.available(now).max(0.0) as usize;
             self.log.next_transaction(self.epoch, workers, jobs, budget)
         });
--- a/tests/write_ahead_log.rs
+++ b/tests/write_ahead_log.rs
@@ -222,7 +222,7 @@
         assert!(log.is_own_segment(&own), "{name}");
         assert_eq!(steps(&mut log), 2 - backlog, "{name}");
         assert_eq!(log.backlog(), backlog, "{name}");
-        assert_eq!(log.retry_of_unknown(), again.then_some(first), "{name}");
+        assert_eq!(log.transaction_to_retry(), again.then_some(first), "{name}");
         if again {
             log.push(bind("h1", 1));
             assert!(
