--- a/src/bookkeeping/wal/log.rs
+++ b/src/bookkeeping/wal/log.rs
@@ -188,7 +188,7 @@
     }
 
     /// Whether a segment that was read back is that of the transaction in flight.
-    pub fn is_own_segment(&self, segment: &Segment) -> bool {
+    pub fn is_in_flight_segment(&self, segment: &Segment) -> bool {
         self.in_flight
             .as_ref()
             .is_some_and(|sent| (sent.epoch, sent.seq) == (segment.epoch, segment.seq))
--- a/src/coordination/leader/commit.rs
+++ b/src/coordination/leader/commit.rs
@@ -206,7 +206,7 @@
         self.in_flight = false;
         let own_revision = match response {
             KvResponse::Value(item) => cbor::from_value::<Segment>(&item.value)
-                .is_ok_and(|segment| self.log.is_own_segment(&segment))
+                .is_ok_and(|segment| self.log.is_in_flight_segment(&segment))
                 .then_some(item.mod_revision),
             KvResponse::NotFound => None,
             _ => {
--- a/tests/write_ahead_log.rs
+++ b/tests/write_ahead_log.rs
@@ -219,7 +219,7 @@
             .next_transaction(EPOCH, &workers, &jobs, 100)
             .expect(name);
         let own = segment(&first);
-        assert!(log.is_own_segment(&own), "{name}");
+        assert!(log.is_in_flight_segment(&own), "{name}");
         assert_eq!(steps(&mut log), 2 - backlog, "{name}");
         assert_eq!(log.backlog(), backlog, "{name}");
         assert_eq!(log.transaction_to_retry(), again.then_some(first), "{name}");
@@ -235,7 +235,7 @@
             epoch: EPOCH + 1,
             ..own.clone()
         };
-        assert!(!log.is_own_segment(&other), "{name}");
+        assert!(!log.is_in_flight_segment(&other), "{name}");
     }
 }
 
