--- a/src/daemon/connections.rs
+++ b/src/daemon/connections.rs
@@ -169,7 +169,7 @@
         let Some(incoming) = self.incoming_peers.get_mut(&id) else {
             return;
         };
-        let (frames, open) = incoming.ready(peer::MAX_FRAME);
+        let (frames, open) = incoming.ready(peer::MAX_FRAME_BYTES);
         for frame in frames {
             // A frame that is no heartbeat (of another version, say) is dropped.
             if let Ok(heartbeat) = peer::decode(&frame) {
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -5,7 +5,7 @@
 use rkyv::{Archive, Deserialize, Serialize};
 
 /// The longest frame in bytes; a longer one ends the connection.
-pub const MAX_FRAME: usize = 256 * 1024;
+pub const MAX_FRAME_BYTES: usize = 256 * 1024;
 /// The most jobs whose counts fit into one message.
 pub const MAX_JOB_COUNTS: usize = 2000;
 
