--- a/src/coordination/controller/peer_heartbeats.rs
+++ b/src/coordination/controller/peer_heartbeats.rs
@@ -73,7 +73,7 @@
         let crash_looping_jobs = leader.map(|l| l.crash_looping_jobs()).unwrap_or_default();
         self.job_api.on_job_counts(&counts);
         let peer_rates = self.peer_write_rates(now);
-        let changes_per_s = self.write_budget.share(&peer_rates, &mut self.job_api, now);
+        let user_writes_per_s = self.write_budget.share(&peer_rates, &mut self.job_api, now);
         self.terminations.push(self.job_api.take_updates(), now);
         let window_s = self.heartbeat_interval_s();
         PeerHeartbeat {
@@ -84,7 +84,7 @@
             redirected_workers: self.redirected.count(),
             counts,
             crash_looping_jobs,
-            changes_per_s,
+            user_writes_per_s,
             terminations: self.terminations.next_message(now),
         }
     }
@@ -95,7 +95,7 @@
         let window_s = self.peer_freshness_s();
         let peers = self.settings.peers.iter();
         peers
-            .map(|peer| self.peers.changes_per_s(&peer.label, window_s, now))
+            .map(|peer| self.peers.user_writes_per_s(&peer.label, window_s, now))
             .collect()
     }
 }
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -73,10 +73,10 @@
     }
 
     /// Writes per second that a peer makes for its users. None: its latest heartbeat is not fresh.
-    pub fn changes_per_s(&self, label: &str, window_s: f64, now: f64) -> Option<f64> {
+    pub fn user_writes_per_s(&self, label: &str, window_s: f64, now: f64) -> Option<f64> {
         let peer = self.latest.get(label)?;
         let is_fresh = now - peer.received_at < window_s;
-        is_fresh.then_some(peer.heartbeat.changes_per_s)
+        is_fresh.then_some(peer.heartbeat.user_writes_per_s)
     }
 
     fn fresh(&self, window_s: f64, now: f64) -> impl Iterator<Item = &PeerHeartbeat> {
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -78,7 +78,7 @@
     /// From the leader: jobs that are crash-looping, since their tasks fail on several machines.
     pub crash_looping_jobs: Vec<String>,
     /// Writes per second that the sender has lately made in the state service for its users.
-    pub changes_per_s: f64,
+    pub user_writes_per_s: f64,
     /// Jobs that the sender has lately ended.
     pub terminations: TerminationLog,
 }
--- a/tests/golden/controllers.rs
+++ b/tests/golden/controllers.rs
@@ -32,7 +32,7 @@
         redirected_workers: 6,
         counts: vec![counts("j-000412", 3, 13), counts("j-1", 4, 0)],
         crash_looping_jobs: vec!["j-000398".into(), "j-3".into()],
-        changes_per_s: 4.5,
+        user_writes_per_s: 4.5,
         terminations: TerminationLog {
             process_incarnation: 5,
             first_sequence: 8,
@@ -57,7 +57,7 @@
         redirected_workers: 0,
         counts: Vec::new(),
         crash_looping_jobs: Vec::new(),
-        changes_per_s: 0.0,
+        user_writes_per_s: 0.0,
         terminations: TerminationLog::default(),
     }
 }
--- a/tests/golden/users.rs
+++ b/tests/golden/users.rs
@@ -313,7 +313,7 @@
         redirected_workers: 0,
         counts: Vec::new(),
         crash_looping_jobs: Vec::new(),
-        changes_per_s: 0.0,
+        user_writes_per_s: 0.0,
         terminations: TerminationLog::default(),
     };
     node.on_peer_heartbeat(heartbeat, START);
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -201,7 +201,7 @@
             running: 2,
         }],
         crash_looping_jobs: vec!["j-3".into()],
-        changes_per_s: 4.5,
+        user_writes_per_s: 4.5,
         terminations: TerminationLog {
             process_incarnation: 5,
             first_sequence: 8,
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -693,7 +693,7 @@
         redirected_workers: 0,
         counts: Vec::new(),
         crash_looping_jobs: Vec::new(),
-        changes_per_s: 0.0,
+        user_writes_per_s: 0.0,
         terminations: TerminationLog {
             process_incarnation: 1,
             ..TerminationLog::default()
--- a/tests/tokens.rs
+++ b/tests/tokens.rs
@@ -126,7 +126,7 @@
         redirected_workers: 0,
         counts: Vec::new(),
         crash_looping_jobs: Vec::new(),
-        changes_per_s: 0.0,
+        user_writes_per_s: 0.0,
         terminations: TerminationLog::default(),
     };
     for (name, epoch, known) in [("possible", 7, true), ("too high", MAX_EPOCH + 1, false)] {
