--- a/src/bookkeeping/failure_attribution.rs
+++ b/src/bookkeeping/failure_attribution.rs
@@ -78,7 +78,7 @@
     }
 
     /// Marks the job as crash-looping, as an earlier leader had found.
-    pub fn inherit_crash_loop(&mut self) {
+    pub fn mark_crash_looping(&mut self) {
         self.crash_looping = true;
     }
 
--- a/src/coordination/leader/failure_attribution.rs
+++ b/src/coordination/leader/failure_attribution.rs
@@ -126,7 +126,7 @@
     pub(super) fn mark_crash_looping(&mut self, jobs: &BTreeSet<String>) {
         for id in jobs {
             if let Some(job) = self.jobs.get_mut(id) {
-                job.failures.inherit_crash_loop();
+                job.failures.mark_crash_looping();
             }
         }
     }
