--- a/src/bookkeeping/workers/pending_starts.rs
+++ b/src/bookkeeping/workers/pending_starts.rs
@@ -63,7 +63,7 @@
     }
 
     /// Whether the worker has not shown its present fence yet.
-    pub fn awaits_fence(&self) -> bool {
+    pub fn awaits_fence_ack(&self) -> bool {
         self.observed_fence < self.fence
     }
 
--- a/src/bookkeeping/workers/revocation.rs
+++ b/src/bookkeeping/workers/revocation.rs
@@ -42,8 +42,8 @@
     }
 
     /// Whether the eviction of a task waits for the worker to show its present fence.
-    pub fn awaits_fence(&self) -> bool {
-        self.pending_starts.awaits_fence()
+    pub fn awaits_fence_ack(&self) -> bool {
+        self.pending_starts.awaits_fence_ack()
             && self.bindings.iter().any(|(task, binding)| {
                 binding.eviction.is_some()
                     && !binding.unbinding
--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -228,7 +228,7 @@
         let revocation =
             reconciliation::pending_revocation(worker).filter(|_| worker.token_acknowledged);
         let revokes = revocation.is_some_and(|reason| reason.is_urgent());
-        let waits = worker.token_acknowledged && worker.awaits_fence();
+        let waits = worker.token_acknowledged && worker.awaits_fence_ack();
         // It is probed before it counts as unresponsive: its heartbeats may have gone to a controller that
         // does not answer them.
         let probe = worker.token_acknowledged && !worker.termination_recorded && missed;
