--- a/src/bookkeeping/reconciliation/revocation.rs
+++ b/src/bookkeeping/reconciliation/revocation.rs
@@ -29,7 +29,11 @@
         let Some(eviction) = binding.eviction else {
             continue;
         };
-        if binding.unbinding || !worker.pending_starts.needs_fence(task, binding.attempt) {
+        if binding.unbinding
+            || !worker
+                .pending_starts
+                .needs_fence_raise(task, binding.attempt)
+        {
             continue;
         }
         if eviction.reason == EvictionReason::JobEnded {
@@ -47,7 +51,9 @@
     worker.observed_tasks.iter().any(|(task, statuses)| {
         statuses.iter().any(|status| {
             permits::may_clear(worker, task, status) == Err(Denial::StartMayArrive)
-                && worker.pending_starts.needs_fence(task, status.attempt)
+                && worker
+                    .pending_starts
+                    .needs_fence_raise(task, status.attempt)
         })
     })
 }
--- a/src/bookkeeping/workers/pending_starts.rs
+++ b/src/bookkeeping/workers/pending_starts.rs
@@ -159,7 +159,7 @@
     }
 
     /// Whether the fence must be raised to revoke this attempt's start.
-    pub fn needs_fence(&self, task: &TaskId, attempt: u64) -> bool {
+    pub fn needs_fence_raise(&self, task: &TaskId, attempt: u64) -> bool {
         self.get(task, attempt).is_some_and(|start| {
             start.delivered_under.max(start.in_flight_under) == Some(self.fence)
         })
