--- a/src/bookkeeping/reconciliation/revocation.rs
+++ b/src/bookkeeping/reconciliation/revocation.rs
@@ -17,7 +17,7 @@
         return Some(RevocationReason::Clear);
     }
     let starts = &worker.pending_starts;
-    let crowded = starts.is_crowded() && !starts.awaits_fence_ack();
+    let crowded = starts.exceeds_max_pending() && !starts.awaits_fence_ack();
     crowded.then_some(RevocationReason::TooManyPending)
 }
 
--- a/src/bookkeeping/workers/pending_starts.rs
+++ b/src/bookkeeping/workers/pending_starts.rs
@@ -78,7 +78,7 @@
     }
 
     /// Whether so many are kept that the fence should be raised for them.
-    pub fn is_crowded(&self) -> bool {
+    pub fn exceeds_max_pending(&self) -> bool {
         self.starts.len() > MAX_PENDING
     }
 
