--- a/src/coordination/controller/worker_heartbeats.rs
+++ b/src/coordination/controller/worker_heartbeats.rs
@@ -83,7 +83,7 @@
 
 fn read_worker_heartbeat(body: &[u8]) -> Result<WorkerHeartbeat, HeartbeatError> {
     let heartbeat = cbor::decode::<WorkerHeartbeat>(body)?;
-    heartbeat.token.check()?;
+    heartbeat.token.validate()?;
     Ok(heartbeat)
 }
 
--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -325,7 +325,7 @@
             tracing::warn!(worker = kind.worker, "unexpected worker at endpoint");
             return;
         }
-        if let Err(error) = heartbeat.token.check() {
+        if let Err(error) = heartbeat.token.validate() {
             tracing::error!(worker = kind.worker, %error, "worker response rejected");
             return;
         }
--- a/src/protocol/token.rs
+++ b/src/protocol/token.rs
@@ -55,7 +55,7 @@
     }
 
     /// Whether a controller can have given it.
-    pub fn check(self) -> Result<(), InvalidFencingToken> {
+    pub fn validate(self) -> Result<(), InvalidFencingToken> {
         if self.epoch() > MAX_EPOCH {
             return Err(InvalidFencingToken { token: self.0 });
         }
--- a/tests/golden/workers.rs
+++ b/tests/golden/workers.rs
@@ -200,7 +200,7 @@
         ("impossible", FencingToken::from_wire(u64::MAX)),
     ] {
         file.pin_message(case, &token);
-        let verdict = match token.check() {
+        let verdict = match token.validate() {
             Ok(()) => "possible".to_owned(),
             Err(error) => error.to_string(),
         };
--- a/tests/tokens.rs
+++ b/tests/tokens.rs
@@ -90,8 +90,8 @@
 /// A token beyond the limits is refused, and parts that would not fit are capped, not wrapped.
 #[test]
 fn tokens_beyond_the_limits_are_refused_or_capped() {
-    assert!(FencingToken::new(MAX_EPOCH, MAX_FENCE).check().is_ok());
-    assert!(FencingToken::from_wire(u64::MAX).check().is_err());
+    assert!(FencingToken::new(MAX_EPOCH, MAX_FENCE).validate().is_ok());
+    assert!(FencingToken::from_wire(u64::MAX).validate().is_err());
     assert_eq!(FencingToken::new(3, MAX_FENCE).epoch(), 3);
     assert_eq!(
         FencingToken::new(u64::MAX, u32::MAX),
