--- a/src/bookkeeping/workers/registry.rs
+++ b/src/bookkeeping/workers/registry.rs
@@ -21,7 +21,7 @@
     }
 
     /// The worker with a name, inserted if it is unknown.
-    pub fn entry(&mut self, name: &str, make: impl FnOnce() -> Worker) -> &mut Worker {
+    pub fn get_or_insert_with(&mut self, name: &str, make: impl FnOnce() -> Worker) -> &mut Worker {
         self.workers.entry(name.to_owned()).or_insert_with(make)
     }
 
--- a/src/coordination/leader/fleet/inventory.rs
+++ b/src/coordination/leader/fleet/inventory.rs
@@ -67,7 +67,7 @@
             return;
         }
         let lease_from = self.leases.previous_leader_deadline();
-        let worker = self.workers.entry(&instance.name, || {
+        let worker = self.workers.get_or_insert_with(&instance.name, || {
             let mut worker = Worker::new(
                 &instance.name,
                 &instance.instance_type,
--- a/src/coordination/leader/fleet/provisioning.rs
+++ b/src/coordination/leader/fleet/provisioning.rs
@@ -275,7 +275,7 @@
         }
         for name in instances {
             if !self.fleet.is_deleted(name) {
-                self.workers.entry(name, || {
+                self.workers.get_or_insert_with(name, || {
                     Worker::new(name, &pool.instance_type, &pool.zone, pool.spot, now)
                 });
             }
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -116,7 +116,7 @@
         let lease_from = self.leases.previous_leader_deadline();
         let worker = self
             .workers
-            .entry(name, || registered_worker(heartbeat, lease_from, now));
+            .get_or_insert_with(name, || registered_worker(heartbeat, lease_from, now));
         if !worker.is_newer(heartbeat) {
             renew_by_late_heartbeat(worker, path);
             return false;
--- a/src/coordination/leader/replay.rs
+++ b/src/coordination/leader/replay.rs
@@ -30,7 +30,7 @@
             let Some(name) = segment.worker_name(entry.worker) else {
                 continue;
             };
-            let worker = self.workers.entry(name, || {
+            let worker = self.workers.get_or_insert_with(name, || {
                 let mut worker =
                     Worker::new(name, &entry.instance_type, &entry.zone, entry.spot, now);
                 worker.lease_renewed_at = lease_from;
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -207,7 +207,7 @@
     jobs.insert(broken);
     let mut table = Workers::default();
     for name in workers {
-        table.entry(name, || worker(name, "a", false));
+        table.get_or_insert_with(name, || worker(name, "a", false));
     }
     let quotas = Quotas::new(&[common::team("t", 0.0, 100.0)]);
     let limits = CycleLimits {
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -26,7 +26,7 @@
         };
         for h in workers {
             let name = h.name.clone();
-            scene.workers.entry(&name, || h);
+            scene.workers.get_or_insert_with(&name, || h);
         }
         for spec in jobs {
             scene.jobs.insert(job(spec));
--- a/tests/write_ahead_log.rs
+++ b/tests/write_ahead_log.rs
@@ -27,7 +27,7 @@
     let mut jobs = Jobs::default();
     jobs.insert(job(spec("j-1", 8)));
     for (name, index) in [("h1", 0), ("h1", 1), ("h2", 2), ("h3", 4)] {
-        let known = workers.entry(name, || worker(name, "a", false));
+        let known = workers.get_or_insert_with(name, || worker(name, "a", false));
         let bound = binding(&spec("j-1", 8), 7);
         known.bindings.insert(task("j-1", index), bound);
     }
@@ -254,7 +254,7 @@
         for i in 0..8 {
             let index = round * 8 + i;
             let name = format!("host-{:06}", index % 40);
-            let known = workers.entry(&name, || worker(&name, "a", false));
+            let known = workers.get_or_insert_with(&name, || worker(&name, "a", false));
             let mut bound = binding(&spec("j-1", 4000), 7);
             bound.running_since = None;
             known.bindings.insert(task("j-1", index), bound);
