--- a/src/coordination/autoscaler.rs
+++ b/src/coordination/autoscaler.rs
@@ -3,7 +3,7 @@
 //! The arithmetic of "Predictive Queue Autoscaling with Little's Law"; docs/design.md says what was
 //! kept and what was changed.
 
-use crate::policy::Figures;
+use crate::policy::ScalingParameters;
 
 /// A pool's load.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -79,7 +79,7 @@
 }
 
 /// Machines by Little's law: the pending tasks over the pickup target, over the rate of a machine.
-pub fn little(load: &PoolLoad, figures: &Figures) -> u32 {
+pub fn little(load: &PoolLoad, figures: &ScalingParameters) -> u32 {
     if load.pending == 0 || load.rate <= 0.0 {
         return figures.min;
     }
@@ -91,7 +91,7 @@
 
 /// Machines for the expected arrivals: their rate times the time of a task, over the tasks that a
 /// machine takes, and what replicas fill.
-pub fn trend(load: &PoolLoad, figures: &Figures) -> u32 {
+pub fn trend(load: &PoolLoad, figures: &ScalingParameters) -> u32 {
     let tasks = load.forecast * load.task_s;
     ceil(
         tasks / load.per_machine.max(1.0) + load.service_machines,
@@ -100,7 +100,7 @@
 }
 
 /// Machines that drain the backlog before the oldest task breaches the pickup target.
-pub fn drain(load: &PoolLoad, figures: &Figures) -> u32 {
+pub fn drain(load: &PoolLoad, figures: &ScalingParameters) -> u32 {
     if load.pending == 0 {
         return figures.min;
     }
@@ -121,7 +121,7 @@
 
 /// The target of a pool: the largest of the three, with the headroom. What waits is served by the machines that are busy now plus at most those
 /// that its requests would fill.
-pub fn decide(load: &PoolLoad, figures: &Figures) -> ScalingDecision {
+pub fn decide(load: &PoolLoad, figures: &ScalingParameters) -> ScalingDecision {
     let little = little(load, figures);
     let drain = drain(load, figures);
     let trend = trend(load, figures);
--- a/src/coordination/leader/scaling/headroom.rs
+++ b/src/coordination/leader/scaling/headroom.rs
@@ -5,7 +5,7 @@
 use crate::bookkeeping::workers::Resources;
 use crate::coordination::leader::Leader;
 use crate::coordination::scheduler;
-use crate::policy::Figures;
+use crate::policy::ScalingParameters;
 
 /// The headroom of a zone.
 pub(super) struct Headroom {
@@ -28,7 +28,7 @@
     pub(super) fn headroom(
         &self,
         offers: &[PoolOffer],
-        figures: &[Figures],
+        figures: &[ScalingParameters],
         zone: &str,
     ) -> Option<Headroom> {
         let share = offers
@@ -67,7 +67,7 @@
         offers: &[PoolOffer],
         fit: &DemandFit,
         inventories: &[PoolInventory],
-        figures: &[Figures],
+        figures: &[ScalingParameters],
     ) -> Vec<u32> {
         let mut kept = vec![0; offers.len()];
         for zone in &self.settings.deployment.zones {
--- a/src/coordination/leader/scaling/mod.rs
+++ b/src/coordination/leader/scaling/mod.rs
@@ -11,7 +11,7 @@
 
 use super::Leader;
 use super::fleet::ScaleInReason;
-use crate::policy::{Figures, PoolState};
+use crate::policy::{PoolState, ScalingParameters};
 use demand::DemandFit;
 use pool::{PoolInventory, PoolOffer};
 
@@ -48,7 +48,7 @@
         offers: &[PoolOffer],
         inventories: &[PoolInventory],
         fit: &DemandFit,
-    ) -> Vec<Figures> {
+    ) -> Vec<ScalingParameters> {
         let pools = offers.iter().zip(inventories).zip(&fit.demand);
         pools
             .map(|((offer, inventory), demand)| {
@@ -66,7 +66,7 @@
     }
 
     /// Moves replicas together in each zone, unless some wait for capacity.
-    fn consolidate_zones(&mut self, offers: &[PoolOffer], figures: &[Figures], now: f64) {
+    fn consolidate_zones(&mut self, offers: &[PoolOffer], figures: &[ScalingParameters], now: f64) {
         let replicas_wait = self.scheduling.pending_demand.iter().any(|pending_demand| {
             let job = self.jobs.get(&pending_demand.job);
             job.is_some_and(|job| job.is_service())
--- a/src/coordination/leader/scaling/target.rs
+++ b/src/coordination/leader/scaling/target.rs
@@ -5,7 +5,7 @@
 use crate::bookkeeping::workers::Worker;
 use crate::coordination::autoscaler::{self, PoolLoad, ScalingDecision};
 use crate::coordination::leader::Leader;
-use crate::policy::Figures;
+use crate::policy::ScalingParameters;
 
 impl Leader {
     /// Measures a pool's load, and sets its target.
@@ -14,7 +14,7 @@
         offer: &PoolOffer,
         demand: &Demand,
         inventory: &PoolInventory,
-        figures: &Figures,
+        figures: &ScalingParameters,
         now: f64,
     ) -> ScalingDecision {
         let load = self.measure_load(offer, demand, inventory, figures, now);
@@ -52,7 +52,7 @@
         offer: &PoolOffer,
         demand: &Demand,
         inventory: &PoolInventory,
-        figures: &Figures,
+        figures: &ScalingParameters,
         now: f64,
     ) -> PoolLoad {
         let since = self.elected_at;
@@ -113,7 +113,7 @@
         &self,
         offer: &PoolOffer,
         inventory: &PoolInventory,
-        figures: &Figures,
+        figures: &ScalingParameters,
         decision: ScalingDecision,
         now: f64,
     ) -> Vec<String> {
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -11,9 +11,9 @@
 /// The built-in figures.
 pub const BUILT_IN: &str = include_str!("default.policy");
 
-/// Figures for one pool.
+/// ScalingParameters for one pool.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Figures {
+pub struct ScalingParameters {
     /// Time within which a waiting task should be picked up.
     pub pickup_s: f64,
     /// Least machines.
@@ -97,7 +97,7 @@
 /// The longest expression taken.
 const MAX_LENGTH: usize = 1000;
 
-/// Figures of the settings that expressions may use.
+/// ScalingParameters of the settings that expressions may use.
 #[derive(Debug, Clone, Copy)]
 struct Platform {
     heartbeat_interval_s: f64,
@@ -105,7 +105,7 @@
     list_lag_s: f64,
 }
 
-/// Figures as expressions.
+/// ScalingParameters as expressions.
 #[derive(Debug)]
 pub struct Policy {
     programs: Vec<Program>,
@@ -190,7 +190,7 @@
     }
 
     /// The figures of a pool. An expression that fails for these values gives way to the default.
-    pub fn figures(&self, pool: &PoolState) -> Figures {
+    pub fn figures(&self, pool: &PoolState) -> ScalingParameters {
         let value = |i: usize| -> f64 {
             let (name, least, most) = NAMES[i];
             let own = self
@@ -209,7 +209,7 @@
             })
         };
         let min = value(1) as u32;
-        Figures {
+        ScalingParameters {
             pickup_s: value(0),
             min,
             max: (value(2) as u32).max(min),
--- a/tests/autoscaler.rs
+++ b/tests/autoscaler.rs
@@ -2,10 +2,10 @@
 
 use cedarladder::coordination::autoscaler::{PoolLoad, ScalingDecision, TargetReason, decide};
 use cedarladder::coordination::rate_meter::RateMeter;
-use cedarladder::policy::Figures;
+use cedarladder::policy::ScalingParameters;
 
-fn figures() -> Figures {
-    Figures {
+fn figures() -> ScalingParameters {
+    ScalingParameters {
         pickup_s: 60.0,
         min: 0,
         max: 50,
@@ -136,7 +136,7 @@
         (
             "the minimum holds when nothing is asked",
             load(),
-            Figures {
+            ScalingParameters {
                 min: 2,
                 ..figures()
             },
