--- a/src/coordination/autoscaler.rs
+++ b/src/coordination/autoscaler.rs
@@ -79,52 +79,52 @@
 }
 
 /// Machines by Little's law: the pending tasks over the pickup target, over the rate of a machine.
-pub fn little(load: &PoolLoad, figures: &ScalingParameters) -> u32 {
+pub fn little(load: &PoolLoad, parameters: &ScalingParameters) -> u32 {
     if load.pending == 0 || load.rate <= 0.0 {
-        return figures.min;
+        return parameters.min;
     }
     ceil(
-        f64::from(load.pending) / figures.pickup_s / load.rate,
-        figures.max,
+        f64::from(load.pending) / parameters.pickup_s / load.rate,
+        parameters.max,
     )
 }
 
 /// Machines for the expected arrivals: their rate times the time of a task, over the tasks that a
 /// machine takes, and what replicas fill.
-pub fn trend(load: &PoolLoad, figures: &ScalingParameters) -> u32 {
+pub fn trend(load: &PoolLoad, parameters: &ScalingParameters) -> u32 {
     let tasks = load.forecast * load.task_s;
     ceil(
         tasks / load.per_machine.max(1.0) + load.service_machines,
-        figures.max,
+        parameters.max,
     )
 }
 
 /// Machines that drain the backlog before the oldest task breaches the pickup target.
-pub fn drain(load: &PoolLoad, figures: &ScalingParameters) -> u32 {
+pub fn drain(load: &PoolLoad, parameters: &ScalingParameters) -> u32 {
     if load.pending == 0 {
-        return figures.min;
+        return parameters.min;
     }
-    let usage = load.oldest_s / figures.pickup_s;
+    let usage = load.oldest_s / parameters.pickup_s;
     if usage > 1.0 {
-        return figures.max;
+        return parameters.max;
     }
     if load.rate <= 0.0 {
-        return figures.min;
+        return parameters.min;
     }
-    let left_s = (figures.pickup_s - load.oldest_s).max(1.0);
+    let left_s = (parameters.pickup_s - load.oldest_s).max(1.0);
     let margin = 1.0 + (usage - MARGIN_FROM).max(0.0) * 2.0;
     ceil(
         f64::from(load.pending) / left_s / load.rate * margin,
-        figures.max,
+        parameters.max,
     )
 }
 
 /// The target of a pool: the largest of the three, with the headroom. What waits is served by the machines that are busy now plus at most those
 /// that its requests would fill.
-pub fn decide(load: &PoolLoad, figures: &ScalingParameters) -> ScalingDecision {
-    let little = little(load, figures);
-    let drain = drain(load, figures);
-    let trend = trend(load, figures);
+pub fn decide(load: &PoolLoad, parameters: &ScalingParameters) -> ScalingDecision {
+    let little = little(load, parameters);
+    let drain = drain(load, parameters);
+    let trend = trend(load, parameters);
     let filled = load.busy + load.machines_to_fill;
     let (mut target, mut reason) = if drain > little {
         (drain, TargetReason::Drain)
@@ -147,11 +147,11 @@
     if trend > target {
         (target, reason) = (trend, TargetReason::Trend);
     }
-    if target < figures.min {
-        (target, reason) = (figures.min, TargetReason::Min);
+    if target < parameters.min {
+        (target, reason) = (parameters.min, TargetReason::Min);
     }
-    if target > figures.max {
-        (target, reason) = (figures.max, TargetReason::Max);
+    if target > parameters.max {
+        (target, reason) = (parameters.max, TargetReason::Max);
     }
     ScalingDecision {
         little,
--- a/src/coordination/leader/scaling/headroom.rs
+++ b/src/coordination/leader/scaling/headroom.rs
@@ -28,14 +28,14 @@
     pub(super) fn headroom(
         &self,
         offers: &[PoolOffer],
-        figures: &[ScalingParameters],
+        parameters: &[ScalingParameters],
         zone: &str,
     ) -> Option<Headroom> {
         let share = offers
             .iter()
-            .zip(figures)
+            .zip(parameters)
             .filter(|(offer, _)| !offer.key.spot && offer.key.zone == zone)
-            .map(|(_, figures)| figures.headroom)
+            .map(|(_, parameters)| parameters.headroom)
             .fold(0.0, f64::max);
         let replicas = self.zone_replicas(zone)?;
         Some(Headroom {
@@ -67,11 +67,11 @@
         offers: &[PoolOffer],
         fit: &DemandFit,
         inventories: &[PoolInventory],
-        figures: &[ScalingParameters],
+        parameters: &[ScalingParameters],
     ) -> Vec<u32> {
         let mut kept = vec![0; offers.len()];
         for zone in &self.settings.deployment.zones {
-            let Some(headroom) = self.headroom(offers, figures, zone) else {
+            let Some(headroom) = self.headroom(offers, parameters, zone) else {
                 continue;
             };
             let request = &headroom.request;
--- a/src/coordination/leader/scaling/mod.rs
+++ b/src/coordination/leader/scaling/mod.rs
@@ -25,25 +25,25 @@
             .iter()
             .map(|offer| self.pool_inventory(offer, now))
             .collect();
-        let figures = self.policy_figures(&offers, &inventories, &fit);
-        let headroom = self.headroom_machines(&offers, &fit, &inventories, &figures);
+        let parameters = self.policy_parameters(&offers, &inventories, &fit);
+        let headroom = self.headroom_machines(&offers, &fit, &inventories, &parameters);
         let mut surplus = Vec::new();
         for (i, offer) in offers.iter().enumerate() {
             let inventory = &mut inventories[i];
             inventory.machines_to_fill = fit.machines_to_fill(i);
             inventory.headroom_machines = headroom[i];
-            let decision = self.set_target(offer, &fit.demand[i], inventory, &figures[i], now);
+            let decision = self.set_target(offer, &fit.demand[i], inventory, &parameters[i], now);
             self.scale_out_pool(offer, &fit.demand[i], inventory, decision);
-            surplus.extend(self.surplus_workers(offer, inventory, &figures[i], decision, now));
+            surplus.extend(self.surplus_workers(offer, inventory, &parameters[i], decision, now));
         }
         for name in surplus {
             self.scale_in(&name, ScaleInReason::Idle);
         }
-        self.consolidate_zones(&offers, &figures, now);
+        self.consolidate_zones(&offers, &parameters, now);
     }
 
     /// The policy's figures for each pool.
-    fn policy_figures(
+    fn policy_parameters(
         &self,
         offers: &[PoolOffer],
         inventories: &[PoolInventory],
@@ -52,7 +52,7 @@
         let pools = offers.iter().zip(inventories).zip(&fit.demand);
         pools
             .map(|((offer, inventory), demand)| {
-                self.policy.figures(&PoolState {
+                self.policy.parameters(&PoolState {
                     spot: offer.key.spot,
                     boot_time_s: offer.instance_type.boot_time_s,
                     hourly: offer.price,
@@ -66,7 +66,12 @@
     }
 
     /// Moves replicas together in each zone, unless some wait for capacity.
-    fn consolidate_zones(&mut self, offers: &[PoolOffer], figures: &[ScalingParameters], now: f64) {
+    fn consolidate_zones(
+        &mut self,
+        offers: &[PoolOffer],
+        parameters: &[ScalingParameters],
+        now: f64,
+    ) {
         let replicas_wait = self.scheduling.pending_demand.iter().any(|pending_demand| {
             let job = self.jobs.get(&pending_demand.job);
             job.is_some_and(|job| job.is_service())
@@ -77,7 +82,7 @@
             return;
         }
         for zone in &settings.deployment.zones {
-            if let Some(headroom) = self.headroom(offers, figures, zone)
+            if let Some(headroom) = self.headroom(offers, parameters, zone)
                 && !self.fleet.was_partitioned(zone)
             {
                 self.consolidate(zone, headroom.replicas, &headroom.request);
--- a/src/coordination/leader/scaling/target.rs
+++ b/src/coordination/leader/scaling/target.rs
@@ -14,11 +14,11 @@
         offer: &PoolOffer,
         demand: &Demand,
         inventory: &PoolInventory,
-        figures: &ScalingParameters,
+        parameters: &ScalingParameters,
         now: f64,
     ) -> ScalingDecision {
-        let load = self.measure_load(offer, demand, inventory, figures, now);
-        let decision = autoscaler::decide(&load, figures);
+        let load = self.measure_load(offer, demand, inventory, parameters, now);
+        let decision = autoscaler::decide(&load, parameters);
         tracing::debug!(
             pool = %offer.key,
             machines = inventory.machines,
@@ -52,14 +52,14 @@
         offer: &PoolOffer,
         demand: &Demand,
         inventory: &PoolInventory,
-        figures: &ScalingParameters,
+        parameters: &ScalingParameters,
         now: f64,
     ) -> PoolLoad {
         let since = self.elected_at;
         let least_task_s = self.fleet.heartbeat_interval_s / 5.0;
         let pool = self.fleet.pools.entry(offer.key.clone()).or_default();
-        pool.starts.trim(figures.window_s, now);
-        pool.finishes.trim(figures.window_s, now);
+        pool.starts.trim(parameters.window_s, now);
+        pool.finishes.trim(parameters.window_s, now);
         let pending = f64::from(demand.pending.max(1));
         let per_machine = match pool.machine_share {
             Some(share) => 1.0 / share,
@@ -72,8 +72,8 @@
             .task_s
             .unwrap_or(demand.expected_runtime_s / pending)
             .max(least_task_s);
-        let events_per_s = pool.starts.rate(figures.window_s, since, now)
-            + pool.finishes.rate(figures.window_s, since, now);
+        let events_per_s = pool.starts.rate(parameters.window_s, since, now)
+            + pool.finishes.rate(parameters.window_s, since, now);
         let rate = if events_per_s > 0.0 && inventory.busy > 0 {
             events_per_s / f64::from(inventory.busy)
         } else {
@@ -83,7 +83,7 @@
             pending: demand.pending,
             oldest_s: demand.oldest_s,
             rate,
-            forecast: pool.starts.forecast(figures.window_s, since, now),
+            forecast: pool.starts.forecast(parameters.window_s, since, now),
             task_s,
             per_machine,
             service_machines: inventory.service_usage.dominant_share(&offer.resources()),
@@ -113,7 +113,7 @@
         &self,
         offer: &PoolOffer,
         inventory: &PoolInventory,
-        figures: &ScalingParameters,
+        parameters: &ScalingParameters,
         decision: ScalingDecision,
         now: f64,
     ) -> Vec<String> {
@@ -129,7 +129,7 @@
                     && !worker.terminating
                     && worker.last_heartbeat_at.is_some()
                     && worker.bindings.is_empty()
-                    && now - worker.idle_since > figures.cooldown_s
+                    && now - worker.idle_since > parameters.cooldown_s
             })
             .collect();
         idle.sort_by(|a, b| a.idle_since.total_cmp(&b.idle_since));
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -190,7 +190,7 @@
     }
 
     /// The figures of a pool. An expression that fails for these values gives way to the default.
-    pub fn figures(&self, pool: &PoolState) -> ScalingParameters {
+    pub fn parameters(&self, pool: &PoolState) -> ScalingParameters {
         let value = |i: usize| -> f64 {
             let (name, least, most) = NAMES[i];
             let own = self
--- a/tests/autoscaler.rs
+++ b/tests/autoscaler.rs
@@ -4,7 +4,7 @@
 use cedarladder::coordination::rate_meter::RateMeter;
 use cedarladder::policy::ScalingParameters;
 
-fn figures() -> ScalingParameters {
+fn parameters() -> ScalingParameters {
     ScalingParameters {
         pickup_s: 60.0,
         min: 0,
@@ -36,7 +36,7 @@
         (
             "idle",
             load(),
-            figures(),
+            parameters(),
             (0, 0, 0),
             0,
             TargetReason::Little,
@@ -49,7 +49,7 @@
                 machines_to_fill: 9,
                 ..load()
             },
-            figures(),
+            parameters(),
             (1, 0, 1),
             1,
             TargetReason::Little,
@@ -63,7 +63,7 @@
                 machines_to_fill: 40,
                 ..load()
             },
-            figures(),
+            parameters(),
             (2, 0, 16),
             16,
             TargetReason::Drain,
@@ -78,7 +78,7 @@
                 machines_to_fill: 2,
                 ..load()
             },
-            figures(),
+            parameters(),
             (1, 0, 50),
             5,
             TargetReason::Fill,
@@ -92,7 +92,7 @@
                 busy: 10,
                 ..load()
             },
-            figures(),
+            parameters(),
             (0, 15, 0),
             15,
             TargetReason::Trend,
@@ -103,7 +103,7 @@
                 service_machines: 2.4,
                 ..load()
             },
-            figures(),
+            parameters(),
             (0, 3, 0),
             3,
             TargetReason::Trend,
@@ -120,7 +120,7 @@
                 service_machines: 4.0,
                 ..load()
             },
-            figures(),
+            parameters(),
             (1, 4, 50),
             9,
             TargetReason::Headroom,
@@ -128,7 +128,7 @@
         (
             "busy machines stay",
             PoolLoad { busy: 4, ..load() },
-            figures(),
+            parameters(),
             (0, 0, 0),
             4,
             TargetReason::Busy,
@@ -138,7 +138,7 @@
             load(),
             ScalingParameters {
                 min: 2,
-                ..figures()
+                ..parameters()
             },
             (2, 0, 2),
             2,
@@ -151,7 +151,7 @@
                 task_s: 100.0,
                 ..load()
             },
-            figures(),
+            parameters(),
             (0, 50, 0),
             50,
             TargetReason::Trend,
@@ -159,13 +159,13 @@
         (
             "the maximum holds against the busy",
             PoolLoad { busy: 60, ..load() },
-            figures(),
+            parameters(),
             (0, 0, 0),
             50,
             TargetReason::Max,
         ),
     ];
-    for (name, load, figures, (little, trend, drain), target, reason) in cases {
+    for (name, load, parameters, (little, trend, drain), target, reason) in cases {
         let expected = ScalingDecision {
             little,
             trend,
@@ -173,7 +173,7 @@
             target,
             reason,
         };
-        assert_eq!(decide(&load, &figures), expected, "{name}");
+        assert_eq!(decide(&load, &parameters), expected, "{name}");
     }
 }
 
--- a/tests/golden/operator_files.rs
+++ b/tests/golden/operator_files.rs
@@ -236,14 +236,14 @@
     ] {
         let policy = Policy::parse(text, name, &settings).expect("no problems");
         for (kind, pool) in pools() {
-            let figures = policy.figures(&pool);
+            let parameters = policy.parameters(&pool);
             for (figure, value) in [
-                ("pickup_s", figures.pickup_s),
-                ("min_machines", f64::from(figures.min)),
-                ("max_machines", f64::from(figures.max)),
-                ("cooldown_s", figures.cooldown_s),
-                ("window_s", figures.window_s),
-                ("headroom", figures.headroom),
+                ("pickup_s", parameters.pickup_s),
+                ("min_machines", f64::from(parameters.min)),
+                ("max_machines", f64::from(parameters.max)),
+                ("cooldown_s", parameters.cooldown_s),
+                ("window_s", parameters.window_s),
+                ("headroom", parameters.headroom),
             ] {
                 file.pin_text(&format!("{name}, {kind}, {figure}"), &value.to_string());
             }
@@ -270,7 +270,7 @@
         let text = format!("cooldown_s = {variable}");
         let policy = Policy::parse(&text, "my.policy", &settings).expect("no problems");
         for (kind, pool) in pools() {
-            let value = policy.figures(&pool).cooldown_s;
+            let value = policy.parameters(&pool).cooldown_s;
             file.pin_text(&format!("{variable}, {kind}"), &value.to_string());
         }
     }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -22,8 +22,8 @@
 #[test]
 fn built_in() {
     let policy = Policy::parse(BUILT_IN, "built-in", &settings()).expect("no problems");
-    let ordinary = policy.figures(&pool(false, 3));
-    let spot = policy.figures(&pool(true, 3));
+    let ordinary = policy.parameters(&pool(false, 3));
+    let spot = policy.parameters(&pool(true, 3));
     assert_eq!((ordinary.cooldown_s, spot.cooldown_s), (4.0, 14.0));
     assert_eq!((ordinary.pickup_s, ordinary.window_s), (2.0, 24.0));
     assert_eq!((ordinary.min, ordinary.max), (0, 10_000));
@@ -84,7 +84,7 @@
 fn run_time_failure() {
     let text = "min_machines = 1.0\ncooldown_s = busy == 7.0 ? -1.0 : 5.0";
     let policy = Policy::parse(text, "f", &settings()).expect("passes the samples");
-    assert_eq!(policy.figures(&pool(false, 3)).cooldown_s, 5.0);
-    assert_eq!(policy.figures(&pool(false, 7)).cooldown_s, 4.0);
-    assert_eq!(policy.figures(&pool(false, 7)).min, 1);
+    assert_eq!(policy.parameters(&pool(false, 3)).cooldown_s, 5.0);
+    assert_eq!(policy.parameters(&pool(false, 7)).cooldown_s, 4.0);
+    assert_eq!(policy.parameters(&pool(false, 7)).min, 1);
 }
