--- a/src/coordination/election/timeouts.rs
+++ b/src/coordination/election/timeouts.rs
@@ -1,6 +1,6 @@
 //! The times of the election, derived from those of the workers.
 
-use crate::settings::{DRIFT, WorkerSettings};
+use crate::settings::{MAX_CLOCK_DRIFT, WorkerSettings};
 
 /// Leases of the leader in a lease of a worker.
 const LEADER_LEASES_PER_WORKER_LEASE: f64 = 5.0;
@@ -10,7 +10,7 @@
 const MAX_START_VIEW_HEARTBEATS: f64 = 2.0;
 /// Heartbeat intervals of `cancel_s` that are kept for messages on their way.
 const MESSAGE_DELAY_HEARTBEATS: f64 = 0.5;
-/// Clock drift allowed for while a worker's lease runs, in multiples of `DRIFT`: more than two clocks can
+/// Clock drift allowed for while a worker's lease runs, in multiples of `MAX_CLOCK_DRIFT`: more than two clocks can
 /// differ by, to be safe.
 const DRIFTS_PER_LEASE: f64 = 4.0;
 /// Share of the leader's lease after which it is renewed.
@@ -46,14 +46,14 @@
     /// worker stops its tasks when that lease runs out. So these must fit into `cancel_s`:
     ///
     /// - the lease grace period,
-    /// - the worker's lease, by the slower of two clocks: `lease_s * (1 + 4 * DRIFT)`,
+    /// - the worker's lease, by the slower of two clocks: `lease_s * (1 + 4 * MAX_CLOCK_DRIFT)`,
     /// - half a heartbeat interval, for messages on their way.
     ///
     /// The grace period is what the other two leave of `cancel_s`, and the leader's own lease at least.
     pub fn new(workers: &WorkerSettings) -> ElectionTimeouts {
         let lease_s = workers.lease_s;
         let leader_lease_s = (lease_s / LEADER_LEASES_PER_WORKER_LEASE).max(MIN_LEADER_LEASE_S);
-        let worker_lease_s = lease_s * (1.0 + DRIFTS_PER_LEASE * DRIFT);
+        let worker_lease_s = lease_s * (1.0 + DRIFTS_PER_LEASE * MAX_CLOCK_DRIFT);
         let message_delay_s = workers.heartbeat_interval_s * MESSAGE_DELAY_HEARTBEATS;
         let lease_grace_s = workers.cancel_s - worker_lease_s - message_delay_s;
         ElectionTimeouts {
@@ -66,7 +66,7 @@
 
     /// Seconds for which a leader certainly holds its lease after it has asked for the renewal.
     pub(super) fn certain_lease_s(&self) -> f64 {
-        self.leader_lease_s * (1.0 - 2.0 * DRIFT)
+        self.leader_lease_s * (1.0 - 2.0 * MAX_CLOCK_DRIFT)
     }
 
     /// Seconds after which an unanswered call of the election is given up.
--- a/src/coordination/leader/leases.rs
+++ b/src/coordination/leader/leases.rs
@@ -3,10 +3,10 @@
 //! seconds.
 
 use crate::bookkeeping::workers::{Worker, Workers};
-use crate::settings::{DRIFT, Settings};
+use crate::settings::{MAX_CLOCK_DRIFT, Settings};
 use std::collections::BTreeSet;
 
-/// Clock drift that the end of a worker's lease allows for, in units of [`DRIFT`].
+/// Clock drift that the end of a worker's lease allows for, in units of [`MAX_CLOCK_DRIFT`].
 const DRIFT_MARGIN: f64 = 4.0;
 /// The part of a heartbeat interval that is added to a worker's lease as a safety margin, as a divisor.
 const EXPIRY_MARGIN_DIVISOR: f64 = 5.0;
@@ -131,7 +131,7 @@
     /// last answer that may have renewed it, by the slower of two clocks.
     pub(super) fn expires_at(&self, worker: &Worker) -> f64 {
         worker.lease_renewed_at
-            + self.worker_lease_s * (1.0 + DRIFT_MARGIN * DRIFT)
+            + self.worker_lease_s * (1.0 + DRIFT_MARGIN * MAX_CLOCK_DRIFT)
             + self.heartbeat_interval_s / EXPIRY_MARGIN_DIVISOR
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -193,7 +193,7 @@
 }
 
 /// Steady clocks of different machines run apart by at most this share.
-pub const DRIFT: f64 = 0.0005;
+pub const MAX_CLOCK_DRIFT: f64 = 0.0005;
 
 impl Settings {
     /// Reads and checks a file.
--- a/tests/golden/operator_files.rs
+++ b/tests/golden/operator_files.rs
@@ -54,7 +54,7 @@
             "sockets for direct calls",
             quota.direct_sockets().to_string(),
         ),
-        ("drift of clocks", settings::DRIFT.to_string()),
+        ("drift of clocks", settings::MAX_CLOCK_DRIFT.to_string()),
     ];
     let mut values: Vec<(String, String)> = single
         .into_iter()
