--- a/src/policy.rs
+++ b/src/policy.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 
 /// The built-in figures.
-pub const BUILT_IN: &str = include_str!("default.policy");
+pub const BUILT_IN_POLICY: &str = include_str!("default.policy");
 
 /// ScalingParameters for one pool.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -117,7 +117,7 @@
 impl Policy {
     /// The built-in figures.
     pub fn built_in(settings: &Settings) -> Policy {
-        match Policy::parse(BUILT_IN, "built-in", settings) {
+        match Policy::parse(BUILT_IN_POLICY, "built-in", settings) {
             Ok(policy) => policy,
             // A test checks the built-in file; without figures nothing is scaled.
             Err(_) => Policy::empty(settings),
@@ -156,7 +156,7 @@
     pub fn parse(text: &str, file: &str, settings: &Settings) -> Result<Policy, Vec<Problem>> {
         let mut policy = Policy::empty(settings);
         let mut problems = Vec::new();
-        let defaults = read(BUILT_IN, "built-in", &mut problems);
+        let defaults = read(BUILT_IN_POLICY, "built-in", &mut problems);
         let given = read(text, file, &mut problems);
         for (name, least, most) in NAMES {
             let default = defaults.iter().find(|e| e.name == name);
--- a/tests/golden/operator_files.rs
+++ b/tests/golden/operator_files.rs
@@ -1,7 +1,7 @@
 //! The files that operators write: settings and policy, every name in them, and what is said of mistakes.
 
 use super::pinned::PinnedFile;
-use cedarladder::policy::{BUILT_IN, Policy, PoolState};
+use cedarladder::policy::{BUILT_IN_POLICY, Policy, PoolState};
 use cedarladder::settings::{self, Settings};
 
 /// A file with every key.
@@ -227,10 +227,10 @@
 #[test]
 fn figures_of_policies_keep_their_names_and_values() {
     let mut file = PinnedFile::open("policy");
-    file.pin_text("built-in file", BUILT_IN);
+    file.pin_text("built-in file", BUILT_IN_POLICY);
     let settings = parse(SETTINGS);
     for (name, text) in [
-        ("built-in", BUILT_IN),
+        ("built-in", BUILT_IN_POLICY),
         ("every name", POLICY),
         ("empty", ""),
     ] {
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,6 +1,6 @@
 //! Operators' files: what is good, and what is said of what is not.
 
-use cedarladder::policy::{BUILT_IN, Policy, PoolState};
+use cedarladder::policy::{BUILT_IN_POLICY, Policy, PoolState};
 use cedarladder::settings::Settings;
 
 fn settings() -> Settings {
@@ -21,7 +21,7 @@
 
 #[test]
 fn built_in() {
-    let policy = Policy::parse(BUILT_IN, "built-in", &settings()).expect("no problems");
+    let policy = Policy::parse(BUILT_IN_POLICY, "built-in", &settings()).expect("no problems");
     let ordinary = policy.parameters(&pool(false, 3));
     let spot = policy.parameters(&pool(true, 3));
     assert_eq!((ordinary.cooldown_s, spot.cooldown_s), (4.0, 14.0));
