--- a/src/coordination/job_api/mod.rs
+++ b/src/coordination/job_api/mod.rs
@@ -26,7 +26,7 @@
 use crate::protocol::job::{JobSpec, JobStatus};
 use crate::protocol::kv::KvResponse;
 use crate::protocol::peer::{JobCounts, Termination};
-use crate::settings::StateLimits;
+use crate::settings::StateServiceLimits;
 use admission::Admission;
 use batches::BatchOutcome;
 use lookups::{JobLookups, JobRecordState, LookupProgress};
@@ -58,7 +58,7 @@
 
 impl JobApi {
     /// A job API that may use this share of the state service's limits.
-    pub fn new(limits: &StateLimits, share: f64, request_timeout_s: f64) -> JobApi {
+    pub fn new(limits: &StateServiceLimits, share: f64, request_timeout_s: f64) -> JobApi {
         let budget = |limit_per_s: f64| {
             let rate = limit_per_s * share;
             TokenBucket::new(rate, burst_of(rate))
--- a/src/coordination/job_api/revision_checks.rs
+++ b/src/coordination/job_api/revision_checks.rs
@@ -7,7 +7,7 @@
 use crate::bookkeeping::records;
 use crate::coordination::effects::{Effects, KvRequestContext};
 use crate::protocol::kv::{COMPARES_PER_WRITE, Compare, KvRequest, Txn};
-use crate::settings::StateLimits;
+use crate::settings::StateServiceLimits;
 use std::collections::HashSet;
 
 /// Share of a controller's requests for revision checks, which answer many polls each; the rest is for
@@ -30,7 +30,7 @@
 
 impl RevisionChecks {
     /// No polls yet; `share` is this controller's share of the state service's limits.
-    pub(super) fn new(limits: &StateLimits, share: f64) -> RevisionChecks {
+    pub(super) fn new(limits: &StateServiceLimits, share: f64) -> RevisionChecks {
         RevisionChecks {
             polls: RequestQueue::default(),
             in_flight: InFlightBatches::default(),
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -91,7 +91,7 @@
     /// Worker protocol.
     pub workers: WorkerSettings,
     /// State service.
-    pub state: StateLimits,
+    pub state: StateServiceLimits,
     /// Cloud.
     pub cloud: CloudLimits,
     /// What a controller may use.
@@ -147,7 +147,7 @@
 
 /// Limits of the state service.
 #[derive(Debug, Clone, Deserialize)]
-pub struct StateLimits {
+pub struct StateServiceLimits {
     /// Requests per second, of all controllers together.
     pub rps: f64,
     /// Writes per second, of all controllers together.
--- a/tests/job_api.rs
+++ b/tests/job_api.rs
@@ -7,7 +7,7 @@
 use cedarladder::coordination::job_api::{JobApi, UnsatisfiableJob};
 use cedarladder::protocol::cbor;
 use cedarladder::protocol::kv::{KeyValue, KvRequest, KvResponse, Txn};
-use cedarladder::settings::StateLimits;
+use cedarladder::settings::StateServiceLimits;
 use common::spec;
 
 const ID: &str = "j-1";
@@ -20,8 +20,8 @@
     Aborted,
 }
 
-fn limits() -> StateLimits {
-    StateLimits {
+fn limits() -> StateServiceLimits {
+    StateServiceLimits {
         rps: 600.0,
         write_rps: 600.0,
         value_kb: 8.0,
--- a/tests/older_knowledge.rs
+++ b/tests/older_knowledge.rs
@@ -17,14 +17,14 @@
 use cedarladder::protocol::job::JobStatus;
 use cedarladder::protocol::kv::KvResponse;
 use cedarladder::protocol::peer::JobCounts;
-use cedarladder::settings::StateLimits;
+use cedarladder::settings::StateServiceLimits;
 use common::spec;
 use scene::{Held, Scene, peer_heartbeat};
 
 const ID: &str = "j-000001";
 
 fn job_api() -> JobApi {
-    let limits = StateLimits {
+    let limits = StateServiceLimits {
         rps: 600.0,
         write_rps: 600.0,
         value_kb: 8.0,
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -9,7 +9,7 @@
 use cedarladder::protocol::cbor;
 use cedarladder::protocol::kv::{KeyValue, KvRequest, KvResponse};
 use cedarladder::protocol::peer::Termination;
-use cedarladder::settings::StateLimits;
+use cedarladder::settings::StateServiceLimits;
 use cedarladder::transport::server::{After, Server};
 use common::spec;
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
         ("ten times as much", 10, 60.0),
         ("a flood", 100, 20.0),
     ] {
-        let limits = StateLimits {
+        let limits = StateServiceLimits {
             rps: 150.0,
             write_rps,
             value_kb: 8.0,
@@ -128,7 +128,7 @@
 /// comparisons for those that are open. What a peer has told needs no look.
 #[test]
 fn ended_jobs_beside_many_polls() {
-    let limits = StateLimits {
+    let limits = StateServiceLimits {
         rps: 300.0,
         write_rps: 100.0,
         value_kb: 8.0,
@@ -237,7 +237,7 @@
 /// Final states are kept in memory up to a bound; older ones are looked up again.
 #[test]
 fn final_states_are_bounded() {
-    let limits = StateLimits {
+    let limits = StateServiceLimits {
         rps: 150.0,
         write_rps: 60.0,
         value_kb: 8.0,
@@ -341,7 +341,7 @@
 /// and no faster than the controller's equal part while it hears nothing of them.
 #[test]
 fn submissions_at_one_of_many_nodes() {
-    let limits = StateLimits {
+    let limits = StateServiceLimits {
         rps: 150.0,
         write_rps: 50.0,
         value_kb: 8.0,
