--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -25,7 +25,7 @@
 /// Why bytes are not a request that we take; the status to answer with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("refused with status {0}")]
-pub struct Unacceptable(pub u16);
+pub struct ParseError(pub u16);
 
 /// A complete response.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -58,7 +58,7 @@
     expects_continue: bool,
 }
 
-fn read_headers(headers: &[httparse::Header]) -> Result<Head, Unacceptable> {
+fn read_headers(headers: &[httparse::Header]) -> Result<Head, ParseError> {
     let mut head = Head {
         length: None,
         chunked: false,
@@ -67,21 +67,21 @@
         expects_continue: false,
     };
     for header in headers {
-        let value = std::str::from_utf8(header.value).map_err(|_| Unacceptable(400))?;
+        let value = std::str::from_utf8(header.value).map_err(|_| ParseError(400))?;
         let value = value.trim();
         if header.name.eq_ignore_ascii_case("content-length") {
             // Digits only: `usize` parsing would also take a plus sign.
             if value.is_empty() || !value.bytes().all(|b| b.is_ascii_digit()) {
-                return Err(Unacceptable(400));
+                return Err(ParseError(400));
             }
-            let length = value.parse().map_err(|_| Unacceptable(400))?;
+            let length = value.parse().map_err(|_| ParseError(400))?;
             if head.length.is_some_and(|known| known != length) {
-                return Err(Unacceptable(400));
+                return Err(ParseError(400));
             }
             head.length = Some(length);
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
             if !value.eq_ignore_ascii_case("chunked") {
-                return Err(Unacceptable(501));
+                return Err(ParseError(501));
             }
             head.chunked = true;
         } else if header.name.eq_ignore_ascii_case("connection") {
@@ -94,30 +94,30 @@
         }
     }
     if head.chunked && head.length.is_some() {
-        return Err(Unacceptable(400));
+        return Err(ParseError(400));
     }
     Ok(head)
 }
 
 /// Reads a chunked body. `None`: more bytes are needed.
-fn read_chunks(mut bytes: &[u8], limit: usize) -> Result<Option<(Vec<u8>, usize)>, Unacceptable> {
+fn read_chunks(mut bytes: &[u8], limit: usize) -> Result<Option<(Vec<u8>, usize)>, ParseError> {
     let start = bytes.len();
     let mut body = Vec::new();
     loop {
         let (used, size) = match httparse::parse_chunk_size(bytes) {
             Ok(httparse::Status::Complete(found)) => found,
             Ok(httparse::Status::Partial) => return Ok(None),
-            Err(_) => return Err(Unacceptable(400)),
+            Err(_) => return Err(ParseError(400)),
         };
         if size > (limit - body.len()) as u64 {
-            return Err(Unacceptable(400));
+            return Err(ParseError(400));
         }
         let size = size as usize;
         if bytes.len() < used + size + 2 {
             return Ok(None);
         }
         if &bytes[used + size..used + size + 2] != b"\r\n" {
-            return Err(Unacceptable(400));
+            return Err(ParseError(400));
         }
         body.extend_from_slice(&bytes[used..used + size]);
         bytes = &bytes[used + size + 2..];
@@ -128,7 +128,7 @@
 }
 
 /// Parses a request. A body over the limit is refused with 400, as the protocol has it.
-pub fn parse_request(bytes: &[u8]) -> Result<Parsed<Request>, Unacceptable> {
+pub fn parse_request(bytes: &[u8]) -> Result<Parsed<Request>, ParseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let used = match request.parse(bytes) {
@@ -139,9 +139,9 @@
             });
         }
         Ok(httparse::Status::Partial) | Err(httparse::Error::TooManyHeaders) => {
-            return Err(Unacceptable(431));
+            return Err(ParseError(431));
         }
-        Err(_) => return Err(Unacceptable(400)),
+        Err(_) => return Err(ParseError(400)),
     };
     let head = read_headers(request.headers)?;
     let version = request.version.unwrap_or(1);
@@ -149,7 +149,7 @@
     let (body, total) = if head.chunked {
         match read_chunks(&bytes[used..], MAX_REQUEST_BODY)? {
             Some((body, size)) => (body, used + size),
-            None if bytes.len() > used + 2 * MAX_REQUEST_BODY => return Err(Unacceptable(400)),
+            None if bytes.len() > used + 2 * MAX_REQUEST_BODY => return Err(ParseError(400)),
             None => {
                 return Ok(Parsed::Partial {
                     expects_continue: head.expects_continue,
@@ -159,7 +159,7 @@
     } else {
         let length = head.length.unwrap_or(0);
         if length > MAX_REQUEST_BODY {
-            return Err(Unacceptable(400));
+            return Err(ParseError(400));
         }
         if bytes.len() < used + length {
             return Ok(Parsed::Partial {
@@ -185,7 +185,7 @@
     bytes: &[u8],
     limit: usize,
     ended: bool,
-) -> Result<Parsed<Response>, Unacceptable> {
+) -> Result<Parsed<Response>, ParseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
     let partial = Ok(Parsed::Partial {
@@ -194,10 +194,10 @@
     let used = match response.parse(bytes) {
         Ok(httparse::Status::Complete(used)) => used,
         Ok(httparse::Status::Partial) if bytes.len() <= MAX_HEAD => return partial,
-        _ => return Err(Unacceptable(502)),
+        _ => return Err(ParseError(502)),
     };
     let status = response.code.unwrap_or(0);
-    let head = read_headers(response.headers).map_err(|_| Unacceptable(502))?;
+    let head = read_headers(response.headers).map_err(|_| ParseError(502))?;
     if (100..200).contains(&status) {
         return match parse_response(&bytes[used..], limit, ended)? {
             Parsed::Whole(response, more) => Ok(Parsed::Whole(response, used + more)),
@@ -206,17 +206,17 @@
     }
     let rest = &bytes[used..];
     let (body, total, framed) = if head.chunked {
-        match read_chunks(rest, limit).map_err(|_| Unacceptable(502))? {
+        match read_chunks(rest, limit).map_err(|_| ParseError(502))? {
             Some((body, size)) => (body, used + size, true),
             None => return partial,
         }
     } else {
         match head.length {
-            Some(length) if length > limit => return Err(Unacceptable(502)),
+            Some(length) if length > limit => return Err(ParseError(502)),
             Some(length) if rest.len() < length => return partial,
             Some(length) => (rest[..length].to_vec(), used + length, true),
             None if status == 204 || status == 304 => (Vec::new(), used, true),
-            None if rest.len() > limit => return Err(Unacceptable(502)),
+            None if rest.len() > limit => return Err(ParseError(502)),
             None if ended => (rest.to_vec(), bytes.len(), false),
             None => return partial,
         }
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -8,7 +8,7 @@
 use cedarladder::protocol::{cbor, worker};
 use cedarladder::settings::Settings;
 use cedarladder::transport::frames::split;
-use cedarladder::transport::http::{Parsed, Unacceptable, parse_request, parse_response};
+use cedarladder::transport::http::{ParseError, Parsed, parse_request, parse_response};
 use ciborium::Value;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -176,7 +176,7 @@
                 Ok(Some((r.method, r.path, body, r.keep_alive)))
             }
             Ok(Parsed::Partial { .. }) => Ok(None),
-            Err(Unacceptable(status)) => Err(status),
+            Err(ParseError(status)) => Err(status),
         };
         let expected = expected.map(|request| {
             request.map(|(m, p, b, k)| (m.to_owned(), p.to_owned(), b.to_owned(), k))
