--- a/src/cli.rs
+++ b/src/cli.rs
@@ -232,7 +232,7 @@
         let count = stream.read(&mut chunk)?;
         bytes.extend_from_slice(&chunk[..count]);
         match http::parse_response(&bytes, http::MAX_REQUEST_BODY, count == 0) {
-            Ok(Parsed::Whole(response, _)) => return Ok(response),
+            Ok(Parsed::Complete(response, _)) => return Ok(response),
             Ok(Parsed::Partial { .. }) if count > 0 => {}
             _ => return Err(std::io::Error::other("not an HTTP answer")),
         }
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -244,7 +244,7 @@
             alive = end == ReadEnd::Open;
             if conn.call.is_some() && end != ReadEnd::Failed && !conn.wire.inbox.is_empty() {
                 match http::parse_response(&conn.wire.inbox, self.max_body, !alive) {
-                    Ok(Parsed::Whole(response, used)) => {
+                    Ok(Parsed::Complete(response, used)) => {
                         conn.wire.consume(used);
                         alive &= response.keep_alive && conn.wire.inbox.is_empty();
                         if let Some(call) = conn.call.take() {
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -47,7 +47,7 @@
         expects_continue: bool,
     },
     /// A whole message and how many bytes it took.
-    Whole(T, usize),
+    Complete(T, usize),
 }
 
 struct Head {
@@ -169,7 +169,7 @@
         (bytes[used..used + length].to_vec(), used + length)
     };
     let path = target.split(['?', '#']).next().unwrap_or("/").to_owned();
-    Ok(Parsed::Whole(
+    Ok(Parsed::Complete(
         Request {
             method: request.method.unwrap_or("").to_owned(),
             path,
@@ -200,7 +200,7 @@
     let head = read_headers(response.headers).map_err(|_| ParseError(502))?;
     if (100..200).contains(&status) {
         return match parse_response(&bytes[used..], limit, ended)? {
-            Parsed::Whole(response, more) => Ok(Parsed::Whole(response, used + more)),
+            Parsed::Complete(response, more) => Ok(Parsed::Complete(response, used + more)),
             partial => Ok(partial),
         };
     }
@@ -221,7 +221,7 @@
             None => return partial,
         }
     };
-    Ok(Parsed::Whole(
+    Ok(Parsed::Complete(
         Response {
             status,
             body,
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -160,7 +160,7 @@
             };
         }
         match http::parse_request(&conn.wire.inbox) {
-            Ok(Parsed::Whole(request, used)) => {
+            Ok(Parsed::Complete(request, used)) => {
                 conn.wire.consume(used);
                 conn.continued = false;
                 conn.touched = now;
--- a/tests/golden/program.rs
+++ b/tests/golden/program.rs
@@ -114,7 +114,7 @@
             let count = stream.read(&mut chunk).expect("more of the request");
             request.extend_from_slice(&chunk[..count]);
             match http::parse_request(&request) {
-                Ok(Parsed::Whole(..)) => break,
+                Ok(Parsed::Complete(..)) => break,
                 _ => assert!(count > 0, "the request is cut off"),
             }
         }
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -170,7 +170,7 @@
     ];
     for (bytes, expected) in cases {
         let got = match parse_request(bytes.as_bytes()) {
-            Ok(Parsed::Whole(r, used)) => {
+            Ok(Parsed::Complete(r, used)) => {
                 assert_eq!(used, bytes.len(), "{bytes:?}");
                 let body = String::from_utf8(r.body).unwrap();
                 Ok(Some((r.method, r.path, body, r.keep_alive)))
