--- a/src/transport/frames.rs
+++ b/src/transport/frames.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 /// Takes whole frames out of the bytes read so far. `None`: a frame is longer than allowed.
-pub fn split(inbox: &mut Vec<u8>, limit: usize) -> Option<Vec<Vec<u8>>> {
+pub fn split_frames(inbox: &mut Vec<u8>, limit: usize) -> Option<Vec<Vec<u8>>> {
     let mut frames = Vec::new();
     let mut at = 0;
     while let Some(head) = inbox.get(at..at + 4) {
@@ -42,7 +42,7 @@
     /// Reads frames. The flag says whether the connection goes on.
     pub fn ready(&mut self, limit: usize) -> (Vec<Vec<u8>>, bool) {
         let end = self.wire.fill(2 * limit);
-        match split(&mut self.wire.inbox, limit) {
+        match split_frames(&mut self.wire.inbox, limit) {
             Some(frames) => (frames, end == ReadEnd::Open),
             None => (Vec::new(), false),
         }
--- a/tests/golden/controllers.rs
+++ b/tests/golden/controllers.rs
@@ -112,7 +112,7 @@
 fn frames_are_read_from_their_bytes() {
     let mut file = PinnedFile::open("frames");
     let mut inbox = file.pin("two frames", b"\x04\0\0\0body\0\0\0\0");
-    let read = frames::split(&mut inbox, FRAME_LIMIT).expect("no frame is too long");
+    let read = frames::split_frames(&mut inbox, FRAME_LIMIT).expect("no frame is too long");
     assert_eq!(read, [BODY, &[]]);
     assert!(inbox.is_empty());
     file.finish();
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -7,7 +7,7 @@
 use cedarladder::protocol::token::FencingToken;
 use cedarladder::protocol::{cbor, worker};
 use cedarladder::settings::Settings;
-use cedarladder::transport::frames::split;
+use cedarladder::transport::frames::split_frames;
 use cedarladder::transport::http::{ParseError, Parsed, parse_request, parse_response};
 use ciborium::Value;
 use rand::rngs::SmallRng;
@@ -253,7 +253,7 @@
             let _ = parse_submission(&bytes, 0.0);
             let _ = parse_request(&bytes);
             let _ = parse_response(&bytes, 1000, true);
-            let _ = split(&mut bytes, 1000);
+            let _ = split_frames(&mut bytes, 1000);
         }
     }
 }
@@ -268,10 +268,10 @@
     let mut inbox = frame(b"one");
     inbox.extend(frame(b""));
     inbox.extend(&frame(b"half")[..6]);
-    let frames = split(&mut inbox, 100).expect("within the limit");
+    let frames = split_frames(&mut inbox, 100).expect("within the limit");
     assert_eq!(frames, vec![b"one".to_vec(), vec![]]);
     assert_eq!(inbox.len(), 6, "the rest is kept");
-    assert_eq!(split(&mut frame(&[0; 101]), 100), None, "too long");
+    assert_eq!(split_frames(&mut frame(&[0; 101]), 100), None, "too long");
 }
 
 #[test]
