--- a/src/daemon/connections.rs
+++ b/src/daemon/connections.rs
@@ -5,7 +5,7 @@
 use crate::coordination::controller::Now;
 use crate::protocol::peer;
 use crate::transport::frames::Incoming;
-use crate::transport::server::After;
+use crate::transport::server::ConnectionAction;
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction};
 use std::net::{TcpListener, TcpStream};
@@ -182,11 +182,11 @@
     }
 
     /// Does what the server asks for after a connection was read or written.
-    pub(super) fn serve(&mut self, id: u64, after: After, now: Now) {
+    pub(super) fn serve(&mut self, id: u64, after: ConnectionAction, now: Now) {
         match after {
-            After::Keep => {}
-            After::Close => self.close(Connection::Request(id)),
-            After::Serve(request_id, request) => {
+            ConnectionAction::Keep => {}
+            ConnectionAction::Close => self.close(Connection::Request(id)),
+            ConnectionAction::Serve(request_id, request) => {
                 // Workers keep their connections while there are enough; users can always connect.
                 if request.path == HEARTBEAT_PATH {
                     self.server.close_if_crowded(request_id);
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -16,7 +16,7 @@
 
 /// What to do with a connection after it was touched.
 #[derive(Debug, PartialEq, Eq)]
-pub enum After {
+pub enum ConnectionAction {
     /// Nothing.
     Keep,
     /// Close it.
@@ -119,25 +119,25 @@
     }
 
     /// Reads and writes what a connection is ready for.
-    pub fn ready(&mut self, id: u64, now: f64) -> After {
+    pub fn ready(&mut self, id: u64, now: f64) -> ConnectionAction {
         let Some(conn) = self.conns.get_mut(&id) else {
-            return After::Close;
+            return ConnectionAction::Close;
         };
         if !conn.wire.flush() {
-            return After::Close;
+            return ConnectionAction::Close;
         }
         if conn.closing {
             return if conn.wire.unsent() == 0 {
-                After::Close
+                ConnectionAction::Close
             } else {
-                After::Keep
+                ConnectionAction::Keep
             };
         }
         let before = conn.wire.inbox.len();
         match conn.wire.fill(MAX_UNREAD) {
             ReadEnd::Open => {}
             ReadEnd::Closed => conn.half_closed = true,
-            ReadEnd::Failed => return After::Close,
+            ReadEnd::Failed => return ConnectionAction::Close,
         }
         if before == 0 && !conn.wire.inbox.is_empty() {
             conn.touched = now;
@@ -145,18 +145,18 @@
         self.next_request(id, now)
     }
 
-    fn next_request(&mut self, id: u64, now: f64) -> After {
+    fn next_request(&mut self, id: u64, now: f64) -> ConnectionAction {
         let Some(conn) = self.conns.get_mut(&id) else {
-            return After::Close;
+            return ConnectionAction::Close;
         };
         if conn.serving.is_some() {
-            return After::Keep;
+            return ConnectionAction::Keep;
         }
         if conn.wire.inbox.is_empty() {
             return if conn.half_closed {
-                After::Close
+                ConnectionAction::Close
             } else {
-                After::Keep
+                ConnectionAction::Keep
             };
         }
         match http::parse_request(&conn.wire.inbox) {
@@ -168,25 +168,25 @@
                 self.next += 1;
                 conn.serving = Some((request_id, request.keep_alive));
                 self.waiting.insert(request_id, id);
-                After::Serve(request_id, request)
+                ConnectionAction::Serve(request_id, request)
             }
-            Ok(Parsed::Partial { .. }) if conn.half_closed => After::Close,
+            Ok(Parsed::Partial { .. }) if conn.half_closed => ConnectionAction::Close,
             Ok(Parsed::Partial { expects_continue }) => {
                 if expects_continue && !conn.continued {
                     conn.continued = true;
                     if !conn.wire.send(b"HTTP/1.1 100 Continue\r\n\r\n") {
-                        return After::Close;
+                        return ConnectionAction::Close;
                     }
                 }
-                After::Keep
+                ConnectionAction::Keep
             }
             Err(refusal) => {
                 let bytes = http::write_response(refusal.0, b"", None, false);
                 conn.closing = true;
                 if conn.wire.send(&bytes) && conn.wire.unsent() > 0 {
-                    After::Keep
+                    ConnectionAction::Keep
                 } else {
-                    After::Close
+                    ConnectionAction::Close
                 }
             }
         }
@@ -201,7 +201,7 @@
         body: &[u8],
         retry_after_s: Option<u32>,
         now: f64,
-    ) -> Option<(u64, After, f64)> {
+    ) -> Option<(u64, ConnectionAction, f64)> {
         let id = self.waiting.remove(&request)?;
         let conn = self.conns.get_mut(&id)?;
         let (_, keep_alive) = conn.serving.take()?;
@@ -209,14 +209,14 @@
         conn.touched = now;
         let bytes = http::write_response(status, body, retry_after_s, keep_alive);
         if !conn.wire.send(&bytes) {
-            return Some((id, After::Close, waited_s));
+            return Some((id, ConnectionAction::Close, waited_s));
         }
         if !keep_alive {
             conn.closing = true;
             let after = if conn.wire.unsent() == 0 {
-                After::Close
+                ConnectionAction::Close
             } else {
-                After::Keep
+                ConnectionAction::Keep
             };
             return Some((id, after, waited_s));
         }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -10,7 +10,7 @@
 use cedarladder::protocol::kv::{KeyValue, KvRequest, KvResponse};
 use cedarladder::protocol::peer::Termination;
 use cedarladder::settings::StateServiceLimits;
-use cedarladder::transport::server::{After, Server};
+use cedarladder::transport::server::{ConnectionAction, Server};
 use common::spec;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -282,11 +282,11 @@
             first = id;
             user.write_all(b"GET /healthz HTTP/1.1\r\n\r\n")
                 .expect("sent");
-            let mut after = After::Keep;
-            while after == After::Keep {
+            let mut after = ConnectionAction::Keep;
+            while after == ConnectionAction::Keep {
                 after = server.ready(id, now);
             }
-            let After::Serve(request, got) = after else {
+            let ConnectionAction::Serve(request, got) = after else {
                 panic!("a request");
             };
             assert_eq!(got.path, "/healthz");
@@ -301,7 +301,7 @@
     let (id, after, _) = server
         .answer(request, 200, b"", None, 8.0)
         .expect("it is there");
-    assert_eq!((id, after), (first, After::Keep));
+    assert_eq!((id, after), (first, ConnectionAction::Keep));
     let mut bytes = [0; 15];
     user.read_exact(&mut bytes).expect("an answer");
     assert_eq!(&bytes, b"HTTP/1.1 200 OK");
