--- a/src/daemon/clients.rs
+++ b/src/daemon/clients.rs
@@ -209,7 +209,7 @@
         now: f64,
     ) -> Option<ClientConnection> {
         let destination = connection.destination;
-        let opened = self.pool_mut(destination).ready(connection.id, now);
+        let opened = self.pool_mut(destination).on_ready(connection.id, now);
         opened.map(|id| ClientConnection { destination, id })
     }
 
--- a/src/daemon/connections.rs
+++ b/src/daemon/connections.rs
@@ -143,7 +143,7 @@
         let now = self.now();
         match connection {
             Connection::Request(id) => {
-                let after = self.server.ready(id, now.monotonic);
+                let after = self.server.on_ready(id, now.monotonic);
                 self.serve(id, after, now);
             }
             Connection::Client(client) => {
@@ -155,7 +155,7 @@
             }
             Connection::OutgoingPeer(index) => {
                 if let Some(outgoing) = self.outgoing_peers.get_mut(index)
-                    && !outgoing.ready(now.monotonic)
+                    && !outgoing.on_ready(now.monotonic)
                 {
                     self.unregister(connection);
                 }
@@ -169,7 +169,7 @@
         let Some(incoming) = self.incoming_peers.get_mut(&id) else {
             return;
         };
-        let (frames, open) = incoming.ready(peer::MAX_FRAME_BYTES);
+        let (frames, open) = incoming.on_ready(peer::MAX_FRAME_BYTES);
         for frame in frames {
             // A frame that is no heartbeat (of another version, say) is dropped.
             if let Ok(heartbeat) = peer::decode(&frame) {
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -218,7 +218,7 @@
     }
 
     /// Reads and writes what a connection is ready for. Returns a connection to register.
-    pub fn ready(&mut self, id: u64, now: f64) -> Option<u64> {
+    pub fn on_ready(&mut self, id: u64, now: f64) -> Option<u64> {
         let conn = self.conns.get_mut(&id)?;
         let to = conn.to;
         let mut alive = true;
--- a/src/transport/frames.rs
+++ b/src/transport/frames.rs
@@ -40,7 +40,7 @@
         self.wire.stream()
     }
     /// Reads frames. The flag says whether the connection goes on.
-    pub fn ready(&mut self, limit: usize) -> (Vec<Vec<u8>>, bool) {
+    pub fn on_ready(&mut self, limit: usize) -> (Vec<Vec<u8>>, bool) {
         let end = self.wire.fill(2 * limit);
         match split_frames(&mut self.wire.inbox, limit) {
             Some(frames) => (frames, end == ReadEnd::Open),
@@ -105,7 +105,7 @@
     }
 
     /// Reacts to readiness. False: the connection has ended.
-    pub fn ready(&mut self, now: f64) -> bool {
+    pub fn on_ready(&mut self, now: f64) -> bool {
         let Some(wire) = &mut self.wire else {
             return false;
         };
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -119,7 +119,7 @@
     }
 
     /// Reads and writes what a connection is ready for.
-    pub fn ready(&mut self, id: u64, now: f64) -> ConnectionAction {
+    pub fn on_ready(&mut self, id: u64, now: f64) -> ConnectionAction {
         let Some(conn) = self.conns.get_mut(&id) else {
             return ConnectionAction::Close;
         };
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -284,7 +284,7 @@
                 .expect("sent");
             let mut after = ConnectionAction::Keep;
             while after == ConnectionAction::Keep {
-                after = server.ready(id, now);
+                after = server.on_ready(id, now);
             }
             let ConnectionAction::Serve(request, got) = after else {
                 panic!("a request");
