--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -179,7 +179,7 @@
     fn sweep(&mut self, now: f64) {
         self.request_latency.log_if_due(now);
         self.state_service_latency.log_if_due(now);
-        for id in self.server.overdue(now) {
+        for id in self.server.timed_out(now) {
             self.close(Connection::Request(id));
         }
         self.unregister_closed_clients();
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -233,7 +233,7 @@
     }
 
     /// Connections that were idle or slow for too long.
-    pub fn overdue(&self, now: f64) -> Vec<u64> {
+    pub fn timed_out(&self, now: f64) -> Vec<u64> {
         self.conns
             .iter()
             .filter(|(_, conn)| {
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -305,7 +305,7 @@
     let mut bytes = [0; 15];
     user.read_exact(&mut bytes).expect("an answer");
     assert_eq!(&bytes, b"HTTP/1.1 200 OK");
-    let mut overdue = server.overdue(100.0);
+    let mut overdue = server.timed_out(100.0);
     overdue.sort_unstable();
     assert_eq!(overdue.len(), 3, "all are idle for too long");
 }
