--- a/src/settings.rs
+++ b/src/settings.rs
@@ -37,7 +37,8 @@
     /// This controller's name.
     pub label: String,
     /// This controller's zone.
-    pub site: String,
+    #[serde(rename = "site")]
+    pub zone: String,
     /// Address for users, workers and health checks.
     pub bind: SocketAddr,
     /// Address for the other controllers.
@@ -57,8 +58,8 @@
     /// Its name.
     pub label: String,
     /// Its zone.
-    #[serde(default)]
-    pub site: String,
+    #[serde(rename = "site", default)]
+    pub zone: String,
     /// Its address for controllers.
     pub address: SocketAddr,
 }
--- a/tests/golden/operator_files.rs
+++ b/tests/golden/operator_files.rs
@@ -21,7 +21,7 @@
     let services = &settings.services;
     let single = [
         ("label", settings.label.clone()),
-        ("site", settings.site.clone()),
+        ("site", settings.zone.clone()),
         ("bind", settings.bind.to_string()),
         ("peer_bind", settings.peer_bind.to_string()),
         ("services.cloud", services.cloud.to_string()),
@@ -68,7 +68,7 @@
     for (i, seed) in settings.peers.iter().enumerate() {
         let fields = vec![
             ("label", seed.label.clone()),
-            ("site", seed.site.clone()),
+            ("site", seed.zone.clone()),
             ("address", seed.address.to_string()),
         ];
         push("seeds", i, fields);
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -167,7 +167,7 @@
                     .filter(|other| *other != i)
                     .map(|other| PeerAddress {
                         label: format!("n{other}"),
-                        site: "a".to_owned(),
+                        zone: "a".to_owned(),
                         address: ([10, 0, 0, 1 + other as u8], 8081).into(),
                     })
                     .collect();
