--- a/tests/forgotten_incarnations.rs
+++ b/tests/forgotten_incarnations.rs
@@ -26,12 +26,12 @@
 //! ```
 
 mod common;
-mod scene;
+mod harness;
 
 use cedarladder::bookkeeping::records;
 use cedarladder::protocol::kv::WriteOp;
 use cedarladder::protocol::token::FencingToken;
-use scene::Scene;
+use harness::Harness;
 
 /// `lease_s` of the settings.
 const LEASE_S: f64 = 10.0;
@@ -40,20 +40,22 @@
 const TASKS: u32 = 2;
 
 /// A leader whose worker runs a job.
-fn running() -> Scene {
-    let mut scene = Scene::default();
-    scene.run_until("an election", Scene::leads);
-    scene.submit(JOB, TASKS);
-    scene.run_until("its start", |scene| scene.running(JOB) == TASKS as usize);
-    scene.run(1.0);
-    scene.forget();
-    scene
+fn running() -> Harness {
+    let mut harness = Harness::default();
+    harness.run_until("an election", Harness::leads);
+    harness.submit(JOB, TASKS);
+    harness.run_until("its start", |harness| {
+        harness.running(JOB) == TASKS as usize
+    });
+    harness.run(1.0);
+    harness.forget();
+    harness
 }
 
 /// Transactions of the log: here the leader has nothing to write but ends of bindings.
-fn bindings_ended(scene: &Scene) -> usize {
+fn bindings_ended(harness: &Harness) -> usize {
     let is_log = |write: &WriteOp| matches!(write, WriteOp::Put { key, .. } if key.starts_with(records::LOG_PREFIX));
-    let transactions = scene.sent.transactions.iter();
+    let transactions = harness.sent.transactions.iter();
     transactions
         .filter(|(txn, _)| txn.writes.iter().any(is_log))
         .count()
@@ -64,54 +66,58 @@
     // The leader's epoch here is 1, the lowest that there is.
     let lower = FencingToken::default();
     // Each: by what the late heartbeat of the former life seems to be newer.
-    type Case = (&'static str, fn(&Scene) -> (u64, u64));
+    type Case = (&'static str, fn(&Harness) -> (u64, u64));
     let cases: [Case; 3] = [
         ("its incarnation", |_| (3, 9)),
-        ("its sequence", |scene| (1, scene.sequence() + 50)),
-        ("both", |scene| (2, scene.sequence() + 50)),
+        ("its sequence", |harness| (1, harness.sequence() + 50)),
+        ("both", |harness| (2, harness.sequence() + 50)),
     ];
     for (name, numbers) in cases {
-        let mut scene = running();
-        let (incarnation, sequence) = numbers(&scene);
-        scene.old_heartbeat(incarnation, sequence, lower);
-        scene.run(3.0);
-        assert_eq!(bindings_ended(&scene), 0, "{name}");
-        let counts = scene.counts.iter().find(|counts| counts.job == JOB);
+        let mut harness = running();
+        let (incarnation, sequence) = numbers(&harness);
+        harness.old_heartbeat(incarnation, sequence, lower);
+        harness.run(3.0);
+        assert_eq!(bindings_ended(&harness), 0, "{name}");
+        let counts = harness.counts.iter().find(|counts| counts.job == JOB);
         assert_eq!(counts.map(|counts| counts.running), Some(TASKS), "{name}");
-        assert_eq!(scene.running(JOB), TASKS as usize, "{name}");
+        assert_eq!(harness.running(JOB), TASKS as usize, "{name}");
     }
 }
 
 /// A machine that has restarted is heard again once it has learnt the token.
 #[test]
 fn a_restarted_machine_is_heard_again() {
-    let mut scene = running();
-    scene.restart_worker();
-    scene.run(3.0);
-    assert_eq!(scene.running(JOB), TASKS as usize, "started again");
-    scene.forget();
-    scene.run(2.0 * LEASE_S);
-    assert_eq!(bindings_ended(&scene), 0, "its lease is renewed");
+    let mut harness = running();
+    harness.restart_worker();
+    harness.run(3.0);
+    assert_eq!(harness.running(JOB), TASKS as usize, "started again");
+    harness.forget();
+    harness.run(2.0 * LEASE_S);
+    assert_eq!(bindings_ended(&harness), 0, "its lease is renewed");
 }
 
 /// Tasks that are gone without an exit show that the machine began anew, after the last heartbeat that was answered.
 #[test]
 fn the_lease_of_a_restarted_machine_counts_from_when_that_shows() {
-    let mut scene = running();
-    scene.mute_worker();
-    scene.run(0.8 * LEASE_S);
-    scene.restart_worker();
+    let mut harness = running();
+    harness.mute_worker();
+    harness.run(0.8 * LEASE_S);
+    harness.restart_worker();
     // A start is sent directly, and its response shows what is on the machine.
-    scene.submit(OTHER_JOB, 1);
-    scene.run_until("started again", |scene| {
-        scene.running(JOB) == TASKS as usize && scene.running(OTHER_JOB) == 1
+    harness.submit(OTHER_JOB, 1);
+    harness.run_until("started again", |harness| {
+        harness.running(JOB) == TASKS as usize && harness.running(OTHER_JOB) == 1
     });
-    scene.forget();
-    scene.run(0.8 * LEASE_S);
-    assert_eq!(bindings_ended(&scene), 0, "within the second life's lease");
-    scene.run(0.5 * LEASE_S);
+    harness.forget();
+    harness.run(0.8 * LEASE_S);
+    assert_eq!(
+        bindings_ended(&harness),
+        0,
+        "within the second life's lease"
+    );
+    harness.run(0.5 * LEASE_S);
     assert!(
-        bindings_ended(&scene) > 0,
+        bindings_ended(&harness) > 0,
         "the second life's lease is over"
     );
 }
@@ -120,30 +126,30 @@
 /// was made again at each tick, twenty times a second (seed 292, host-000013, 98.3 to 103.7 s).
 #[test]
 fn a_call_that_is_always_rejected_is_not_made_at_each_tick() {
-    let mut scene = Scene::default();
-    scene.end_incarnation();
-    scene.run_until("an election", Scene::leads);
-    scene.submit(JOB, TASKS);
-    scene.run_until("tasks in the second incarnation", |scene| {
-        scene.running(JOB) == TASKS as usize
+    let mut harness = Harness::default();
+    harness.end_incarnation();
+    harness.run_until("an election", Harness::leads);
+    harness.submit(JOB, TASKS);
+    harness.run_until("tasks in the second incarnation", |harness| {
+        harness.running(JOB) == TASKS as usize
     });
-    scene.run(1.0);
-    scene.mute_worker();
-    scene.forget_incarnations();
-    scene.run(3.0);
-    scene.forget();
-    scene.run(2.0);
-    let calls = scene.sent.worker_calls;
+    harness.run(1.0);
+    harness.mute_worker();
+    harness.forget_incarnations();
+    harness.run(3.0);
+    harness.forget();
+    harness.run(2.0);
+    let calls = harness.sent.worker_calls;
     assert!((1..=4).contains(&calls), "{calls} calls in two seconds");
 }
 
 /// The answer that shows a new incarnation is followed by the next call at once.
 #[test]
 fn a_rejection_that_shows_a_new_incarnation_is_followed_at_once() {
-    let mut scene = running();
-    scene.mute_worker();
-    scene.end_incarnation();
-    scene.submit(OTHER_JOB, 1);
-    scene.run(0.5);
-    assert_eq!(scene.running(OTHER_JOB), 1);
+    let mut harness = running();
+    harness.mute_worker();
+    harness.end_incarnation();
+    harness.submit(OTHER_JOB, 1);
+    harness.run(0.5);
+    assert_eq!(harness.running(OTHER_JOB), 1);
 }
--- a/tests/scene/mod.rs
+++ b/tests/harness/mod.rs
@@ -79,7 +79,7 @@
     is_mute: bool,
 }
 
-/// What left the controller since [`Scene::forget`].
+/// What left the controller since [`Harness::forget`].
 #[derive(Debug, Default)]
 pub struct Sent {
     /// Transactions, with whether they were committed.
@@ -92,7 +92,7 @@
     pub worker_calls: u32,
 }
 
-pub struct Scene {
+pub struct Harness {
     pub now: f64,
     pub store: KvStore,
     pub sent: Sent,
@@ -112,11 +112,11 @@
     answers: BTreeMap<u64, (u16, Vec<u8>)>,
 }
 
-impl Default for Scene {
-    fn default() -> Scene {
+impl Default for Harness {
+    fn default() -> Harness {
         let settings = Settings::parse(SETTINGS).expect("settings");
         let policy = Policy::built_in(&settings);
-        Scene {
+        Harness {
             now: 0.0,
             store: KvStore::new(MAX_CHANGES),
             sent: Sent::default(),
@@ -143,7 +143,7 @@
     }
 }
 
-impl Scene {
+impl Harness {
     fn clock(&self) -> Now {
         Now {
             monotonic: self.now,
@@ -167,7 +167,7 @@
     }
 
     /// Lets time pass until something holds, for ten seconds at most.
-    pub fn run_until(&mut self, what: &str, holds: impl Fn(&Scene) -> bool) {
+    pub fn run_until(&mut self, what: &str, holds: impl Fn(&Harness) -> bool) {
         for _ in 0..200 {
             if holds(self) {
                 return;
@@ -269,13 +269,15 @@
     /// What a poll is told now.
     pub fn view(&mut self, id: &str) -> JobView {
         let request = self.poll(id);
-        self.run_until("an answer", |scene| scene.answers.contains_key(&request));
+        self.run_until("an answer", |harness| {
+            harness.answers.contains_key(&request)
+        });
         let (status, body) = &self.answers[&request];
         assert_eq!(*status, 200, "{id}");
         cbor::decode(body).expect("a view")
     }
 
-    /// The transactions since [`Scene::forget`] that put a key.
+    /// The transactions since [`Harness::forget`] that put a key.
     pub fn puts_of(&self, key: &str) -> Vec<Txn> {
         let puts = |write: &WriteOp| matches!(write, WriteOp::Put { key: put, .. } if put == key);
         let transactions = self.sent.transactions.iter();
--- a/tests/instance_catalog.rs
+++ b/tests/instance_catalog.rs
@@ -6,18 +6,18 @@
 //! on the sources before.
 
 mod common;
-mod scene;
+mod harness;
 
 use cedarladder::bookkeeping::records::INSTANCE_CATALOG_KEY;
 use cedarladder::protocol::kv::{KvResponse, Txn, WriteOp};
 use common::instance_type;
-use scene::{Held, Scene};
+use harness::{Harness, Held};
 
 /// When a leader has read what is stored, and has put its types.
 const STORED_AFTER_S: f64 = 45.0;
 
-fn stored(scene: &Scene) -> Option<ciborium::Value> {
-    match scene.store.get(INSTANCE_CATALOG_KEY) {
+fn stored(harness: &Harness) -> Option<ciborium::Value> {
+    match harness.store.get(INSTANCE_CATALOG_KEY) {
         KvResponse::Value(item) => Some(item.value),
         _ => None,
     }
@@ -25,41 +25,41 @@
 
 #[test]
 fn a_late_put_of_a_deposed_leader_is_refused() {
-    let mut scene = Scene::default();
-    scene.hold(Held::Catalog);
-    scene.run(STORED_AFTER_S);
-    let late = scene.puts_of(INSTANCE_CATALOG_KEY);
+    let mut harness = Harness::default();
+    harness.hold(Held::Catalog);
+    harness.run(STORED_AFTER_S);
+    let late = harness.puts_of(INSTANCE_CATALOG_KEY);
     assert!(!late.is_empty(), "the types were put");
-    scene.led_elsewhere();
+    harness.led_elsewhere();
     let newer = WriteOp::put(INSTANCE_CATALOG_KEY, &vec![instance_type("newer")]);
-    scene.store.transact(&Txn {
+    harness.store.transact(&Txn {
         compares: Vec::new(),
         writes: vec![newer],
     });
-    let before = stored(&scene);
+    let before = stored(&harness);
     for txn in late {
-        let response = scene.store.transact(&txn);
+        let response = harness.store.transact(&txn);
         assert!(
             matches!(response, KvResponse::CompareFailed(_)),
             "{response:?}"
         );
     }
-    assert_eq!(stored(&scene), before);
+    assert_eq!(stored(&harness), before);
 }
 
 /// A put whose outcome is unknown, or that was refused, is made again.
 #[test]
 fn types_that_were_not_stored_are_put_again() {
-    let mut scene = Scene::default();
-    scene.hold(Held::Catalog);
-    scene.run(STORED_AFTER_S);
-    assert_eq!(stored(&scene), None);
-    scene.release(Held::Catalog);
-    scene.forget();
-    scene.run(STORED_AFTER_S);
-    assert!(stored(&scene).is_some());
+    let mut harness = Harness::default();
+    harness.hold(Held::Catalog);
+    harness.run(STORED_AFTER_S);
+    assert_eq!(stored(&harness), None);
+    harness.release(Held::Catalog);
+    harness.forget();
+    harness.run(STORED_AFTER_S);
+    assert!(stored(&harness).is_some());
     assert_eq!(
-        scene.puts_of(INSTANCE_CATALOG_KEY).len(),
+        harness.puts_of(INSTANCE_CATALOG_KEY).len(),
         1,
         "once it is stored"
     );
--- a/tests/late_leader_records.rs
+++ b/tests/late_leader_records.rs
@@ -12,47 +12,47 @@
 //! ```
 
 mod common;
-mod scene;
+mod harness;
 
 use cedarladder::coordination::effects::{Effects, KvRequestContext};
 use cedarladder::coordination::election::{Election, ElectionTimeouts, LeadershipChange};
 use cedarladder::protocol::kv::KvResponse;
 use cedarladder::settings::WorkerSettings;
-use scene::{Held, Scene};
+use harness::{Harness, Held};
 
 /// A leader that knows of its second election what the renewal has told; its watch is late.
-fn elected_again() -> Scene {
-    let mut scene = Scene::default();
-    scene.run_until("an election", Scene::leads);
-    scene.run(1.0);
-    scene.hold(Held::LeaderWatches);
-    let first = scene.leader_revision();
-    scene.end_leader_lease();
-    scene.run_until("the lease to be missed", |scene| !scene.leads());
-    scene.run_until("another election", Scene::leads);
-    assert!(scene.leader_revision() > first);
-    scene
+fn elected_again() -> Harness {
+    let mut harness = Harness::default();
+    harness.run_until("an election", Harness::leads);
+    harness.run(1.0);
+    harness.hold(Held::LeaderWatches);
+    let first = harness.leader_revision();
+    harness.end_leader_lease();
+    harness.run_until("the lease to be missed", |harness| !harness.leads());
+    harness.run_until("another election", Harness::leads);
+    assert!(harness.leader_revision() > first);
+    harness
 }
 
 #[test]
 fn the_deletion_of_an_earlier_key_deposes_nobody() {
-    let mut scene = elected_again();
-    let epoch = scene.leader_revision();
-    scene.release(Held::LeaderWatches);
-    assert!(scene.leads());
-    scene.run(5.0);
-    assert!(scene.leads());
-    assert_eq!(scene.leader_revision(), epoch, "the same leadership");
+    let mut harness = elected_again();
+    let epoch = harness.leader_revision();
+    harness.release(Held::LeaderWatches);
+    assert!(harness.leads());
+    harness.run(5.0);
+    assert!(harness.leads());
+    assert_eq!(harness.leader_revision(), epoch, "the same leadership");
 }
 
 #[test]
 fn the_deletion_of_the_own_key_deposes() {
-    let mut scene = elected_again();
-    scene.release(Held::LeaderWatches);
-    scene.run(1.0);
-    scene.end_leader_lease();
-    scene.run(0.05);
-    assert!(!scene.leads());
+    let mut harness = elected_again();
+    harness.release(Held::LeaderWatches);
+    harness.run(1.0);
+    harness.end_leader_lease();
+    harness.run(0.05);
+    assert!(!harness.leads());
 }
 
 /// An election that was won with lease 9, a renewal of which is in flight since 3.0, was lost, and was won again with
--- a/tests/older_knowledge.rs
+++ b/tests/older_knowledge.rs
@@ -9,7 +9,7 @@
 //!   that was written: controllers differed.
 
 mod common;
-mod scene;
+mod harness;
 
 use cedarladder::bookkeeping::jobs::ClosedJobs;
 use cedarladder::coordination::effects::Effects;
@@ -19,7 +19,7 @@
 use cedarladder::protocol::peer::JobCounts;
 use cedarladder::settings::StateServiceLimits;
 use common::spec;
-use scene::{Held, Scene, peer_heartbeat};
+use harness::{Harness, Held, peer_heartbeat};
 
 const ID: &str = "j-000001";
 
@@ -109,18 +109,20 @@
 }
 
 /// A controller that follows another, with a job that was submitted to it.
-fn follower_with_job(tasks: u32) -> Scene {
-    let mut scene = Scene::default();
-    scene.led_elsewhere();
-    scene.run(1.0);
-    let submission = scene.submit(ID, tasks);
-    scene.run_until("the submission", |scene| scene.answer(submission).is_some());
-    scene
+fn follower_with_job(tasks: u32) -> Harness {
+    let mut harness = Harness::default();
+    harness.led_elsewhere();
+    harness.run(1.0);
+    let submission = harness.submit(ID, tasks);
+    harness.run_until("the submission", |harness| {
+        harness.answer(submission).is_some()
+    });
+    harness
 }
 
 #[test]
 fn the_counts_of_a_deposed_leader_are_not_shown() {
-    let mut scene = follower_with_job(4);
+    let mut harness = follower_with_job(4);
     let counts = |done, running| JobCounts {
         job: ID.to_owned(),
         done,
@@ -130,9 +132,9 @@
     of_leader.counts.push(counts(2, 1));
     let mut of_deposed = peer_heartbeat("n2", 20);
     of_deposed.counts.push(counts(0, 0));
-    scene.peer_heartbeat(of_leader);
-    scene.peer_heartbeat(of_deposed);
-    let view = scene.view(ID);
+    harness.peer_heartbeat(of_leader);
+    harness.peer_heartbeat(of_deposed);
+    let view = harness.view(ID);
     assert_eq!(
         (view.status, view.done, view.running),
         (JobStatus::Running, 2, 1)
@@ -142,30 +144,30 @@
 /// The watch shows the end of the job before the response to its cancellation arrives.
 #[test]
 fn a_cancelled_job_is_shown_with_the_count_that_was_written() {
-    let mut scene = follower_with_job(4);
+    let mut harness = follower_with_job(4);
     let mut of_leader = peer_heartbeat("n1", 30);
     of_leader.counts.push(JobCounts {
         job: ID.to_owned(),
         done: 3,
         running: 1,
     });
-    scene.peer_heartbeat(of_leader);
-    scene.hold(Held::Cancellations);
-    scene.cancel(ID);
-    scene.run(0.2);
-    assert!(scene.is_holding(Held::Cancellations));
-    scene.release(Held::Cancellations);
-    let view = scene.view(ID);
+    harness.peer_heartbeat(of_leader);
+    harness.hold(Held::Cancellations);
+    harness.cancel(ID);
+    harness.run(0.2);
+    assert!(harness.is_holding(Held::Cancellations));
+    harness.release(Held::Cancellations);
+    let view = harness.view(ID);
     assert_eq!((view.status, view.done), (JobStatus::Aborted, 3));
 }
 
 #[test]
 fn a_final_state_never_changes() {
-    let mut scene = follower_with_job(1);
-    let cancellation = scene.cancel(ID);
-    scene.run_until("the cancellation", |scene| {
-        scene.answer(cancellation).is_some()
+    let mut harness = follower_with_job(1);
+    let cancellation = harness.cancel(ID);
+    harness.run_until("the cancellation", |harness| {
+        harness.answer(cancellation).is_some()
     });
-    scene.told_end_by_peer(ID, false);
-    assert_eq!(scene.view(ID).status, JobStatus::Aborted);
+    harness.told_end_by_peer(ID, false);
+    assert_eq!(harness.view(ID).status, JobStatus::Aborted);
 }
--- a/tests/stale_records.rs
+++ b/tests/stale_records.rs
@@ -18,12 +18,12 @@
 //! ```
 
 mod common;
-mod scene;
+mod harness;
 
 use cedarladder::bookkeeping::records;
 use cedarladder::protocol::job::JobStatus;
 use cedarladder::protocol::worker::{CommandKind, ExitReason};
-use scene::{Held, Scene};
+use harness::{Harness, Held};
 
 /// Fills half of the worker.
 const ENDED: &str = "j-000001";
@@ -34,78 +34,80 @@
 const TASKS: u32 = 2;
 
 /// How a job ends, and how the controller learns of it while its watch shows nothing.
-type End = (&'static str, fn(&mut Scene));
+type End = (&'static str, fn(&mut Harness));
 
 const ENDS: [End; 4] = [
-    ("its last task completes", |scene| {
-        scene.exit(ENDED, ExitReason::Completed);
-        scene.worker_heartbeat();
-        scene.run(0.3);
+    ("its last task completes", |harness| {
+        harness.exit(ENDED, ExitReason::Completed);
+        harness.worker_heartbeat();
+        harness.run(0.3);
     }),
-    ("cancelled here", |scene| {
-        let request = scene.cancel(ENDED);
-        scene.run_until("the cancellation", |scene| scene.answer(request).is_some());
+    ("cancelled here", |harness| {
+        let request = harness.cancel(ENDED);
+        harness.run_until("the cancellation", |harness| {
+            harness.answer(request).is_some()
+        });
     }),
-    ("cancelled through another controller", |scene| {
-        scene.cancel_elsewhere(ENDED);
-        scene.told_by_peer(ENDED);
+    ("cancelled through another controller", |harness| {
+        harness.cancel_elsewhere(ENDED);
+        harness.told_by_peer(ENDED);
     }),
-    ("a compare that fails", |scene| {
-        scene.cancel_elsewhere(ENDED);
-        scene.exit(ENDED, ExitReason::Completed);
-        scene.worker_heartbeat();
-        scene.run(0.3);
+    ("a compare that fails", |harness| {
+        harness.cancel_elsewhere(ENDED);
+        harness.exit(ENDED, ExitReason::Completed);
+        harness.worker_heartbeat();
+        harness.run(0.3);
     }),
 ];
 
 /// A leader with a worker.
-fn leading() -> Scene {
-    let mut scene = Scene::default();
-    scene.run_until("an election", Scene::leads);
-    scene
+fn leading() -> Harness {
+    let mut harness = Harness::default();
+    harness.run_until("an election", Harness::leads);
+    harness
 }
 
 /// Submits a job that goes first, or one that does not.
-type Submit = fn(&mut Scene, &str, u32) -> u64;
+type Submit = fn(&mut Harness, &str, u32) -> u64;
 
 /// Both jobs run, and of a listing in pages the first page has come, which holds the job that is to end.
-fn half_listed(submit: Submit) -> Scene {
-    let mut scene = leading();
-    submit(&mut scene, ENDED, TASKS);
-    scene.submit(STEADY, TASKS);
+fn half_listed(submit: Submit) -> Harness {
+    let mut harness = leading();
+    submit(&mut harness, ENDED, TASKS);
+    harness.submit(STEADY, TASKS);
     for id in [ENDED, STEADY] {
-        scene.run_until("its start", |scene| scene.running(id) == TASKS as usize);
+        harness.run_until("its start", |harness| harness.running(id) == TASKS as usize);
     }
-    scene.run(1.0);
-    scene.hold(Held::LaterPages);
-    scene.compacts = true;
-    scene.run_until("a listing", |scene| scene.is_holding(Held::LaterPages));
-    scene
+    harness.run(1.0);
+    harness.hold(Held::LaterPages);
+    harness.compacts = true;
+    harness.run_until("a listing", |harness| harness.is_holding(Held::LaterPages));
+    harness
 }
 
 /// The listing completes, and the watch that follows it is slow.
-fn complete_listing(scene: &mut Scene) {
-    scene.forget();
-    scene.hold(Held::Watches);
-    scene.release(Held::LaterPages);
+fn complete_listing(harness: &mut Harness) {
+    harness.forget();
+    harness.hold(Held::Watches);
+    harness.release(Held::LaterPages);
 }
 
-fn is_ended(scene: &Scene) -> bool {
+fn is_ended(harness: &Harness) -> bool {
     let open_key = records::open_key(ENDED);
     !matches!(
-        scene.store.get(&open_key),
+        harness.store.get(&open_key),
         cedarladder::protocol::kv::KvResponse::Value(_)
     )
 }
 
 /// What the leader does for a job that has ended, in words.
-fn revived(scene: &mut Scene) -> Vec<String> {
+fn revived(harness: &mut Harness) -> Vec<String> {
     let mut found = Vec::new();
-    if scene.counts.iter().any(|counts| counts.job == ENDED) {
+    if harness.counts.iter().any(|counts| counts.job == ENDED) {
         found.push("the peers are told its counts".to_owned());
     }
     let open_key = records::open_key(ENDED);
-    let bindings = scene
+    let bindings = harness
         .sent
         .transactions
         .iter()
@@ -120,11 +122,11 @@
     if bindings > 0 {
         found.push(format!("{bindings} rejected transactions"));
     }
-    if scene.sent.instances_requested > 0 {
-        let instances = scene.sent.instances_requested;
+    if harness.sent.instances_requested > 0 {
+        let instances = harness.sent.instances_requested;
         found.push(format!("{instances} instances requested"));
     }
-    let stops = scene
+    let stops = harness
         .sent
         .commands
         .iter()
@@ -133,7 +135,7 @@
     if stops > 0 {
         found.push(format!("{stops} tasks of other jobs stopped"));
     }
-    let view = scene.view(ENDED);
+    let view = harness.view(ENDED);
     if !matches!(view.status, JobStatus::Done | JobStatus::Aborted) || view.running > 0 {
         found.push(format!("its user is told {view:?}"));
     }
@@ -149,19 +151,19 @@
 #[test]
 fn a_listing_begun_before_the_end_opens_no_job() {
     let found = findings(&ENDS, |end| {
-        let mut scene = half_listed(Scene::submit);
-        end.1(&mut scene);
-        assert!(is_ended(&scene), "{}: it has ended", end.0);
-        complete_listing(&mut scene);
-        scene.run(3.0);
-        let mut found = revived(&mut scene);
-        scene.release(Held::Watches);
-        scene.run(1.0);
-        scene.forget();
-        scene.run(3.0);
-        found.extend(revived(&mut scene));
-        assert_eq!(scene.running(ENDED), 0, "{}", end.0);
-        assert_eq!(scene.running(STEADY), TASKS as usize, "{}", end.0);
+        let mut harness = half_listed(Harness::submit);
+        end.1(&mut harness);
+        assert!(is_ended(&harness), "{}: it has ended", end.0);
+        complete_listing(&mut harness);
+        harness.run(3.0);
+        let mut found = revived(&mut harness);
+        harness.release(Held::Watches);
+        harness.run(1.0);
+        harness.forget();
+        harness.run(3.0);
+        found.extend(revived(&mut harness));
+        assert_eq!(harness.running(ENDED), 0, "{}", end.0);
+        assert_eq!(harness.running(STEADY), TASKS as usize, "{}", end.0);
         found
     });
     assert_eq!(found, []);
@@ -172,23 +174,23 @@
 #[test]
 fn a_binding_that_outlasts_its_job_is_taken_off_no_count() {
     let found = findings(&ENDS[1..3], |end| {
-        let mut scene = half_listed(Scene::submit);
-        scene.silence_worker();
-        end.1(&mut scene);
-        complete_listing(&mut scene);
-        scene.run(0.2);
-        assert_eq!(scene.running(ENDED), TASKS as usize, "{}", end.0);
-        scene.wake_worker();
-        scene.run(2.0);
-        assert_eq!(scene.running(ENDED), 0, "{}", end.0);
-        let counts = scene.counts.iter().find(|counts| counts.job == STEADY);
+        let mut harness = half_listed(Harness::submit);
+        harness.silence_worker();
+        end.1(&mut harness);
+        complete_listing(&mut harness);
+        harness.run(0.2);
+        assert_eq!(harness.running(ENDED), TASKS as usize, "{}", end.0);
+        harness.wake_worker();
+        harness.run(2.0);
+        assert_eq!(harness.running(ENDED), 0, "{}", end.0);
+        let counts = harness.counts.iter().find(|counts| counts.job == STEADY);
         assert_eq!(
             counts.map(|counts| counts.running),
             Some(TASKS),
             "{}",
             end.0
         );
-        revived(&mut scene)
+        revived(&mut harness)
     });
     assert_eq!(found, []);
 }
@@ -197,13 +199,15 @@
 #[test]
 fn an_ended_job_that_is_listed_preempts_nothing() {
     let found = findings(&ENDS, |end| {
-        let mut scene = half_listed(Scene::submit_urgent);
-        end.1(&mut scene);
-        scene.submit(NEXT, TASKS);
-        scene.run_until("its start", |scene| scene.running(NEXT) == TASKS as usize);
-        complete_listing(&mut scene);
-        scene.run(3.0);
-        revived(&mut scene)
+        let mut harness = half_listed(Harness::submit_urgent);
+        end.1(&mut harness);
+        harness.submit(NEXT, TASKS);
+        harness.run_until("its start", |harness| {
+            harness.running(NEXT) == TASKS as usize
+        });
+        complete_listing(&mut harness);
+        harness.run(3.0);
+        revived(&mut harness)
     });
     assert_eq!(found, []);
 }
@@ -212,40 +216,42 @@
 #[test]
 fn a_late_response_to_a_submission_opens_no_job() {
     let ends: [End; 3] = [
-        ("cancelled through another controller", |scene| {
-            scene.cancel_elsewhere(ENDED);
-            scene.run(0.1);
+        ("cancelled through another controller", |harness| {
+            harness.cancel_elsewhere(ENDED);
+            harness.run(0.1);
         }),
         (
             "cancelled through another controller, told by it",
-            |scene| {
-                scene.hold(Held::Watches);
-                scene.cancel_elsewhere(ENDED);
-                scene.told_by_peer(ENDED);
+            |harness| {
+                harness.hold(Held::Watches);
+                harness.cancel_elsewhere(ENDED);
+                harness.told_by_peer(ENDED);
             },
         ),
-        ("cancelled here", |scene| {
-            let request = scene.cancel(ENDED);
-            scene.run_until("the cancellation", |scene| scene.answer(request).is_some());
+        ("cancelled here", |harness| {
+            let request = harness.cancel(ENDED);
+            harness.run_until("the cancellation", |harness| {
+                harness.answer(request).is_some()
+            });
         }),
     ];
     let found = findings(&ends, |(name, end)| {
-        let mut scene = leading();
-        scene.submit(STEADY, 2 * TASKS);
-        scene.run_until("its start", |scene| scene.running(STEADY) == 4);
-        scene.hold(Held::Submissions);
-        let submission = scene.submit(ENDED, TASKS);
-        scene.run(0.2);
-        assert!(scene.is_holding(Held::Submissions), "{name}");
-        end(&mut scene);
-        assert!(is_ended(&scene), "{name}: it has ended");
-        scene.forget();
-        scene.release(Held::Submissions);
-        scene.release(Held::Watches);
-        scene.run(8.0);
-        let told = scene.answer(submission).map(|(status, _)| status);
+        let mut harness = leading();
+        harness.submit(STEADY, 2 * TASKS);
+        harness.run_until("its start", |harness| harness.running(STEADY) == 4);
+        harness.hold(Held::Submissions);
+        let submission = harness.submit(ENDED, TASKS);
+        harness.run(0.2);
+        assert!(harness.is_holding(Held::Submissions), "{name}");
+        end(&mut harness);
+        assert!(is_ended(&harness), "{name}: it has ended");
+        harness.forget();
+        harness.release(Held::Submissions);
+        harness.release(Held::Watches);
+        harness.run(8.0);
+        let told = harness.answer(submission).map(|(status, _)| status);
         assert!(matches!(told, Some(200 | 201)), "{name}: {told:?}");
-        revived(&mut scene)
+        revived(&mut harness)
     });
     assert_eq!(found, []);
 }
