--- a/tests/forgotten_incarnations.rs
+++ b/tests/forgotten_incarnations.rs
@@ -47,7 +47,7 @@
     harness.run_until("its start", |harness| {
         harness.running(JOB) == TASKS as usize
     });
-    harness.run(1.0);
+    harness.run_for(1.0);
     harness.forget();
     harness
 }
@@ -76,7 +76,7 @@
         let mut harness = running();
         let (incarnation, sequence) = numbers(&harness);
         harness.old_heartbeat(incarnation, sequence, lower);
-        harness.run(3.0);
+        harness.run_for(3.0);
         assert_eq!(bindings_ended(&harness), 0, "{name}");
         let counts = harness.counts.iter().find(|counts| counts.job == JOB);
         assert_eq!(counts.map(|counts| counts.running), Some(TASKS), "{name}");
@@ -89,10 +89,10 @@
 fn a_restarted_machine_is_heard_again() {
     let mut harness = running();
     harness.restart_worker();
-    harness.run(3.0);
+    harness.run_for(3.0);
     assert_eq!(harness.running(JOB), TASKS as usize, "started again");
     harness.forget();
-    harness.run(2.0 * LEASE_S);
+    harness.run_for(2.0 * LEASE_S);
     assert_eq!(bindings_ended(&harness), 0, "its lease is renewed");
 }
 
@@ -101,7 +101,7 @@
 fn the_lease_of_a_restarted_machine_counts_from_when_that_shows() {
     let mut harness = running();
     harness.mute_worker();
-    harness.run(0.8 * LEASE_S);
+    harness.run_for(0.8 * LEASE_S);
     harness.restart_worker();
     // A start is sent directly, and its response shows what is on the machine.
     harness.submit(OTHER_JOB, 1);
@@ -109,13 +109,13 @@
         harness.running(JOB) == TASKS as usize && harness.running(OTHER_JOB) == 1
     });
     harness.forget();
-    harness.run(0.8 * LEASE_S);
+    harness.run_for(0.8 * LEASE_S);
     assert_eq!(
         bindings_ended(&harness),
         0,
         "within the second life's lease"
     );
-    harness.run(0.5 * LEASE_S);
+    harness.run_for(0.5 * LEASE_S);
     assert!(
         bindings_ended(&harness) > 0,
         "the second life's lease is over"
@@ -133,12 +133,12 @@
     harness.run_until("tasks in the second incarnation", |harness| {
         harness.running(JOB) == TASKS as usize
     });
-    harness.run(1.0);
+    harness.run_for(1.0);
     harness.mute_worker();
     harness.forget_incarnations();
-    harness.run(3.0);
+    harness.run_for(3.0);
     harness.forget();
-    harness.run(2.0);
+    harness.run_for(2.0);
     let calls = harness.sent.worker_calls;
     assert!((1..=4).contains(&calls), "{calls} calls in two seconds");
 }
@@ -150,6 +150,6 @@
     harness.mute_worker();
     harness.end_incarnation();
     harness.submit(OTHER_JOB, 1);
-    harness.run(0.5);
+    harness.run_for(0.5);
     assert_eq!(harness.running(OTHER_JOB), 1);
 }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -152,7 +152,7 @@
     }
 
     /// Lets `for_s` seconds pass.
-    pub fn run(&mut self, for_s: f64) {
+    pub fn run_for(&mut self, for_s: f64) {
         let until = self.now + for_s;
         while self.now + TICK_S / 2.0 < until {
             self.now += TICK_S;
@@ -172,7 +172,7 @@
             if holds(self) {
                 return;
             }
-            self.run(TICK_S);
+            self.run_for(TICK_S);
         }
         panic!("{what}: not within ten seconds");
     }
--- a/tests/instance_catalog.rs
+++ b/tests/instance_catalog.rs
@@ -27,7 +27,7 @@
 fn a_late_put_of_a_deposed_leader_is_refused() {
     let mut harness = Harness::default();
     harness.hold(Held::Catalog);
-    harness.run(STORED_AFTER_S);
+    harness.run_for(STORED_AFTER_S);
     let late = harness.puts_of(INSTANCE_CATALOG_KEY);
     assert!(!late.is_empty(), "the types were put");
     harness.led_elsewhere();
@@ -52,11 +52,11 @@
 fn types_that_were_not_stored_are_put_again() {
     let mut harness = Harness::default();
     harness.hold(Held::Catalog);
-    harness.run(STORED_AFTER_S);
+    harness.run_for(STORED_AFTER_S);
     assert_eq!(stored(&harness), None);
     harness.release(Held::Catalog);
     harness.forget();
-    harness.run(STORED_AFTER_S);
+    harness.run_for(STORED_AFTER_S);
     assert!(stored(&harness).is_some());
     assert_eq!(
         harness.puts_of(INSTANCE_CATALOG_KEY).len(),
--- a/tests/late_leader_records.rs
+++ b/tests/late_leader_records.rs
@@ -24,7 +24,7 @@
 fn elected_again() -> Harness {
     let mut harness = Harness::default();
     harness.run_until("an election", Harness::leads);
-    harness.run(1.0);
+    harness.run_for(1.0);
     harness.hold(Held::LeaderWatches);
     let first = harness.leader_revision();
     harness.end_leader_lease();
@@ -40,7 +40,7 @@
     let epoch = harness.leader_revision();
     harness.release(Held::LeaderWatches);
     assert!(harness.leads());
-    harness.run(5.0);
+    harness.run_for(5.0);
     assert!(harness.leads());
     assert_eq!(harness.leader_revision(), epoch, "the same leadership");
 }
@@ -49,9 +49,9 @@
 fn the_deletion_of_the_own_key_deposes() {
     let mut harness = elected_again();
     harness.release(Held::LeaderWatches);
-    harness.run(1.0);
+    harness.run_for(1.0);
     harness.end_leader_lease();
-    harness.run(0.05);
+    harness.run_for(0.05);
     assert!(!harness.leads());
 }
 
--- a/tests/older_knowledge.rs
+++ b/tests/older_knowledge.rs
@@ -112,7 +112,7 @@
 fn follower_with_job(tasks: u32) -> Harness {
     let mut harness = Harness::default();
     harness.led_elsewhere();
-    harness.run(1.0);
+    harness.run_for(1.0);
     let submission = harness.submit(ID, tasks);
     harness.run_until("the submission", |harness| {
         harness.answer(submission).is_some()
@@ -154,7 +154,7 @@
     harness.peer_heartbeat(of_leader);
     harness.hold(Held::Cancellations);
     harness.cancel(ID);
-    harness.run(0.2);
+    harness.run_for(0.2);
     assert!(harness.is_holding(Held::Cancellations));
     harness.release(Held::Cancellations);
     let view = harness.view(ID);
--- a/tests/stale_records.rs
+++ b/tests/stale_records.rs
@@ -40,7 +40,7 @@
     ("its last task completes", |harness| {
         harness.exit(ENDED, ExitReason::Completed);
         harness.worker_heartbeat();
-        harness.run(0.3);
+        harness.run_for(0.3);
     }),
     ("cancelled here", |harness| {
         let request = harness.cancel(ENDED);
@@ -56,7 +56,7 @@
         harness.cancel_elsewhere(ENDED);
         harness.exit(ENDED, ExitReason::Completed);
         harness.worker_heartbeat();
-        harness.run(0.3);
+        harness.run_for(0.3);
     }),
 ];
 
@@ -78,7 +78,7 @@
     for id in [ENDED, STEADY] {
         harness.run_until("its start", |harness| harness.running(id) == TASKS as usize);
     }
-    harness.run(1.0);
+    harness.run_for(1.0);
     harness.hold(Held::LaterPages);
     harness.compacts = true;
     harness.run_until("a listing", |harness| harness.is_holding(Held::LaterPages));
@@ -155,12 +155,12 @@
         end.1(&mut harness);
         assert!(is_ended(&harness), "{}: it has ended", end.0);
         complete_listing(&mut harness);
-        harness.run(3.0);
+        harness.run_for(3.0);
         let mut found = revived(&mut harness);
         harness.release(Held::Watches);
-        harness.run(1.0);
+        harness.run_for(1.0);
         harness.forget();
-        harness.run(3.0);
+        harness.run_for(3.0);
         found.extend(revived(&mut harness));
         assert_eq!(harness.running(ENDED), 0, "{}", end.0);
         assert_eq!(harness.running(STEADY), TASKS as usize, "{}", end.0);
@@ -178,10 +178,10 @@
         harness.silence_worker();
         end.1(&mut harness);
         complete_listing(&mut harness);
-        harness.run(0.2);
+        harness.run_for(0.2);
         assert_eq!(harness.running(ENDED), TASKS as usize, "{}", end.0);
         harness.wake_worker();
-        harness.run(2.0);
+        harness.run_for(2.0);
         assert_eq!(harness.running(ENDED), 0, "{}", end.0);
         let counts = harness.counts.iter().find(|counts| counts.job == STEADY);
         assert_eq!(
@@ -206,7 +206,7 @@
             harness.running(NEXT) == TASKS as usize
         });
         complete_listing(&mut harness);
-        harness.run(3.0);
+        harness.run_for(3.0);
         revived(&mut harness)
     });
     assert_eq!(found, []);
@@ -218,7 +218,7 @@
     let ends: [End; 3] = [
         ("cancelled through another controller", |harness| {
             harness.cancel_elsewhere(ENDED);
-            harness.run(0.1);
+            harness.run_for(0.1);
         }),
         (
             "cancelled through another controller, told by it",
@@ -241,14 +241,14 @@
         harness.run_until("its start", |harness| harness.running(STEADY) == 4);
         harness.hold(Held::Submissions);
         let submission = harness.submit(ENDED, TASKS);
-        harness.run(0.2);
+        harness.run_for(0.2);
         assert!(harness.is_holding(Held::Submissions), "{name}");
         end(&mut harness);
         assert!(is_ended(&harness), "{name}: it has ended");
         harness.forget();
         harness.release(Held::Submissions);
         harness.release(Held::Watches);
-        harness.run(8.0);
+        harness.run_for(8.0);
         let told = harness.answer(submission).map(|(status, _)| status);
         assert!(matches!(told, Some(200 | 201)), "{name}: {told:?}");
         revived(&mut harness)
