--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -43,11 +43,11 @@
 
 /// Which requests to the state service wait for their responses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Held {
+pub enum HeldResponses {
     /// Pages of the listing of open jobs after the first.
     LaterPages,
     /// Watches on the open jobs.
-    Watches,
+    OpenJobWatches,
     /// Watches on the `leader` key.
     LeaderWatches,
     /// Transactions that open jobs.
@@ -55,7 +55,7 @@
     /// Transactions that cancel jobs.
     Cancellations,
     /// Puts of the instance types: they are not carried out, and have no usable response.
-    Catalog,
+    CatalogPuts,
 }
 
 #[derive(Debug)]
@@ -103,8 +103,8 @@
     /// Whether the state service says once that the revision to watch from is compacted.
     pub compacts: bool,
     controller: Controller,
-    holds: Vec<Held>,
-    held: Vec<(Held, CorrelationId, KvResponse)>,
+    holds: Vec<HeldResponses>,
+    held: Vec<(HeldResponses, CorrelationId, KvResponse)>,
     watches: Vec<WaitingWatch>,
     worker: Worker,
     worker_request: Option<u64>,
@@ -178,16 +178,16 @@
     }
 
     /// From now on the responses to these requests are held back.
-    pub fn hold(&mut self, held: Held) {
+    pub fn hold(&mut self, held: HeldResponses) {
         self.holds.push(held);
     }
 
-    pub fn is_holding(&self, held: Held) -> bool {
+    pub fn is_holding(&self, held: HeldResponses) -> bool {
         self.held.iter().any(|(kind, ..)| *kind == held)
     }
 
     /// The held responses arrive, and no others are held any more.
-    pub fn release(&mut self, held: Held) {
+    pub fn release(&mut self, held: HeldResponses) {
         self.holds.retain(|kind| *kind != held);
         let (arriving, held) = std::mem::take(&mut self.held)
             .into_iter()
@@ -600,12 +600,13 @@
             return;
         }
         let held = self.held_as(&request);
-        if held == Some(Held::Catalog)
+        if held == Some(HeldResponses::CatalogPuts)
             && let KvRequest::Txn(txn) = request
         {
             self.sent.transactions.push((txn, false));
             let response = KvResponse::OutcomeUnknown;
-            self.held.push((Held::Catalog, correlation_id, response));
+            self.held
+                .push((HeldResponses::CatalogPuts, correlation_id, response));
             return;
         }
         let response = self.respond(&request);
@@ -636,15 +637,17 @@
         }
     }
 
-    fn held_as(&self, request: &KvRequest) -> Option<Held> {
+    fn held_as(&self, request: &KvRequest) -> Option<HeldResponses> {
         let held = match request {
             KvRequest::List {
                 prefix,
                 after: Some(_),
-            } if prefix == records::OPEN_PREFIX => Held::LaterPages,
-            KvRequest::Txn(txn) if txn.writes.iter().any(is_submission) => Held::Submissions,
-            KvRequest::Txn(txn) if is_cancellation(txn) => Held::Cancellations,
-            KvRequest::Txn(txn) if txn.writes.iter().any(is_catalog) => Held::Catalog,
+            } if prefix == records::OPEN_PREFIX => HeldResponses::LaterPages,
+            KvRequest::Txn(txn) if txn.writes.iter().any(is_submission) => {
+                HeldResponses::Submissions
+            }
+            KvRequest::Txn(txn) if is_cancellation(txn) => HeldResponses::Cancellations,
+            KvRequest::Txn(txn) if txn.writes.iter().any(is_catalog) => HeldResponses::CatalogPuts,
             _ => return None,
         };
         self.holds.contains(&held).then_some(held)
@@ -657,9 +660,9 @@
         for watch in std::mem::take(&mut self.watches) {
             let is_open_jobs = watch.prefix == records::OPEN_PREFIX;
             let held = if is_open_jobs {
-                Held::Watches
+                HeldResponses::OpenJobWatches
             } else {
-                Held::LeaderWatches
+                HeldResponses::LeaderWatches
             };
             if self.holds.contains(&held) {
                 self.watches.push(watch);
--- a/tests/instance_catalog.rs
+++ b/tests/instance_catalog.rs
@@ -11,7 +11,7 @@
 use cedarladder::bookkeeping::records::INSTANCE_CATALOG_KEY;
 use cedarladder::protocol::kv::{KvResponse, Txn, WriteOp};
 use common::instance_type;
-use harness::{Harness, Held};
+use harness::{Harness, HeldResponses};
 
 /// When a leader has read what is stored, and has put its types.
 const STORED_AFTER_S: f64 = 45.0;
@@ -26,7 +26,7 @@
 #[test]
 fn a_late_put_of_a_deposed_leader_is_refused() {
     let mut harness = Harness::default();
-    harness.hold(Held::Catalog);
+    harness.hold(HeldResponses::CatalogPuts);
     harness.run_for(STORED_AFTER_S);
     let late = harness.puts_of(INSTANCE_CATALOG_KEY);
     assert!(!late.is_empty(), "the types were put");
@@ -51,10 +51,10 @@
 #[test]
 fn types_that_were_not_stored_are_put_again() {
     let mut harness = Harness::default();
-    harness.hold(Held::Catalog);
+    harness.hold(HeldResponses::CatalogPuts);
     harness.run_for(STORED_AFTER_S);
     assert_eq!(stored(&harness), None);
-    harness.release(Held::Catalog);
+    harness.release(HeldResponses::CatalogPuts);
     harness.forget();
     harness.run_for(STORED_AFTER_S);
     assert!(stored(&harness).is_some());
--- a/tests/late_leader_records.rs
+++ b/tests/late_leader_records.rs
@@ -18,14 +18,14 @@
 use cedarladder::coordination::election::{Election, ElectionTimeouts, LeadershipChange};
 use cedarladder::protocol::kv::KvResponse;
 use cedarladder::settings::WorkerSettings;
-use harness::{Harness, Held};
+use harness::{Harness, HeldResponses};
 
 /// A leader that knows of its second election what the renewal has told; its watch is late.
 fn elected_again() -> Harness {
     let mut harness = Harness::default();
     harness.run_until("an election", Harness::leads);
     harness.run_for(1.0);
-    harness.hold(Held::LeaderWatches);
+    harness.hold(HeldResponses::LeaderWatches);
     let first = harness.leader_revision();
     harness.end_leader_lease();
     harness.run_until("the lease to be missed", |harness| !harness.leads());
@@ -38,7 +38,7 @@
 fn the_deletion_of_an_earlier_key_deposes_nobody() {
     let mut harness = elected_again();
     let epoch = harness.leader_revision();
-    harness.release(Held::LeaderWatches);
+    harness.release(HeldResponses::LeaderWatches);
     assert!(harness.leads());
     harness.run_for(5.0);
     assert!(harness.leads());
@@ -48,7 +48,7 @@
 #[test]
 fn the_deletion_of_the_own_key_deposes() {
     let mut harness = elected_again();
-    harness.release(Held::LeaderWatches);
+    harness.release(HeldResponses::LeaderWatches);
     harness.run_for(1.0);
     harness.end_leader_lease();
     harness.run_for(0.05);
--- a/tests/older_knowledge.rs
+++ b/tests/older_knowledge.rs
@@ -19,7 +19,7 @@
 use cedarladder::protocol::peer::JobCounts;
 use cedarladder::settings::StateServiceLimits;
 use common::spec;
-use harness::{Harness, Held, peer_heartbeat};
+use harness::{Harness, HeldResponses, peer_heartbeat};
 
 const ID: &str = "j-000001";
 
@@ -152,11 +152,11 @@
         running: 1,
     });
     harness.peer_heartbeat(of_leader);
-    harness.hold(Held::Cancellations);
+    harness.hold(HeldResponses::Cancellations);
     harness.cancel(ID);
     harness.run_for(0.2);
-    assert!(harness.is_holding(Held::Cancellations));
-    harness.release(Held::Cancellations);
+    assert!(harness.is_holding(HeldResponses::Cancellations));
+    harness.release(HeldResponses::Cancellations);
     let view = harness.view(ID);
     assert_eq!((view.status, view.done), (JobStatus::Aborted, 3));
 }
--- a/tests/stale_records.rs
+++ b/tests/stale_records.rs
@@ -23,7 +23,7 @@
 use cedarladder::bookkeeping::records;
 use cedarladder::protocol::job::JobStatus;
 use cedarladder::protocol::worker::{CommandKind, ExitReason};
-use harness::{Harness, Held};
+use harness::{Harness, HeldResponses};
 
 /// Fills half of the worker.
 const ENDED: &str = "j-000001";
@@ -79,17 +79,19 @@
         harness.run_until("its start", |harness| harness.running(id) == TASKS as usize);
     }
     harness.run_for(1.0);
-    harness.hold(Held::LaterPages);
+    harness.hold(HeldResponses::LaterPages);
     harness.compacts = true;
-    harness.run_until("a listing", |harness| harness.is_holding(Held::LaterPages));
+    harness.run_until("a listing", |harness| {
+        harness.is_holding(HeldResponses::LaterPages)
+    });
     harness
 }
 
 /// The listing completes, and the watch that follows it is slow.
 fn complete_listing(harness: &mut Harness) {
     harness.forget();
-    harness.hold(Held::Watches);
-    harness.release(Held::LaterPages);
+    harness.hold(HeldResponses::OpenJobWatches);
+    harness.release(HeldResponses::LaterPages);
 }
 
 fn is_ended(harness: &Harness) -> bool {
@@ -157,7 +159,7 @@
         complete_listing(&mut harness);
         harness.run_for(3.0);
         let mut found = revived(&mut harness);
-        harness.release(Held::Watches);
+        harness.release(HeldResponses::OpenJobWatches);
         harness.run_for(1.0);
         harness.forget();
         harness.run_for(3.0);
@@ -223,7 +225,7 @@
         (
             "cancelled through another controller, told by it",
             |harness| {
-                harness.hold(Held::Watches);
+                harness.hold(HeldResponses::OpenJobWatches);
                 harness.cancel_elsewhere(ENDED);
                 harness.told_by_peer(ENDED);
             },
@@ -239,15 +241,15 @@
         let mut harness = leading();
         harness.submit(STEADY, 2 * TASKS);
         harness.run_until("its start", |harness| harness.running(STEADY) == 4);
-        harness.hold(Held::Submissions);
+        harness.hold(HeldResponses::Submissions);
         let submission = harness.submit(ENDED, TASKS);
         harness.run_for(0.2);
-        assert!(harness.is_holding(Held::Submissions), "{name}");
+        assert!(harness.is_holding(HeldResponses::Submissions), "{name}");
         end(&mut harness);
         assert!(is_ended(&harness), "{name}: it has ended");
         harness.forget();
-        harness.release(Held::Submissions);
-        harness.release(Held::Watches);
+        harness.release(HeldResponses::Submissions);
+        harness.release(HeldResponses::OpenJobWatches);
         harness.run_for(8.0);
         let told = harness.answer(submission).map(|(status, _)| status);
         assert!(matches!(told, Some(200 | 201)), "{name}: {told:?}");
