--- a/tests/forgotten_incarnations.rs
+++ b/tests/forgotten_incarnations.rs
@@ -48,7 +48,7 @@
         harness.running(JOB) == TASKS as usize
     });
     harness.run_for(1.0);
-    harness.forget();
+    harness.clear_sent();
     harness
 }
 
@@ -91,7 +91,7 @@
     harness.restart_worker();
     harness.run_for(3.0);
     assert_eq!(harness.running(JOB), TASKS as usize, "started again");
-    harness.forget();
+    harness.clear_sent();
     harness.run_for(2.0 * LEASE_S);
     assert_eq!(bindings_ended(&harness), 0, "its lease is renewed");
 }
@@ -108,7 +108,7 @@
     harness.run_until("started again", |harness| {
         harness.running(JOB) == TASKS as usize && harness.running(OTHER_JOB) == 1
     });
-    harness.forget();
+    harness.clear_sent();
     harness.run_for(0.8 * LEASE_S);
     assert_eq!(
         bindings_ended(&harness),
@@ -137,7 +137,7 @@
     harness.mute_worker();
     harness.forget_incarnations();
     harness.run_for(3.0);
-    harness.forget();
+    harness.clear_sent();
     harness.run_for(2.0);
     let calls = harness.sent.worker_calls;
     assert!((1..=4).contains(&calls), "{calls} calls in two seconds");
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -79,7 +79,7 @@
     is_mute: bool,
 }
 
-/// What left the controller since [`Harness::forget`].
+/// What left the controller since [`Harness::clear_sent`].
 #[derive(Debug, Default)]
 pub struct Sent {
     /// Transactions, with whether they were committed.
@@ -202,7 +202,7 @@
     }
 
     /// Forgets what was sent until now.
-    pub fn forget(&mut self) {
+    pub fn clear_sent(&mut self) {
         self.sent = Sent::default();
     }
 
@@ -277,7 +277,7 @@
         cbor::decode(body).expect("a view")
     }
 
-    /// The transactions since [`Harness::forget`] that put a key.
+    /// The transactions since [`Harness::clear_sent`] that put a key.
     pub fn puts_of(&self, key: &str) -> Vec<Txn> {
         let puts = |write: &WriteOp| matches!(write, WriteOp::Put { key: put, .. } if put == key);
         let transactions = self.sent.transactions.iter();
--- a/tests/instance_catalog.rs
+++ b/tests/instance_catalog.rs
@@ -55,7 +55,7 @@
     harness.run_for(STORED_AFTER_S);
     assert_eq!(stored(&harness), None);
     harness.release(HeldResponses::CatalogPuts);
-    harness.forget();
+    harness.clear_sent();
     harness.run_for(STORED_AFTER_S);
     assert!(stored(&harness).is_some());
     assert_eq!(
--- a/tests/stale_records.rs
+++ b/tests/stale_records.rs
@@ -89,7 +89,7 @@
 
 /// The listing completes, and the watch that follows it is slow.
 fn complete_listing(harness: &mut Harness) {
-    harness.forget();
+    harness.clear_sent();
     harness.hold(HeldResponses::OpenJobWatches);
     harness.release(HeldResponses::LaterPages);
 }
@@ -161,7 +161,7 @@
         let mut found = revived(&mut harness);
         harness.release(HeldResponses::OpenJobWatches);
         harness.run_for(1.0);
-        harness.forget();
+        harness.clear_sent();
         harness.run_for(3.0);
         found.extend(revived(&mut harness));
         assert_eq!(harness.running(ENDED), 0, "{}", end.0);
@@ -247,7 +247,7 @@
         assert!(harness.is_holding(HeldResponses::Submissions), "{name}");
         end(&mut harness);
         assert!(is_ended(&harness), "{name}: it has ended");
-        harness.forget();
+        harness.clear_sent();
         harness.release(HeldResponses::Submissions);
         harness.release(HeldResponses::OpenJobWatches);
         harness.run_for(8.0);
