--- a/tests/forgotten_incarnations.rs
+++ b/tests/forgotten_incarnations.rs
@@ -42,7 +42,7 @@
 /// A leader whose worker runs a job.
 fn running() -> Harness {
     let mut harness = Harness::default();
-    harness.run_until("an election", Harness::leads);
+    harness.run_until("an election", Harness::is_leader);
     harness.submit(JOB, TASKS);
     harness.run_until("its start", |harness| {
         harness.running(JOB) == TASKS as usize
@@ -128,7 +128,7 @@
 fn a_call_that_is_always_rejected_is_not_made_at_each_tick() {
     let mut harness = Harness::default();
     harness.end_incarnation();
-    harness.run_until("an election", Harness::leads);
+    harness.run_until("an election", Harness::is_leader);
     harness.submit(JOB, TASKS);
     harness.run_until("tasks in the second incarnation", |harness| {
         harness.running(JOB) == TASKS as usize
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -206,7 +206,7 @@
         self.sent = Sent::default();
     }
 
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.controller.is_leader()
     }
 
--- a/tests/late_leader_records.rs
+++ b/tests/late_leader_records.rs
@@ -23,13 +23,13 @@
 /// A leader that knows of its second election what the renewal has told; its watch is late.
 fn elected_again() -> Harness {
     let mut harness = Harness::default();
-    harness.run_until("an election", Harness::leads);
+    harness.run_until("an election", Harness::is_leader);
     harness.run_for(1.0);
     harness.hold(HeldResponses::LeaderWatches);
     let first = harness.leader_revision();
     harness.end_leader_lease();
-    harness.run_until("the lease to be missed", |harness| !harness.leads());
-    harness.run_until("another election", Harness::leads);
+    harness.run_until("the lease to be missed", |harness| !harness.is_leader());
+    harness.run_until("another election", Harness::is_leader);
     assert!(harness.leader_revision() > first);
     harness
 }
@@ -39,9 +39,9 @@
     let mut harness = elected_again();
     let epoch = harness.leader_revision();
     harness.release(HeldResponses::LeaderWatches);
-    assert!(harness.leads());
+    assert!(harness.is_leader());
     harness.run_for(5.0);
-    assert!(harness.leads());
+    assert!(harness.is_leader());
     assert_eq!(harness.leader_revision(), epoch, "the same leadership");
 }
 
@@ -52,7 +52,7 @@
     harness.run_for(1.0);
     harness.end_leader_lease();
     harness.run_for(0.05);
-    assert!(!harness.leads());
+    assert!(!harness.is_leader());
 }
 
 /// An election that was won with lease 9, a renewal of which is in flight since 3.0, was lost, and was won again with
--- a/tests/stale_records.rs
+++ b/tests/stale_records.rs
@@ -63,7 +63,7 @@
 /// A leader with a worker.
 fn leading() -> Harness {
     let mut harness = Harness::default();
-    harness.run_until("an election", Harness::leads);
+    harness.run_until("an election", Harness::is_leader);
     harness
 }
 
