--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -312,7 +312,7 @@
     }
 
     /// Another controller takes the `leader` key, before this one can.
-    pub fn led_elsewhere(&mut self) {
+    pub fn elect_other_controller(&mut self) {
         let record = LeaderRecord {
             label: PEER.to_owned(),
             process_incarnation: 1,
--- a/tests/instance_catalog.rs
+++ b/tests/instance_catalog.rs
@@ -30,7 +30,7 @@
     harness.run_for(STORED_AFTER_S);
     let late = harness.puts_of(INSTANCE_CATALOG_KEY);
     assert!(!late.is_empty(), "the types were put");
-    harness.led_elsewhere();
+    harness.elect_other_controller();
     let newer = WriteOp::put(INSTANCE_CATALOG_KEY, &vec![instance_type("newer")]);
     harness.store.transact(&Txn {
         compares: Vec::new(),
--- a/tests/older_knowledge.rs
+++ b/tests/older_knowledge.rs
@@ -111,7 +111,7 @@
 /// A controller that follows another, with a job that was submitted to it.
 fn follower_with_job(tasks: u32) -> Harness {
     let mut harness = Harness::default();
-    harness.led_elsewhere();
+    harness.elect_other_controller();
     harness.run_for(1.0);
     let submission = harness.submit(ID, tasks);
     harness.run_until("the submission", |harness| {
