--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -290,7 +290,7 @@
     // ---- other controllers
 
     /// Another controller cancels a job in the state service.
-    pub fn cancel_elsewhere(&mut self, id: &str) {
+    pub fn cancel_through_other_controller(&mut self, id: &str) {
         let open_key = records::open_key(id);
         let KvResponse::Value(item) = self.store.get(&open_key) else {
             panic!("{id} is not open");
--- a/tests/stale_records.rs
+++ b/tests/stale_records.rs
@@ -49,11 +49,11 @@
         });
     }),
     ("cancelled through another controller", |harness| {
-        harness.cancel_elsewhere(ENDED);
+        harness.cancel_through_other_controller(ENDED);
         harness.told_by_peer(ENDED);
     }),
     ("a compare that fails", |harness| {
-        harness.cancel_elsewhere(ENDED);
+        harness.cancel_through_other_controller(ENDED);
         harness.exit(ENDED, ExitReason::Completed);
         harness.worker_heartbeat();
         harness.run_for(0.3);
@@ -219,14 +219,14 @@
 fn a_late_response_to_a_submission_opens_no_job() {
     let ends: [End; 3] = [
         ("cancelled through another controller", |harness| {
-            harness.cancel_elsewhere(ENDED);
+            harness.cancel_through_other_controller(ENDED);
             harness.run_for(0.1);
         }),
         (
             "cancelled through another controller, told by it",
             |harness| {
                 harness.hold(HeldResponses::OpenJobWatches);
-                harness.cancel_elsewhere(ENDED);
+                harness.cancel_through_other_controller(ENDED);
                 harness.told_by_peer(ENDED);
             },
         ),
