--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -327,7 +327,7 @@
     }
 
     /// A peer's heartbeat says that a job was cancelled.
-    pub fn told_by_peer(&mut self, id: &str) {
+    pub fn receive_cancellation_from_peer(&mut self, id: &str) {
         self.told_end_by_peer(id, true);
     }
 
--- a/tests/stale_records.rs
+++ b/tests/stale_records.rs
@@ -50,7 +50,7 @@
     }),
     ("cancelled through another controller", |harness| {
         harness.cancel_through_other_controller(ENDED);
-        harness.told_by_peer(ENDED);
+        harness.receive_cancellation_from_peer(ENDED);
     }),
     ("a compare that fails", |harness| {
         harness.cancel_through_other_controller(ENDED);
@@ -227,7 +227,7 @@
             |harness| {
                 harness.hold(HeldResponses::OpenJobWatches);
                 harness.cancel_through_other_controller(ENDED);
-                harness.told_by_peer(ENDED);
+                harness.receive_cancellation_from_peer(ENDED);
             },
         ),
         ("cancelled here", |harness| {
