--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -328,11 +328,11 @@
 
     /// A peer's heartbeat says that a job was cancelled.
     pub fn receive_cancellation_from_peer(&mut self, id: &str) {
-        self.told_end_by_peer(id, true);
+        self.receive_termination_from_peer(id, true);
     }
 
     /// A peer's heartbeat says how a job has ended.
-    pub fn told_end_by_peer(&mut self, id: &str, aborted: bool) {
+    pub fn receive_termination_from_peer(&mut self, id: &str, aborted: bool) {
         let mut heartbeat = peer_heartbeat(PEER, 0);
         heartbeat.terminations.entries.push(Termination {
             job: id.to_owned(),
--- a/tests/older_knowledge.rs
+++ b/tests/older_knowledge.rs
@@ -168,6 +168,6 @@
     harness.run_until("the cancellation", |harness| {
         harness.answer(cancellation).is_some()
     });
-    harness.told_end_by_peer(ID, false);
+    harness.receive_termination_from_peer(ID, false);
     assert_eq!(harness.view(ID).status, JobStatus::Aborted);
 }
