--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -339,11 +339,11 @@
             aborted,
             done: 0,
         });
-        self.peer_heartbeat(heartbeat);
+        self.receive_peer_heartbeat(heartbeat);
     }
 
     /// A heartbeat of a peer arrives.
-    pub fn peer_heartbeat(&mut self, heartbeat: PeerHeartbeat) {
+    pub fn receive_peer_heartbeat(&mut self, heartbeat: PeerHeartbeat) {
         let now = self.clock();
         self.controller.on_peer_heartbeat(heartbeat, now);
         self.settle();
--- a/tests/older_knowledge.rs
+++ b/tests/older_knowledge.rs
@@ -132,8 +132,8 @@
     of_leader.counts.push(counts(2, 1));
     let mut of_deposed = peer_heartbeat("n2", 20);
     of_deposed.counts.push(counts(0, 0));
-    harness.peer_heartbeat(of_leader);
-    harness.peer_heartbeat(of_deposed);
+    harness.receive_peer_heartbeat(of_leader);
+    harness.receive_peer_heartbeat(of_deposed);
     let view = harness.view(ID);
     assert_eq!(
         (view.status, view.done, view.running),
@@ -151,7 +151,7 @@
         done: 3,
         running: 1,
     });
-    harness.peer_heartbeat(of_leader);
+    harness.receive_peer_heartbeat(of_leader);
     harness.hold(HeldResponses::Cancellations);
     harness.cancel(ID);
     harness.run_for(0.2);
