--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -158,7 +158,7 @@
             self.now += TICK_S;
             let sends = self.worker.is_up && !self.worker.is_mute;
             if sends && self.now >= self.worker.heartbeat_at {
-                self.worker_heartbeat();
+                self.send_worker_heartbeat();
             }
             let now = self.clock();
             self.controller.tick(now);
@@ -421,11 +421,11 @@
     /// The worker is back.
     pub fn wake_worker(&mut self) {
         self.worker.is_up = true;
-        self.worker_heartbeat();
+        self.send_worker_heartbeat();
     }
 
     /// The worker sends a heartbeat now.
-    pub fn worker_heartbeat(&mut self) {
+    pub fn send_worker_heartbeat(&mut self) {
         self.worker.heartbeat_at = self.now + HEARTBEAT_S;
         let heartbeat = self.next_heartbeat();
         self.last_request += 1;
