--- a/tests/forgotten_incarnations.rs
+++ b/tests/forgotten_incarnations.rs
@@ -75,7 +75,7 @@
     for (name, numbers) in cases {
         let mut harness = running();
         let (incarnation, sequence) = numbers(&harness);
-        harness.old_heartbeat(incarnation, sequence, lower);
+        harness.send_stale_heartbeat(incarnation, sequence, lower);
         harness.run_for(3.0);
         assert_eq!(bindings_ended(&harness), 0, "{name}");
         let counts = harness.counts.iter().find(|counts| counts.job == JOB);
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -401,7 +401,7 @@
 
     /// A heartbeat arrives that shows no tasks, with this incarnation, sequence and token, and nobody waits for its
     /// response.
-    pub fn old_heartbeat(&mut self, incarnation: u64, sequence: u64, token: FencingToken) {
+    pub fn send_stale_heartbeat(&mut self, incarnation: u64, sequence: u64, token: FencingToken) {
         let heartbeat = WorkerHeartbeat {
             incarnation,
             sequence,
