--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -74,7 +74,7 @@
     token: FencingToken,
     tasks: BTreeMap<(String, u64), TaskStatus>,
     heartbeat_at: f64,
-    is_up: bool,
+    is_connected: bool,
     /// It answers direct calls only.
     is_mute: bool,
 }
@@ -133,7 +133,7 @@
                 token: FencingToken::default(),
                 tasks: BTreeMap::new(),
                 heartbeat_at: 0.0,
-                is_up: true,
+                is_connected: true,
                 is_mute: false,
             },
             worker_request: None,
@@ -156,7 +156,7 @@
         let until = self.now + for_s;
         while self.now + TICK_S / 2.0 < until {
             self.now += TICK_S;
-            let sends = self.worker.is_up && !self.worker.is_mute;
+            let sends = self.worker.is_connected && !self.worker.is_mute;
             if sends && self.now >= self.worker.heartbeat_at {
                 self.send_worker_heartbeat();
             }
@@ -372,8 +372,8 @@
     }
 
     /// From now on the worker sends no heartbeats and answers no calls.
-    pub fn silence_worker(&mut self) {
-        self.worker.is_up = false;
+    pub fn disconnect_worker(&mut self) {
+        self.worker.is_connected = false;
     }
 
     /// From now on the worker sends no heartbeats, but answers direct calls.
@@ -419,8 +419,8 @@
     }
 
     /// The worker is back.
-    pub fn wake_worker(&mut self) {
-        self.worker.is_up = true;
+    pub fn reconnect_worker(&mut self) {
+        self.worker.is_connected = true;
         self.send_worker_heartbeat();
     }
 
@@ -546,7 +546,7 @@
     }
 
     fn on_worker_request(&mut self, request: &WorkerRequest) -> WorkerResponse {
-        if !self.worker.is_up {
+        if !self.worker.is_connected {
             return WorkerResponse::OutcomeUnknown;
         }
         self.sent.worker_calls += 1;
--- a/tests/stale_records.rs
+++ b/tests/stale_records.rs
@@ -177,12 +177,12 @@
 fn a_binding_that_outlasts_its_job_is_taken_off_no_count() {
     let found = findings(&ENDS[1..3], |end| {
         let mut harness = half_listed(Harness::submit);
-        harness.silence_worker();
+        harness.disconnect_worker();
         end.1(&mut harness);
         complete_listing(&mut harness);
         harness.run_for(0.2);
         assert_eq!(harness.running(ENDED), TASKS as usize, "{}", end.0);
-        harness.wake_worker();
+        harness.reconnect_worker();
         harness.run_for(2.0);
         assert_eq!(harness.running(ENDED), 0, "{}", end.0);
         let counts = harness.counts.iter().find(|counts| counts.job == STEADY);
