--- a/tests/forgotten_incarnations.rs
+++ b/tests/forgotten_incarnations.rs
@@ -100,7 +100,7 @@
 #[test]
 fn the_lease_of_a_restarted_machine_counts_from_when_that_shows() {
     let mut harness = running();
-    harness.mute_worker();
+    harness.stop_worker_heartbeats();
     harness.run_for(0.8 * LEASE_S);
     harness.restart_worker();
     // A start is sent directly, and its response shows what is on the machine.
@@ -134,7 +134,7 @@
         harness.running(JOB) == TASKS as usize
     });
     harness.run_for(1.0);
-    harness.mute_worker();
+    harness.stop_worker_heartbeats();
     harness.forget_incarnations();
     harness.run_for(3.0);
     harness.clear_sent();
@@ -147,7 +147,7 @@
 #[test]
 fn a_rejection_that_shows_a_new_incarnation_is_followed_at_once() {
     let mut harness = running();
-    harness.mute_worker();
+    harness.stop_worker_heartbeats();
     harness.end_incarnation();
     harness.submit(OTHER_JOB, 1);
     harness.run_for(0.5);
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -76,7 +76,7 @@
     heartbeat_at: f64,
     is_connected: bool,
     /// It answers direct calls only.
-    is_mute: bool,
+    heartbeats_stopped: bool,
 }
 
 /// What left the controller since [`Harness::clear_sent`].
@@ -134,7 +134,7 @@
                 tasks: BTreeMap::new(),
                 heartbeat_at: 0.0,
                 is_connected: true,
-                is_mute: false,
+                heartbeats_stopped: false,
             },
             worker_request: None,
             last_request: 0,
@@ -156,7 +156,7 @@
         let until = self.now + for_s;
         while self.now + TICK_S / 2.0 < until {
             self.now += TICK_S;
-            let sends = self.worker.is_connected && !self.worker.is_mute;
+            let sends = self.worker.is_connected && !self.worker.heartbeats_stopped;
             if sends && self.now >= self.worker.heartbeat_at {
                 self.send_worker_heartbeat();
             }
@@ -377,8 +377,8 @@
     }
 
     /// From now on the worker sends no heartbeats, but answers direct calls.
-    pub fn mute_worker(&mut self) {
-        self.worker.is_mute = true;
+    pub fn stop_worker_heartbeats(&mut self) {
+        self.worker.heartbeats_stopped = true;
     }
 
     /// The worker's lease expires: its tasks are gone, and the next incarnation begins.
