--- a/tests/forgotten_incarnations.rs
+++ b/tests/forgotten_incarnations.rs
@@ -127,7 +127,7 @@
 #[test]
 fn a_call_that_is_always_rejected_is_not_made_at_each_tick() {
     let mut harness = Harness::default();
-    harness.end_incarnation();
+    harness.expire_worker_lease();
     harness.run_until("an election", Harness::is_leader);
     harness.submit(JOB, TASKS);
     harness.run_until("tasks in the second incarnation", |harness| {
@@ -148,7 +148,7 @@
 fn a_rejection_that_shows_a_new_incarnation_is_followed_at_once() {
     let mut harness = running();
     harness.stop_worker_heartbeats();
-    harness.end_incarnation();
+    harness.expire_worker_lease();
     harness.submit(OTHER_JOB, 1);
     harness.run_for(0.5);
     assert_eq!(harness.running(OTHER_JOB), 1);
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -382,7 +382,7 @@
     }
 
     /// The worker's lease expires: its tasks are gone, and the next incarnation begins.
-    pub fn end_incarnation(&mut self) {
+    pub fn expire_worker_lease(&mut self) {
         self.worker.tasks.clear();
         self.worker.incarnation += 1;
     }
