--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -211,7 +211,7 @@
     }
 
     /// The state service ends the lease of the `leader` key, and with it the key.
-    pub fn end_leader_lease(&mut self) {
+    pub fn revoke_leader_lease(&mut self) {
         let KvResponse::Value(KeyValue {
             lease_id: Some(lease_id),
             ..
--- a/tests/late_leader_records.rs
+++ b/tests/late_leader_records.rs
@@ -27,7 +27,7 @@
     harness.run_for(1.0);
     harness.hold(HeldResponses::LeaderWatches);
     let first = harness.leader_revision();
-    harness.end_leader_lease();
+    harness.revoke_leader_lease();
     harness.run_until("the lease to be missed", |harness| !harness.is_leader());
     harness.run_until("another election", Harness::is_leader);
     assert!(harness.leader_revision() > first);
@@ -50,7 +50,7 @@
     let mut harness = elected_again();
     harness.release(HeldResponses::LeaderWatches);
     harness.run_for(1.0);
-    harness.end_leader_lease();
+    harness.revoke_leader_lease();
     harness.run_for(0.05);
     assert!(!harness.is_leader());
 }
