--- a/tests/forgotten_incarnations.rs
+++ b/tests/forgotten_incarnations.rs
@@ -45,7 +45,7 @@
     harness.run_until("an election", Harness::is_leader);
     harness.submit(JOB, TASKS);
     harness.run_until("its start", |harness| {
-        harness.running(JOB) == TASKS as usize
+        harness.running_tasks(JOB) == TASKS as usize
     });
     harness.run_for(1.0);
     harness.clear_sent();
@@ -80,7 +80,7 @@
         assert_eq!(bindings_ended(&harness), 0, "{name}");
         let counts = harness.counts.iter().find(|counts| counts.job == JOB);
         assert_eq!(counts.map(|counts| counts.running), Some(TASKS), "{name}");
-        assert_eq!(harness.running(JOB), TASKS as usize, "{name}");
+        assert_eq!(harness.running_tasks(JOB), TASKS as usize, "{name}");
     }
 }
 
@@ -90,7 +90,7 @@
     let mut harness = running();
     harness.restart_worker();
     harness.run_for(3.0);
-    assert_eq!(harness.running(JOB), TASKS as usize, "started again");
+    assert_eq!(harness.running_tasks(JOB), TASKS as usize, "started again");
     harness.clear_sent();
     harness.run_for(2.0 * LEASE_S);
     assert_eq!(bindings_ended(&harness), 0, "its lease is renewed");
@@ -106,7 +106,7 @@
     // A start is sent directly, and its response shows what is on the machine.
     harness.submit(OTHER_JOB, 1);
     harness.run_until("started again", |harness| {
-        harness.running(JOB) == TASKS as usize && harness.running(OTHER_JOB) == 1
+        harness.running_tasks(JOB) == TASKS as usize && harness.running_tasks(OTHER_JOB) == 1
     });
     harness.clear_sent();
     harness.run_for(0.8 * LEASE_S);
@@ -131,7 +131,7 @@
     harness.run_until("an election", Harness::is_leader);
     harness.submit(JOB, TASKS);
     harness.run_until("tasks in the second incarnation", |harness| {
-        harness.running(JOB) == TASKS as usize
+        harness.running_tasks(JOB) == TASKS as usize
     });
     harness.run_for(1.0);
     harness.stop_worker_heartbeats();
@@ -151,5 +151,5 @@
     harness.expire_worker_lease();
     harness.submit(OTHER_JOB, 1);
     harness.run_for(0.5);
-    assert_eq!(harness.running(OTHER_JOB), 1);
+    assert_eq!(harness.running_tasks(OTHER_JOB), 1);
 }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -352,7 +352,7 @@
     // ---- the worker
 
     /// Tasks of a job that run on the worker.
-    pub fn running(&self, job: &str) -> usize {
+    pub fn running_tasks(&self, job: &str) -> usize {
         let tasks = self.worker.tasks.values();
         tasks
             .filter(|status| status.state == TaskState::Running)
--- a/tests/stale_records.rs
+++ b/tests/stale_records.rs
@@ -76,7 +76,9 @@
     submit(&mut harness, ENDED, TASKS);
     harness.submit(STEADY, TASKS);
     for id in [ENDED, STEADY] {
-        harness.run_until("its start", |harness| harness.running(id) == TASKS as usize);
+        harness.run_until("its start", |harness| {
+            harness.running_tasks(id) == TASKS as usize
+        });
     }
     harness.run_for(1.0);
     harness.hold(HeldResponses::LaterPages);
@@ -164,8 +166,8 @@
         harness.clear_sent();
         harness.run_for(3.0);
         found.extend(revived(&mut harness));
-        assert_eq!(harness.running(ENDED), 0, "{}", end.0);
-        assert_eq!(harness.running(STEADY), TASKS as usize, "{}", end.0);
+        assert_eq!(harness.running_tasks(ENDED), 0, "{}", end.0);
+        assert_eq!(harness.running_tasks(STEADY), TASKS as usize, "{}", end.0);
         found
     });
     assert_eq!(found, []);
@@ -181,10 +183,10 @@
         end.1(&mut harness);
         complete_listing(&mut harness);
         harness.run_for(0.2);
-        assert_eq!(harness.running(ENDED), TASKS as usize, "{}", end.0);
+        assert_eq!(harness.running_tasks(ENDED), TASKS as usize, "{}", end.0);
         harness.reconnect_worker();
         harness.run_for(2.0);
-        assert_eq!(harness.running(ENDED), 0, "{}", end.0);
+        assert_eq!(harness.running_tasks(ENDED), 0, "{}", end.0);
         let counts = harness.counts.iter().find(|counts| counts.job == STEADY);
         assert_eq!(
             counts.map(|counts| counts.running),
@@ -205,7 +207,7 @@
         end.1(&mut harness);
         harness.submit(NEXT, TASKS);
         harness.run_until("its start", |harness| {
-            harness.running(NEXT) == TASKS as usize
+            harness.running_tasks(NEXT) == TASKS as usize
         });
         complete_listing(&mut harness);
         harness.run_for(3.0);
@@ -240,7 +242,7 @@
     let found = findings(&ends, |(name, end)| {
         let mut harness = leading();
         harness.submit(STEADY, 2 * TASKS);
-        harness.run_until("its start", |harness| harness.running(STEADY) == 4);
+        harness.run_until("its start", |harness| harness.running_tasks(STEADY) == 4);
         harness.hold(HeldResponses::Submissions);
         let submission = harness.submit(ENDED, TASKS);
         harness.run_for(0.2);
