--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -361,7 +361,7 @@
     }
 
     /// All running tasks of a job exit.
-    pub fn exit(&mut self, job: &str, reason: ExitReason) {
+    pub fn exit_tasks(&mut self, job: &str, reason: ExitReason) {
         for status in self.worker.tasks.values_mut() {
             let is_of_job = TaskId::parse(&status.task).is_ok_and(|task| task.job == job);
             if is_of_job && status.state == TaskState::Running {
--- a/tests/stale_records.rs
+++ b/tests/stale_records.rs
@@ -38,7 +38,7 @@
 
 const ENDS: [End; 4] = [
     ("its last task completes", |harness| {
-        harness.exit(ENDED, ExitReason::Completed);
+        harness.exit_tasks(ENDED, ExitReason::Completed);
         harness.send_worker_heartbeat();
         harness.run_for(0.3);
     }),
@@ -54,7 +54,7 @@
     }),
     ("a compare that fails", |harness| {
         harness.cancel_through_other_controller(ENDED);
-        harness.exit(ENDED, ExitReason::Completed);
+        harness.exit_tasks(ENDED, ExitReason::Completed);
         harness.send_worker_heartbeat();
         harness.run_for(0.3);
     }),
