--- a/tests/forgotten_incarnations.rs
+++ b/tests/forgotten_incarnations.rs
@@ -78,7 +78,10 @@
         harness.send_stale_heartbeat(incarnation, sequence, lower);
         harness.run_for(3.0);
         assert_eq!(bindings_ended(&harness), 0, "{name}");
-        let counts = harness.counts.iter().find(|counts| counts.job == JOB);
+        let counts = harness
+            .broadcast_counts
+            .iter()
+            .find(|counts| counts.job == JOB);
         assert_eq!(counts.map(|counts| counts.running), Some(TASKS), "{name}");
         assert_eq!(harness.running_tasks(JOB), TASKS as usize, "{name}");
     }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -97,7 +97,7 @@
     pub store: KvStore,
     pub sent: Sent,
     /// Counts of the latest heartbeat to the peers.
-    pub counts: Vec<JobCounts>,
+    pub broadcast_counts: Vec<JobCounts>,
     /// The instance types that the cloud lists.
     pub instance_types: Vec<InstanceType>,
     /// Whether the state service says once that the revision to watch from is compacted.
@@ -120,7 +120,7 @@
             now: 0.0,
             store: KvStore::new(MAX_CHANGES),
             sent: Sent::default(),
-            counts: Vec::new(),
+            broadcast_counts: Vec::new(),
             instance_types: vec![super::common::instance_type("f")],
             compacts: false,
             controller: Controller::new(Rc::new(settings), Rc::new(policy), 1),
@@ -541,7 +541,7 @@
                 self.controller
                     .on_worker_response(correlation_id, response, now);
             }
-            Effect::BroadcastHeartbeat(heartbeat) => self.counts = heartbeat.counts,
+            Effect::BroadcastHeartbeat(heartbeat) => self.broadcast_counts = heartbeat.counts,
         }
     }
 
--- a/tests/stale_records.rs
+++ b/tests/stale_records.rs
@@ -107,7 +107,11 @@
 /// What the leader does for a job that has ended, in words.
 fn revived(harness: &mut Harness) -> Vec<String> {
     let mut found = Vec::new();
-    if harness.counts.iter().any(|counts| counts.job == ENDED) {
+    if harness
+        .broadcast_counts
+        .iter()
+        .any(|counts| counts.job == ENDED)
+    {
         found.push("the peers are told its counts".to_owned());
     }
     let open_key = records::open_key(ENDED);
@@ -187,7 +191,10 @@
         harness.reconnect_worker();
         harness.run_for(2.0);
         assert_eq!(harness.running_tasks(ENDED), 0, "{}", end.0);
-        let counts = harness.counts.iter().find(|counts| counts.job == STEADY);
+        let counts = harness
+            .broadcast_counts
+            .iter()
+            .find(|counts| counts.job == STEADY);
         assert_eq!(
             counts.map(|counts| counts.running),
             Some(TASKS),
