--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -101,7 +101,7 @@
     /// The instance types that the cloud lists.
     pub instance_types: Vec<InstanceType>,
     /// Whether the state service says once that the revision to watch from is compacted.
-    pub compacts: bool,
+    pub compact_next_watch: bool,
     controller: Controller,
     holds: Vec<HeldResponses>,
     held: Vec<(HeldResponses, CorrelationId, KvResponse)>,
@@ -122,7 +122,7 @@
             sent: Sent::default(),
             broadcast_counts: Vec::new(),
             instance_types: vec![super::common::instance_type("f")],
-            compacts: false,
+            compact_next_watch: false,
             controller: Controller::new(Rc::new(settings), Rc::new(policy), 1),
             holds: Vec::new(),
             held: Vec::new(),
@@ -668,7 +668,7 @@
                 self.watches.push(watch);
                 continue;
             }
-            let response = if is_open_jobs && std::mem::take(&mut self.compacts) {
+            let response = if is_open_jobs && std::mem::take(&mut self.compact_next_watch) {
                 KvResponse::Compacted
             } else {
                 self.store.changes_after(&watch.prefix, watch.after)
--- a/tests/stale_records.rs
+++ b/tests/stale_records.rs
@@ -82,7 +82,7 @@
     }
     harness.run_for(1.0);
     harness.hold(HeldResponses::LaterPages);
-    harness.compacts = true;
+    harness.compact_next_watch = true;
     harness.run_until("a listing", |harness| {
         harness.is_holding(HeldResponses::LaterPages)
     });
