--- a/tests/bindings.rs
+++ b/tests/bindings.rs
@@ -7,7 +7,7 @@
     CallOutcome, DeliveryPath, Eviction, EvictionReason, RevocationReason, Worker,
 };
 use cedarladder::protocol::worker::{Command, CommandKind, ExitReason, TaskState};
-use common::{binding, freshness, spec, step, task, worker};
+use common::{binding, freshness, spec, task, task_status, worker};
 
 type Setup = fn(&mut Worker);
 type Steps = fn(&mut Worker, &[Command]);
@@ -22,7 +22,7 @@
     let task = task("j-1", 0);
     let cause = (status == TaskState::Exited).then_some(ExitReason::Completed);
     let steps = worker.observed_tasks.entry(task.clone()).or_default();
-    steps.push(step(&task, attempt, status, cause));
+    steps.push(task_status(&task, attempt, status, cause));
 }
 
 #[test]
@@ -223,9 +223,10 @@
         steps(&mut worker, &sent);
         let task = task("j-1", 0);
         worker.bindings.remove(&task);
-        worker
-            .observed_tasks
-            .insert(task.clone(), vec![step(&task, 7, Exited, Some(cause))]);
+        worker.observed_tasks.insert(
+            task.clone(),
+            vec![task_status(&task, 7, Exited, Some(cause))],
+        );
         assert_eq!(!commands(&worker, true, 10).is_empty(), cleared, "{name}");
         let reason = (!cleared).then_some(RevocationReason::Clear);
         assert_eq!(pending_revocation(&worker), reason, "{name}");
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -113,7 +113,7 @@
     }
 }
 
-pub fn step(
+pub fn task_status(
     task: &TaskId,
     attempt: u64,
     status: TaskState,
