--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -288,7 +288,7 @@
 
 /// Services and a stream of short arrays, on up to 48 machines.
 fn crowded(seed: u64, nodes: usize) -> World {
-    let mut world = World::sized(seed, nodes, 12);
+    let mut world = World::with_size(seed, nodes, 12);
     for n in 0..4 {
         world.user(n, 0.5, (4, 0.0, true, false), None);
     }
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -41,7 +41,7 @@
 fn play(meetings: &[Meeting]) {
     for (name, meeting) in meetings {
         for (nodes, seed) in [(3, 1), (3, 2), (5, 3), (5, 4)] {
-            let mut world = World::sized(seed, nodes, 3);
+            let mut world = World::with_size(seed, nodes, 3);
             crowd(&mut world);
             to(&mut world, 0.0);
             meeting(&mut world);
@@ -484,7 +484,7 @@
     for seed in 0..16u64 {
         let nodes = if seed % 2 == 0 { 3 } else { 5 };
         let large = seed % 4 == 3;
-        let mut world = World::sized(seed, nodes, if large { 12 } else { 3 });
+        let mut world = World::with_size(seed, nodes, if large { 12 } else { 3 });
         crowd(&mut world);
         let mut chance = SmallRng::seed_from_u64(seed);
         for n in 40..60 {
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -44,7 +44,7 @@
     for (name, trouble) in cases {
         for (nodes, seed) in [(3, 1), (3, 2), (5, 3), (5, 4)] {
             let name = format!("{name}, {nodes} controllers, seed {seed}");
-            let mut world = World::sized(seed, nodes, 3);
+            let mut world = World::with_size(seed, nodes, 3);
             crowd(&mut world);
             to(&mut world, 0.0);
             trouble(&mut world);
@@ -221,7 +221,7 @@
 fn guests_make_way() {
     for (nodes, seed) in [(3, 1), (5, 2)] {
         let name = format!("{nodes} controllers, seed {seed}");
-        let mut world = World::sized(seed, nodes, 4);
+        let mut world = World::with_size(seed, nodes, 4);
         crowd(&mut world);
         guests(&mut world, 20.0);
         world.run(34.0);
@@ -259,7 +259,7 @@
     for seed in 0..14u64 {
         let nodes = if seed % 2 == 0 { 3 } else { 5 };
         let mut chance = SmallRng::seed_from_u64(seed);
-        let mut world = World::sized(seed, nodes, [3, 12][seed as usize % 2]);
+        let mut world = World::with_size(seed, nodes, [3, 12][seed as usize % 2]);
         crowd(&mut world);
         if seed % 3 == 0 {
             guests(&mut world, 25.0);
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -166,7 +166,7 @@
     ];
     for (name, trouble) in cases {
         for nodes in [3, 5] {
-            let mut world = World::sized(11, nodes, 3);
+            let mut world = World::with_size(11, nodes, 3);
             world.jobs();
             trouble(&mut world);
             world.run(200.0);
@@ -182,7 +182,7 @@
     for nodes in [3, 5] {
         for inside in [false, true] {
             let name = format!("{nodes} controllers, leader inside: {inside}");
-            let mut world = World::sized(7, nodes, 12);
+            let mut world = World::with_size(7, nodes, 12);
             for n in 0..8 {
                 world.user(n, 0.5, (8, 0.0, true, false), None);
                 world.user(
@@ -215,7 +215,7 @@
 #[test]
 fn cancelled_while_cut_off() {
     for nodes in [3, 5] {
-        let mut world = World::sized(7, nodes, 12);
+        let mut world = World::with_size(7, nodes, 12);
         for n in 0..10 {
             let cancel = Some(40.2 + 0.4 * f64::from(n));
             world.user(n, 0.5, (8, 0.0, true, false), cancel);
@@ -237,7 +237,7 @@
 #[test]
 fn a_standstill_gives_back_nothing() {
     for nodes in [3, 5] {
-        let mut world = World::sized(3, nodes, 12);
+        let mut world = World::with_size(3, nodes, 12);
         for n in 0..8 {
             world.user(n, 0.5, (8, 0.0, true, false), None);
         }
@@ -268,7 +268,7 @@
     for nodes in [3, 5] {
         for seed in 1..=4 {
             let name = format!("{nodes} controllers, seed {seed}");
-            let mut world = World::sized(seed, nodes, 12);
+            let mut world = World::with_size(seed, nodes, 12);
             for n in 0..6 {
                 world.user(n, 0.5, (8, 0.0, true, false), None);
                 world.user(20 + n, 1.0, (12, 60.0, false, true), None);
@@ -291,7 +291,7 @@
 /// A dead machine leaves direct calls unanswered, and is replaced before its lease is half over.
 #[test]
 fn dead_machines_are_replaced_soon() {
-    let mut world = World::sized(9, 3, 30);
+    let mut world = World::with_size(9, 3, 30);
     for n in 0..24 {
         world.user(n, 0.5, (8, 0.0, true, false), None);
     }
@@ -320,7 +320,7 @@
 #[test]
 fn reports_without_answers() {
     for nodes in [3, 5] {
-        let mut world = World::sized(5, nodes, 3);
+        let mut world = World::with_size(5, nodes, 3);
         world.jobs();
         world.run(24.0);
         let name = world.block_traffic_to_worker(0, 100.0).expect("a machine");
@@ -338,7 +338,7 @@
 #[test]
 fn a_leader_alone_with_its_workers() {
     for nodes in [3, 5] {
-        let mut world = World::sized(2, nodes, 3);
+        let mut world = World::with_size(2, nodes, 3);
         world.jobs();
         world.run(40.0);
         assert!(world.isolate_leader_but_for_workers(40.0));
@@ -388,7 +388,7 @@
         let nodes = if seed % 2 == 0 { 5 } else { 3 };
         // Every fifth world is large enough for a zone to count as partitioned.
         let large = seed % 5 == 4;
-        let mut world = World::sized(seed, nodes, if large { 12 } else { 3 });
+        let mut world = World::with_size(seed, nodes, if large { 12 } else { 3 });
         world.jobs();
         for n in (20..32).filter(|_| large) {
             world.user(n, 1.0, (8, 0.0, true, false), (n % 3 == 0).then_some(60.0));
@@ -455,7 +455,7 @@
 /// Replicas that are left on half empty machines are moved together, and the machines released.
 #[test]
 fn replicas_are_moved_together() {
-    let mut world = World::sized(6, 3, 20);
+    let mut world = World::with_size(6, 3, 20);
     for n in 0..24 {
         // Every second one is cancelled, which leaves gaps everywhere.
         let cancel = (n % 2 == 1).then_some(45.0);
@@ -477,7 +477,7 @@
 /// by counts, and all is done.
 #[test]
 fn hundreds_of_machines() {
-    let mut world = World::sized(1, 5, 60);
+    let mut world = World::with_size(1, 5, 60);
     for n in 0..40 {
         let at = 0.5 + 1.2 * f64::from(n);
         world.user(n, at, (60, 8.0, false, n % 2 == 0), None);
@@ -513,7 +513,7 @@
 #[test]
 fn thousands_of_machines() {
     const TASKS: u32 = 250;
-    let mut world = World::sized(1, 3, 600);
+    let mut world = World::with_size(1, 3, 600);
     for n in 0..64 {
         world.user(
             n,
@@ -561,7 +561,7 @@
 fn mass_loss() {
     for nodes in [3, 5] {
         let name = format!("{nodes} controllers");
-        let mut world = World::sized(8, nodes, 150);
+        let mut world = World::with_size(8, nodes, 150);
         for n in 0..60 {
             world.user(n, 0.5, (16, 0.0, true, false), None);
         }
--- a/tests/world/digest.rs
+++ b/tests/world/digest.rs
@@ -86,7 +86,7 @@
     let controllers = if seed.is_multiple_of(2) { 3 } else { 5 };
     let pool = pool_of(seed);
     let mut chance = SmallRng::seed_from_u64(seed);
-    let mut world = World::sized(seed, controllers, pool);
+    let mut world = World::with_size(seed, controllers, pool);
     world.recorder = Some(Recorder::default());
     world.jobs();
     traffic(&mut world, &mut chance, pool);
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -153,11 +153,11 @@
 impl World {
     /// Three controllers and a dozen machines at most.
     pub fn new(seed: u64) -> World {
-        World::sized(seed, 3, 3)
+        World::with_size(seed, 3, 3)
     }
 
     /// So many controllers, and machines of each pool.
-    pub fn sized(seed: u64, controllers: usize, pool: u32) -> World {
+    pub fn with_size(seed: u64, controllers: usize, pool: u32) -> World {
         let settings: Vec<Rc<Settings>> = (0..controllers)
             .map(|i| {
                 let mut settings = Settings::parse(SETTINGS).expect("settings");
