--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -31,17 +31,17 @@
         }),
         ("machines are taken", |w| {
             for at in [25.0, 35.0, 50.0] {
-                w.run(at);
+                w.run_until(at);
                 w.reclaim_instance();
             }
         }),
         (
             "machines are cut off for shorter and longer than their lease",
             |w| {
-                w.run(20.0);
+                w.run_until(20.0);
                 w.disconnect_worker(0, 6.0);
                 w.disconnect_worker(1, 25.0);
-                w.run(50.0);
+                w.run_until(50.0);
                 w.disconnect_worker(1, 14.0);
             },
         ),
@@ -52,7 +52,7 @@
                 duplicate_heartbeats: 0.1,
                 ..NetworkFaults::default()
             };
-            w.run(90.0);
+            w.run_until(90.0);
             w.faults = NetworkFaults::default();
         }),
     ];
@@ -60,7 +60,7 @@
         let mut world = World::new(7);
         world.jobs();
         trouble(&mut world);
-        world.run(200.0);
+        world.run_until(200.0);
         assert_eq!(world.broken, Vec::<String>::new(), "{name}");
         assert_eq!(world.unfinished(), Vec::<&str>::new(), "{name}");
         assert!(world.starts >= 24, "{name}: {} starts", world.starts);
@@ -81,7 +81,7 @@
         let at = 1.0 + 0.2 * f64::from(n);
         world.user(n, at, (60, 5.0, false, n % 2 == 0), cancel);
     }
-    world.run(60.0);
+    world.run_until(60.0);
     assert_eq!(world.broken, Vec::<String>::new());
     assert_eq!(world.workers_with_new_incarnation(), 0);
     assert!(world.starts > 100, "{} starts", world.starts);
@@ -99,10 +99,10 @@
     for seed in [0, 1, 2, 6, 18] {
         let mut world = World::new(seed);
         world.jobs();
-        world.run(30.0 + seed as f64);
+        world.run_until(30.0 + seed as f64);
         let before = world.deleted_while_busy.clone();
         assert!(world.isolate_leader_but_for_state(30.0));
-        world.run(200.0);
+        world.run_until(200.0);
         assert_eq!(world.deleted_while_busy, before, "seed {seed}");
         assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.unfinished(), Vec::<&str>::new(), "seed {seed}");
@@ -135,14 +135,14 @@
             world.outage(28.0 + shift, 36.0 + 2.0 * shift);
         }
         for i in 0..5u32 {
-            world.run(15.0 + 12.0 * f64::from(i) + shift);
+            world.run_until(15.0 + 12.0 * f64::from(i) + shift);
             world.disconnect_worker((seed % 4) as usize + i as usize, 3.0 + 4.0 * f64::from(i));
             if i % 2 == 1 {
                 world.reclaim_instance();
             }
         }
         world.faults = NetworkFaults::default();
-        world.run(260.0);
+        world.run_until(260.0);
         assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.unfinished(), Vec::<&str>::new(), "seed {seed}");
     }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -319,11 +319,11 @@
         ("a service", 6, true, 2, |_| {}),
         // The new leader is told which jobs are crash-looping, and begins with probes.
         ("an array, and the leader is replaced", 40, false, 1, |w| {
-            w.run(60.0);
+            w.run_until(60.0);
             assert!(w.restart_leader(5.0));
         }),
         ("an array, and the leader pauses", 40, false, 1, |w| {
-            w.run(60.0);
+            w.run_until(60.0);
             assert!(w.pause_leader(9.0));
         }),
     ];
@@ -336,7 +336,7 @@
                 world.broken_job(100 + n, at, (tasks, standing), 110.0 + f64::from(n));
             }
             trouble(&mut world);
-            world.run(108.0);
+            world.run_until(108.0);
             assert_eq!(world.unanswered(10.0), Vec::<&str>::new(), "{name}: known");
             for n in 100..104 {
                 let failures = failures_of(&world, n);
@@ -349,9 +349,9 @@
                 Vec::<String>::new(),
                 "{name}: machines with work"
             );
-            world.run(120.0);
+            world.run_until(120.0);
             assert!(world.told_cancelled(108.0, 120.0) >= 4, "{name}: cancelled");
-            world.run(260.0);
+            world.run_until(260.0);
             world.check(&name);
         }
     }
@@ -364,7 +364,7 @@
         for nodes in [3, 5] {
             let name = format!("broken jobs: {broken}, {nodes} controllers");
             let mut world = crowded(22, nodes);
-            world.run(30.0);
+            world.run_until(30.0);
             let faulty: Vec<String> = (0..4)
                 .filter_map(|n| world.make_worker_faulty(2 * n))
                 .collect();
@@ -374,7 +374,7 @@
                     world.broken_job(100 + n, at, (20, false), 90.0);
                 }
             }
-            world.run(75.0);
+            world.run_until(75.0);
             // Four tasks fit on a machine, and each broken job may fill it once.
             let most = if broken { 12 + 3 * 4 } else { 12 };
             let mut failed = 0;
@@ -388,7 +388,7 @@
             assert!(failed >= 2, "{name}: tasks failed on them");
             let sound = world.deleted_while_busy_except(&faulty);
             assert_eq!(sound, 0, "{name}: sound machines with work");
-            world.run(260.0);
+            world.run_until(260.0);
             world.check(&name);
         }
     }
--- a/tests/late_commands.rs
+++ b/tests/late_commands.rs
@@ -46,7 +46,7 @@
 fn with_held_starts(seed: u64, copies_only: bool) -> World {
     let mut world = World::new(seed);
     steady_work(&mut world);
-    world.run(BEGIN);
+    world.run_until(BEGIN);
     cancelled_jobs(&mut world, HELD_S[0], copies_only);
     world
 }
@@ -63,11 +63,11 @@
         let name = format!("seed {seed}, held for {} s", HELD_S[held_s]);
         let mut world = World::new(seed);
         steady_work(&mut world);
-        world.run(BEGIN);
+        world.run_until(BEGIN);
         let before = surviving_attempts(&world);
         assert_eq!((before.0.len(), before.1.len()), (4, 4), "{name}");
         cancelled_jobs(&mut world, HELD_S[held_s], false);
-        world.run(BEGIN + HELD_S[held_s] + 10.0);
+        world.run_until(BEGIN + HELD_S[held_s] + 10.0);
         assert!(
             world.counts.delayed_commands > 0,
             "{name}: starts were held"
@@ -92,10 +92,10 @@
     for seed in 1..5 {
         let name = format!("seed {seed}");
         let mut world = with_held_starts(seed, false);
-        world.run(BEGIN + 3.0);
+        world.run_until(BEGIN + 3.0);
         let reigns = world.leader_changes();
         assert!(world.restart_leader(LEASE_S), "{name}");
-        world.run(END);
+        world.run_until(END);
         assert!(world.leader_changes() > reigns, "{name}: another leads");
         assert!(
             world.counts.delayed_commands > 0,
@@ -116,7 +116,7 @@
     for seed in 1..5 {
         let name = format!("seed {seed}");
         let mut world = with_held_starts(seed, true);
-        world.run(END);
+        world.run_until(END);
         assert!(
             world.counts.starts_past_in_incarnation > 0,
             "{name}: copies arrived past the cancellation, in the same session"
@@ -132,12 +132,12 @@
     for seed in 1..5 {
         let name = format!("seed {seed}");
         let mut world = with_held_starts(seed, false);
-        world.run(BEGIN + 1.0);
+        world.run_until(BEGIN + 1.0);
         for nth in 0..3 {
             world.block_traffic_from_worker(nth, LEASE_S + 4.0);
             world.block_traffic_to_worker(nth + 3, LEASE_S - 2.0);
         }
-        world.run(END);
+        world.run_until(END);
         assert!(
             world.counts.delayed_commands > 0,
             "{name}: starts were held"
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -27,7 +27,7 @@
 
 /// Runs to `at` after the troubles' begin.
 fn to(world: &mut World, at: f64) {
-    world.run(BEGIN + at);
+    world.run_until(BEGIN + at);
 }
 
 /// Confirmed cancellations between two times after the troubles' begin.
@@ -48,7 +48,7 @@
             let calm = world.now.max(BEGIN + 60.0);
             world.end_faults(calm);
             let end = world.now.max(BEGIN + 60.0) + 130.0;
-            world.run(end);
+            world.run_until(end);
             let name = format!("{name}, {nodes} controllers, seed {seed}");
             // However soon it would have been ended.
             assert_eq!(world.counts.starts_after_cancel, 0, "{name}");
@@ -514,7 +514,7 @@
         to(&mut world, 0.0);
         for _ in 0..14 {
             let next = world.now + chance.random::<f64>() * 9.0;
-            world.run(next);
+            world.run_until(next);
             let nth = chance.random_range(0..8);
             let for_s = NetworkFaults::duration(&mut chance);
             match chance.random_range(0..18) {
@@ -546,9 +546,9 @@
                 16 => {
                     let now = world.now;
                     world.outage_for(for_s);
-                    world.run(now + 0.5 * for_s);
+                    world.run_until(now + 0.5 * for_s);
                     world.cancel_now(1, 1, 5.0);
-                    world.run(now + for_s + 0.01);
+                    world.run_until(now + for_s + 0.01);
                 }
                 _ => drop(world.cancel_now(1 + nth % 3, nth % 3, for_s.min(LEASE_S - 1.0))),
             }
@@ -556,7 +556,7 @@
         let calm = world.now + 1.5 * CANCEL_S;
         world.end_faults(calm);
         let end = world.now + 1.5 * CANCEL_S + 150.0;
-        world.run(end);
+        world.run_until(end);
         world.check_with_largest(&format!("seed {seed}"));
     }
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -34,7 +34,7 @@
 
 /// Runs to `at` after the troubles' begin.
 fn to(world: &mut World, at: f64) {
-    world.run(BEGIN + at);
+    world.run_until(BEGIN + at);
 }
 
 type Case = (&'static str, fn(&mut World));
@@ -50,7 +50,7 @@
             trouble(&mut world);
             let calm = world.now.max(BEGIN + 70.0);
             world.end_faults(calm);
-            world.run(calm + 150.0);
+            world.run_until(calm + 150.0);
             world.check_with_largest(&name);
         }
     }
@@ -224,7 +224,7 @@
         let mut world = World::with_size(seed, nodes, 4);
         crowd(&mut world);
         guests(&mut world, 20.0);
-        world.run(34.0);
+        world.run_until(34.0);
         let jobs: Vec<u32> = (200..241).collect();
         let running = world.running_of(&jobs);
         assert!(running >= 10, "{name}: {running} tasks of guests run");
@@ -232,7 +232,7 @@
         for n in 60..64 {
             world.user(n, 35.0, (4, 6.0, n % 2 == 0, false), None);
         }
-        world.run(45.0);
+        world.run_until(45.0);
         for user in world
             .users
             .iter()
@@ -245,9 +245,9 @@
                 user.id
             );
         }
-        world.run(60.0);
+        world.run_until(60.0);
         world.restart_leader(3.0);
-        world.run(320.0);
+        world.run_until(320.0);
         world.check_with_largest(&name);
     }
 }
@@ -287,7 +287,7 @@
         to(&mut world, 0.0);
         for _ in 0..12 {
             let next = world.now + chance.random::<f64>() * 9.0;
-            world.run(next);
+            world.run_until(next);
             let nth = chance.random_range(0..8);
             let for_s = NetworkFaults::duration(&mut chance);
             match chance.random_range(0..10) {
@@ -305,7 +305,7 @@
         let calm = world.now + 1.5 * CANCEL_S;
         world.end_faults(calm);
         let end = world.now + 1.5 * CANCEL_S + 200.0;
-        world.run(end);
+        world.run_until(end);
         world.check(&format!("seed {seed}"));
         pauses += world.counts.pauses;
         unanswered += world.counts.unanswered;
--- a/tests/permit_guards.rs
+++ b/tests/permit_guards.rs
@@ -22,12 +22,12 @@
 
 /// Runs to `at` after the faults' begin.
 fn to(world: &mut World, at: f64) {
-    world.run(BEGIN + at);
+    world.run_until(BEGIN + at);
 }
 
 fn check(world: &mut World, name: &str) {
     world.end_faults(world.now);
-    world.run(world.now + 100.0);
+    world.run_until(world.now + 100.0);
     world.check_with_largest(name);
 }
 
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -11,13 +11,13 @@
     let cases: [(&str, Trouble); 22] = [
         ("copies of reports come late", |w| {
             w.faults.duplicate_heartbeats = 0.5;
-            w.run(90.0);
+            w.run_until(90.0);
             w.faults.duplicate_heartbeats = 0.0;
         }),
         ("copies come to a leader that has heard nothing yet", |w| {
             w.faults.duplicate_heartbeats = 0.5;
             for at in [20.0, 35.0, 50.0, 65.0] {
-                w.run(at);
+                w.run_until(at);
                 w.restart_leader(6.0);
             }
             w.faults.duplicate_heartbeats = 0.0;
@@ -25,41 +25,41 @@
         (
             "no answer reaches two machines, for less than a lease",
             |w| {
-                w.run(22.0);
+                w.run_until(22.0);
                 w.block_traffic_to_worker(0, 7.0);
                 w.block_traffic_to_worker(1, 9.0);
             },
         ),
         ("no answer reaches two machines, for several leases", |w| {
-            w.run(22.0);
+            w.run_until(22.0);
             w.block_traffic_to_worker(0, 35.0);
             w.block_traffic_to_worker(1, 45.0);
         }),
         ("a leader is alone with its workers for a moment", |w| {
-            w.run(25.0);
+            w.run_until(25.0);
             w.isolate_leader_but_for_workers(1.5);
         }),
         (
             "a leader is alone until just before its hold-over ends",
             |w| {
-                w.run(25.0);
+                w.run_until(25.0);
                 w.isolate_leader_but_for_workers(18.5);
             },
         ),
         ("a leader is alone until just after its hold-over", |w| {
-            w.run(25.0);
+            w.run_until(25.0);
             w.isolate_leader_but_for_workers(19.5);
         }),
         ("a leader is alone and copies come late", |w| {
             w.faults.duplicate_heartbeats = 0.3;
-            w.run(25.0);
+            w.run_until(25.0);
             w.isolate_leader_but_for_workers(45.0);
-            w.run(80.0);
+            w.run_until(80.0);
             w.faults.duplicate_heartbeats = 0.0;
         }),
         ("the leader is back at once, again and again", |w| {
             for i in 0..12 {
-                w.run(20.0 + 2.7 * f64::from(i));
+                w.run_until(20.0 + 2.7 * f64::from(i));
                 w.restart_leader(0.1 + 0.02 * f64::from(i));
             }
         }),
@@ -72,56 +72,56 @@
                     w.crash(node, at + shift, at + shift + 0.15);
                 }
             }
-            w.run(60.0);
+            w.run_until(60.0);
             w.faults.late_requests = 0.0;
         }),
         ("what was carried out is asked once more", |w| {
             w.faults.repeated_requests = 0.3;
             for at in [20.0, 33.0, 46.0] {
-                w.run(at);
+                w.run_until(at);
                 w.restart_worker(0, false);
                 w.restart_leader(0.2);
-                w.run(at + 4.0);
+                w.run_until(at + 4.0);
                 w.block_traffic_to_worker(1, 5.0);
             }
-            w.run(90.0);
+            w.run_until(90.0);
             w.faults.repeated_requests = 0.0;
         }),
         ("a leader stands still for less than its lease", |w| {
             for i in 0..6 {
-                w.run(20.0 + 5.0 * f64::from(i));
+                w.run_until(20.0 + 5.0 * f64::from(i));
                 w.pause_leader(0.4 + 0.25 * f64::from(i));
             }
         }),
         ("a leader stands still, and another takes over", |w| {
-            w.run(25.0);
+            w.run_until(25.0);
             w.pause_leader(6.0);
-            w.run(40.0);
+            w.run_until(40.0);
             w.pause_leader(16.0);
         }),
         ("a leader stands still for longer than its hold-over", |w| {
-            w.run(25.0);
+            w.run_until(25.0);
             w.pause_leader(34.0);
         }),
         ("a zone is cut off, with the leader outside", |w| {
-            w.run(25.0);
+            w.run_until(25.0);
             w.partition_zone("b", false, 0, 21.0);
-            w.run(32.0);
+            w.run_until(32.0);
             w.restart_leader(3.0);
         }),
         ("a zone is cut off, with the leader in it", |w| {
-            w.run(25.0);
+            w.run_until(25.0);
             w.partition_zone("b", true, 0, 21.0);
         }),
         (
             "a zone is cut off with the leader and another node, for longer than its hold-over",
             |w| {
-                w.run(25.0);
+                w.run_until(25.0);
                 w.partition_zone("a", true, 1, 36.0);
             },
         ),
         ("many machines are lost at once", |w| {
-            w.run(25.0);
+            w.run_until(25.0);
             for _ in 0..4 {
                 w.reclaim_instance();
             }
@@ -141,25 +141,25 @@
             }
         }),
         ("the state service is slow while the leader changes", |w| {
-            w.run(18.0);
+            w.run_until(18.0);
             w.faults.state_service_delay_s = 0.12;
-            w.run(25.0);
+            w.run_until(25.0);
             w.restart_leader(3.0);
-            w.run(33.0);
+            w.run_until(33.0);
             w.isolate_leader_but_for_workers(12.0);
-            w.run(60.0);
+            w.run_until(60.0);
             w.faults.state_service_delay_s = 0.0;
         }),
         ("nodes refuse one another while the leader changes", |w| {
-            w.run(24.0);
+            w.run_until(24.0);
             w.reject_peers(30.0);
             w.restart_leader(4.0);
-            w.run(40.0);
+            w.run_until(40.0);
             w.isolate_leader_but_for_state(9.0);
         }),
         ("machines are back at once and empty", |w| {
             for i in 0..6 {
-                w.run(20.0 + 6.0 * f64::from(i));
+                w.run_until(20.0 + 6.0 * f64::from(i));
                 w.restart_worker(i as usize, i % 2 == 0);
             }
         }),
@@ -169,7 +169,7 @@
             let mut world = World::with_size(11, nodes, 3);
             world.jobs();
             trouble(&mut world);
-            world.run(200.0);
+            world.run_until(200.0);
             world.check(&format!("{name}, {nodes} controllers"));
         }
     }
@@ -192,19 +192,19 @@
                     None,
                 );
             }
-            world.run(40.0);
+            world.run_until(40.0);
             let before = world.instances_in("b", false);
             assert!(before.len() >= 8, "{name}: {before:?}");
             assert!(world.partition_zone("b", inside, 0, 21.0), "{name}");
-            world.run(61.0);
+            world.run_until(61.0);
             let kept = world.instances_in("b", false);
             assert!(kept.is_superset(&before), "{name}: {before:?}, {kept:?}");
             if inside {
                 assert_eq!(world.workers_with_new_incarnation_in("b"), 0, "{name}");
             }
-            world.run(75.0);
+            world.run_until(75.0);
             assert_eq!(world.replicas_not_running(), 0, "{name}: replicas are back");
-            world.run(200.0);
+            world.run_until(200.0);
             world.check(&name);
         }
     }
@@ -220,15 +220,15 @@
             let cancel = Some(40.2 + 0.4 * f64::from(n));
             world.user(n, 0.5, (8, 0.0, true, false), cancel);
         }
-        world.run(40.0);
+        world.run_until(40.0);
         assert!(world.partition_zone("b", true, 0, 60.0));
-        world.run(60.0);
+        world.run_until(60.0);
         let told = world.users.iter().filter(|u| u.told_cancelled.is_some());
         assert!(
             told.count() >= 8,
             "most are told so while the zone is cut off"
         );
-        world.run(200.0);
+        world.run_until(200.0);
         world.check(&format!("{nodes} controllers"));
     }
 }
@@ -241,12 +241,12 @@
         for n in 0..8 {
             world.user(n, 0.5, (8, 0.0, true, false), None);
         }
-        world.run(40.0);
+        world.run_until(40.0);
         for i in 0..5 {
-            world.run(40.0 + 12.0 * f64::from(i));
+            world.run_until(40.0 + 12.0 * f64::from(i));
             world.pause_leader(1.0 + 1.6 * f64::from(i));
         }
-        world.run(120.0);
+        world.run_until(120.0);
         assert_eq!(
             world.deleted_while_busy,
             Vec::<String>::new(),
@@ -273,16 +273,16 @@
                 world.user(n, 0.5, (8, 0.0, true, false), None);
                 world.user(20 + n, 1.0, (12, 60.0, false, true), None);
             }
-            world.run(40.0);
+            world.run_until(40.0);
             assert!(
                 world.instances_in("a", true).len() >= 6,
                 "{name}: spot machines"
             );
             assert!(world.isolate_leader_but_for_state(9.0), "{name}");
-            world.run(70.0);
+            world.run_until(70.0);
             assert!(world.leader_changes() >= 2, "{name}: another leads");
             assert_eq!(world.deleted_while_busy, Vec::<String>::new(), "{name}");
-            world.run(200.0);
+            world.run_until(200.0);
             world.check(&name);
         }
     }
@@ -295,23 +295,23 @@
     for n in 0..24 {
         world.user(n, 0.5, (8, 0.0, true, false), None);
     }
-    world.run(40.0);
+    world.run_until(40.0);
     let dead: Vec<String> = [1, 4, 7]
         .iter()
         .filter_map(|nth| world.disconnect_worker(*nth, 1000.0))
         .collect();
     assert_eq!(dead.len(), 3);
-    world.run(41.5);
+    world.run_until(41.5);
     assert!(dead.iter().all(|name| world.has_instance(name)), "too soon");
     // A heartbeat interval with its quarter more, a call, and half a second to be released.
-    world.run(40.0 + 1.3 * 2.0 + 1.0 + 0.6);
+    world.run_until(40.0 + 1.3 * 2.0 + 1.0 + 0.6);
     assert!(
         dead.iter().all(|name| !world.has_instance(name)),
         "too late"
     );
-    world.run(58.0);
+    world.run_until(58.0);
     assert_eq!(world.replicas_not_running(), 0);
-    world.run(120.0);
+    world.run_until(120.0);
     assert_eq!(world.broken, Vec::<String>::new());
 }
 
@@ -322,13 +322,13 @@
     for nodes in [3, 5] {
         let mut world = World::with_size(5, nodes, 3);
         world.jobs();
-        world.run(24.0);
+        world.run_until(24.0);
         let name = world.block_traffic_to_worker(0, 100.0).expect("a machine");
-        world.run(48.0);
+        world.run_until(48.0);
         assert_eq!(world.tasks_on(&name), 0, "its session is over");
-        world.run(75.0);
+        world.run_until(75.0);
         assert!(!world.has_instance(&name), "given back");
-        world.run(200.0);
+        world.run_until(200.0);
         world.check(&format!("{nodes} controllers"));
     }
 }
@@ -340,15 +340,15 @@
     for nodes in [3, 5] {
         let mut world = World::with_size(2, nodes, 3);
         world.jobs();
-        world.run(40.0);
+        world.run_until(40.0);
         assert!(world.isolate_leader_but_for_workers(40.0));
-        world.run(60.0);
+        world.run_until(60.0);
         assert_eq!(
             world.workers_with_new_incarnation(),
             0,
             "{nodes} controllers"
         );
-        world.run(200.0);
+        world.run_until(200.0);
         world.check(&format!("{nodes} controllers"));
     }
 }
@@ -370,7 +370,7 @@
             (6.0, None)
         };
         world.user(900, 30.0, (20, run_s, standing, false), cancel);
-        world.run(270.0);
+        world.run_until(270.0);
         let large = world.users.iter().find(|u| u.id == "j-000900");
         let begun = large.and_then(|u| u.first_started_at).expect("it begins");
         assert!(begun < 270.0, "{begun}");
@@ -412,7 +412,7 @@
             world.outage(27.0 + shift, 33.0 + 3.0 * shift);
         }
         for i in 0..9u32 {
-            world.run(15.0 + 7.0 * f64::from(i) + shift);
+            world.run_until(15.0 + 7.0 * f64::from(i) + shift);
             let nth = (seed + u64::from(i)) as usize % 5;
             match (u64::from(i) + seed) % 11 {
                 0 => {
@@ -447,7 +447,7 @@
             }
         }
         world.faults = NetworkFaults::default();
-        world.run(300.0);
+        world.run_until(300.0);
         world.check(&format!("seed {seed}"));
     }
 }
@@ -461,9 +461,9 @@
         let cancel = (n % 2 == 1).then_some(45.0);
         world.user(n, 0.5 + 0.3 * f64::from(n), (4, 0.0, true, false), cancel);
     }
-    world.run(44.0);
+    world.run_until(44.0);
     let before = world.instances();
-    world.run(110.0);
+    world.run_until(110.0);
     let after = world.instances();
     // 48 replicas fill twelve machines; a little room is kept in both zones.
     assert!(
@@ -485,7 +485,7 @@
     for n in 40..60 {
         world.user(n, 1.0, (8, 0.0, true, false), None);
     }
-    world.run(150.0);
+    world.run_until(150.0);
     assert_eq!(world.broken, Vec::<String>::new());
     assert_eq!(world.unfinished(), Vec::<&str>::new());
     assert!(world.starts >= 40 * 60 + 20 * 8);
@@ -525,13 +525,13 @@
     for n in 64..124 {
         world.user(n, 1.0, (16, 0.0, true, false), None);
     }
-    world.run(20.0);
+    world.run_until(20.0);
     let rented = world.instances();
     assert!(rented > 2_000, "{rented} machines for 17,000 tasks");
-    world.run(40.0);
+    world.run_until(40.0);
     let reports = world.counts.heartbeats;
     world.restart_leader(1.0);
-    world.run(50.0);
+    world.run_until(50.0);
     // All workers have come to the new leader, by two reports each at most.
     assert!(
         world.counts.heartbeats - reports < 9 * world.instances() as u32,
@@ -539,7 +539,7 @@
         world.counts.heartbeats - reports
     );
     assert_eq!(world.workers_with_new_incarnation(), 0);
-    world.run(95.0);
+    world.run_until(95.0);
     assert_eq!(world.broken, Vec::<String>::new());
     assert_eq!(world.unfinished(), Vec::<&str>::new());
     let counts = &world.counts;
@@ -568,7 +568,7 @@
         for n in 60..80 {
             world.user(n, 10.0 + f64::from(n - 60), (60, 8.0, false, true), None);
         }
-        world.run(40.0);
+        world.run_until(40.0);
         assert!(world.instances() > 240, "{name}: {}", world.instances());
         for _ in 0..40 {
             world.reclaim_instance();
@@ -579,12 +579,12 @@
         let hung: Vec<String> = (0..20)
             .filter_map(|nth| world.disconnect_worker(3 * nth + 1, 2.0))
             .collect();
-        world.run(41.0);
+        world.run_until(41.0);
         world.restart_leader(0.5);
-        world.run(70.0);
+        world.run_until(70.0);
         assert!(hung.iter().all(|name| world.has_instance(name)), "{name}");
         assert_eq!(world.replicas_not_running(), 0, "{name}");
-        world.run(110.0);
+        world.run_until(110.0);
         world.check(&name);
     }
 }
--- a/tests/world/digest.rs
+++ b/tests/world/digest.rs
@@ -91,16 +91,16 @@
     world.jobs();
     traffic(&mut world, &mut chance, pool);
     world.faults = weather(&mut chance);
-    world.run(TROUBLES_FROM_S);
+    world.run_until(TROUBLES_FROM_S);
     let mut workers = world.instances();
     while world.now < TROUBLES_UNTIL_S {
         let next = world.now + chance.random::<f64>() * BETWEEN_TROUBLES_S;
-        world.run(next);
+        world.run_until(next);
         workers = workers.max(world.instances());
         trouble(&mut world, &mut chance);
     }
     world.end_faults(f64::INFINITY);
-    world.run(END_S);
+    world.run_until(END_S);
     let recorder = world.recorder.take().unwrap_or_default();
     Digest {
         seed,
@@ -226,7 +226,7 @@
         _ => {
             // Cancellations come in its midst.
             world.outage_for(for_s);
-            world.run(now + 0.5 * for_s);
+            world.run_until(now + 0.5 * for_s);
             world.cancel_now(1, 1, 5.0);
         }
     }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -240,7 +240,7 @@
         self.at(self.now + delay + jitter, what);
     }
 
-    pub fn run(&mut self, until: f64) {
+    pub fn run_until(&mut self, until: f64) {
         while let Some((key, what)) = self.queue.pop_first() {
             let time = key.0 as f64 / 1e6;
             if time > until {
