--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -79,7 +79,7 @@
     for n in 0..40 {
         let cancel = (n % 4 == 0).then_some(30.0);
         let at = 1.0 + 0.2 * f64::from(n);
-        world.user(n, at, (60, 5.0, false, n % 2 == 0), cancel);
+        world.add_user(n, at, (60, 5.0, false, n % 2 == 0), cancel);
     }
     world.run_until(60.0);
     assert_eq!(world.broken, Vec::<String>::new());
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -290,11 +290,11 @@
 fn crowded(seed: u64, nodes: usize) -> World {
     let mut world = World::with_size(seed, nodes, 12);
     for n in 0..4 {
-        world.user(n, 0.5, (4, 0.0, true, false), None);
+        world.add_user(n, 0.5, (4, 0.0, true, false), None);
     }
     for n in 10..50 {
         let at = 1.0 + 3.0 * f64::from(n - 10);
-        world.user(n, at, (20, 6.0, false, n % 2 == 0), None);
+        world.add_user(n, at, (20, 6.0, false, n % 2 == 0), None);
     }
     world
 }
--- a/tests/late_commands.rs
+++ b/tests/late_commands.rs
@@ -22,9 +22,9 @@
 /// Work that must survive, beside short work that has just left room for the jobs to come: no task is
 /// preempted for them.
 fn steady_work(world: &mut World) {
-    world.user(SHORT_ARRAY, 0.5, (12, 24.0, false, false), None);
-    world.user(SERVICE, 0.5, (4, 0.0, true, false), None);
-    world.user(LONG_ARRAY, 1.0, (4, 110.0, false, false), None);
+    world.add_user(SHORT_ARRAY, 0.5, (12, 24.0, false, false), None);
+    world.add_user(SERVICE, 0.5, (4, 0.0, true, false), None);
+    world.add_user(LONG_ARRAY, 1.0, (4, 110.0, false, false), None);
 }
 
 /// Arrays and services that come while starts are held, and are cancelled within two seconds.
@@ -37,7 +37,7 @@
     for n in CANCELLED {
         let at = BEGIN + 0.1 * f64::from(n - CANCELLED.start);
         let cancel_at = at + 0.4 + 0.2 * f64::from(n - CANCELLED.start);
-        world.user(n, at, (1, 200.0, n % 2 == 0, false), None);
+        world.add_user(n, at, (1, 200.0, n % 2 == 0, false), None);
         world.cancel_promptly(n, cancel_at);
     }
 }
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -14,14 +14,14 @@
 /// Services, long arrays and short ones, up to the team's limit of twenty tasks.
 fn crowd(world: &mut World) {
     for n in 0..4 {
-        world.user(n, 0.5, (2, 0.0, true, false), None);
+        world.add_user(n, 0.5, (2, 0.0, true, false), None);
     }
     for n in 10..12 {
-        world.user(n, 1.0, (2, 70.0, false, n % 2 == 0), None);
+        world.add_user(n, 1.0, (2, 70.0, false, n % 2 == 0), None);
     }
     for n in 20..34 {
         let at = 4.0 + 6.0 * f64::from(n - 20);
-        world.user(n, at, (3, 5.0, false, n % 2 == 0), None);
+        world.add_user(n, at, (3, 5.0, false, n % 2 == 0), None);
     }
 }
 
@@ -187,7 +187,7 @@
     play(&[
         ("tasks of a job end far apart across a change", |w| {
             for n in 40..46 {
-                w.user(n, BEGIN + 0.1, (2 + n % 2, 4.0, false, false), None);
+                w.add_user(n, BEGIN + 0.1, (2 + n % 2, 4.0, false, false), None);
                 if let Some(user) = w.users.last_mut() {
                     user.runtime_step_s = 14.0;
                 }
@@ -232,7 +232,7 @@
             "a team at its limit, machines that can't be asked, a cancellation",
             |w| {
                 for n in 70..76 {
-                    w.user(n, BEGIN, (3, 25.0, false, n % 2 == 0), None);
+                    w.add_user(n, BEGIN, (3, 25.0, false, n % 2 == 0), None);
                 }
                 to(w, 8.0);
                 assert!(w.used_cpus() >= 32.0, "{} of 40 CPUs", w.used_cpus());
@@ -368,7 +368,7 @@
             for n in 50..80 {
                 let standing = n % 5 == 0;
                 let cancel = standing.then_some(BEGIN + 50.0);
-                w.user(n, BEGIN + 0.1, (4, 6.0, standing, n % 2 == 0), cancel);
+                w.add_user(n, BEGIN + 0.1, (4, 6.0, standing, n % 2 == 0), cancel);
             }
             w.faults.state_service_delay_s = 0.1;
             w.faults.lost_responses = 0.03;
@@ -463,9 +463,9 @@
             },
         ),
         ("jobs bound to one zone lose machines", |w| {
-            w.user_in(60, BEGIN, (3, 0.0, true, false), Some("b"), None);
-            w.user_in(61, BEGIN, (6, 15.0, false, false), Some("b"), None);
-            w.user_in(62, BEGIN, (6, 15.0, false, true), Some("a"), None);
+            w.add_user_in_zone(60, BEGIN, (3, 0.0, true, false), Some("b"), None);
+            w.add_user_in_zone(61, BEGIN, (6, 15.0, false, false), Some("b"), None);
+            w.add_user_in_zone(62, BEGIN, (6, 15.0, false, true), Some("a"), None);
             to(w, 14.0);
             assert!(w.running_of(&[60, 61, 62]) >= 3, "they run");
             let before: BTreeSet<String> = w.instances_in("b", false);
@@ -493,7 +493,7 @@
             let cancel = (n % 3 == 0).then_some(at + chance.random::<f64>() * 40.0);
             let zone = [None, None, Some("a"), Some("b")][n as usize % 4 * usize::from(n % 5 < 2)];
             let tasks = chance.random_range(1..4);
-            world.user_in(n, at, (tasks, 9.0, standing, n % 2 == 0), zone, cancel);
+            world.add_user_in_zone(n, at, (tasks, 9.0, standing, n % 2 == 0), zone, cancel);
             if let Some(user) = world.users.last_mut() {
                 user.runtime_step_s = chance.random::<f64>() * 9.0;
             }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -13,14 +13,14 @@
 /// Services, long arrays and short ones, within the team's limit of twenty tasks.
 fn crowd(world: &mut World) {
     for n in 0..3 {
-        world.user(n, 0.5, (2, 0.0, true, false), None);
+        world.add_user(n, 0.5, (2, 0.0, true, false), None);
     }
     for n in 10..12 {
-        world.user(n, 1.0, (2, 60.0, false, n % 2 == 0), None);
+        world.add_user(n, 1.0, (2, 60.0, false, n % 2 == 0), None);
     }
     for n in 20..34 {
         let at = 4.0 + 6.0 * f64::from(n - 20);
-        world.user(n, at, (3, 5.0, false, n % 2 == 0), None);
+        world.add_user(n, at, (3, 5.0, false, n % 2 == 0), None);
     }
 }
 
@@ -230,7 +230,7 @@
         assert!(running >= 10, "{name}: {running} tasks of guests run");
         // Replicas and arrays that come amid them.
         for n in 60..64 {
-            world.user(n, 35.0, (4, 6.0, n % 2 == 0, false), None);
+            world.add_user(n, 35.0, (4, 6.0, n % 2 == 0, false), None);
         }
         world.run_until(45.0);
         for user in world
--- a/tests/permit_guards.rs
+++ b/tests/permit_guards.rs
@@ -41,7 +41,7 @@
         for pause_at in [17.6, 18.0, 18.4] {
             let mut world = World::new(seed);
             for n in 0..8 {
-                world.user(n, 0.5, (2, 0.0, true, false), None);
+                world.add_user(n, 0.5, (2, 0.0, true, false), None);
             }
             to(&mut world, 0.0);
             assert!(world.partition_zone("a", true, 0, 2.0 * CANCEL_S));
@@ -66,7 +66,7 @@
     to(world, at);
     world.block_traffic_to_workers(blocked_s);
     for n in JOBS {
-        world.user(n, BEGIN + at, (1, 60.0, false, false), None);
+        world.add_user(n, BEGIN + at, (1, 60.0, false, false), None);
     }
     to(world, at + 0.6);
 }
@@ -74,8 +74,8 @@
 /// A world with work that has left room before the faults begin.
 fn with_room(seed: u64) -> World {
     let mut world = World::new(seed);
-    world.user(0, 0.5, (12, 24.0, false, false), None);
-    world.user(1, 0.5, (4, 0.0, true, false), None);
+    world.add_user(0, 0.5, (12, 24.0, false, false), None);
+    world.add_user(1, 0.5, (4, 0.0, true, false), None);
     to(&mut world, 0.0);
     world
 }
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -184,8 +184,8 @@
             let name = format!("{nodes} controllers, leader inside: {inside}");
             let mut world = World::with_size(7, nodes, 12);
             for n in 0..8 {
-                world.user(n, 0.5, (8, 0.0, true, false), None);
-                world.user(
+                world.add_user(n, 0.5, (8, 0.0, true, false), None);
+                world.add_user(
                     100 + n,
                     1.0 + 4.0 * f64::from(n),
                     (12, 6.0, false, true),
@@ -218,7 +218,7 @@
         let mut world = World::with_size(7, nodes, 12);
         for n in 0..10 {
             let cancel = Some(40.2 + 0.4 * f64::from(n));
-            world.user(n, 0.5, (8, 0.0, true, false), cancel);
+            world.add_user(n, 0.5, (8, 0.0, true, false), cancel);
         }
         world.run_until(40.0);
         assert!(world.partition_zone("b", true, 0, 60.0));
@@ -239,7 +239,7 @@
     for nodes in [3, 5] {
         let mut world = World::with_size(3, nodes, 12);
         for n in 0..8 {
-            world.user(n, 0.5, (8, 0.0, true, false), None);
+            world.add_user(n, 0.5, (8, 0.0, true, false), None);
         }
         world.run_until(40.0);
         for i in 0..5 {
@@ -270,8 +270,8 @@
             let name = format!("{nodes} controllers, seed {seed}");
             let mut world = World::with_size(seed, nodes, 12);
             for n in 0..6 {
-                world.user(n, 0.5, (8, 0.0, true, false), None);
-                world.user(20 + n, 1.0, (12, 60.0, false, true), None);
+                world.add_user(n, 0.5, (8, 0.0, true, false), None);
+                world.add_user(20 + n, 1.0, (12, 60.0, false, true), None);
             }
             world.run_until(40.0);
             assert!(
@@ -293,7 +293,7 @@
 fn dead_machines_are_replaced_soon() {
     let mut world = World::with_size(9, 3, 30);
     for n in 0..24 {
-        world.user(n, 0.5, (8, 0.0, true, false), None);
+        world.add_user(n, 0.5, (8, 0.0, true, false), None);
     }
     world.run_until(40.0);
     let dead: Vec<String> = [1, 4, 7]
@@ -361,7 +361,7 @@
         let mut world = World::new(4);
         for n in 0..200 {
             let at = 0.5 + f64::from(n);
-            world.user(n, at, (5, 6.0, false, n % 2 == 0), None);
+            world.add_user(n, at, (5, 6.0, false, n % 2 == 0), None);
         }
         // An array of the same rank, or replicas that are cancelled later, of 20 tasks: the limit.
         let (run_s, cancel) = if standing {
@@ -369,7 +369,7 @@
         } else {
             (6.0, None)
         };
-        world.user(900, 30.0, (20, run_s, standing, false), cancel);
+        world.add_user(900, 30.0, (20, run_s, standing, false), cancel);
         world.run_until(270.0);
         let large = world.users.iter().find(|u| u.id == "j-000900");
         let begun = large.and_then(|u| u.first_started_at).expect("it begins");
@@ -391,8 +391,8 @@
         let mut world = World::with_size(seed, nodes, if large { 12 } else { 3 });
         world.jobs();
         for n in (20..32).filter(|_| large) {
-            world.user(n, 1.0, (8, 0.0, true, false), (n % 3 == 0).then_some(60.0));
-            world.user(
+            world.add_user(n, 1.0, (8, 0.0, true, false), (n % 3 == 0).then_some(60.0));
+            world.add_user(
                 100 + n,
                 2.0 + 2.0 * f64::from(n - 20),
                 (12, 6.0, false, true),
@@ -459,7 +459,7 @@
     for n in 0..24 {
         // Every second one is cancelled, which leaves gaps everywhere.
         let cancel = (n % 2 == 1).then_some(45.0);
-        world.user(n, 0.5 + 0.3 * f64::from(n), (4, 0.0, true, false), cancel);
+        world.add_user(n, 0.5 + 0.3 * f64::from(n), (4, 0.0, true, false), cancel);
     }
     world.run_until(44.0);
     let before = world.instances();
@@ -480,10 +480,10 @@
     let mut world = World::with_size(1, 5, 60);
     for n in 0..40 {
         let at = 0.5 + 1.2 * f64::from(n);
-        world.user(n, at, (60, 8.0, false, n % 2 == 0), None);
+        world.add_user(n, at, (60, 8.0, false, n % 2 == 0), None);
     }
     for n in 40..60 {
-        world.user(n, 1.0, (8, 0.0, true, false), None);
+        world.add_user(n, 1.0, (8, 0.0, true, false), None);
     }
     world.run_until(150.0);
     assert_eq!(world.broken, Vec::<String>::new());
@@ -515,7 +515,7 @@
     const TASKS: u32 = 250;
     let mut world = World::with_size(1, 3, 600);
     for n in 0..64 {
-        world.user(
+        world.add_user(
             n,
             0.5 + 0.02 * f64::from(n),
             (TASKS, 25.0, false, n % 2 == 0),
@@ -523,7 +523,7 @@
         );
     }
     for n in 64..124 {
-        world.user(n, 1.0, (16, 0.0, true, false), None);
+        world.add_user(n, 1.0, (16, 0.0, true, false), None);
     }
     world.run_until(20.0);
     let rented = world.instances();
@@ -563,10 +563,10 @@
         let name = format!("{nodes} controllers");
         let mut world = World::with_size(8, nodes, 150);
         for n in 0..60 {
-            world.user(n, 0.5, (16, 0.0, true, false), None);
+            world.add_user(n, 0.5, (16, 0.0, true, false), None);
         }
         for n in 60..80 {
-            world.user(n, 10.0 + f64::from(n - 60), (60, 8.0, false, true), None);
+            world.add_user(n, 10.0 + f64::from(n - 60), (60, 8.0, false, true), None);
         }
         world.run_until(40.0);
         assert!(world.instances() > 240, "{name}: {}", world.instances());
--- a/tests/world/digest.rs
+++ b/tests/world/digest.rs
@@ -142,20 +142,20 @@
             1 => world.broken_job(n, at, (tasks.min(REPLICAS_AT_MOST), spot), later),
             2 | 3 => {
                 let service = (tasks.min(REPLICAS_AT_MOST), 0.0, true, false);
-                world.user_in(n, at, service, zone, cancel_at);
+                world.add_user_in_zone(n, at, service, zone, cancel_at);
             }
             4 => {
-                world.user(n, at, (tasks, run_s, false, spot), None);
+                world.add_user(n, at, (tasks, run_s, false, spot), None);
                 world.cancel_promptly(n, later);
             }
             5 => {
-                world.user(n, at, (tasks, run_s, false, spot), cancel_at);
+                world.add_user(n, at, (tasks, run_s, false, spot), cancel_at);
                 if let Some(user) = world.users.last_mut() {
                     user.runtime_step_s = chance.random::<f64>() * TASKS_APART_S;
                 }
             }
-            6 => world.user_in(n, at, (tasks, run_s, false, spot), zone, cancel_at),
-            _ => world.user(n, at, (tasks, run_s, false, spot), cancel_at),
+            6 => world.add_user_in_zone(n, at, (tasks, run_s, false, spot), zone, cancel_at),
+            _ => world.add_user(n, at, (tasks, run_s, false, spot), cancel_at),
         }
     }
 }
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -148,29 +148,29 @@
 impl World {
     /// Jobs of all kinds; some are cancelled.
     pub fn jobs(&mut self) {
-        self.user(1, 0.5, (3, 4.0, false, true), None);
-        self.user(2, 1.0, (6, 6.0, false, false), None);
-        self.user(3, 1.5, (2, 0.0, true, false), None);
-        self.user(4, 2.0, (1, 0.0, true, false), Some(40.0));
-        self.user(5, 3.0, (30, 8.0, false, true), Some(30.0));
-        self.user(6, 20.0, (10, 5.0, false, true), None);
-        self.user(7, 45.0, (4, 5.0, false, false), None);
-        self.user(8, 60.0, (3, 0.0, true, false), None);
+        self.add_user(1, 0.5, (3, 4.0, false, true), None);
+        self.add_user(2, 1.0, (6, 6.0, false, false), None);
+        self.add_user(3, 1.5, (2, 0.0, true, false), None);
+        self.add_user(4, 2.0, (1, 0.0, true, false), Some(40.0));
+        self.add_user(5, 3.0, (30, 8.0, false, true), Some(30.0));
+        self.add_user(6, 20.0, (10, 5.0, false, true), None);
+        self.add_user(7, 45.0, (4, 5.0, false, false), None);
+        self.add_user(8, 60.0, (3, 0.0, true, false), None);
     }
 
     /// Adds a user who submits at a time, polls, and perhaps cancels.
-    pub fn user(
+    pub fn add_user(
         &mut self,
         n: u32,
         at: f64,
         (tasks, run_s, standing, spot): (u32, f64, bool, bool),
         cancel_at: Option<f64>,
     ) {
-        self.user_in(n, at, (tasks, run_s, standing, spot), None, cancel_at);
+        self.add_user_in_zone(n, at, (tasks, run_s, standing, spot), None, cancel_at);
     }
 
     /// The same for a job that may be bound to a zone.
-    pub fn user_in(
+    pub fn add_user_in_zone(
         &mut self,
         n: u32,
         at: f64,
@@ -220,7 +220,7 @@
 
     /// Adds a job that was submitted with a mistake, until its user cancels it.
     pub fn broken_job(&mut self, n: u32, at: f64, (tasks, standing): (u32, bool), cancel_at: f64) {
-        self.user(n, at, (tasks, 5.0, standing, false), Some(cancel_at));
+        self.add_user(n, at, (tasks, 5.0, standing, false), Some(cancel_at));
         if let Some(user) = self.users.last_mut() {
             user.always_fails = true;
         }
@@ -228,7 +228,7 @@
 
     /// Adds a job of a guest team, which has no guarantee.
     pub fn guest_job(&mut self, n: u32, at: f64, (tasks, run_s): (u32, f64)) {
-        self.user(n, at, (tasks, run_s, false, true), None);
+        self.add_user(n, at, (tasks, run_s, false, true), None);
         let id = format!("j-{n:06}");
         let mut fields = fields(&id, tasks, run_s, false, true);
         for (field, value) in &mut fields {
