--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -58,7 +58,7 @@
     ];
     for (name, trouble) in cases {
         let mut world = World::new(7);
-        world.jobs();
+        world.add_mixed_jobs();
         trouble(&mut world);
         world.run_until(200.0);
         assert_eq!(world.broken, Vec::<String>::new(), "{name}");
@@ -98,7 +98,7 @@
 fn a_leader_alone() {
     for seed in [0, 1, 2, 6, 18] {
         let mut world = World::new(seed);
-        world.jobs();
+        world.add_mixed_jobs();
         world.run_until(30.0 + seed as f64);
         let before = world.deleted_while_busy.clone();
         assert!(world.isolate_leader_but_for_state(30.0));
@@ -122,7 +122,7 @@
 fn storms() {
     for seed in (0..16).chain(FOUND) {
         let mut world = World::new(seed);
-        world.jobs();
+        world.add_mixed_jobs();
         world.faults = NetworkFaults {
             lost_responses: 0.02,
             late_requests: 0.02,
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -167,7 +167,7 @@
     for (name, trouble) in cases {
         for nodes in [3, 5] {
             let mut world = World::with_size(11, nodes, 3);
-            world.jobs();
+            world.add_mixed_jobs();
             trouble(&mut world);
             world.run_until(200.0);
             world.check(&format!("{name}, {nodes} controllers"));
@@ -321,7 +321,7 @@
 fn reports_without_answers() {
     for nodes in [3, 5] {
         let mut world = World::with_size(5, nodes, 3);
-        world.jobs();
+        world.add_mixed_jobs();
         world.run_until(24.0);
         let name = world.block_traffic_to_worker(0, 100.0).expect("a machine");
         world.run_until(48.0);
@@ -339,7 +339,7 @@
 fn a_leader_alone_with_its_workers() {
     for nodes in [3, 5] {
         let mut world = World::with_size(2, nodes, 3);
-        world.jobs();
+        world.add_mixed_jobs();
         world.run_until(40.0);
         assert!(world.isolate_leader_but_for_workers(40.0));
         world.run_until(60.0);
@@ -389,7 +389,7 @@
         // Every fifth world is large enough for a zone to count as partitioned.
         let large = seed % 5 == 4;
         let mut world = World::with_size(seed, nodes, if large { 12 } else { 3 });
-        world.jobs();
+        world.add_mixed_jobs();
         for n in (20..32).filter(|_| large) {
             world.add_user(n, 1.0, (8, 0.0, true, false), (n % 3 == 0).then_some(60.0));
             world.add_user(
--- a/tests/world/digest.rs
+++ b/tests/world/digest.rs
@@ -26,7 +26,7 @@
 const TINY_EVERY: u64 = 9;
 const MIDDLE_EVERY: u64 = 5;
 
-/// Numbers of the jobs of the traffic; those below are of `World::jobs`.
+/// Numbers of the jobs of the traffic; those below are of `World::add_mixed_jobs`.
 const FIRST_JOB: u32 = 100;
 /// Jobs of the traffic in any world, and more for each machine of a pool.
 const JOBS_AT_LEAST: u32 = 24;
@@ -88,7 +88,7 @@
     let mut chance = SmallRng::seed_from_u64(seed);
     let mut world = World::with_size(seed, controllers, pool);
     world.recorder = Some(Recorder::default());
-    world.jobs();
+    world.add_mixed_jobs();
     traffic(&mut world, &mut chance, pool);
     world.faults = weather(&mut chance);
     world.run_until(TROUBLES_FROM_S);
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -147,7 +147,7 @@
 
 impl World {
     /// Jobs of all kinds; some are cancelled.
-    pub fn jobs(&mut self) {
+    pub fn add_mixed_jobs(&mut self) {
         self.add_user(1, 0.5, (3, 4.0, false, true), None);
         self.add_user(2, 1.0, (6, 6.0, false, false), None);
         self.add_user(3, 1.5, (2, 0.0, true, false), None);
