--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -333,7 +333,7 @@
             let mut world = crowded(21, nodes);
             for n in 0..4 {
                 let at = 30.0 + 2.0 * f64::from(n);
-                world.broken_job(100 + n, at, (tasks, standing), 110.0 + f64::from(n));
+                world.add_failing_job(100 + n, at, (tasks, standing), 110.0 + f64::from(n));
             }
             trouble(&mut world);
             world.run_until(108.0);
@@ -371,7 +371,7 @@
             if broken {
                 for n in 0..3 {
                     let at = 30.5 + 2.0 * f64::from(n);
-                    world.broken_job(100 + n, at, (20, false), 90.0);
+                    world.add_failing_job(100 + n, at, (20, false), 90.0);
                 }
             }
             world.run_until(75.0);
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -26,9 +26,9 @@
 
 /// Small jobs of a guest team, some a second, and a large array of it.
 fn guests(world: &mut World, from: f64) {
-    world.guest_job(200, from, (60, 8.0));
+    world.add_guest_job(200, from, (60, 8.0));
     for n in 0..40 {
-        world.guest_job(201 + n, from + 0.4 * f64::from(n), (1, 20.0));
+        world.add_guest_job(201 + n, from + 0.4 * f64::from(n), (1, 20.0));
     }
 }
 
@@ -268,7 +268,7 @@
             let at = 20.0 + chance.random::<f64>() * 60.0;
             let cancel_at = at + chance.random::<f64>() * 60.0;
             let tasks = chance.random_range(1..12);
-            world.broken_job(100 + n, at, (tasks, n == 3), cancel_at);
+            world.add_failing_job(100 + n, at, (tasks, n == 3), cancel_at);
         }
         let some = |chance: &mut SmallRng, of: f64| NetworkFaults::sometimes(chance, 0.5, of);
         world.faults = NetworkFaults {
--- a/tests/world/digest.rs
+++ b/tests/world/digest.rs
@@ -138,8 +138,8 @@
         let zone = [None, None, Some("a"), Some("b")][chance.random_range(0..4)];
         let spot = chance.random_bool(0.5);
         match chance.random_range(0..JOB_KINDS) {
-            0 => world.guest_job(n, at, (tasks, run_s)),
-            1 => world.broken_job(n, at, (tasks.min(REPLICAS_AT_MOST), spot), later),
+            0 => world.add_guest_job(n, at, (tasks, run_s)),
+            1 => world.add_failing_job(n, at, (tasks.min(REPLICAS_AT_MOST), spot), later),
             2 | 3 => {
                 let service = (tasks.min(REPLICAS_AT_MOST), 0.0, true, false);
                 world.add_user_in_zone(n, at, service, zone, cancel_at);
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -219,7 +219,13 @@
     }
 
     /// Adds a job that was submitted with a mistake, until its user cancels it.
-    pub fn broken_job(&mut self, n: u32, at: f64, (tasks, standing): (u32, bool), cancel_at: f64) {
+    pub fn add_failing_job(
+        &mut self,
+        n: u32,
+        at: f64,
+        (tasks, standing): (u32, bool),
+        cancel_at: f64,
+    ) {
         self.add_user(n, at, (tasks, 5.0, standing, false), Some(cancel_at));
         if let Some(user) = self.users.last_mut() {
             user.always_fails = true;
@@ -227,7 +233,7 @@
     }
 
     /// Adds a job of a guest team, which has no guarantee.
-    pub fn guest_job(&mut self, n: u32, at: f64, (tasks, run_s): (u32, f64)) {
+    pub fn add_guest_job(&mut self, n: u32, at: f64, (tasks, run_s): (u32, f64)) {
         self.add_user(n, at, (tasks, run_s, false, true), None);
         let id = format!("j-{n:06}");
         let mut fields = fields(&id, tasks, run_s, false, true);
