--- a/tests/late_commands.rs
+++ b/tests/late_commands.rs
@@ -38,7 +38,7 @@
         let at = BEGIN + 0.1 * f64::from(n - CANCELLED.start);
         let cancel_at = at + 0.4 + 0.2 * f64::from(n - CANCELLED.start);
         world.add_user(n, at, (1, 200.0, n % 2 == 0, false), None);
-        world.cancel_promptly(n, cancel_at);
+        world.cancel_job_at(n, cancel_at);
     }
 }
 
--- a/tests/permit_guards.rs
+++ b/tests/permit_guards.rs
@@ -82,7 +82,7 @@
 
 fn cancel(world: &mut World, at: f64) {
     for n in JOBS {
-        world.cancel_promptly(n, BEGIN + at);
+        world.cancel_job_at(n, BEGIN + at);
     }
 }
 
--- a/tests/world/digest.rs
+++ b/tests/world/digest.rs
@@ -146,7 +146,7 @@
             }
             4 => {
                 world.add_user(n, at, (tasks, run_s, false, spot), None);
-                world.cancel_promptly(n, later);
+                world.cancel_job_at(n, later);
             }
             5 => {
                 world.add_user(n, at, (tasks, run_s, false, spot), cancel_at);
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -210,7 +210,7 @@
     }
 
     /// A user cancels at just this time, rather than with the next question.
-    pub fn cancel_promptly(&mut self, n: u32, at: f64) {
+    pub fn cancel_job_at(&mut self, n: u32, at: f64) {
         let id = format!("j-{n:06}");
         if let Some(index) = self.users.iter().position(|u| u.id == id) {
             self.users[index].cancel_at = Some(at);
