--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -64,7 +64,7 @@
         ("refused alone, then an outage longer than cancel_s", |w| {
             assert!(w.reject_leader(6.0));
             to(w, 0.1);
-            assert!(w.cancel_now(6, 0, 0.0) >= 4);
+            assert!(w.cancel_jobs(6, 0, 0.0) >= 4);
             to(w, 1.6);
             assert!(told(w, 0.0, 1.6) >= 2, "confirmed while it was refused");
             w.outage_for(CANCEL_S + 8.0);
@@ -73,7 +73,7 @@
         ("the same, and the machines of the cancelled hang", |w| {
             assert!(w.reject_leader(6.0));
             to(w, 0.1);
-            assert!(w.cancel_now(6, 4, LEASE_S - 2.0) >= 4);
+            assert!(w.cancel_jobs(6, 4, LEASE_S - 2.0) >= 4);
             to(w, 1.6);
             assert!(told(w, 0.0, 1.6) >= 2, "confirmed while it was refused");
             w.outage_for(CANCEL_S + 8.0);
@@ -86,7 +86,7 @@
                 w.faults.delayed_heartbeats = 0.1;
                 assert!(w.reject_leader(6.0));
                 to(w, 0.1);
-                assert!(w.cancel_now(6, 2, 5.0) >= 4);
+                assert!(w.cancel_jobs(6, 2, 5.0) >= 4);
                 to(w, 1.6);
                 assert!(told(w, 0.0, 1.6) >= 2, "confirmed while it was refused");
                 w.outage_for(CANCEL_S + 8.0);
@@ -99,7 +99,7 @@
             |w| {
                 assert!(w.isolate_leader_but_for_workers(60.0));
                 to(w, 0.5);
-                assert!(w.cancel_now(8, 2, 6.0) >= 4);
+                assert!(w.cancel_jobs(8, 2, 6.0) >= 4);
                 to(w, 20.0);
                 assert!(told(w, 0.0, 20.0) >= 4, "confirmed through the new leader");
                 to(w, 62.0);
@@ -114,7 +114,7 @@
                 assert!(w.bypass_leader(CANCEL_S + 18.0));
                 w.reject_peers(CANCEL_S + 18.0);
                 to(w, 3.0);
-                assert!(w.cancel_now(8, 0, 0.0) >= 4);
+                assert!(w.cancel_jobs(8, 0, 0.0) >= 4);
                 to(w, 12.0);
                 assert!(told(w, 3.0, 12.0) >= 4, "confirmed while it saw nothing");
                 to(w, CANCEL_S + 20.0);
@@ -126,7 +126,7 @@
             // Peers are no help either.
             w.reject_peers(60.0);
             to(w, 3.0);
-            assert!(w.cancel_now(8, 0, 0.0) >= 4);
+            assert!(w.cancel_jobs(8, 0, 0.0) >= 4);
             // Jobs may have been cancelled of which it doesn't know.
             to(w, 6.0);
             let starts = w.starts;
@@ -138,7 +138,7 @@
         }),
         ("the successor can't read its records", |w| {
             w.hang_listings(45.0);
-            assert!(w.cancel_now(6, 0, 0.0) >= 4);
+            assert!(w.cancel_jobs(6, 0, 0.0) >= 4);
             to(w, 0.15);
             w.restart_leader(40.0);
             to(w, 10.0);
@@ -154,7 +154,7 @@
                 w.reject_leader(1.2);
                 let at = 9.0 * f64::from(i) + 0.2;
                 to(w, at);
-                w.cancel_now(1, 1, 4.0);
+                w.cancel_jobs(1, 1, 4.0);
                 to(w, at + 1.0);
                 w.outage_for(4.0 + f64::from(i));
             }
@@ -167,7 +167,7 @@
                 w.faults.state_service_delay_s = 0.15;
                 to(w, 5.0);
                 assert!(w.reject_leader(8.0));
-                assert!(w.cancel_now(6, 0, 0.0) >= 4);
+                assert!(w.cancel_jobs(6, 0, 0.0) >= 4);
                 w.repeat_requests();
                 to(w, 8.5);
                 assert!(told(w, 5.0, 8.5) >= 2, "confirmed while it was refused");
@@ -240,7 +240,7 @@
                 w.block_traffic_to_worker(1, LEASE_S + 8.0);
                 w.restart_leader(4.0);
                 to(w, 9.0);
-                assert!(w.cancel_now(5, 2, 5.0) >= 3);
+                assert!(w.cancel_jobs(5, 2, 5.0) >= 3);
                 to(w, 16.0);
                 assert!(told(w, 9.0, 16.0) >= 3, "confirmed within the spell");
                 to(w, 40.0);
@@ -279,7 +279,7 @@
                     w.outage(now + 1.0, now + 14.0);
                 }
                 if i % 4 == 1 {
-                    w.cancel_now(1, 1, 4.0);
+                    w.cancel_jobs(1, 1, 4.0);
                 }
             }
             to(w, 121.0);
@@ -305,7 +305,7 @@
                     w.block_traffic_from_worker(nth, LEASE_S + 4.0);
                 }
                 to(w, 3.0);
-                w.cancel_now(2, 0, 0.0);
+                w.cancel_jobs(2, 0, 0.0);
                 w.restart_leader(2.0);
                 to(w, LEASE_S + 2.0);
                 assert!(
@@ -327,7 +327,7 @@
             w.faults.late_transactions = 0.25;
             for i in 0..6 {
                 to(w, 8.0 * f64::from(i));
-                w.cancel_now(1, 0, 0.0);
+                w.cancel_jobs(1, 0, 0.0);
                 if i % 2 == 1 {
                     w.restart_leader(0.5);
                 }
@@ -358,7 +358,7 @@
             for i in 0..5 {
                 to(w, 8.0 * f64::from(i));
                 w.faults.late_requests = 0.15;
-                w.cancel_now(2, 2, LEASE_S - 3.0);
+                w.cancel_jobs(2, 2, LEASE_S - 3.0);
                 w.disconnect_worker(i as usize % 5, 6.0);
             }
             to(w, 45.0);
@@ -447,7 +447,7 @@
             |w| {
                 assert!(w.partition_zone("b", false, 1, LEASE_S + 8.0));
                 to(w, 2.0);
-                w.cancel_now(3, 0, 0.0);
+                w.cancel_jobs(3, 0, 0.0);
                 to(w, 30.0);
                 assert!(told(w, 2.0, 18.0) >= 2, "confirmed during the cut");
             },
@@ -457,7 +457,7 @@
             |w| {
                 assert!(w.partition_zone("b", true, 0, CANCEL_S + 5.0));
                 to(w, 2.0);
-                w.cancel_now(5, 2, 4.0);
+                w.cancel_jobs(5, 2, 4.0);
                 to(w, 45.0);
                 assert!(told(w, 2.0, 34.0) >= 2, "confirmed during the cut");
             },
@@ -547,10 +547,10 @@
                     let now = world.now;
                     world.outage_for(for_s);
                     world.run_until(now + 0.5 * for_s);
-                    world.cancel_now(1, 1, 5.0);
+                    world.cancel_jobs(1, 1, 5.0);
                     world.run_until(now + for_s + 0.01);
                 }
-                _ => drop(world.cancel_now(1 + nth % 3, nth % 3, for_s.min(LEASE_S - 1.0))),
+                _ => drop(world.cancel_jobs(1 + nth % 3, nth % 3, for_s.min(LEASE_S - 1.0))),
             }
         }
         let calm = world.now + 1.5 * CANCEL_S;
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -74,7 +74,7 @@
                 for at in [0.0, 20.0, 40.0] {
                     to(w, at);
                     assert!(w.pause_leader_mid_turn(4.0));
-                    w.cancel_now(1, 0, 0.0);
+                    w.cancel_jobs(1, 0, 0.0);
                 }
                 to(w, 50.0);
                 assert!(w.counts.pauses >= 3);
@@ -87,7 +87,7 @@
         ("for longer than the workers' leases", |w| {
             assert!(w.pause_leader_mid_turn(LEASE_S + 3.0));
             to(w, 0.2);
-            w.cancel_now(3, 2, 6.0);
+            w.cancel_jobs(3, 2, 6.0);
             to(w, 30.0);
             assert_eq!(w.counts.pauses, 1);
             assert!(w.leader_changes() >= 2, "another leads");
@@ -95,7 +95,7 @@
         ("for longer than a cancellation takes", |w| {
             assert!(w.pause_leader_mid_turn(CANCEL_S + 5.0));
             to(w, 0.2);
-            w.cancel_now(4, 2, 9.0);
+            w.cancel_jobs(4, 2, 9.0);
             to(w, 45.0);
             assert_eq!(w.counts.pauses, 1);
         }),
@@ -133,7 +133,7 @@
             |w| {
                 assert!(w.hang_leader(70.0));
                 to(w, 4.0);
-                w.cancel_now(2, 1, 6.0);
+                w.cancel_jobs(2, 1, 6.0);
                 to(w, 9.0);
                 w.restart_leader(0.3);
                 to(w, 72.0);
@@ -142,7 +142,7 @@
         ),
         ("the leader, while its successor's machines hang", |w| {
             assert!(w.hang_leader(65.0));
-            w.cancel_now(3, 3, 9.0);
+            w.cancel_jobs(3, 3, 9.0);
             to(w, 20.0);
             w.pause_leader(12.0);
             to(w, 67.0);
@@ -175,7 +175,7 @@
         ),
         ("in an outage that begins with cancellations", |w| {
             w.faults.extra_polls = 10.0;
-            w.cancel_now(3, 0, 0.0);
+            w.cancel_jobs(3, 0, 0.0);
             to(w, 0.6);
             w.outage_for(20.0);
             to(w, 25.0);
@@ -299,7 +299,7 @@
                 6 => drop(world.isolate_leader_but_for_workers(for_s)),
                 7 => drop(world.lose_instances("a", 1 + nth % 3)),
                 8 => drop(world.make_worker_faulty(nth)),
-                _ => drop(world.cancel_now(1 + nth % 3, nth % 3, for_s.min(LEASE_S - 1.0))),
+                _ => drop(world.cancel_jobs(1 + nth % 3, nth % 3, for_s.min(LEASE_S - 1.0))),
             }
         }
         let calm = world.now + 1.5 * CANCEL_S;
--- a/tests/permit_guards.rs
+++ b/tests/permit_guards.rs
@@ -46,7 +46,7 @@
             to(&mut world, 0.0);
             assert!(world.partition_zone("a", true, 0, 2.0 * CANCEL_S));
             to(&mut world, 0.1);
-            assert!(world.cancel_now(8, 0, 0.0) >= 4);
+            assert!(world.cancel_jobs(8, 0, 0.0) >= 4);
             to(&mut world, pause_at);
             world.hang_workers("a", LEASE_S - 2.2);
             assert_eq!(world.pause_partitioned_controllers(LEASE_S - 1.0), 1);
--- a/tests/world/digest.rs
+++ b/tests/world/digest.rs
@@ -207,7 +207,7 @@
         16 => drop(world.make_worker_faulty(nth)),
         17 => drop(world.reclaim_instance()),
         18 => drop(world.lose_instances(zone, few)),
-        19 => drop(world.cancel_now(few, few - 1, for_s.min(LEASE_S - 1.0))),
+        19 => drop(world.cancel_jobs(few, few - 1, for_s.min(LEASE_S - 1.0))),
         20 => world.send_invalid_requests(),
         21 => world.repeat_requests(),
         22 => {
@@ -227,7 +227,7 @@
             // Cancellations come in its midst.
             world.outage_for(for_s);
             world.run_until(now + 0.5 * for_s);
-            world.cancel_now(1, 1, 5.0);
+            world.cancel_jobs(1, 1, 5.0);
         }
     }
 }
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -341,7 +341,7 @@
 
     /// Users call off that many jobs that run and have long to go, within a fifth of a second; so many
     /// of their machines hang. Returns how many jobs.
-    pub fn cancel_now(&mut self, count: usize, machines: usize, hang_s: f64) -> usize {
+    pub fn cancel_jobs(&mut self, count: usize, machines: usize, hang_s: f64) -> usize {
         let running = |u: &User| {
             let on = |w: &Worker| w.runs_job(&u.id);
             u.accepted
