--- a/examples/digest.rs
+++ b/examples/digest.rs
@@ -33,7 +33,7 @@
     let mut exit = ExitCode::SUCCESS;
     for digest in play_all(&options).into_values() {
         lines += &format!("{digest}\n");
-        for rule in &digest.broken {
+        for rule in &digest.violations {
             eprintln!("seed {}: {rule}", digest.seed);
             exit = ExitCode::FAILURE;
         }
--- a/tests/determinism.rs
+++ b/tests/determinism.rs
@@ -36,5 +36,5 @@
 fn a_job_listed_after_its_end_has_no_negative_count() {
     const SEED: u64 = 2;
     let digest = digest::play(SEED);
-    assert_eq!(digest.broken, Vec::<String>::new());
+    assert_eq!(digest.violations, Vec::<String>::new());
 }
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -61,7 +61,7 @@
         world.add_mixed_jobs();
         trouble(&mut world);
         world.run_until(200.0);
-        assert_eq!(world.broken, Vec::<String>::new(), "{name}");
+        assert_eq!(world.violations, Vec::<String>::new(), "{name}");
         assert_eq!(world.unfinished(), Vec::<&str>::new(), "{name}");
         assert!(world.starts >= 24, "{name}: {} starts", world.starts);
         assert!(
@@ -82,7 +82,7 @@
         world.add_user(n, at, (60, 5.0, false, n % 2 == 0), cancel);
     }
     world.run_until(60.0);
-    assert_eq!(world.broken, Vec::<String>::new());
+    assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.workers_with_new_incarnation(), 0);
     assert!(world.starts > 100, "{} starts", world.starts);
     let told = world
@@ -104,7 +104,7 @@
         assert!(world.isolate_leader_but_for_state(30.0));
         world.run_until(200.0);
         assert_eq!(world.deleted_while_busy, before, "seed {seed}");
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.unfinished(), Vec::<&str>::new(), "seed {seed}");
     }
 }
@@ -143,7 +143,7 @@
         }
         world.faults = NetworkFaults::default();
         world.run_until(260.0);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.unfinished(), Vec::<&str>::new(), "seed {seed}");
     }
 }
--- a/tests/late_commands.rs
+++ b/tests/late_commands.rs
@@ -80,7 +80,7 @@
             world.counts.begun_past_cancellation, 0,
             "{name}: tasks began when they had to be gone"
         );
-        assert_eq!(world.broken, Vec::<String>::new(), "{name}");
+        assert_eq!(world.violations, Vec::<String>::new(), "{name}");
         assert_eq!(surviving_attempts(&world), before, "{name}");
         assert_eq!(world.workers_with_new_incarnation(), 0, "{name}");
     }
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -312,7 +312,7 @@
     world.run_until(58.0);
     assert_eq!(world.replicas_not_running(), 0);
     world.run_until(120.0);
-    assert_eq!(world.broken, Vec::<String>::new());
+    assert_eq!(world.violations, Vec::<String>::new());
 }
 
 /// A machine that hears nothing gets no new work, and is released if this lasts; its tasks run
@@ -377,7 +377,7 @@
         let small = world.users.iter().filter(|u| u.tasks == 5);
         let served = small.filter(|u| u.first_started_at.is_some()).count();
         assert!(served >= 50, "{served} small ones begin");
-        assert_eq!(world.broken, Vec::<String>::new());
+        assert_eq!(world.violations, Vec::<String>::new());
     }
 }
 
@@ -486,7 +486,7 @@
         world.add_user(n, 1.0, (8, 0.0, true, false), None);
     }
     world.run_until(150.0);
-    assert_eq!(world.broken, Vec::<String>::new());
+    assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.unfinished(), Vec::<&str>::new());
     assert!(world.starts >= 40 * 60 + 20 * 8);
     let counts = &world.counts;
@@ -540,7 +540,7 @@
     );
     assert_eq!(world.workers_with_new_incarnation(), 0);
     world.run_until(95.0);
-    assert_eq!(world.broken, Vec::<String>::new());
+    assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.unfinished(), Vec::<&str>::new());
     let counts = &world.counts;
     let most = |of: &std::collections::BTreeMap<u64, u32>| of.values().copied().max().unwrap_or(0);
--- a/tests/world/checks.rs
+++ b/tests/world/checks.rs
@@ -65,7 +65,7 @@
 impl World {
     /// Nothing broken, all jobs at their end, and each answered for lately.
     pub fn check(&self, name: &str) {
-        assert_eq!(self.broken, Vec::<String>::new(), "{name}");
+        assert_eq!(self.violations, Vec::<String>::new(), "{name}");
         assert_eq!(self.unfinished(), Vec::<&str>::new(), "{name}");
         assert_eq!(self.unanswered(ANSWERED_S), Vec::<&str>::new(), "{name}");
     }
@@ -177,7 +177,7 @@
             }
             let since = *self.users[n].waits_since.get_or_insert(now);
             if now - since > 90.0 {
-                self.broken
+                self.violations
                     .push(format!("{now}: {} waits beside room", self.users[n].id));
                 self.users[n].waits_since = None;
             }
--- a/tests/world/digest.rs
+++ b/tests/world/digest.rs
@@ -68,7 +68,7 @@
     /// How many records of each kind are in the hash.
     pub records: BTreeMap<Kind, u64>,
     /// Rules broken, in words; they aren't part of the hash.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 impl fmt::Display for Digest {
@@ -108,7 +108,7 @@
         workers,
         records: recorder.records.clone(),
         hash: recorder.hash(),
-        broken: world.broken,
+        violations: world.violations,
     }
 }
 
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -103,7 +103,7 @@
     pub faults: NetworkFaults,
     rng: SmallRng,
     /// Rules broken, in words.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     pub starts: u32,
     /// Machines deleted while tasks ran on them.
     pub deleted_while_busy: Vec<String>,
@@ -196,7 +196,7 @@
             done: BTreeSet::new(),
             faults: NetworkFaults::default(),
             rng: SmallRng::seed_from_u64(seed),
-            broken: Vec::new(),
+            violations: Vec::new(),
             starts: 0,
             deleted_while_busy: Vec::new(),
             isolated_but_for_state: vec![0.0; controllers],
@@ -553,7 +553,7 @@
                         }
                         Some(SimEvent::InvalidRequestAnswered(odd, _)) => {
                             if matches!(status, 429 | 503) && retry_after_s.is_none() {
-                                self.broken
+                                self.violations
                                     .push(format!("{odd:?}: {status}, and no Retry-After"));
                             }
                             SimEvent::InvalidRequestAnswered(odd, status)
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -308,7 +308,7 @@
         if status == odd.status() {
             *self.counts.invalid_request_answers.entry(odd).or_default() += 1;
         } else if status != 503 || odd == InvalidRequest::MissingField {
-            self.broken
+            self.violations
                 .push(format!("{}: {odd:?} is answered {status}", self.now));
         }
     }
@@ -341,13 +341,13 @@
                 match told {
                     JobStatus::Done => {
                         if u.done_of(&self.done) < u.tasks {
-                            self.broken.push(format!("{now}: {} is not done", u.id));
+                            self.violations.push(format!("{now}: {} is not done", u.id));
                         }
                         u.told_done.get_or_insert(now);
                     }
                     JobStatus::Aborted => {
                         if u.cancel_at.is_none() {
-                            self.broken
+                            self.violations
                                 .push(format!("{now}: nobody cancelled {}", u.id));
                         }
                         u.told_cancelled.get_or_insert(now);
@@ -360,15 +360,17 @@
                     _ => false,
                 };
                 if back {
-                    self.broken
+                    self.violations
                         .push(format!("{now}: {} went back to {told:?}", u.id));
                 }
             }
-            404 if u.accepted => self.broken.push(format!("{now}: {} is forgotten", u.id)),
+            404 if u.accepted => self
+                .violations
+                .push(format!("{now}: {} is forgotten", u.id)),
             // Before it was accepted: nobody knows it, and its user submits it again.
             404 => u.last_answered_at = now,
             400 | 422 => self
-                .broken
+                .violations
                 .push(format!("{now}: {} is refused: {status}", u.id)),
             _ => {}
         }
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -366,7 +366,7 @@
         let now = self.now;
         let job = job_of(task_id).to_owned();
         let Some(user) = self.users.iter().find(|u| u.id == job) else {
-            self.broken.push(format!("{task_id}: no such job"));
+            self.violations.push(format!("{task_id}: no such job"));
             return;
         };
         let index = task_id.rsplit('/').next().and_then(|n| n.parse().ok());
@@ -374,7 +374,7 @@
         let (standing, broken, guest) = (user.is_service, user.always_fails, user.is_guest);
         let past_cancellation = user.told_cancelled.is_some_and(|at| now > at + CANCEL_S);
         if past_cancellation {
-            self.broken
+            self.violations
                 .push(format!("{now}: {task_id} starts after its cancellation"));
         }
         let grove = user.zone;
@@ -413,7 +413,7 @@
             self.starts += 1;
             self.counts.begun_past_cancellation += u32::from(past_cancellation);
             if grove.is_some_and(|grove| grove != zone) {
-                self.broken.push(format!(
+                self.violations.push(format!(
                     "{now}: {task_id} starts in {zone}, which its job doesn't allow"
                 ));
             }
@@ -426,17 +426,17 @@
                 .filter(|w| w.name != name && w.runs(task_id))
                 .collect();
             if let Some(other) = elsewhere.first() {
-                self.broken.push(format!(
+                self.violations.push(format!(
                     "{now}: {task_id} starts on {name} while on {}",
                     other.name
                 ));
             }
             if most_in_zone.is_some_and(|most| self.running_in(&zone, &job) >= most) {
-                self.broken
+                self.violations
                     .push(format!("{now}: {task_id} is one too many in {zone}"));
             }
             if !guest && self.at_limit() {
-                self.broken
+                self.violations
                     .push(format!("{now}: {task_id} is over the team's limit"));
             }
         }
@@ -482,7 +482,7 @@
                 && now > at + CANCEL_S
                 && self.workers.values().any(|w| w.runs_job(&user.id))
             {
-                self.broken
+                self.violations
                     .push(format!("{now}: {} runs after its cancellation", user.id));
                 user.told_cancelled = Some(f64::INFINITY);
             }
