--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -85,10 +85,10 @@
     assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.workers_with_new_incarnation(), 0);
     assert!(world.starts > 100, "{} starts", world.starts);
-    let told = world
-        .users
-        .iter()
-        .filter(|u| u.cancel_at.is_some() && (u.told_cancelled.is_some() || u.told_done.is_some()));
+    let told = world.users.iter().filter(|u| {
+        u.cancel_at.is_some()
+            && (u.cancellation_confirmed_at.is_some() || u.completion_confirmed_at.is_some())
+    });
     assert_eq!(told.count(), 10);
 }
 
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -350,7 +350,10 @@
                 "{name}: machines with work"
             );
             world.run_until(120.0);
-            assert!(world.told_cancelled(108.0, 120.0) >= 4, "{name}: cancelled");
+            assert!(
+                world.cancellations_confirmed(108.0, 120.0) >= 4,
+                "{name}: cancelled"
+            );
             world.run_until(260.0);
             world.check(&name);
         }
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -32,7 +32,7 @@
 
 /// Confirmed cancellations between two times after the troubles' begin.
 fn told(world: &World, from: f64, to: f64) -> usize {
-    world.told_cancelled(BEGIN + from, BEGIN + to)
+    world.cancellations_confirmed(BEGIN + from, BEGIN + to)
 }
 
 type Meeting = (&'static str, fn(&mut World));
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -79,7 +79,7 @@
                 to(w, 50.0);
                 assert!(w.counts.pauses >= 3);
                 assert!(
-                    w.told_cancelled(BEGIN, BEGIN + 50.0) >= 1,
+                    w.cancellations_confirmed(BEGIN, BEGIN + 50.0) >= 1,
                     "cancelled meanwhile"
                 );
             },
--- a/tests/permit_guards.rs
+++ b/tests/permit_guards.rs
@@ -52,7 +52,10 @@
             assert_eq!(world.pause_partitioned_controllers(LEASE_S - 1.0), 1);
             to(&mut world, 2.0 * CANCEL_S);
             let name = format!("seed {seed}, paused from {pause_at} s");
-            assert!(world.told_cancelled(BEGIN, BEGIN + 5.0) >= 4, "{name}");
+            assert!(
+                world.cancellations_confirmed(BEGIN, BEGIN + 5.0) >= 4,
+                "{name}"
+            );
             waited += world.counts.heartbeats_before_timers;
             check(&mut world, &name);
         }
@@ -101,7 +104,7 @@
         let name = format!("seed {seed}");
         assert!(world.counts.limited_watches > 20, "{name}");
         assert!(
-            world.told_cancelled(BEGIN + 3.5, BEGIN + 4.6) >= 4,
+            world.cancellations_confirmed(BEGIN + 3.5, BEGIN + 4.6) >= 4,
             "{name}"
         );
         assert_eq!(world.counts.starts_after_cancel, 0, "{name}");
@@ -123,7 +126,7 @@
         to(&mut world, 5.0);
         let name = format!("seed {seed}");
         assert!(
-            world.told_cancelled(BEGIN + 0.6, BEGIN + 1.3) >= 4,
+            world.cancellations_confirmed(BEGIN + 0.6, BEGIN + 1.3) >= 4,
             "{name}"
         );
         assert_eq!(world.counts.starts_after_cancel, 0, "{name}");
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -223,7 +223,10 @@
         world.run_until(40.0);
         assert!(world.partition_zone("b", true, 0, 60.0));
         world.run_until(60.0);
-        let told = world.users.iter().filter(|u| u.told_cancelled.is_some());
+        let told = world
+            .users
+            .iter()
+            .filter(|u| u.cancellation_confirmed_at.is_some());
         assert!(
             told.count() >= 8,
             "most are told so while the zone is cut off"
--- a/tests/world/checks.rs
+++ b/tests/world/checks.rs
@@ -165,7 +165,8 @@
         self.next_wait_check_at = now + 1.0;
         for n in 0..self.users.len() {
             let user = &self.users[n];
-            let over = user.told_done.is_some() || user.cancel_at.is_some_and(|at| now >= at);
+            let over = user.completion_confirmed_at.is_some()
+                || user.cancel_at.is_some_and(|at| now >= at);
             let there = |t: u32| {
                 let task_id = format!("{}/{t}", user.id);
                 self.done.contains(&task_id) || self.workers.values().any(|w| w.runs(&task_id))
@@ -191,7 +192,7 @@
             let begun = u.first_started_at.unwrap_or(f64::INFINITY);
             u.tasks == most
                 && !u.always_fails
-                && u.told_cancelled.is_none()
+                && u.cancellation_confirmed_at.is_none()
                 && begun - u.submitted_at > 240.0
         };
         let largest = self.users.iter().filter(late);
@@ -199,8 +200,11 @@
     }
 
     /// Users who were told between two times that their job is cancelled.
-    pub fn told_cancelled(&self, from: f64, to: f64) -> usize {
-        let told = self.users.iter().filter_map(|u| u.told_cancelled);
+    pub fn cancellations_confirmed(&self, from: f64, to: f64) -> usize {
+        let told = self
+            .users
+            .iter()
+            .filter_map(|u| u.cancellation_confirmed_at);
         told.filter(|at| (from..to).contains(at)).count()
     }
 
@@ -242,7 +246,8 @@
         self.users
             .iter()
             .filter(|u| {
-                let over = u.told_done.is_some() || u.told_cancelled.is_some();
+                let over =
+                    u.completion_confirmed_at.is_some() || u.cancellation_confirmed_at.is_some();
                 let serves = u.is_service && u.cancel_at.is_none() && {
                     let on = self
                         .running()
@@ -271,7 +276,7 @@
         let wanted: u32 = self
             .users
             .iter()
-            .filter(|u| u.is_service && u.accepted && u.told_cancelled.is_none())
+            .filter(|u| u.is_service && u.accepted && u.cancellation_confirmed_at.is_none())
             .map(|u| u.tasks)
             .sum();
         let standing = |task_id: &str| {
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -149,7 +149,7 @@
         let same_session = commands.incarnation == Some(worker.incarnation);
         let too_late = |task_id: &str| {
             let user = self.users.iter().find(|u| u.id == job_of(task_id));
-            let told = user.and_then(|u| u.told_cancelled);
+            let told = user.and_then(|u| u.cancellation_confirmed_at);
             told.is_some_and(|at| self.now > at + CANCEL_S)
         };
         let starts = commands
@@ -346,7 +346,7 @@
             let on = |w: &Worker| w.runs_job(&u.id);
             u.accepted
                 && u.cancel_at.is_none()
-                && u.told_done.is_none()
+                && u.completion_confirmed_at.is_none()
                 && self.workers.values().any(on)
         };
         let users: Vec<usize> = (0..self.users.len())
@@ -400,8 +400,8 @@
     pub fn repeat_requests(&mut self) {
         for n in 0..self.users.len() {
             let what = match &self.users[n] {
-                u if !u.accepted || u.told_cancelled.is_some() => continue,
-                u if u.told_done.is_some() => UserRequestKind::Cancel,
+                u if !u.accepted || u.cancellation_confirmed_at.is_some() => continue,
+                u if u.completion_confirmed_at.is_some() => UserRequestKind::Cancel,
                 _ => UserRequestKind::Submit,
             };
             let controller = self.rng.random_range(0..self.controllers.len());
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -123,8 +123,8 @@
     /// Its team has no guarantee, and no limit.
     pub is_guest: bool,
     pub accepted: bool,
-    pub told_cancelled: Option<f64>,
-    pub told_done: Option<f64>,
+    pub cancellation_confirmed_at: Option<f64>,
+    pub completion_confirmed_at: Option<f64>,
     /// When its user last got an answer that tells its state.
     pub last_answered_at: f64,
     /// When its first task started.
@@ -201,8 +201,8 @@
             always_fails: false,
             is_guest: false,
             accepted: false,
-            told_cancelled: None,
-            told_done: None,
+            cancellation_confirmed_at: None,
+            completion_confirmed_at: None,
             last_answered_at: at,
             first_started_at: None,
         });
@@ -254,7 +254,9 @@
         let u = &self.users[user];
         let ask = if !u.accepted {
             UserRequestKind::Submit
-        } else if u.cancel_at.is_some_and(|at| self.now >= at) && u.told_cancelled.is_none() {
+        } else if u.cancel_at.is_some_and(|at| self.now >= at)
+            && u.cancellation_confirmed_at.is_none()
+        {
             UserRequestKind::Cancel
         } else {
             UserRequestKind::Poll
@@ -335,22 +337,23 @@
                     }
                 };
                 let before = (
-                    u.told_cancelled.is_some_and(|at| ask.sent_at > at),
-                    u.told_done.is_some_and(|at| ask.sent_at > at),
+                    u.cancellation_confirmed_at
+                        .is_some_and(|at| ask.sent_at > at),
+                    u.completion_confirmed_at.is_some_and(|at| ask.sent_at > at),
                 );
                 match told {
                     JobStatus::Done => {
                         if u.done_of(&self.done) < u.tasks {
                             self.violations.push(format!("{now}: {} is not done", u.id));
                         }
-                        u.told_done.get_or_insert(now);
+                        u.completion_confirmed_at.get_or_insert(now);
                     }
                     JobStatus::Aborted => {
                         if u.cancel_at.is_none() {
                             self.violations
                                 .push(format!("{now}: nobody cancelled {}", u.id));
                         }
-                        u.told_cancelled.get_or_insert(now);
+                        u.cancellation_confirmed_at.get_or_insert(now);
                     }
                     _ => {}
                 }
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -372,13 +372,15 @@
         let index = task_id.rsplit('/').next().and_then(|n| n.parse().ok());
         let run_s = user.run_s + user.runtime_step_s * f64::from(index.unwrap_or(0u32));
         let (standing, broken, guest) = (user.is_service, user.always_fails, user.is_guest);
-        let past_cancellation = user.told_cancelled.is_some_and(|at| now > at + CANCEL_S);
+        let past_cancellation = user
+            .cancellation_confirmed_at
+            .is_some_and(|at| now > at + CANCEL_S);
         if past_cancellation {
             self.violations
                 .push(format!("{now}: {task_id} starts after its cancellation"));
         }
         let grove = user.zone;
-        if let Some(at) = user.told_cancelled {
+        if let Some(at) = user.cancellation_confirmed_at {
             self.counts.starts_after_cancel += 1;
             let after = now - at;
             self.counts.latest_after_cancel = self.counts.latest_after_cancel.max(after);
@@ -478,13 +480,13 @@
             }
         }
         for user in &mut self.users {
-            if let Some(at) = user.told_cancelled
+            if let Some(at) = user.cancellation_confirmed_at
                 && now > at + CANCEL_S
                 && self.workers.values().any(|w| w.runs_job(&user.id))
             {
                 self.violations
                     .push(format!("{now}: {} runs after its cancellation", user.id));
-                user.told_cancelled = Some(f64::INFINITY);
+                user.cancellation_confirmed_at = Some(f64::INFINITY);
             }
         }
     }
