--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -101,7 +101,7 @@
         world.add_mixed_jobs();
         world.run_until(30.0 + seed as f64);
         let before = world.deleted_while_busy.clone();
-        assert!(world.isolate_leader_but_for_state(30.0));
+        assert!(world.isolate_leader_except_state_service(30.0));
         world.run_until(200.0);
         assert_eq!(world.deleted_while_busy, before, "seed {seed}");
         assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -522,7 +522,7 @@
                 1 => drop(world.reject_leader(for_s)),
                 2 => drop(world.isolate_leader_but_for_workers(for_s)),
                 3 => drop(world.pause_leader(for_s)),
-                4 => drop(world.isolate_leader_but_for_state(for_s)),
+                4 => drop(world.isolate_leader_except_state_service(for_s)),
                 5 => drop(world.disconnect_worker(nth, for_s)),
                 6 => drop(world.block_traffic_to_worker(nth, for_s)),
                 7 => drop(world.block_traffic_from_worker(nth, for_s)),
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -155,7 +155,7 @@
             w.reject_peers(30.0);
             w.restart_leader(4.0);
             w.run_until(40.0);
-            w.isolate_leader_but_for_state(9.0);
+            w.isolate_leader_except_state_service(9.0);
         }),
         ("machines are back at once and empty", |w| {
             for i in 0..6 {
@@ -281,7 +281,7 @@
                 world.instances_in("a", true).len() >= 6,
                 "{name}: spot machines"
             );
-            assert!(world.isolate_leader_but_for_state(9.0), "{name}");
+            assert!(world.isolate_leader_except_state_service(9.0), "{name}");
             world.run_until(70.0);
             assert!(world.leader_changes() >= 2, "{name}: another leads");
             assert_eq!(world.deleted_while_busy, Vec::<String>::new(), "{name}");
@@ -432,7 +432,7 @@
                     world.disconnect_worker(nth, 3.0 + 3.0 * shift);
                 }
                 5 => {
-                    world.isolate_leader_but_for_state(5.0 + 3.0 * shift);
+                    world.isolate_leader_except_state_service(5.0 + 3.0 * shift);
                 }
                 6 => {
                     world.reclaim_instance();
--- a/tests/world/digest.rs
+++ b/tests/world/digest.rs
@@ -192,7 +192,7 @@
         1 => drop(world.reject_leader(for_s)),
         2 => drop(world.isolate_leader_but_for_workers(for_s)),
         3 => drop(world.pause_leader(for_s)),
-        4 => drop(world.isolate_leader_but_for_state(for_s)),
+        4 => drop(world.isolate_leader_except_state_service(for_s)),
         5 => drop(world.pause_leader_mid_turn(for_s)),
         6 => drop(world.hang_leader(for_s)),
         7 => drop(world.bypass_leader(for_s)),
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -205,8 +205,8 @@
     }
 
     /// Cuts the leader off from all but the state service. False: nobody leads.
-    pub fn isolate_leader_but_for_state(&mut self, for_s: f64) -> bool {
-        self.set_leader_fault(for_s, |world| &mut world.isolated_but_for_state)
+    pub fn isolate_leader_except_state_service(&mut self, for_s: f64) -> bool {
+        self.set_leader_fault(for_s, |world| &mut world.isolated_except_state_service)
             .is_some()
     }
 
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -108,7 +108,7 @@
     /// Machines deleted while tasks ran on them.
     pub deleted_while_busy: Vec<String>,
     /// Controllers that reach nobody but the state service, and nobody them, until then.
-    isolated_but_for_state: Vec<f64>,
+    isolated_except_state_service: Vec<f64>,
     /// Controllers that reach neither the state service nor other controllers, but their workers, until then.
     isolated_but_for_workers: Vec<f64>,
     /// Controllers that stand still until then, while their clocks run on.
@@ -199,7 +199,7 @@
             violations: Vec::new(),
             starts: 0,
             deleted_while_busy: Vec::new(),
-            isolated_but_for_state: vec![0.0; controllers],
+            isolated_except_state_service: vec![0.0; controllers],
             isolated_but_for_workers: vec![0.0; controllers],
             paused_until: vec![0.0; controllers],
             pauses_mid_turn: vec![None; controllers],
@@ -367,7 +367,7 @@
             | SimEvent::WorkerHeartbeatArrives(i, ..)
             | SimEvent::DuplicateHeartbeatArrives(i, _)
             | SimEvent::PeerHeartbeatArrives(i, _)
-                if self.now < self.isolated_but_for_state[i] => {}
+                if self.now < self.isolated_except_state_service[i] => {}
             SimEvent::PeerHeartbeatArrives(i, _)
                 if self.now < self.isolated_but_for_workers[i].max(self.peers_reject_until) => {}
             SimEvent::WorkerHeartbeatArrives(i, ref name, _)
@@ -647,7 +647,8 @@
                 }
                 Effect::BroadcastHeartbeat(_)
                     if self.now
-                        < self.isolated_but_for_state[i].max(self.isolated_but_for_workers[i]) => {}
+                        < self.isolated_except_state_service[i]
+                            .max(self.isolated_but_for_workers[i]) => {}
                 Effect::BroadcastHeartbeat(heartbeat) => {
                     for peer in (0..self.controllers.len()).filter(|peer| *peer != i) {
                         if self.is_in_partition(i) != self.is_in_partition(peer) {
