--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -97,7 +97,7 @@
         (
             "cut from the state service and the peers, not from workers",
             |w| {
-                assert!(w.isolate_leader_but_for_workers(60.0));
+                assert!(w.isolate_leader_except_workers(60.0));
                 to(w, 0.5);
                 assert!(w.cancel_jobs(8, 2, 6.0) >= 4);
                 to(w, 20.0);
@@ -520,7 +520,7 @@
             match chance.random_range(0..18) {
                 0 => drop(world.restart_leader(for_s.min(15.0))),
                 1 => drop(world.reject_leader(for_s)),
-                2 => drop(world.isolate_leader_but_for_workers(for_s)),
+                2 => drop(world.isolate_leader_except_workers(for_s)),
                 3 => drop(world.pause_leader(for_s)),
                 4 => drop(world.isolate_leader_except_state_service(for_s)),
                 5 => drop(world.disconnect_worker(nth, for_s)),
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -296,7 +296,7 @@
                 3 => drop(world.pause_leader(for_s)),
                 4 => drop(world.restart_leader(for_s.min(15.0))),
                 5 => drop(world.reject_leader(for_s)),
-                6 => drop(world.isolate_leader_but_for_workers(for_s)),
+                6 => drop(world.isolate_leader_except_workers(for_s)),
                 7 => drop(world.lose_instances("a", 1 + nth % 3)),
                 8 => drop(world.make_worker_faulty(nth)),
                 _ => drop(world.cancel_jobs(1 + nth % 3, nth % 3, for_s.min(LEASE_S - 1.0))),
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -37,23 +37,23 @@
         }),
         ("a leader is alone with its workers for a moment", |w| {
             w.run_until(25.0);
-            w.isolate_leader_but_for_workers(1.5);
+            w.isolate_leader_except_workers(1.5);
         }),
         (
             "a leader is alone until just before its hold-over ends",
             |w| {
                 w.run_until(25.0);
-                w.isolate_leader_but_for_workers(18.5);
+                w.isolate_leader_except_workers(18.5);
             },
         ),
         ("a leader is alone until just after its hold-over", |w| {
             w.run_until(25.0);
-            w.isolate_leader_but_for_workers(19.5);
+            w.isolate_leader_except_workers(19.5);
         }),
         ("a leader is alone and copies come late", |w| {
             w.faults.duplicate_heartbeats = 0.3;
             w.run_until(25.0);
-            w.isolate_leader_but_for_workers(45.0);
+            w.isolate_leader_except_workers(45.0);
             w.run_until(80.0);
             w.faults.duplicate_heartbeats = 0.0;
         }),
@@ -146,7 +146,7 @@
             w.run_until(25.0);
             w.restart_leader(3.0);
             w.run_until(33.0);
-            w.isolate_leader_but_for_workers(12.0);
+            w.isolate_leader_except_workers(12.0);
             w.run_until(60.0);
             w.faults.state_service_delay_s = 0.0;
         }),
@@ -344,7 +344,7 @@
         let mut world = World::with_size(2, nodes, 3);
         world.add_mixed_jobs();
         world.run_until(40.0);
-        assert!(world.isolate_leader_but_for_workers(40.0));
+        assert!(world.isolate_leader_except_workers(40.0));
         world.run_until(60.0);
         assert_eq!(
             world.workers_with_new_incarnation(),
@@ -426,7 +426,7 @@
                 }
                 2 => world.restart_worker(nth, seed % 4 < 2),
                 3 => {
-                    world.isolate_leader_but_for_workers(8.0 + 5.0 * shift);
+                    world.isolate_leader_except_workers(8.0 + 5.0 * shift);
                 }
                 4 => {
                     world.disconnect_worker(nth, 3.0 + 3.0 * shift);
--- a/tests/world/digest.rs
+++ b/tests/world/digest.rs
@@ -190,7 +190,7 @@
     match chance.random_range(0..TROUBLE_KINDS) {
         0 => drop(world.restart_leader(for_s.min(LEADER_BACK_S))),
         1 => drop(world.reject_leader(for_s)),
-        2 => drop(world.isolate_leader_but_for_workers(for_s)),
+        2 => drop(world.isolate_leader_except_workers(for_s)),
         3 => drop(world.pause_leader(for_s)),
         4 => drop(world.isolate_leader_except_state_service(for_s)),
         5 => drop(world.pause_leader_mid_turn(for_s)),
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -212,8 +212,8 @@
 
     /// Cuts the leader off from the state service and the other controllers, not from its workers. False:
     /// nobody leads.
-    pub fn isolate_leader_but_for_workers(&mut self, for_s: f64) -> bool {
-        let leader = self.set_leader_fault(for_s, |world| &mut world.isolated_but_for_workers);
+    pub fn isolate_leader_except_workers(&mut self, for_s: f64) -> bool {
+        let leader = self.set_leader_fault(for_s, |world| &mut world.isolated_except_workers);
         // Watches that are open stay open, and bring nothing.
         self.kv
             .watches
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -110,7 +110,7 @@
     /// Controllers that reach nobody but the state service, and nobody them, until then.
     isolated_except_state_service: Vec<f64>,
     /// Controllers that reach neither the state service nor other controllers, but their workers, until then.
-    isolated_but_for_workers: Vec<f64>,
+    isolated_except_workers: Vec<f64>,
     /// Controllers that stand still until then, while their clocks run on.
     paused_until: Vec<f64>,
     /// Controllers that pause for so long in the middle of their next turn: what they have decided goes out
@@ -200,7 +200,7 @@
             starts: 0,
             deleted_while_busy: Vec::new(),
             isolated_except_state_service: vec![0.0; controllers],
-            isolated_but_for_workers: vec![0.0; controllers],
+            isolated_except_workers: vec![0.0; controllers],
             paused_until: vec![0.0; controllers],
             pauses_mid_turn: vec![None; controllers],
             hung_until: vec![0.0; controllers],
@@ -369,7 +369,7 @@
             | SimEvent::PeerHeartbeatArrives(i, _)
                 if self.now < self.isolated_except_state_service[i] => {}
             SimEvent::PeerHeartbeatArrives(i, _)
-                if self.now < self.isolated_but_for_workers[i].max(self.peers_reject_until) => {}
+                if self.now < self.isolated_except_workers[i].max(self.peers_reject_until) => {}
             SimEvent::WorkerHeartbeatArrives(i, ref name, _)
                 if self
                     .workers
@@ -575,7 +575,7 @@
                     );
                     self.after(within_s, silent);
                     self.count(&call);
-                    if self.now < self.isolated_but_for_workers[i] || self.is_in_partition(i) {
+                    if self.now < self.isolated_except_workers[i] || self.is_in_partition(i) {
                         continue;
                     }
                     self.send(SimEvent::KvRequestArrives(
@@ -648,7 +648,7 @@
                 Effect::BroadcastHeartbeat(_)
                     if self.now
                         < self.isolated_except_state_service[i]
-                            .max(self.isolated_but_for_workers[i]) => {}
+                            .max(self.isolated_except_workers[i]) => {}
                 Effect::BroadcastHeartbeat(heartbeat) => {
                     for peer in (0..self.controllers.len()).filter(|peer| *peer != i) {
                         if self.is_in_partition(i) != self.is_in_partition(peer) {
