--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -64,20 +64,20 @@
         ("moments, again and again", |w| {
             for i in 0..15 {
                 to(w, 3.0 * f64::from(i));
-                assert!(w.pause_leader_mid_turn(0.3 + 0.1 * f64::from(i)));
+                assert!(w.pause_leader_before_sending(0.3 + 0.1 * f64::from(i)));
             }
-            assert!(w.counts.pauses >= 10);
+            assert!(w.counts.pauses_before_sending >= 10);
         }),
         (
             "for longer than the leader's lease, amid cancellations",
             |w| {
                 for at in [0.0, 20.0, 40.0] {
                     to(w, at);
-                    assert!(w.pause_leader_mid_turn(4.0));
+                    assert!(w.pause_leader_before_sending(4.0));
                     w.cancel_jobs(1, 0, 0.0);
                 }
                 to(w, 50.0);
-                assert!(w.counts.pauses >= 3);
+                assert!(w.counts.pauses_before_sending >= 3);
                 assert!(
                     w.cancellations_confirmed(BEGIN, BEGIN + 50.0) >= 1,
                     "cancelled meanwhile"
@@ -85,19 +85,19 @@
             },
         ),
         ("for longer than the workers' leases", |w| {
-            assert!(w.pause_leader_mid_turn(LEASE_S + 3.0));
+            assert!(w.pause_leader_before_sending(LEASE_S + 3.0));
             to(w, 0.2);
             w.cancel_jobs(3, 2, 6.0);
             to(w, 30.0);
-            assert_eq!(w.counts.pauses, 1);
+            assert_eq!(w.counts.pauses_before_sending, 1);
             assert!(w.leader_changes() >= 2, "another leads");
         }),
         ("for longer than a cancellation takes", |w| {
-            assert!(w.pause_leader_mid_turn(CANCEL_S + 5.0));
+            assert!(w.pause_leader_before_sending(CANCEL_S + 5.0));
             to(w, 0.2);
             w.cancel_jobs(4, 2, 9.0);
             to(w, 45.0);
-            assert_eq!(w.counts.pauses, 1);
+            assert_eq!(w.counts.pauses_before_sending, 1);
         }),
         (
             "while the state service is slow and answers get lost",
@@ -107,10 +107,10 @@
                 w.faults.lost_responses = 0.03;
                 for i in 0..6 {
                     to(w, 8.0 * f64::from(i));
-                    w.pause_leader_mid_turn(1.0 + f64::from(i));
+                    w.pause_leader_before_sending(1.0 + f64::from(i));
                 }
                 to(w, 55.0);
-                assert!(w.counts.pauses >= 3 && w.counts.late_txns >= 1);
+                assert!(w.counts.pauses_before_sending >= 3 && w.counts.late_txns >= 1);
             },
         ),
     ]);
@@ -201,7 +201,7 @@
             w.faults.late_requests = 0.05;
             w.lose_instances("a", 4);
             to(w, 3.0);
-            w.pause_leader_mid_turn(3.0);
+            w.pause_leader_before_sending(3.0);
             to(w, 30.0);
             assert!(w.counts.instant_boots >= 2);
         }),
@@ -291,7 +291,7 @@
             let nth = chance.random_range(0..8);
             let for_s = NetworkFaults::duration(&mut chance);
             match chance.random_range(0..10) {
-                0 | 1 => drop(world.pause_leader_mid_turn(for_s)),
+                0 | 1 => drop(world.pause_leader_before_sending(for_s)),
                 2 => drop(world.hang_leader(10.0 + for_s)),
                 3 => drop(world.pause_leader(for_s)),
                 4 => drop(world.restart_leader(for_s.min(15.0))),
@@ -307,7 +307,7 @@
         let end = world.now + 1.5 * CANCEL_S + 200.0;
         world.run_until(end);
         world.check(&format!("seed {seed}"));
-        pauses += world.counts.pauses;
+        pauses += world.counts.pauses_before_sending;
         unanswered += world.counts.unanswered;
         failures += world.counts.failures.values().sum::<u32>();
         boots += world.counts.instant_boots.min(world.counts.failed_boots);
--- a/tests/world/checks.rs
+++ b/tests/world/checks.rs
@@ -44,7 +44,7 @@
     /// Watches that were refused for their rate.
     pub limited_watches: u32,
     /// Pauses of a controller between a decision and what follows from it.
-    pub pauses: u32,
+    pub pauses_before_sending: u32,
     /// Requests of users to a controller that has ended without a word.
     pub unanswered: u32,
     /// Machines that never come up, and those that are up at once.
--- a/tests/world/digest.rs
+++ b/tests/world/digest.rs
@@ -193,7 +193,7 @@
         2 => drop(world.isolate_leader_except_workers(for_s)),
         3 => drop(world.pause_leader(for_s)),
         4 => drop(world.isolate_leader_except_state_service(for_s)),
-        5 => drop(world.pause_leader_mid_turn(for_s)),
+        5 => drop(world.pause_leader_before_sending(for_s)),
         6 => drop(world.hang_leader(for_s)),
         7 => drop(world.bypass_leader(for_s)),
         8 => drop(world.hang_watch(for_s)),
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -229,10 +229,10 @@
 
     /// The leader pauses in the middle of its next turn: what it has decided goes out afterwards. False:
     /// nobody leads.
-    pub fn pause_leader_mid_turn(&mut self, for_s: f64) -> bool {
+    pub fn pause_leader_before_sending(&mut self, for_s: f64) -> bool {
         let leader = self.leader();
         if let Some(leader) = leader {
-            self.pauses_mid_turn[leader] = Some(for_s);
+            self.pause_before_sending_s[leader] = Some(for_s);
         }
         leader.is_some()
     }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -115,7 +115,7 @@
     paused_until: Vec<f64>,
     /// Controllers that pause for so long in the middle of their next turn: what they have decided goes out
     /// afterwards.
-    pauses_mid_turn: Vec<Option<f64>>,
+    pause_before_sending_s: Vec<Option<f64>>,
     /// Controllers that have ended without a word until then: connections to them hang.
     hung_until: Vec<f64>,
     partition: Option<ZonePartition>,
@@ -202,7 +202,7 @@
             isolated_except_state_service: vec![0.0; controllers],
             isolated_except_workers: vec![0.0; controllers],
             paused_until: vec![0.0; controllers],
-            pauses_mid_turn: vec![None; controllers],
+            pause_before_sending_s: vec![None; controllers],
             hung_until: vec![0.0; controllers],
             partition: None,
             rejected_until: vec![0.0; controllers],
@@ -517,9 +517,9 @@
         if actions.is_empty() {
             return;
         }
-        if let Some(for_s) = self.pauses_mid_turn[i].take() {
+        if let Some(for_s) = self.pause_before_sending_s[i].take() {
             let until = self.now + for_s;
-            self.counts.pauses += 1;
+            self.counts.pauses_before_sending += 1;
             self.paused_until[i] = until;
             self.at(
                 until,
