--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -62,7 +62,7 @@
 fn cancellations_that_the_leader_does_not_hear_of() {
     play(&[
         ("refused alone, then an outage longer than cancel_s", |w| {
-            assert!(w.reject_leader(6.0));
+            assert!(w.fail_state_requests_of_leader(6.0));
             to(w, 0.1);
             assert!(w.cancel_jobs(6, 0, 0.0) >= 4);
             to(w, 1.6);
@@ -71,7 +71,7 @@
             to(w, 50.0);
         }),
         ("the same, and the machines of the cancelled hang", |w| {
-            assert!(w.reject_leader(6.0));
+            assert!(w.fail_state_requests_of_leader(6.0));
             to(w, 0.1);
             assert!(w.cancel_jobs(6, 4, LEASE_S - 2.0) >= 4);
             to(w, 1.6);
@@ -84,7 +84,7 @@
             |w| {
                 w.faults.duplicate_heartbeats = 0.4;
                 w.faults.delayed_heartbeats = 0.1;
-                assert!(w.reject_leader(6.0));
+                assert!(w.fail_state_requests_of_leader(6.0));
                 to(w, 0.1);
                 assert!(w.cancel_jobs(6, 2, 5.0) >= 4);
                 to(w, 1.6);
@@ -151,7 +151,7 @@
         ("refused and back again and again", |w| {
             for i in 0..6 {
                 to(w, 9.0 * f64::from(i));
-                w.reject_leader(1.2);
+                w.fail_state_requests_of_leader(1.2);
                 let at = 9.0 * f64::from(i) + 0.2;
                 to(w, at);
                 w.cancel_jobs(1, 1, 4.0);
@@ -166,7 +166,7 @@
             |w| {
                 w.faults.state_service_delay_s = 0.15;
                 to(w, 5.0);
-                assert!(w.reject_leader(8.0));
+                assert!(w.fail_state_requests_of_leader(8.0));
                 assert!(w.cancel_jobs(6, 0, 0.0) >= 4);
                 w.repeat_requests();
                 to(w, 8.5);
@@ -519,7 +519,7 @@
             let for_s = NetworkFaults::duration(&mut chance);
             match chance.random_range(0..18) {
                 0 => drop(world.restart_leader(for_s.min(15.0))),
-                1 => drop(world.reject_leader(for_s)),
+                1 => drop(world.fail_state_requests_of_leader(for_s)),
                 2 => drop(world.isolate_leader_except_workers(for_s)),
                 3 => drop(world.pause_leader(for_s)),
                 4 => drop(world.isolate_leader_except_state_service(for_s)),
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -169,7 +169,7 @@
                 to(w, 5.0);
                 w.restart_leader(3.0);
                 to(w, 20.0);
-                w.reject_leader(8.0);
+                w.fail_state_requests_of_leader(8.0);
                 to(w, 40.0);
             },
         ),
@@ -295,7 +295,7 @@
                 2 => drop(world.hang_leader(10.0 + for_s)),
                 3 => drop(world.pause_leader(for_s)),
                 4 => drop(world.restart_leader(for_s.min(15.0))),
-                5 => drop(world.reject_leader(for_s)),
+                5 => drop(world.fail_state_requests_of_leader(for_s)),
                 6 => drop(world.isolate_leader_except_workers(for_s)),
                 7 => drop(world.lose_instances("a", 1 + nth % 3)),
                 8 => drop(world.make_worker_faulty(nth)),
--- a/tests/permit_guards.rs
+++ b/tests/permit_guards.rs
@@ -119,7 +119,7 @@
     for seed in SEEDS {
         let mut world = with_room(seed);
         with_undelivered_starts(&mut world, 0.0, 1.2);
-        assert!(world.reject_leader(4.0));
+        assert!(world.fail_state_requests_of_leader(4.0));
         assert!(world.bypass_leader(4.0));
         world.reject_peers(4.0);
         cancel(&mut world, 0.65);
--- a/tests/world/digest.rs
+++ b/tests/world/digest.rs
@@ -189,7 +189,7 @@
     let for_s = NetworkFaults::duration(chance);
     match chance.random_range(0..TROUBLE_KINDS) {
         0 => drop(world.restart_leader(for_s.min(LEADER_BACK_S))),
-        1 => drop(world.reject_leader(for_s)),
+        1 => drop(world.fail_state_requests_of_leader(for_s)),
         2 => drop(world.isolate_leader_except_workers(for_s)),
         3 => drop(world.pause_leader(for_s)),
         4 => drop(world.isolate_leader_except_state_service(for_s)),
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -281,8 +281,8 @@
 
     /// The state service refuses the leader alone: its calls get 503, its open watches wait. False:
     /// nobody leads.
-    pub fn reject_leader(&mut self, for_s: f64) -> bool {
-        self.set_leader_fault(for_s, |world| &mut world.rejected_until)
+    pub fn fail_state_requests_of_leader(&mut self, for_s: f64) -> bool {
+        self.set_leader_fault(for_s, |world| &mut world.state_requests_fail_until)
             .is_some()
     }
 
--- a/tests/world/kv_service.rs
+++ b/tests/world/kv_service.rs
@@ -79,7 +79,7 @@
         correlation_id: u64,
         request: KvRequest,
     ) {
-        if self.now < self.rejected_until[i] {
+        if self.now < self.state_requests_fail_until[i] {
             let refused = KvResponse::Unavailable;
             let answer =
                 SimEvent::KvResponseArrives(i, process_incarnation, correlation_id, refused);
@@ -157,7 +157,7 @@
     fn watch_response(&self, watch: &Watch) -> Option<KvResponse> {
         let hangs =
             watch.prefix == OPEN_PREFIX && self.now < self.watch_hangs_until[watch.controller];
-        if hangs || self.now < self.rejected_until[watch.controller] {
+        if hangs || self.now < self.state_requests_fail_until[watch.controller] {
             return None;
         }
         let response = self
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -120,7 +120,7 @@
     hung_until: Vec<f64>,
     partition: Option<ZonePartition>,
     /// Controllers that the state service refuses, until then.
-    rejected_until: Vec<f64>,
+    state_requests_fail_until: Vec<f64>,
     /// Controllers whose watch on the open jobs gets no answers, until then.
     watch_hangs_until: Vec<f64>,
     /// Controllers whose watch on the open jobs is over the state service's rate limit, until then.
@@ -205,7 +205,7 @@
             pause_before_sending_s: vec![None; controllers],
             hung_until: vec![0.0; controllers],
             partition: None,
-            rejected_until: vec![0.0; controllers],
+            state_requests_fail_until: vec![0.0; controllers],
             watch_hangs_until: vec![0.0; controllers],
             watch_limited_until: vec![0.0; controllers],
             timers_last: vec![false; controllers],
