--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -112,7 +112,7 @@
                 w.hang_listings(CANCEL_S + 18.0);
                 // Nor do users who ask bring it any word.
                 assert!(w.bypass_leader(CANCEL_S + 18.0));
-                w.reject_peers(CANCEL_S + 18.0);
+                w.refuse_peer_connections(CANCEL_S + 18.0);
                 to(w, 3.0);
                 assert!(w.cancel_jobs(8, 0, 0.0) >= 4);
                 to(w, 12.0);
@@ -124,7 +124,7 @@
             let reigns = w.leader_changes();
             assert!(w.hang_watch(60.0));
             // Peers are no help either.
-            w.reject_peers(60.0);
+            w.refuse_peer_connections(60.0);
             to(w, 3.0);
             assert!(w.cancel_jobs(8, 0, 0.0) >= 4);
             // Jobs may have been cancelled of which it doesn't know.
@@ -529,7 +529,7 @@
                 8 => world.restart_worker(nth, false),
                 9 => drop(world.partition_zone("b", nth % 2 == 0, nth % 3, for_s)),
                 10 => drop(world.lose_instances("a", 1 + nth % 2)),
-                11 => world.reject_peers(for_s),
+                11 => world.refuse_peer_connections(for_s),
                 12 => drop(world.hang_watch(for_s)),
                 13 => world.hang_listings(for_s),
                 14 => {
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -152,7 +152,7 @@
         }),
         ("nodes refuse one another while the leader changes", |w| {
             w.run_until(24.0);
-            w.reject_peers(30.0);
+            w.refuse_peer_connections(30.0);
             w.restart_leader(4.0);
             w.run_until(40.0);
             w.isolate_leader_except_state_service(9.0);
@@ -443,7 +443,7 @@
                 8 => {
                     world.partition_zone("b", seed % 2 == 0, 1, 6.0 + 4.0 * shift);
                 }
-                9 => world.reject_peers(15.0),
+                9 => world.refuse_peer_connections(15.0),
                 _ => {
                     world.restart_leader(5.0);
                 }
--- a/tests/world/digest.rs
+++ b/tests/world/digest.rs
@@ -198,7 +198,7 @@
         7 => drop(world.bypass_leader(for_s)),
         8 => drop(world.hang_watch(for_s)),
         9 => world.hang_listings(for_s),
-        10 => world.reject_peers(for_s),
+        10 => world.refuse_peer_connections(for_s),
         11 => drop(world.partition_zone(zone, chance.random_bool(0.5), few - 1, for_s)),
         12 => drop(world.disconnect_worker(nth, for_s)),
         13 => drop(world.block_traffic_to_worker(nth, for_s)),
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -415,8 +415,8 @@
     }
 
     /// Controllers refuse one another's connections.
-    pub fn reject_peers(&mut self, for_s: f64) {
-        self.peers_reject_until = self.now + for_s;
+    pub fn refuse_peer_connections(&mut self, for_s: f64) {
+        self.peer_connections_refused_until = self.now + for_s;
     }
 
     /// Restarts the leader, which is back after a moment. False: nobody leads.
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -134,7 +134,7 @@
     /// Each controller's newest transaction that was carried out.
     newest_txn: BTreeMap<usize, u64>,
     /// Until then controllers refuse one another's connections.
-    peers_reject_until: f64,
+    peer_connections_refused_until: f64,
     /// Machines that each pool of the cloud has.
     pool: u32,
     pub counts: Counters,
@@ -212,7 +212,7 @@
             bypassed_until: vec![0.0; controllers],
             listings_hang_until: 0.0,
             newest_txn: BTreeMap::new(),
-            peers_reject_until: 0.0,
+            peer_connections_refused_until: 0.0,
             pool,
             counts: Counters::default(),
             delayed_commands: DelayedCommands::default(),
@@ -369,7 +369,8 @@
             | SimEvent::PeerHeartbeatArrives(i, _)
                 if self.now < self.isolated_except_state_service[i] => {}
             SimEvent::PeerHeartbeatArrives(i, _)
-                if self.now < self.isolated_except_workers[i].max(self.peers_reject_until) => {}
+                if self.now
+                    < self.isolated_except_workers[i].max(self.peer_connections_refused_until) => {}
             SimEvent::WorkerHeartbeatArrives(i, ref name, _)
                 if self
                     .workers
