--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -22,10 +22,10 @@
         }),
         (
             "the state service is out for longer than a worker's lease",
-            |w| w.outage(25.0, 45.0),
+            |w| w.state_service_outage(25.0, 45.0),
         ),
         ("a crash during an outage", |w| {
-            w.outage(25.0, 40.0);
+            w.state_service_outage(25.0, 40.0);
             w.crash(1, 30.0, 35.0);
             w.crash(0, 38.0, 43.0);
         }),
@@ -132,7 +132,7 @@
         world.crash((seed % 3) as usize, 14.0 + shift, 14.3 + shift * 0.7);
         world.crash(((seed + 1) % 3) as usize, 33.0 + shift, 38.0 + shift);
         if seed % 2 == 0 {
-            world.outage(28.0 + shift, 36.0 + 2.0 * shift);
+            world.state_service_outage(28.0 + shift, 36.0 + 2.0 * shift);
         }
         for i in 0..5u32 {
             world.run_until(15.0 + 12.0 * f64::from(i) + shift);
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -67,7 +67,7 @@
             assert!(w.cancel_jobs(6, 0, 0.0) >= 4);
             to(w, 1.6);
             assert!(told(w, 0.0, 1.6) >= 2, "confirmed while it was refused");
-            w.outage_for(CANCEL_S + 8.0);
+            w.state_service_outage_for(CANCEL_S + 8.0);
             to(w, 50.0);
         }),
         ("the same, and the machines of the cancelled hang", |w| {
@@ -76,7 +76,7 @@
             assert!(w.cancel_jobs(6, 4, LEASE_S - 2.0) >= 4);
             to(w, 1.6);
             assert!(told(w, 0.0, 1.6) >= 2, "confirmed while it was refused");
-            w.outage_for(CANCEL_S + 8.0);
+            w.state_service_outage_for(CANCEL_S + 8.0);
             to(w, 50.0);
         }),
         (
@@ -89,7 +89,7 @@
                 assert!(w.cancel_jobs(6, 2, 5.0) >= 4);
                 to(w, 1.6);
                 assert!(told(w, 0.0, 1.6) >= 2, "confirmed while it was refused");
-                w.outage_for(CANCEL_S + 8.0);
+                w.state_service_outage_for(CANCEL_S + 8.0);
                 w.pause_leader(12.0);
                 to(w, 50.0);
             },
@@ -156,7 +156,7 @@
                 to(w, at);
                 w.cancel_jobs(1, 1, 4.0);
                 to(w, at + 1.0);
-                w.outage_for(4.0 + f64::from(i));
+                w.state_service_outage_for(4.0 + f64::from(i));
             }
             to(w, 60.0);
             assert!(told(w, 0.0, 60.0) >= 3);
@@ -171,7 +171,7 @@
                 w.repeat_requests();
                 to(w, 8.5);
                 assert!(told(w, 5.0, 8.5) >= 2, "confirmed while it was refused");
-                w.outage_for(CANCEL_S + 5.0);
+                w.state_service_outage_for(CANCEL_S + 5.0);
                 to(w, 20.0);
                 w.repeat_requests();
                 w.send_invalid_requests();
@@ -276,7 +276,7 @@
                 w.restart_leader(if i % 3 == 0 { 5.0 } else { 0.5 });
                 if i == 4 {
                     let now = w.now;
-                    w.outage(now + 1.0, now + 14.0);
+                    w.state_service_outage(now + 1.0, now + 14.0);
                 }
                 if i % 4 == 1 {
                     w.cancel_jobs(1, 1, 4.0);
@@ -410,7 +410,7 @@
                 w.repeat_requests();
                 match i {
                     3 => {
-                        w.outage_for(9.0);
+                        w.state_service_outage_for(9.0);
                     }
                     7 => {
                         w.restart_leader(3.0);
@@ -545,7 +545,7 @@
                 }
                 16 => {
                     let now = world.now;
-                    world.outage_for(for_s);
+                    world.state_service_outage_for(for_s);
                     world.run_until(now + 0.5 * for_s);
                     world.cancel_jobs(1, 1, 5.0);
                     world.run_until(now + for_s + 0.01);
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -177,7 +177,7 @@
             w.faults.extra_polls = 10.0;
             w.cancel_jobs(3, 0, 0.0);
             to(w, 0.6);
-            w.outage_for(20.0);
+            w.state_service_outage_for(20.0);
             to(w, 25.0);
         }),
     ]);
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -130,7 +130,7 @@
             w.disconnect_worker(2, 40.0);
         }),
         ("all controllers end twice, once in an outage", |w| {
-            w.outage(24.0, 31.0);
+            w.state_service_outage(24.0, 31.0);
             for (node, at) in [(0, 27.0), (1, 27.0), (2, 27.1)] {
                 w.crash(node, at, at + 3.0);
                 w.crash(node, at + 20.0, at + 23.0);
@@ -412,7 +412,7 @@
         };
         let shift = (seed % 7) as f64;
         if seed % 3 == 0 {
-            world.outage(27.0 + shift, 33.0 + 3.0 * shift);
+            world.state_service_outage(27.0 + shift, 33.0 + 3.0 * shift);
         }
         for i in 0..9u32 {
             world.run_until(15.0 + 7.0 * f64::from(i) + shift);
--- a/tests/world/digest.rs
+++ b/tests/world/digest.rs
@@ -225,7 +225,7 @@
         }
         _ => {
             // Cancellations come in its midst.
-            world.outage_for(for_s);
+            world.state_service_outage_for(for_s);
             world.run_until(now + 0.5 * for_s);
             world.cancel_jobs(1, 1, 5.0);
         }
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -75,14 +75,14 @@
         self.at(back, SimEvent::ControllerStarts(controller));
     }
 
-    pub fn outage(&mut self, from: f64, to: f64) {
+    pub fn state_service_outage(&mut self, from: f64, to: f64) {
         self.at(from, SimEvent::StateServiceOutage(true));
         self.at(to, SimEvent::StateServiceOutage(false));
     }
 
     /// An outage of the state service that begins now.
-    pub fn outage_for(&mut self, for_s: f64) {
-        self.outage(self.now, self.now + for_s);
+    pub fn state_service_outage_for(&mut self, for_s: f64) {
+        self.state_service_outage(self.now, self.now + for_s);
     }
 
     /// Whether the cut is between a controller and a zone.
