--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -52,7 +52,7 @@
             let name = format!("{name}, {nodes} controllers, seed {seed}");
             // However soon it would have been ended.
             assert_eq!(world.counts.starts_after_cancel, 0, "{name}");
-            world.check_with_largest(&name);
+            world.check_with_starvation(&name);
         }
     }
 }
@@ -557,6 +557,6 @@
         world.end_faults(calm);
         let end = world.now + 1.5 * CANCEL_S + 150.0;
         world.run_until(end);
-        world.check_with_largest(&format!("seed {seed}"));
+        world.check_with_starvation(&format!("seed {seed}"));
     }
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -51,7 +51,7 @@
             let calm = world.now.max(BEGIN + 70.0);
             world.end_faults(calm);
             world.run_until(calm + 150.0);
-            world.check_with_largest(&name);
+            world.check_with_starvation(&name);
         }
     }
 }
@@ -248,7 +248,7 @@
         world.run_until(60.0);
         world.restart_leader(3.0);
         world.run_until(320.0);
-        world.check_with_largest(&name);
+        world.check_with_starvation(&name);
     }
 }
 
--- a/tests/permit_guards.rs
+++ b/tests/permit_guards.rs
@@ -28,7 +28,7 @@
 fn check(world: &mut World, name: &str) {
     world.end_faults(world.now);
     world.run_until(world.now + 100.0);
-    world.check_with_largest(name);
+    world.check_with_starvation(name);
 }
 
 /// A leader that is partitioned together with its workers stands still while the grace period ends, and the workers
--- a/tests/world/checks.rs
+++ b/tests/world/checks.rs
@@ -71,9 +71,9 @@
     }
 
     /// The same, and the largest jobs have begun in time.
-    pub fn check_with_largest(&self, name: &str) {
+    pub fn check_with_starvation(&self, name: &str) {
         self.check(name);
-        assert_eq!(self.largest_late(), Vec::<&str>::new(), "{name}");
+        assert_eq!(self.starved_largest_jobs(), Vec::<&str>::new(), "{name}");
     }
 
     /// Notes a heartbeat that comes late.
@@ -186,7 +186,7 @@
     }
 
     /// Jobs with the most tasks that began later than four minutes after they were submitted.
-    pub fn largest_late(&self) -> Vec<&str> {
+    pub fn starved_largest_jobs(&self) -> Vec<&str> {
         let most = self.users.iter().map(|u| u.tasks).max().unwrap_or(0);
         let late = |u: &&User| {
             let begun = u.first_started_at.unwrap_or(f64::INFINITY);
