--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -62,7 +62,7 @@
         trouble(&mut world);
         world.run_until(200.0);
         assert_eq!(world.violations, Vec::<String>::new(), "{name}");
-        assert_eq!(world.unfinished(), Vec::<&str>::new(), "{name}");
+        assert_eq!(world.unfinished_jobs(), Vec::<&str>::new(), "{name}");
         assert!(world.starts >= 24, "{name}: {} starts", world.starts);
         assert!(
             world.instances() < 12,
@@ -105,7 +105,7 @@
         world.run_until(200.0);
         assert_eq!(world.deleted_while_busy, before, "seed {seed}");
         assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
-        assert_eq!(world.unfinished(), Vec::<&str>::new(), "seed {seed}");
+        assert_eq!(world.unfinished_jobs(), Vec::<&str>::new(), "seed {seed}");
     }
 }
 
@@ -144,6 +144,6 @@
         world.faults = NetworkFaults::default();
         world.run_until(260.0);
         assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
-        assert_eq!(world.unfinished(), Vec::<&str>::new(), "seed {seed}");
+        assert_eq!(world.unfinished_jobs(), Vec::<&str>::new(), "seed {seed}");
     }
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -337,7 +337,11 @@
             }
             trouble(&mut world);
             world.run_until(108.0);
-            assert_eq!(world.unanswered(10.0), Vec::<&str>::new(), "{name}: known");
+            assert_eq!(
+                world.unanswered_jobs(10.0),
+                Vec::<&str>::new(),
+                "{name}: known"
+            );
             for n in 100..104 {
                 let failures = failures_of(&world, n);
                 assert!(failures >= 3, "{name}: it did fail: {failures}");
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -490,7 +490,7 @@
     }
     world.run_until(150.0);
     assert_eq!(world.violations, Vec::<String>::new());
-    assert_eq!(world.unfinished(), Vec::<&str>::new());
+    assert_eq!(world.unfinished_jobs(), Vec::<&str>::new());
     assert!(world.starts >= 40 * 60 + 20 * 8);
     let counts = &world.counts;
     let most = |of: &std::collections::BTreeMap<u64, u32>| of.values().copied().max().unwrap_or(0);
@@ -544,7 +544,7 @@
     assert_eq!(world.workers_with_new_incarnation(), 0);
     world.run_until(95.0);
     assert_eq!(world.violations, Vec::<String>::new());
-    assert_eq!(world.unfinished(), Vec::<&str>::new());
+    assert_eq!(world.unfinished_jobs(), Vec::<&str>::new());
     let counts = &world.counts;
     let most = |of: &std::collections::BTreeMap<u64, u32>| of.values().copied().max().unwrap_or(0);
     assert!(most(&counts.requests) <= 2 * 150, "{:?}", counts.requests);
--- a/tests/world/checks.rs
+++ b/tests/world/checks.rs
@@ -66,8 +66,12 @@
     /// Nothing broken, all jobs at their end, and each answered for lately.
     pub fn check(&self, name: &str) {
         assert_eq!(self.violations, Vec::<String>::new(), "{name}");
-        assert_eq!(self.unfinished(), Vec::<&str>::new(), "{name}");
-        assert_eq!(self.unanswered(ANSWERED_S), Vec::<&str>::new(), "{name}");
+        assert_eq!(self.unfinished_jobs(), Vec::<&str>::new(), "{name}");
+        assert_eq!(
+            self.unanswered_jobs(ANSWERED_S),
+            Vec::<&str>::new(),
+            "{name}"
+        );
     }
 
     /// The same, and the largest jobs have begun in time.
@@ -233,7 +237,7 @@
     }
 
     /// Users of accepted jobs who have had no answer for so long.
-    pub fn unanswered(&self, for_s: f64) -> Vec<&str> {
+    pub fn unanswered_jobs(&self, for_s: f64) -> Vec<&str> {
         self.users
             .iter()
             .filter(|u| u.accepted && self.now - u.last_answered_at > for_s)
@@ -242,7 +246,7 @@
     }
 
     /// Users whose job has not come to its end.
-    pub fn unfinished(&self) -> Vec<&str> {
+    pub fn unfinished_jobs(&self) -> Vec<&str> {
         self.users
             .iter()
             .filter(|u| {
