--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -65,7 +65,7 @@
         assert_eq!(world.unfinished_jobs(), Vec::<&str>::new(), "{name}");
         assert!(world.starts >= 24, "{name}: {} starts", world.starts);
         assert!(
-            world.instances() < 12,
+            world.instance_count() < 12,
             "{name}: idle machines are given back"
         );
     }
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -465,9 +465,9 @@
         world.add_user(n, 0.5 + 0.3 * f64::from(n), (4, 0.0, true, false), cancel);
     }
     world.run_until(44.0);
-    let before = world.instances();
+    let before = world.instance_count();
     world.run_until(110.0);
-    let after = world.instances();
+    let after = world.instance_count();
     // 48 replicas fill twelve machines; a little room is kept in both zones.
     assert!(
         before >= 24 && after <= 16,
@@ -529,7 +529,7 @@
         world.add_user(n, 1.0, (16, 0.0, true, false), None);
     }
     world.run_until(20.0);
-    let rented = world.instances();
+    let rented = world.instance_count();
     assert!(rented > 2_000, "{rented} machines for 17,000 tasks");
     world.run_until(40.0);
     let reports = world.counts.heartbeats;
@@ -537,7 +537,7 @@
     world.run_until(50.0);
     // All workers have come to the new leader, by two reports each at most.
     assert!(
-        world.counts.heartbeats - reports < 9 * world.instances() as u32,
+        world.counts.heartbeats - reports < 9 * world.instance_count() as u32,
         "{} reports in ten seconds",
         world.counts.heartbeats - reports
     );
@@ -572,7 +572,11 @@
             world.add_user(n, 10.0 + f64::from(n - 60), (60, 8.0, false, true), None);
         }
         world.run_until(40.0);
-        assert!(world.instances() > 240, "{name}: {}", world.instances());
+        assert!(
+            world.instance_count() > 240,
+            "{name}: {}",
+            world.instance_count()
+        );
         for _ in 0..40 {
             world.reclaim_instance();
         }
--- a/tests/world/cloud.rs
+++ b/tests/world/cloud.rs
@@ -122,7 +122,7 @@
         self.instances.contains_key(name)
     }
 
-    pub fn instances(&self) -> usize {
+    pub fn instance_count(&self) -> usize {
         self.instances.len()
     }
 }
--- a/tests/world/digest.rs
+++ b/tests/world/digest.rs
@@ -92,11 +92,11 @@
     traffic(&mut world, &mut chance, pool);
     world.faults = weather(&mut chance);
     world.run_until(TROUBLES_FROM_S);
-    let mut workers = world.instances();
+    let mut workers = world.instance_count();
     while world.now < TROUBLES_UNTIL_S {
         let next = world.now + chance.random::<f64>() * BETWEEN_TROUBLES_S;
         world.run_until(next);
-        workers = workers.max(world.instances());
+        workers = workers.max(world.instance_count());
         trouble(&mut world, &mut chance);
     }
     world.end_faults(f64::INFINITY);
@@ -182,7 +182,7 @@
 /// One of all troubles, at random.
 fn trouble(world: &mut World, chance: &mut SmallRng) {
     let now = world.now;
-    let nth = chance.random_range(0..world.instances().max(1));
+    let nth = chance.random_range(0..world.instance_count().max(1));
     let few = chance.random_range(1..=MAX_TARGETS);
     let by_chance = chance.random_bool(0.5);
     let zone = if by_chance { "a" } else { "b" };
