--- a/tests/late_commands.rs
+++ b/tests/late_commands.rs
@@ -52,7 +52,10 @@
 }
 
 fn surviving_attempts(world: &World) -> (BTreeMap<String, u64>, BTreeMap<String, u64>) {
-    (world.attempts_of(SERVICE), world.attempts_of(LONG_ARRAY))
+    (
+        world.running_attempts_of(SERVICE),
+        world.running_attempts_of(LONG_ARRAY),
+    )
 }
 
 /// Starts that were held longer than `cancel_s` arrive at workers whose reports were answered all the
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -467,7 +467,7 @@
             w.add_user_in_zone(61, BEGIN, (6, 15.0, false, false), Some("b"), None);
             w.add_user_in_zone(62, BEGIN, (6, 15.0, false, true), Some("a"), None);
             to(w, 14.0);
-            assert!(w.running_of(&[60, 61, 62]) >= 3, "they run");
+            assert!(w.running_tasks_of(&[60, 61, 62]) >= 3, "they run");
             let before: BTreeSet<String> = w.instances_in("b", false);
             assert!(!before.is_empty());
             let lost = w.lose_instances("b", 2);
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -226,7 +226,7 @@
         guests(&mut world, 20.0);
         world.run_until(34.0);
         let jobs: Vec<u32> = (200..241).collect();
-        let running = world.running_of(&jobs);
+        let running = world.running_tasks_of(&jobs);
         assert!(running >= 10, "{name}: {running} tasks of guests run");
         // Replicas and arrays that come amid them.
         for n in 60..64 {
--- a/tests/world/checks.rs
+++ b/tests/world/checks.rs
@@ -126,14 +126,14 @@
     }
 
     /// Running tasks of these jobs.
-    pub fn running_of(&self, jobs: &[u32]) -> usize {
+    pub fn running_tasks_of(&self, jobs: &[u32]) -> usize {
         let ids: BTreeSet<String> = jobs.iter().map(|n| format!("j-{n:06}")).collect();
         let of = |task_id: &str| ids.contains(job_of(task_id));
         self.running().filter(|(task_id, _)| of(task_id)).count()
     }
 
     /// The attempts of a job that run.
-    pub fn attempts_of(&self, job: u32) -> BTreeMap<String, u64> {
+    pub fn running_attempts_of(&self, job: u32) -> BTreeMap<String, u64> {
         let id = format!("j-{job:06}");
         let of = self.running().filter(|(task_id, _)| job_of(task_id) == id);
         of.map(|(task_id, task)| (task_id.to_owned(), task.attempt))
