--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -126,7 +126,7 @@
             to(w, 6.0);
             assert!(w.leader_changes() >= 2, "another leads soon");
             to(w, 62.0);
-            assert!(w.counts.unanswered >= 5);
+            assert!(w.counts.requests_to_hung_controllers >= 5);
         }),
         (
             "the leader, and then its successor, amid cancellations",
@@ -137,7 +137,7 @@
                 to(w, 9.0);
                 w.restart_leader(0.3);
                 to(w, 72.0);
-                assert!(w.counts.unanswered >= 5);
+                assert!(w.counts.requests_to_hung_controllers >= 5);
             },
         ),
         ("the leader, while its successor's machines hang", |w| {
@@ -146,7 +146,7 @@
             to(w, 20.0);
             w.pause_leader(12.0);
             to(w, 67.0);
-            assert!(w.counts.unanswered >= 5);
+            assert!(w.counts.requests_to_hung_controllers >= 5);
         }),
     ]);
 }
@@ -308,7 +308,7 @@
         world.run_until(end);
         world.check(&format!("seed {seed}"));
         pauses += world.counts.pauses_before_sending;
-        unanswered += world.counts.unanswered;
+        unanswered += world.counts.requests_to_hung_controllers;
         failures += world.counts.failures.values().sum::<u32>();
         boots += world.counts.instant_boots.min(world.counts.failed_boots);
     }
--- a/tests/world/checks.rs
+++ b/tests/world/checks.rs
@@ -46,7 +46,7 @@
     /// Pauses of a controller between a decision and what follows from it.
     pub pauses_before_sending: u32,
     /// Requests of users to a controller that has ended without a word.
-    pub unanswered: u32,
+    pub requests_to_hung_controllers: u32,
     /// Machines that never come up, and those that are up at once.
     pub failed_boots: u32,
     pub instant_boots: u32,
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -488,7 +488,7 @@
         if self.controllers[i].is_none() {
             if let SimEvent::UserResponseArrives(user, ask, ..) = back {
                 let wait_s = if self.now < self.hung_until[i] {
-                    self.counts.unanswered += 1;
+                    self.counts.requests_to_hung_controllers += 1;
                     USER_PATIENCE_S
                 } else {
                     0.01
