--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -301,7 +301,7 @@
 
 fn failures_of(world: &World, n: u32) -> u32 {
     let id = format!("j-{n:06}");
-    world.counts.failures.get(&id).copied().unwrap_or(0)
+    world.counts.failures_per_job.get(&id).copied().unwrap_or(0)
 }
 
 /// Probes that a broken job may have within a minute and a half, with those of a new leader.
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -309,7 +309,7 @@
         world.check(&format!("seed {seed}"));
         pauses += world.counts.pauses_before_sending;
         unanswered += world.counts.requests_to_hung_controllers;
-        failures += world.counts.failures.values().sum::<u32>();
+        failures += world.counts.failures_per_job.values().sum::<u32>();
         boots += world.counts.instant_boots.min(world.counts.failed_boots);
     }
     assert!(pauses >= 10 && unanswered >= 10 && failures >= 100 && boots >= 3);
--- a/tests/world/checks.rs
+++ b/tests/world/checks.rs
@@ -37,8 +37,8 @@
     /// Tasks that began to run when all tasks of their cancelled job had to be gone.
     pub begun_past_cancellation: u32,
     /// Tasks of each job that failed, and on each machine.
-    pub failures: BTreeMap<String, u32>,
-    pub failures_on: BTreeMap<String, u32>,
+    pub failures_per_job: BTreeMap<String, u32>,
+    pub failures_per_worker: BTreeMap<String, u32>,
     /// Heartbeats that came during a pause and were served before the controller's timers.
     pub heartbeats_before_timers: u32,
     /// Watches that were refused for their rate.
--- a/tests/world/cloud.rs
+++ b/tests/world/cloud.rs
@@ -114,7 +114,11 @@
 
     /// How many tasks failed on a machine.
     pub fn failures_on(&self, name: &str) -> u32 {
-        self.counts.failures_on.get(name).copied().unwrap_or(0)
+        self.counts
+            .failures_per_worker
+            .get(name)
+            .copied()
+            .unwrap_or(0)
     }
 
     /// Whether a machine is still rented.
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -407,8 +407,8 @@
             None
         };
         if refused == Some(ExitReason::Failed) {
-            *self.counts.failures.entry(job.clone()).or_default() += 1;
-            let on = self.counts.failures_on.entry(name.to_owned());
+            *self.counts.failures_per_job.entry(job.clone()).or_default() += 1;
+            let on = self.counts.failures_per_worker.entry(name.to_owned());
             *on.or_default() += 1;
         }
         if refused.is_none() {
