--- a/tests/late_commands.rs
+++ b/tests/late_commands.rs
@@ -76,11 +76,11 @@
             "{name}: starts were held"
         );
         assert!(
-            world.counts.starts_past_in_incarnation > 0,
+            world.counts.starts_past_cancellation_in_incarnation > 0,
             "{name}: held starts arrived past the cancellation, in the same session"
         );
         assert_eq!(
-            world.counts.begun_past_cancellation, 0,
+            world.counts.tasks_begun_past_cancellation, 0,
             "{name}: tasks began when they had to be gone"
         );
         assert_eq!(world.violations, Vec::<String>::new(), "{name}");
@@ -121,7 +121,7 @@
         let mut world = with_held_starts(seed, true);
         world.run_until(END);
         assert!(
-            world.counts.starts_past_in_incarnation > 0,
+            world.counts.starts_past_cancellation_in_incarnation > 0,
             "{name}: copies arrived past the cancellation, in the same session"
         );
         world.check(&name);
--- a/tests/world/checks.rs
+++ b/tests/world/checks.rs
@@ -33,9 +33,9 @@
     /// Starts that arrived with them when their job's tasks had to be gone already, and those of them for
     /// an incarnation that still went on.
     pub starts_past_cancellation: u32,
-    pub starts_past_in_incarnation: u32,
+    pub starts_past_cancellation_in_incarnation: u32,
     /// Tasks that began to run when all tasks of their cancelled job had to be gone.
-    pub begun_past_cancellation: u32,
+    pub tasks_begun_past_cancellation: u32,
     /// Tasks of each job that failed, and on each machine.
     pub failures_per_job: BTreeMap<String, u32>,
     pub failures_per_worker: BTreeMap<String, u32>,
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -158,7 +158,7 @@
             .filter(|o| o.kind == CommandKind::Start);
         let late = starts.filter(|command| too_late(&command.task)).count() as u32;
         self.counts.starts_past_cancellation += late;
-        self.counts.starts_past_in_incarnation += if same_session { late } else { 0 };
+        self.counts.starts_past_cancellation_in_incarnation += if same_session { late } else { 0 };
     }
 
     /// An answer on its way, which may get lost.
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -413,7 +413,7 @@
         }
         if refused.is_none() {
             self.starts += 1;
-            self.counts.begun_past_cancellation += u32::from(past_cancellation);
+            self.counts.tasks_begun_past_cancellation += u32::from(past_cancellation);
             if grove.is_some_and(|grove| grove != zone) {
                 self.violations.push(format!(
                     "{now}: {task_id} starts in {zone}, which its job doesn't allow"
