--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -498,7 +498,7 @@
                 user.runtime_step_s = chance.random::<f64>() * 9.0;
             }
         }
-        let some = |chance: &mut SmallRng, of: f64| NetworkFaults::sometimes(chance, 0.4, of);
+        let some = |chance: &mut SmallRng, of: f64| NetworkFaults::random_strength(chance, 0.4, of);
         world.faults = NetworkFaults {
             lost_responses: some(&mut chance, 0.04),
             late_requests: some(&mut chance, 0.04),
@@ -516,7 +516,7 @@
             let next = world.now + chance.random::<f64>() * 9.0;
             world.run_until(next);
             let nth = chance.random_range(0..8);
-            let for_s = NetworkFaults::duration(&mut chance);
+            let for_s = NetworkFaults::random_duration(&mut chance);
             match chance.random_range(0..18) {
                 0 => drop(world.restart_leader(for_s.min(15.0))),
                 1 => drop(world.fail_state_requests_of_leader(for_s)),
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -270,7 +270,7 @@
             let tasks = chance.random_range(1..12);
             world.add_failing_job(100 + n, at, (tasks, n == 3), cancel_at);
         }
-        let some = |chance: &mut SmallRng, of: f64| NetworkFaults::sometimes(chance, 0.5, of);
+        let some = |chance: &mut SmallRng, of: f64| NetworkFaults::random_strength(chance, 0.5, of);
         world.faults = NetworkFaults {
             lost_responses: some(&mut chance, 0.04),
             duplicate_heartbeats: some(&mut chance, 0.4),
@@ -289,7 +289,7 @@
             let next = world.now + chance.random::<f64>() * 9.0;
             world.run_until(next);
             let nth = chance.random_range(0..8);
-            let for_s = NetworkFaults::duration(&mut chance);
+            let for_s = NetworkFaults::random_duration(&mut chance);
             match chance.random_range(0..10) {
                 0 | 1 => drop(world.pause_leader_before_sending(for_s)),
                 2 => drop(world.hang_leader(10.0 + for_s)),
--- a/tests/world/digest.rs
+++ b/tests/world/digest.rs
@@ -162,7 +162,7 @@
 
 /// Some of the network's troubles, each of a random strength.
 fn weather(chance: &mut SmallRng) -> NetworkFaults {
-    let mut up_to = |most: f64| NetworkFaults::sometimes(chance, WEATHER_LIKELIHOOD, most);
+    let mut up_to = |most: f64| NetworkFaults::random_strength(chance, WEATHER_LIKELIHOOD, most);
     NetworkFaults {
         lost_responses: up_to(0.04),
         late_requests: up_to(0.04),
@@ -186,7 +186,7 @@
     let few = chance.random_range(1..=MAX_TARGETS);
     let by_chance = chance.random_bool(0.5);
     let zone = if by_chance { "a" } else { "b" };
-    let for_s = NetworkFaults::duration(chance);
+    let for_s = NetworkFaults::random_duration(chance);
     match chance.random_range(0..TROUBLE_KINDS) {
         0 => drop(world.restart_leader(for_s.min(LEADER_BACK_S))),
         1 => drop(world.fail_state_requests_of_leader(for_s)),
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -34,7 +34,7 @@
 
 impl NetworkFaults {
     /// With this likelihood a random part of `of`, else nothing.
-    pub fn sometimes(chance: &mut SmallRng, likelihood: f64, of: f64) -> f64 {
+    pub fn random_strength(chance: &mut SmallRng, likelihood: f64, of: f64) -> f64 {
         let there = chance.random::<f64>() < likelihood;
         if there {
             chance.random::<f64>() * of
@@ -44,7 +44,7 @@
     }
 
     /// How long a trouble lasts: moments, less than a lease, more than one, or more than a cancellation takes.
-    pub fn duration(chance: &mut SmallRng) -> f64 {
+    pub fn random_duration(chance: &mut SmallRng) -> f64 {
         let scale = [1.0, LEASE_S, 1.5 * LEASE_S, 1.4 * CANCEL_S][chance.random_range(0..4)];
         (0.1 + chance.random::<f64>()) * scale
     }
