--- a/examples/digest.rs
+++ b/examples/digest.rs
@@ -56,7 +56,7 @@
                     if seed >= end {
                         return;
                     }
-                    let digest = digest::play(seed);
+                    let digest = digest::run_seed(seed);
                     let mut digests = digests.lock().expect("no other thread has panicked");
                     digests.insert(seed, digest);
                 }
--- a/tests/determinism.rs
+++ b/tests/determinism.rs
@@ -13,7 +13,7 @@
 fn a_seed_has_one_digest() {
     let mut hashes = Vec::new();
     for seed in SEEDS {
-        let digest = digest::play(seed);
+        let digest = digest::run_seed(seed);
         for kind in Kind::ALL {
             let records = digest.records.get(&kind).copied().unwrap_or(0);
             // Not each storm has requests that can't be taken.
@@ -22,7 +22,7 @@
                 "seed {seed}: nothing of {kind:?}"
             );
         }
-        let again = digest::play(seed);
+        let again = digest::run_seed(seed);
         assert_eq!(digest.records, again.records, "seed {seed}");
         assert_eq!(digest.to_string(), again.to_string());
         assert!(!hashes.contains(&digest.hash), "seed {seed}: as another");
@@ -35,6 +35,6 @@
 #[test]
 fn a_job_listed_after_its_end_has_no_negative_count() {
     const SEED: u64 = 2;
-    let digest = digest::play(SEED);
+    let digest = digest::run_seed(SEED);
     assert_eq!(digest.violations, Vec::<String>::new());
 }
--- a/tests/digest_storms.rs
+++ b/tests/digest_storms.rs
@@ -10,7 +10,7 @@
 fn machines_that_forget_their_incarnations() {
     for seed in [292, 294, 332, 363] {
         assert_eq!(
-            digest::play(seed).violations,
+            digest::run_seed(seed).violations,
             Vec::<String>::new(),
             "seed {seed}"
         );
--- a/tests/world/digest.rs
+++ b/tests/world/digest.rs
@@ -82,7 +82,7 @@
 }
 
 /// Plays the storm of a seed from its beginning to its end.
-pub fn play(seed: u64) -> Digest {
+pub fn run_seed(seed: u64) -> Digest {
     let controllers = if seed.is_multiple_of(2) { 3 } else { 5 };
     let pool = pool_of(seed);
     let mut chance = SmallRng::seed_from_u64(seed);
