--- a/examples/digest.rs
+++ b/examples/digest.rs
@@ -11,7 +11,7 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 use world::digest::{self, Digest};
-use world::recorder::hash_of;
+use world::recorder::sha256_hex;
 
 /// Prints a digest of the controllers' behaviour in simulated worlds.
 #[derive(Parser)]
@@ -39,7 +39,7 @@
         }
     }
     print!("{lines}");
-    println!("all {}", hash_of(&lines));
+    println!("all {}", sha256_hex(&lines));
     exit
 }
 
--- a/tests/world/recorder.rs
+++ b/tests/world/recorder.rs
@@ -141,7 +141,7 @@
 }
 
 /// The SHA-256 hash of a text, in hexadecimal digits.
-pub fn hash_of(text: &str) -> String {
+pub fn sha256_hex(text: &str) -> String {
     hexadecimal(&Sha256::digest(text))
 }
 
