--- a/tests/determinism.rs
+++ b/tests/determinism.rs
@@ -4,7 +4,7 @@
 mod world;
 
 use world::digest;
-use world::recorder::Kind;
+use world::recorder::RecordKind;
 
 /// Three and five controllers, in worlds of the sizes that take little time.
 const SEEDS: [u64; 4] = [0, 1, 4, 9];
@@ -14,11 +14,11 @@
     let mut hashes = Vec::new();
     for seed in SEEDS {
         let digest = digest::run_seed(seed);
-        for kind in Kind::ALL {
+        for kind in RecordKind::ALL {
             let records = digest.records.get(&kind).copied().unwrap_or(0);
             // Not each storm has requests that can't be taken.
             assert!(
-                records > 0 || kind == Kind::OddUserTold,
+                records > 0 || kind == RecordKind::InvalidRequestAnswered,
                 "seed {seed}: nothing of {kind:?}"
             );
         }
--- a/tests/world/digest.rs
+++ b/tests/world/digest.rs
@@ -1,7 +1,7 @@
 //! A digest of the controllers' behaviour: a seed plays a storm of all troubles amid job traffic of all
 //! kinds, and all that the controllers say meanwhile becomes one hash.
 
-use super::recorder::Kind;
+use super::recorder::RecordKind;
 use super::*;
 use std::fmt;
 
@@ -66,7 +66,7 @@
     pub workers: usize,
     pub hash: String,
     /// How many records of each kind are in the hash.
-    pub records: BTreeMap<Kind, u64>,
+    pub records: BTreeMap<RecordKind, u64>,
     /// Rules broken, in words; they aren't part of the hash.
     pub violations: Vec<String>,
 }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -396,7 +396,7 @@
             }
             SimEvent::InvalidRequestAnswered(odd, status) => {
                 if let Some(recorder) = &mut self.recorder {
-                    recorder.odd_user_told(self.now, status);
+                    recorder.invalid_request_answered(self.now, status);
                 }
                 self.on_invalid_request_answered(odd, status);
             }
@@ -461,7 +461,7 @@
             }
             SimEvent::UserResponseArrives(user, ask, status, body) => {
                 if let Some(recorder) = &mut self.recorder {
-                    recorder.user_told(self.now, user, status, &body);
+                    recorder.user_answered(self.now, user, status, &body);
                 }
                 self.on_user_answered(user, ask, status, &body);
             }
--- a/tests/world/recorder.rs
+++ b/tests/world/recorder.rs
@@ -10,7 +10,7 @@
 /// What a record is about; the numbers are part of the hash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
-pub enum Kind {
+pub enum RecordKind {
     /// A request to the state service.
     ToStateService = 1,
     /// A request to the cloud.
@@ -22,20 +22,20 @@
     /// A heartbeat to the other controllers.
     PeerHeartbeat = 5,
     /// An answer that has reached its user, or the end of the user's patience.
-    UserTold = 6,
+    UserAnswered = 6,
     /// The same for a request that can't be taken.
-    OddUserTold = 7,
+    InvalidRequestAnswered = 7,
 }
 
-impl Kind {
-    pub const ALL: [Kind; 7] = [
-        Kind::ToStateService,
-        Kind::ToCloud,
-        Kind::ToWorker,
-        Kind::Answer,
-        Kind::PeerHeartbeat,
-        Kind::UserTold,
-        Kind::OddUserTold,
+impl RecordKind {
+    pub const ALL: [RecordKind; 7] = [
+        RecordKind::ToStateService,
+        RecordKind::ToCloud,
+        RecordKind::ToWorker,
+        RecordKind::Answer,
+        RecordKind::PeerHeartbeat,
+        RecordKind::UserAnswered,
+        RecordKind::InvalidRequestAnswered,
     ];
 }
 
@@ -44,7 +44,7 @@
 pub struct Recorder {
     hasher: Sha256,
     /// How many records there are of each kind.
-    pub records: BTreeMap<Kind, u64>,
+    pub records: BTreeMap<RecordKind, u64>,
 }
 
 impl Recorder {
@@ -57,7 +57,7 @@
                 body,
                 retry_after_s,
             } => {
-                self.begin(Kind::Answer, now, controller);
+                self.begin(RecordKind::Answer, now, controller);
                 self.number(*to);
                 self.number(u64::from(*status));
                 self.bytes(body);
@@ -68,7 +68,7 @@
                 timeout_s: within_s,
                 ..
             } => {
-                self.begin(Kind::ToStateService, now, controller);
+                self.begin(RecordKind::ToStateService, now, controller);
                 self.request(call.http_request(), *within_s);
             }
             Effect::CallCloud {
@@ -76,7 +76,7 @@
                 timeout_s: within_s,
                 ..
             } => {
-                self.begin(Kind::ToCloud, now, controller);
+                self.begin(RecordKind::ToCloud, now, controller);
                 self.request(call.http_request(), *within_s);
             }
             Effect::CallWorker {
@@ -85,27 +85,27 @@
                 timeout_s: within_s,
                 ..
             } => {
-                self.begin(Kind::ToWorker, now, controller);
+                self.begin(RecordKind::ToWorker, now, controller);
                 self.bytes(endpoint.as_bytes());
                 self.request(call.http_request(), *within_s);
             }
             Effect::BroadcastHeartbeat(heartbeat) => {
-                self.begin(Kind::PeerHeartbeat, now, controller);
+                self.begin(RecordKind::PeerHeartbeat, now, controller);
                 self.bytes(&peer::encode(heartbeat).expect("encodes"));
             }
         }
     }
 
     /// What a user is told about its job.
-    pub(super) fn user_told(&mut self, now: f64, user: usize, status: u16, body: &[u8]) {
-        self.begin(Kind::UserTold, now, user);
+    pub(super) fn user_answered(&mut self, now: f64, user: usize, status: u16, body: &[u8]) {
+        self.begin(RecordKind::UserAnswered, now, user);
         self.number(u64::from(status));
         self.bytes(body);
     }
 
     /// What a user is told who asked for what can't be taken.
-    pub(super) fn odd_user_told(&mut self, now: f64, status: u16) {
-        self.begin(Kind::OddUserTold, now, 0);
+    pub(super) fn invalid_request_answered(&mut self, now: f64, status: u16) {
+        self.begin(RecordKind::InvalidRequestAnswered, now, 0);
         self.number(u64::from(status));
     }
 
@@ -115,7 +115,7 @@
     }
 
     /// Begins a record: its kind, the simulated time, and the number of the controller or user.
-    fn begin(&mut self, kind: Kind, now: f64, of: usize) {
+    fn begin(&mut self, kind: RecordKind, now: f64, of: usize) {
         *self.records.entry(kind).or_default() += 1;
         self.hasher.update([kind as u8]);
         self.number(now.to_bits());
