--- a/src/coordination/leader/scaling/demand.rs
+++ b/src/coordination/leader/scaling/demand.rs
@@ -314,7 +314,7 @@
         let zone = offer.key.zone.clone();
         *request.tasks_per_zone.entry(zone).or_default() += 1;
         let share = request.resources.dominant_share(&offer.resources());
-        fit.demand[bin.pool].add(spec, pending.age_s, share);
+        fit.demand[bin.pool].add(spec, pending.oldest_wait_s, share);
     }
     limit
 }
--- a/src/coordination/scheduler/assignments.rs
+++ b/src/coordination/scheduler/assignments.rs
@@ -10,7 +10,7 @@
     /// Number of tasks.
     pub count: u32,
     /// Seconds for which the oldest of them has waited.
-    pub age_s: f64,
+    pub oldest_wait_s: f64,
 }
 
 /// What a scheduling cycle has decided.
--- a/src/coordination/scheduler/cycle.rs
+++ b/src/coordination/scheduler/cycle.rs
@@ -132,7 +132,7 @@
             self.assignments.pending_demand.push(PendingDemand {
                 job: spec.id.clone(),
                 count,
-                age_s: self.now - job.waiting_since,
+                oldest_wait_s: self.now - job.waiting_since,
             });
         }
     }
