--- a/src/coordination/leader/scheduling.rs
+++ b/src/coordination/leader/scheduling.rs
@@ -67,8 +67,8 @@
         self.scheduling.cycle_started(now);
         let lease_s = self.settings.deployment.workers.lease_s;
         let limits = scheduler::CycleLimits {
-            ageing_s: AGEING_LEASES * lease_s,
-            avoid_s: AVOID_LEASES * lease_s,
+            starvation_after_s: AGEING_LEASES * lease_s,
+            avoid_failed_worker_s: AVOID_LEASES * lease_s,
         };
         let cycle = SchedulingCycle::new(
             &self.jobs,
--- a/src/coordination/scheduler/cycle.rs
+++ b/src/coordination/scheduler/cycle.rs
@@ -18,9 +18,9 @@
 #[derive(Debug, Clone, Copy)]
 pub struct CycleLimits {
     /// Seconds without a start after which a job goes first among its equals.
-    pub ageing_s: f64,
+    pub starvation_after_s: f64,
     /// Seconds for which a job's tasks avoid a worker on which one of them has failed.
-    pub avoid_s: f64,
+    pub avoid_failed_worker_s: f64,
 }
 
 /// One scheduling cycle. It works on copies of the quotas and of the workers' free capacity.
--- a/src/coordination/scheduler/queue.rs
+++ b/src/coordination/scheduler/queue.rs
@@ -30,7 +30,7 @@
             beyond_quota: !jobs_within_quota.contains(&job.spec.id),
             not_starving: job.has_started()
                 || job.failures.is_crash_looping()
-                || now - job.submitted_at < limits.ageing_s,
+                || now - job.submitted_at < limits.starvation_after_s,
             late: job.deadline.is_some_and(|deadline| deadline < now),
             deadline: job.deadline.unwrap_or(job.submitted_at),
         }
--- a/src/coordination/scheduler/scoring.rs
+++ b/src/coordination/scheduler/scoring.rs
@@ -104,10 +104,11 @@
         capacity: &WorkerCapacity,
     ) -> bool {
         let worker = capacity.worker;
-        let avoided = placement
-            .job
-            .failures
-            .avoids(&worker.name, self.limits.avoid_s, self.now);
+        let avoided = placement.job.failures.avoids(
+            &worker.name,
+            self.limits.avoid_failed_worker_s,
+            self.now,
+        );
         !avoided
             && placement
                 .spec()
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -211,8 +211,8 @@
     }
     let quotas = Quotas::new(&[common::team("t", 0.0, 100.0)]);
     let limits = CycleLimits {
-        ageing_s: 50.0,
-        avoid_s: AVOID_S,
+        starvation_after_s: 50.0,
+        avoid_failed_worker_s: AVOID_S,
     };
     let pass = SchedulingCycle::new(&jobs, &table, &[instance_type("f")], &quotas, limits, now);
     pass.run(&mut SmallRng::seed_from_u64(1))
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -49,8 +49,8 @@
     fn run(&self) -> Assignments {
         let instance_types = [instance_type("f")];
         let limits = CycleLimits {
-            ageing_s: 50.0,
-            avoid_s: 10.0,
+            starvation_after_s: 50.0,
+            avoid_failed_worker_s: 10.0,
         };
         let pass = SchedulingCycle::new(
             &self.jobs,
