--- a/src/coordination/autoscaler.rs
+++ b/src/coordination/autoscaler.rs
@@ -56,11 +56,11 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ScalingDecision {
     /// Machines by Little's law.
-    pub little: u32,
+    pub littles_law_target: u32,
     /// Machines by the forecast.
-    pub trend: u32,
+    pub forecast_target: u32,
     /// Machines to drain the backlog.
-    pub drain: u32,
+    pub drain_target: u32,
     /// The target.
     pub target: u32,
     /// What set it.
@@ -79,7 +79,7 @@
 }
 
 /// Machines by Little's law: the pending tasks over the pickup target, over the rate of a machine.
-pub fn little(load: &PoolLoad, parameters: &ScalingParameters) -> u32 {
+pub fn littles_law_target(load: &PoolLoad, parameters: &ScalingParameters) -> u32 {
     if load.pending == 0 || load.rate <= 0.0 {
         return parameters.min;
     }
@@ -91,7 +91,7 @@
 
 /// Machines for the expected arrivals: their rate times the time of a task, over the tasks that a
 /// machine takes, and what replicas fill.
-pub fn trend(load: &PoolLoad, parameters: &ScalingParameters) -> u32 {
+pub fn forecast_target(load: &PoolLoad, parameters: &ScalingParameters) -> u32 {
     let tasks = load.forecast * load.task_s;
     ceil(
         tasks / load.per_machine.max(1.0) + load.service_machines,
@@ -100,7 +100,7 @@
 }
 
 /// Machines that drain the backlog before the oldest task breaches the pickup target.
-pub fn drain(load: &PoolLoad, parameters: &ScalingParameters) -> u32 {
+pub fn drain_target(load: &PoolLoad, parameters: &ScalingParameters) -> u32 {
     if load.pending == 0 {
         return parameters.min;
     }
@@ -122,14 +122,14 @@
 /// The target of a pool: the largest of the three, with the headroom. What waits is served by the machines that are busy now plus at most those
 /// that its requests would fill.
 pub fn decide(load: &PoolLoad, parameters: &ScalingParameters) -> ScalingDecision {
-    let little = little(load, parameters);
-    let drain = drain(load, parameters);
-    let trend = trend(load, parameters);
+    let littles_law_target = littles_law_target(load, parameters);
+    let drain_target = drain_target(load, parameters);
+    let forecast_target = forecast_target(load, parameters);
     let filled = load.busy + load.machines_to_fill;
-    let (mut target, mut reason) = if drain > little {
-        (drain, TargetReason::Drain)
+    let (mut target, mut reason) = if drain_target > littles_law_target {
+        (drain_target, TargetReason::Drain)
     } else {
-        (little, TargetReason::Little)
+        (littles_law_target, TargetReason::Little)
     };
     if target > filled {
         (target, reason) = (filled, TargetReason::Fill);
@@ -144,8 +144,8 @@
             TargetReason::Headroom,
         );
     }
-    if trend > target {
-        (target, reason) = (trend, TargetReason::Trend);
+    if forecast_target > target {
+        (target, reason) = (forecast_target, TargetReason::Trend);
     }
     if target < parameters.min {
         (target, reason) = (parameters.min, TargetReason::Min);
@@ -154,9 +154,9 @@
         (target, reason) = (parameters.max, TargetReason::Max);
     }
     ScalingDecision {
-        little,
-        trend,
-        drain,
+        littles_law_target,
+        forecast_target,
+        drain_target,
         target,
         reason,
     }
--- a/src/coordination/leader/scaling/target.rs
+++ b/src/coordination/leader/scaling/target.rs
@@ -33,9 +33,9 @@
             pool.last_decision = Some(decision);
             tracing::info!(
                 pool = %offer.key,
-                little = decision.little,
-                trend = decision.trend,
-                drain = decision.drain,
+                little = decision.littles_law_target,
+                trend = decision.forecast_target,
+                drain = decision.drain_target,
                 target = decision.target,
                 reason = ?decision.reason,
                 machines = inventory.machines,
--- a/tests/autoscaler.rs
+++ b/tests/autoscaler.rs
@@ -165,11 +165,19 @@
             TargetReason::Max,
         ),
     ];
-    for (name, load, parameters, (little, trend, drain), target, reason) in cases {
+    for (
+        name,
+        load,
+        parameters,
+        (littles_law_target, forecast_target, drain_target),
+        target,
+        reason,
+    ) in cases
+    {
         let expected = ScalingDecision {
-            little,
-            trend,
-            drain,
+            littles_law_target,
+            forecast_target,
+            drain_target,
             target,
             reason,
         };
