--- a/tests/forgotten_incarnations.rs
+++ b/tests/forgotten_incarnations.rs
@@ -6,7 +6,7 @@
 //! them elsewhere. Its token gave it away, which is the highest that a worker has seen and never sinks. In another the
 //! leader counted the lease of the second life from the last heartbeat that it had answered in the first.
 //!
-//! The storms are in `tests/digest_storms.rs`. What showed the cause, seed 292 of `examples/digest.rs` (heartbeats of host-000013, taken by the leader c2):
+//! The storms are in `tests/digest_regressions.rs`. What showed the cause, seed 292 of `examples/digest.rs` (heartbeats of host-000013, taken by the leader c2):
 //!
 //! ```text
 //!  98.201 the machine restarts, incarnation 3 -> 1
--- a/tests/permit_guards.rs
+++ b/tests/permit_guards.rs
@@ -1,6 +1,6 @@
 //! Each guard of `bookkeeping::permits::freshness` alone: a case in which no other guard stands behind it.
 //!
-//! All three hold in the cases of `tests/meetings.rs` too, but there another guard holds as well, so that none of those
+//! All three hold in the cases of `tests/combined_faults.rs` too, but there another guard holds as well, so that none of those
 //! failed with one of the three removed. Each case here does (the invariants muted).
 //!
 //! - Renewals end with the lease grace period. The election ends leadership at the same time, by a timer; a leader that
