--- a/src/bookkeeping/workers/pending_starts.rs
+++ b/src/bookkeeping/workers/pending_starts.rs
@@ -117,7 +117,7 @@
 
     /// Takes a heartbeat that the worker sent unasked: the responses to earlier heartbeats have been executed
     /// or dropped.
-    pub fn settle_responses(&mut self, sequence: u64) {
+    pub fn drop_responses_before(&mut self, sequence: u64) {
         for start in self.starts.values_mut() {
             if start.in_response.is_some_and(|sent| sent < sequence) {
                 start.in_response = None;
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -130,7 +130,9 @@
         if is_new_incarnation {
             begin_incarnation(worker, now);
         } else if path == HeartbeatPath::Request {
-            worker.pending_starts.settle_responses(heartbeat.sequence);
+            worker
+                .pending_starts
+                .drop_responses_before(heartbeat.sequence);
         }
         let tasks = observed_tasks(heartbeat);
         if !is_new_incarnation && worker.has_lost_bound_task(&tasks) {
--- a/tests/bindings.rs
+++ b/tests/bindings.rs
@@ -188,7 +188,7 @@
             DeliveryPath::HeartbeatResponse(5),
             freshness().view_age_s,
         );
-        h.pending_starts.settle_responses(6);
+        h.pending_starts.drop_responses_before(6);
     };
     for (name, steps, cause, cleared) in [
         (
@@ -324,7 +324,7 @@
                     DeliveryPath::HeartbeatResponse(5),
                     freshness().view_age_s,
                 );
-                h.pending_starts.settle_responses(6);
+                h.pending_starts.drop_responses_before(6);
             },
             Arrival::Nothing,
         ),
@@ -336,7 +336,7 @@
                     DeliveryPath::HeartbeatResponse(5),
                     freshness().view_age_s,
                 );
-                h.pending_starts.settle_responses(5);
+                h.pending_starts.drop_responses_before(5);
             },
             Arrival::Start,
         ),
