--- a/src/bookkeeping/permits/decision_counters.rs
+++ b/src/bookkeeping/permits/decision_counters.rs
@@ -1,17 +1,17 @@
 //! Counters of permits, for the log.
 
-use super::denial::{Denial, PermitKind};
+use super::denial::{Denial, GuardedAction};
 use std::collections::BTreeMap;
 
 /// Number of permits granted and denied, by action and reason.
 #[derive(Debug, Default)]
 pub struct DecisionCounters {
-    counts: BTreeMap<(PermitKind, Option<Denial>), u64>,
+    counts: BTreeMap<(GuardedAction, Option<Denial>), u64>,
 }
 
 impl DecisionCounters {
     /// Counts a decision.
-    pub fn count(&mut self, action: PermitKind, decision: Result<(), Denial>) {
+    pub fn count(&mut self, action: GuardedAction, decision: Result<(), Denial>) {
         *self.counts.entry((action, decision.err())).or_default() += 1;
     }
 
--- a/src/bookkeeping/permits/denial.rs
+++ b/src/bookkeeping/permits/denial.rs
@@ -2,7 +2,7 @@
 
 /// The action that a permit is asked for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum PermitKind {
+pub enum GuardedAction {
     /// Sending commands that start tasks.
     StartTasks,
     /// Renewing a worker's lease.
--- a/src/bookkeeping/permits/mod.rs
+++ b/src/bookkeeping/permits/mod.rs
@@ -10,6 +10,6 @@
 mod worker_actions;
 
 pub use decision_counters::DecisionCounters;
-pub use denial::{Denial, PermitKind};
+pub use denial::{Denial, GuardedAction};
 pub use freshness::{FreshnessLimits, ViewFreshness};
 pub use worker_actions::{may_clear, may_delete, may_start_task, may_unbind_absent};
--- a/src/coordination/leader/decision_log.rs
+++ b/src/coordination/leader/decision_log.rs
@@ -1,6 +1,6 @@
 //! Counts of what was allowed and denied, logged from time to time.
 
-use crate::bookkeeping::permits::{DecisionCounters, Denial, PermitKind};
+use crate::bookkeeping::permits::{DecisionCounters, Denial, GuardedAction};
 use crate::bookkeeping::reconciliation::RevocationCounters;
 use crate::bookkeeping::workers::RevocationReason;
 
@@ -29,7 +29,7 @@
     }
 
     /// Counts a decision.
-    pub(super) fn count(&mut self, permit: PermitKind, decision: Result<(), Denial>) {
+    pub(super) fn count(&mut self, permit: GuardedAction, decision: Result<(), Denial>) {
         self.permits.count(permit, decision);
     }
 
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Heartbeats of workers: what the leader learns from them, and the commands that answer them.
 
 use super::{Leader, LeaderEvent};
-use crate::bookkeeping::permits::{PermitKind, ViewFreshness};
+use crate::bookkeeping::permits::{GuardedAction, ViewFreshness};
 use crate::bookkeeping::reconciliation;
 use crate::bookkeeping::workers::{DeliveryPath, Worker};
 use crate::protocol::worker::{
@@ -47,7 +47,7 @@
             return HeartbeatOutcome::NewerLeaderExists;
         }
         let renewal = freshness.may_renew();
-        self.decisions.count(PermitKind::RenewLease, renewal);
+        self.decisions.count(GuardedAction::RenewLease, renewal);
         if let Err(reason) = renewal {
             tracing::debug!(
                 worker = heartbeat.worker,
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -38,7 +38,7 @@
 
 use super::effects::Effects;
 use crate::bookkeeping::jobs::Jobs;
-use crate::bookkeeping::permits::{PermitKind, ViewFreshness};
+use crate::bookkeeping::permits::{GuardedAction, ViewFreshness};
 use crate::bookkeeping::quotas::Quotas;
 use crate::bookkeeping::records::FinishedRecord;
 use crate::bookkeeping::workers::Workers;
@@ -226,7 +226,7 @@
     /// Follows whether start commands are allowed; once they are, those that had to wait are due.
     fn update_start_permission(&mut self, freshness: &ViewFreshness) {
         let starts = freshness.may_start();
-        self.decisions.count(PermitKind::StartTasks, starts);
+        self.decisions.count(GuardedAction::StartTasks, starts);
         let may_start = starts.is_ok();
         if self.may_start == may_start {
             return;
