--- a/src/bookkeeping/permits/decision_counters.rs
+++ b/src/bookkeeping/permits/decision_counters.rs
@@ -1,9 +1,9 @@
-//! Counters of permits, for the log.
+//! Counts permit decisions, for a periodic log line.
 
 use super::denial::{Denial, GuardedAction};
 use std::collections::BTreeMap;
 
-/// Number of permits granted and denied, by action and reason.
+/// Number of granted and denied permits, by action and reason of the denial.
 #[derive(Debug, Default)]
 pub struct DecisionCounters {
     counts: BTreeMap<(GuardedAction, Option<Denial>), u64>,
--- a/src/bookkeeping/permits/denial.rs
+++ b/src/bookkeeping/permits/denial.rs
@@ -1,45 +1,46 @@
-//! Actions that need a permit, and the reasons of denials.
+//! Actions that need a permit, and the reasons for denying one.
 
-/// The action that a permit is asked for.
+/// An action that needs a permit, as counted in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum GuardedAction {
-    /// Sending commands that start tasks.
+    /// Send commands that start tasks.
     StartTasks,
-    /// Renewing a worker's lease.
+    /// Renew a worker's lease.
     RenewLease,
 }
 
 /// Why an action is denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Denial {
-    /// This controller does not lead.
+    /// This controller is not the leader.
     NotLeader,
-    /// The leader's lease in the state service may have expired.
+    /// This controller's leader lease in the state service may have expired.
     LeaseNotHeld,
-    /// The state service has refused a request, or left one unanswered, since the view of the open jobs was
-    /// last confirmed.
+    /// Since the view of the open jobs was last confirmed, the state service has rejected a request or left one
+    /// unanswered.
     StateServiceUncertain,
     /// The view of the open jobs is too old.
     ViewStale,
-    /// The binding, its end, or the worker's termination is not committed yet.
+    /// The transaction that creates or ends the binding, or that records the worker's termination, is not committed
+    /// yet.
     NotCommitted,
-    /// An earlier leader bound the task, which may or may not have sent its start.
+    /// An earlier leader bound the task, and it is unknown whether that leader sent the start command.
     Inherited,
-    /// The task is to leave the worker, or its job has ended.
+    /// The task is being evicted from the worker; the end of its job is one of the possible reasons.
     Evicted,
-    /// The task is bound to the worker and is to stay there.
+    /// The task is bound to the worker and is not being evicted.
     StillWanted,
-    /// The task was bound for another incarnation of the worker.
+    /// The task was bound to another incarnation of the worker.
     IncarnationMismatch,
-    /// The worker shows the attempt already.
+    /// The worker's latest heartbeat lists the attempt already.
     AlreadyObserved,
     /// The task has not exited.
     NotExited,
-    /// The worker is being released.
+    /// The worker's instance is to be deleted.
     Terminating,
-    /// A start of the attempt may still arrive at the worker.
+    /// A start command for the attempt may still arrive at the worker.
     StartMayArrive,
-    /// The lease grace period has expired: jobs may have been cancelled so long ago that their tasks must have
-    /// stopped by the end of the present leases.
+    /// The lease grace period has expired: jobs may have been cancelled, without this controller's knowledge, so
+    /// long ago that their tasks must stop no later than the leases that are held now end.
     LeaseGraceExpired,
 }
--- a/src/bookkeeping/permits/freshness.rs
+++ b/src/bookkeeping/permits/freshness.rs
@@ -1,37 +1,38 @@
-//! The age of a controller's knowledge, and the actions that it allows.
+//! The age of a controller's data, and the actions that it permits.
 
 use super::denial::Denial;
 
-/// How old a controller's knowledge may be for an action to rest on it.
+/// How old a controller's data may be for each action that depends on it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FreshnessLimits {
-    /// Seconds for which workers' leases are renewed after the leader's lease and the view of the open jobs were
-    /// last confirmed.
+    /// Workers' leases are renewed only while both the leader's own lease and its view of the open jobs were
+    /// confirmed within this many seconds.
     pub lease_grace_s: f64,
-    /// The age in seconds from which a view of the open jobs allows no starts.
+    /// Tasks are started only while the view of the open jobs is younger than this many seconds.
     pub max_start_view_age_s: f64,
 }
 
-/// Whether this controller leads, and the age of what it knows.
+/// Whether this controller is the leader, and the age of its data.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ViewFreshness {
-    /// This controller leads, as far as it knows.
+    /// This controller is the leader, as far as it knows.
     pub is_leader: bool,
-    /// It certainly holds the leader's lease.
+    /// This controller certainly holds the leader's lease in the state service.
     pub lease_held: bool,
     /// Seconds since that lease was last renewed.
     pub lease_age_s: f64,
-    /// Seconds since the view of the open jobs was certainly current.
+    /// Seconds since the latest time at which the view of the open jobs is known to have been current.
     pub view_age_s: f64,
-    /// Seconds since the state service last refused a call or left one unanswered.
+    /// Seconds since the state service last rejected a request or left one unanswered.
     pub state_failure_age_s: f64,
-    /// How old these may be for an action to rest on them.
+    /// The greatest ages at which actions are permitted.
     pub limits: FreshnessLimits,
 }
 
 impl ViewFreshness {
-    /// Whether commands that start tasks may be sent. Holding the lease is not enough: after an outage it runs
-    /// for its full time again, while this controller may not know yet of jobs that were cancelled before.
+    /// Whether commands that start tasks may be sent. Holding the leader's lease is not enough: after an outage of
+    /// the state service, the lease can be renewed for its full duration before this controller has learned which
+    /// jobs were cancelled in the meantime.
     pub fn may_start(&self) -> Result<(), Denial> {
         if !self.is_leader {
             return Err(Denial::NotLeader);
@@ -48,8 +49,8 @@
         Ok(())
     }
 
-    /// Whether workers' leases may be renewed: only by a leader that knows of every cancellation that workers
-    /// must have carried out by the end of the renewed lease.
+    /// Whether workers' leases may be renewed. A leader may do so only if it knows of every cancellation that
+    /// workers must have carried out by the end of the renewed lease.
     pub fn may_renew(&self) -> Result<(), Denial> {
         if !self.is_leader {
             return Err(Denial::NotLeader);
--- a/src/bookkeeping/permits/mod.rs
+++ b/src/bookkeeping/permits/mod.rs
@@ -1,8 +1,8 @@
-//! Permits: whether an action may be taken on what this controller knows now, and if not, why.
+//! Permits: checks whether this controller's data permits an action, and if not, why.
 //!
-//! Actions on stale knowledge are what breaks the rules of the protocol, so the age of the knowledge that a
-//! decision rests on is part of it, and the reason of each denial is a type. The module reads no clock:
-//! the caller works out the ages.
+//! An action that is based on stale data can violate the protocol's safety rules. So each decision takes the age of
+//! its data into account, and gives the reason of a denial as a [`Denial`]. The module reads no clock: the caller
+//! computes the ages.
 
 mod decision_counters;
 mod denial;
--- a/src/bookkeeping/permits/worker_actions.rs
+++ b/src/bookkeeping/permits/worker_actions.rs
@@ -1,10 +1,11 @@
-//! Actions on a worker and its tasks, judged by what the worker's heartbeats have shown.
+//! Permits for actions on a worker and its tasks, based on the worker's heartbeats.
 
 use super::denial::Denial;
 use crate::bookkeeping::workers::{Binding, Worker};
 use crate::protocol::worker::{ExitReason, TaskId, TaskState, TaskStatus};
 
-/// Whether a bound task may be started on its worker, by a leader that may start tasks at all.
+/// Whether a bound task may be started on its worker. Whether this leader may start tasks at all is checked by
+/// [`ViewFreshness::may_start`](super::ViewFreshness::may_start).
 pub fn may_start_task(worker: &Worker, task: &TaskId, binding: &Binding) -> Result<(), Denial> {
     if worker.terminating {
         return Err(Denial::Terminating);
@@ -27,9 +28,9 @@
     Ok(())
 }
 
-/// Whether an attempt that a worker shows may be cleared. A start that arrives after that, late or as a copy,
-/// runs the attempt again; for a completed task, whose result is committed, copies of answered starts do no
-/// harm.
+/// Whether an attempt that the worker's heartbeat lists may be cleared. A delayed or duplicate start command that
+/// arrives after the clear runs the attempt again. That does no harm if the task is completed, its completion is
+/// committed, and only duplicates of answered start commands can still arrive.
 pub fn may_clear(worker: &Worker, task: &TaskId, task_status: &TaskStatus) -> Result<(), Denial> {
     if task_status.state != TaskState::Exited {
         return Err(Denial::NotExited);
@@ -48,13 +49,14 @@
     Ok(())
 }
 
-/// Whether a binding may end whose task the worker does not show: the task is not running and can't start.
+/// Whether a binding may end although the worker's heartbeat does not list its task. The task is then not running;
+/// the binding may end once no start command for it can arrive any more.
 pub fn may_unbind_absent(worker: &Worker, task: &TaskId, binding: &Binding) -> Result<(), Denial> {
     if !binding.durable || binding.unbinding {
         return Err(Denial::NotCommitted);
     }
     if binding.inherited {
-        // Once the worker has this leader's epoch, no start of an earlier one can reach it any more.
+        // A worker that has acknowledged this leader's epoch executes no start command of an earlier leader.
         return if worker.token_acknowledged {
             Ok(())
         } else {
@@ -70,8 +72,8 @@
     Ok(())
 }
 
-/// Whether the cloud may be asked to delete an instance: its termination is committed, so that every later
-/// leader deletes it too, however late the request is carried out.
+/// Whether the cloud may be asked to delete an instance. Its termination must be committed first: the cloud may
+/// execute the request late, and by then every later leader must know that the instance is to be deleted.
 pub fn may_delete(worker: &Worker) -> Result<(), Denial> {
     if worker.termination_recorded {
         Ok(())
--- a/src/bookkeeping/workers/binding.rs
+++ b/src/bookkeeping/workers/binding.rs
@@ -7,48 +7,48 @@
 pub struct Binding {
     /// Number of the task's attempt.
     pub attempt: u64,
-    /// Incarnation of the worker for which the task was bound.
+    /// Incarnation of the worker to which the task was bound.
     pub incarnation: u64,
-    /// Resources that the task takes.
+    /// Resources that the task requests.
     pub request: Resources,
     /// Team whose quota the task counts against.
     pub team: String,
     /// The binding is committed to the state service.
     pub durable: bool,
-    /// Bound by an earlier leader, which may or may not have sent the start.
+    /// An earlier leader bound the task, and it is unknown whether that leader sent the start command.
     pub inherited: bool,
-    /// The end of the binding waits to be committed.
+    /// The end of the binding has been added to the write-ahead log, but is not committed yet.
     pub unbinding: bool,
-    /// Set once the task is to leave the worker.
+    /// Set while the task is being evicted from the worker.
     pub eviction: Option<Eviction>,
     /// When the task was first observed running.
     pub running_since: Option<f64>,
 }
 
-/// A task that is to leave its worker: the binding ends once its process has.
+/// The eviction of a task from its worker. The binding ends once the task has exited.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Eviction {
-    /// Seconds that the task has for a checkpoint before it is stopped.
+    /// Seconds that the task is given to save a checkpoint before it is stopped.
     pub grace_s: f64,
-    /// Why the task must leave.
+    /// Why the task is evicted.
     pub reason: EvictionReason,
 }
 
 impl Eviction {
-    /// The eviction of a task whose job has ended: it is stopped at once.
+    /// The eviction of a task whose job has ended: it is stopped at once, without a checkpoint.
     pub const JOB_ENDED: Eviction = Eviction {
         grace_s: 0.0,
         reason: EvictionReason::JobEnded,
     };
 }
 
-/// Why a task is to leave its worker.
+/// Why a task is evicted from its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EvictionReason {
     /// Its job has finished or was cancelled.
     JobEnded,
-    /// Its resources are needed by work of a higher priority.
+    /// A job of higher priority needs its resources.
     Preempted,
-    /// The worker is to be released.
+    /// The worker is being drained, or the cloud will reclaim its instance.
     Drained,
 }
--- a/src/bookkeeping/workers/delivery.rs
+++ b/src/bookkeeping/workers/delivery.rs
@@ -1,4 +1,4 @@
-//! Commands that were sent to a worker, and the outcome of the calls that carried them.
+//! Records the commands that are sent to a worker, and the outcomes of the direct calls that carry them.
 
 use super::pending_starts::CallOutcome;
 use super::worker::Worker;
@@ -7,14 +7,15 @@
 /// How commands are delivered to a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DeliveryPath {
-    /// In a call of the controller to the worker.
+    /// In a call that the controller makes to the worker.
     DirectCall,
     /// In the response to the heartbeat with this sequence number.
     HeartbeatResponse(u64),
 }
 
 impl Worker {
-    /// Records commands that are sent, with the age of the view of the open jobs that they rest on.
+    /// Records commands that are sent. `view_age_s`, which is only logged, is the age of the view of the open jobs
+    /// that they are based on.
     pub fn record_sent(&mut self, commands: &[Command], path: DeliveryPath, view_age_s: f64) {
         for command in commands {
             tracing::debug!(
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Records the outcome of a direct call with these commands.
+    /// Records the outcome of the direct call that carried these commands.
     pub fn record_call_outcome(&mut self, commands: &[Command], outcome: CallOutcome) {
         for command in commands
             .iter()
--- a/src/bookkeeping/workers/mod.rs
+++ b/src/bookkeeping/workers/mod.rs
@@ -1,8 +1,8 @@
-//! Workers: the machines that run tasks, as the leader knows them.
+//! The leader's records of workers, the machines that run tasks.
 //!
-//! [`Worker`] holds what the leader has bound to a worker and what the worker's heartbeats show. Nothing here
-//! decides what may be done: that is the part of [`super::permits`] and [`super::reconciliation`], which
-//! build on this module.
+//! [`Worker`] holds the tasks that the leader has bound to a worker and the tasks that the worker's heartbeats list.
+//! Nothing here decides which actions to take: [`super::permits`] and [`super::reconciliation`] do, based on these
+//! records.
 
 mod binding;
 mod delivery;
--- a/src/bookkeeping/workers/pending_starts.rs
+++ b/src/bookkeeping/workers/pending_starts.rs
@@ -1,57 +1,57 @@
-//! Starts that may still reach a worker, and the fence that revokes them.
+//! Start commands that may still arrive at a worker, and the fence that revokes them.
 //!
-//! A worker executes a direct command whenever it arrives, as long as its token and incarnation match. Whether
-//! the call was answered tells nothing about a copy that is still in the network. So every start that was
-//! sent directly counts as pending until the worker has shown a fence above the one that it was sent under.
-//! Starts in heartbeat responses need no fence: a worker has one heartbeat in flight at a time, and drops the
-//! responses to earlier ones.
+//! A worker executes a command from a direct call whenever it arrives, as long as its token and incarnation match.
+//! Even after the worker has answered the call, a duplicate of it may still be in the network. So every start command
+//! that was sent in a direct call counts as pending until the worker has reported a higher fence than the one that the
+//! command was sent with. Start commands in heartbeat responses need no fence: a worker has one heartbeat in flight at
+//! a time, and drops the responses to earlier ones.
 
 use crate::protocol::token::MAX_FENCE;
 use crate::protocol::worker::TaskId;
 use std::collections::BTreeMap;
 
-/// Starts of completed tasks are kept until the next fence; beyond this number the fence is raised for them.
-/// Bounds the memory of thousands of workers.
+/// Start commands of completed tasks stay pending until the worker reports a raised fence. With more than this many
+/// pending, the leader raises the fence, which bounds its memory use for thousands of workers.
 const MAX_PENDING: usize = 32;
 
 /// The outcome of a direct call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The worker has answered; copies of the call may still arrive.
+    /// The worker has answered; duplicates of the call may still arrive.
     Answered,
-    /// There was no answer: the call may be executed at any later time.
+    /// There was no answer; the worker may execute the call at any later time.
     Unanswered,
     /// The call certainly never left this controller.
     NotSent,
 }
 
-/// One start that may still arrive.
+/// A start command that may still arrive.
 #[derive(Debug, Clone, Default, PartialEq)]
 struct PendingStart {
-    /// Fence of the latest direct command that carried it and may still be executed.
-    delivered_under: Option<u32>,
-    /// One of these commands had no answer.
+    /// Highest fence of the finished direct calls that carried it and that may still be executed.
+    finished_call_fence: Option<u32>,
+    /// At least one of these calls was not answered.
     unanswered: bool,
-    /// Fence of the direct command in flight that carries it.
-    in_flight_under: Option<u32>,
-    /// Sequence number of the heartbeat in whose response it was sent; settled by the next heartbeat.
-    in_response: Option<u64>,
+    /// Fence of the direct call in flight that carries it.
+    in_flight_call_fence: Option<u32>,
+    /// Sequence number of the heartbeat in whose response it was sent; none once a later heartbeat has arrived.
+    in_response_to: Option<u64>,
 }
 
 impl PendingStart {
-    fn is_settled(&self) -> bool {
-        self.delivered_under.is_none()
-            && self.in_flight_under.is_none()
-            && self.in_response.is_none()
+    fn can_no_longer_arrive(&self) -> bool {
+        self.finished_call_fence.is_none()
+            && self.in_flight_call_fence.is_none()
+            && self.in_response_to.is_none()
     }
 }
 
-/// The starts of one worker's incarnation that may still arrive.
+/// The start commands that may still arrive at the present incarnation of a worker, and the worker's fence.
 #[derive(Debug, Clone, Default)]
 pub struct PendingStarts {
-    /// Sent with every message to the worker.
+    /// Sent in the token of every message to the worker.
     fence: u32,
-    /// The highest fence that the worker has shown.
+    /// The highest fence that the worker has reported.
     observed_fence: u32,
     starts: BTreeMap<(TaskId, u64), PendingStart>,
 }
@@ -62,110 +62,122 @@
         self.fence
     }
 
-    /// Whether the worker has not shown its present fence yet.
+    /// Whether the worker has not reported its present fence yet.
     pub fn awaits_fence_ack(&self) -> bool {
         self.observed_fence < self.fence
     }
 
-    /// How many starts may still arrive.
+    /// Number of start commands that may still arrive.
     pub fn len(&self) -> usize {
         self.starts.len()
     }
 
-    /// Whether no start may still arrive.
+    /// Whether no start command can arrive any more.
     pub fn is_empty(&self) -> bool {
         self.starts.is_empty()
     }
 
-    /// Whether so many are kept that the fence should be raised for them.
+    /// Whether so many start commands are pending that the fence should be raised.
     pub fn exceeds_max_pending(&self) -> bool {
         self.starts.len() > MAX_PENDING
     }
 
-    /// Records a start that is sent in a direct command.
+    /// Records a start command that is sent in a direct call.
     pub fn record_direct_call(&mut self, task: TaskId, attempt: u64) {
         self.starts
             .entry((task, attempt))
             .or_default()
-            .in_flight_under = Some(self.fence);
+            .in_flight_call_fence = Some(self.fence);
     }
 
-    /// Records a start that is sent in the response to the heartbeat with this sequence number.
+    /// Records a start command that is sent in the response to the heartbeat with this sequence number.
     pub fn record_heartbeat_response(&mut self, task: TaskId, attempt: u64, sequence: u64) {
-        self.starts.entry((task, attempt)).or_default().in_response = Some(sequence);
+        self.starts
+            .entry((task, attempt))
+            .or_default()
+            .in_response_to = Some(sequence);
     }
 
-    /// Takes the outcome of the direct command that carried a start.
+    /// Records the outcome of the direct call that carried a start command.
     pub fn record_call_outcome(&mut self, task: &TaskId, attempt: u64, outcome: CallOutcome) {
         let key = (task.clone(), attempt);
         let Some(start) = self.starts.get_mut(&key) else {
             return;
         };
-        let sent = start.in_flight_under.take();
+        let call_fence = start.in_flight_call_fence.take();
         match outcome {
             CallOutcome::NotSent => {}
-            CallOutcome::Answered => start.delivered_under = start.delivered_under.max(sent),
+            CallOutcome::Answered => {
+                start.finished_call_fence = start.finished_call_fence.max(call_fence);
+            }
             CallOutcome::Unanswered => {
-                start.delivered_under = start.delivered_under.max(sent);
+                start.finished_call_fence = start.finished_call_fence.max(call_fence);
                 start.unanswered = true;
             }
         }
-        if start.is_settled() {
+        if start.can_no_longer_arrive() {
             self.starts.remove(&key);
         }
     }
 
-    /// Takes a heartbeat that the worker sent unasked: the responses to earlier heartbeats have been executed
-    /// or dropped.
+    /// Records that the worker has sent the heartbeat with this sequence number, not as the answer to a direct call:
+    /// the worker has executed or dropped the responses to its earlier heartbeats.
     pub fn drop_responses_before(&mut self, sequence: u64) {
         for start in self.starts.values_mut() {
-            if start.in_response.is_some_and(|sent| sent < sequence) {
-                start.in_response = None;
+            if start
+                .in_response_to
+                .is_some_and(|earlier| earlier < sequence)
+            {
+                start.in_response_to = None;
             }
         }
-        self.starts.retain(|_, start| !start.is_settled());
+        self.starts.retain(|_, start| !start.can_no_longer_arrive());
     }
 
-    /// Takes a fence that the worker shows under this leader: it executes nothing any more that was sent under a
-    /// lower one.
+    /// Records a fence that the worker reports together with this leader's epoch: the worker no longer executes
+    /// commands that were sent with a lower fence.
     pub fn observe_fence(&mut self, fence: u32) {
         self.observed_fence = self.observed_fence.max(fence);
         self.fence = self.fence.max(fence);
         let observed = self.observed_fence;
-        let still_valid = |sent: Option<u32>| sent.filter(|fence| *fence >= observed);
+        let still_valid = |call_fence: Option<u32>| call_fence.filter(|fence| *fence >= observed);
         for start in self.starts.values_mut() {
-            start.delivered_under = still_valid(start.delivered_under);
-            start.in_flight_under = still_valid(start.in_flight_under);
-            start.unanswered &= start.delivered_under.is_some();
+            start.finished_call_fence = still_valid(start.finished_call_fence);
+            start.in_flight_call_fence = still_valid(start.in_flight_call_fence);
+            start.unanswered &= start.finished_call_fence.is_some();
         }
-        self.starts.retain(|_, start| !start.is_settled());
+        self.starts.retain(|_, start| !start.can_no_longer_arrive());
     }
 
-    /// Takes a new incarnation of the worker: it executes no command for an earlier one.
+    /// Drops all pending starts after the worker's incarnation has changed: the worker executes no commands that
+    /// were sent to an earlier incarnation.
     pub fn clear_for_new_incarnation(&mut self) {
         self.starts.clear();
     }
 
-    /// Whether a start of this attempt may still arrive, by any delivery path.
+    /// Whether a start command for this attempt may still arrive, by either delivery path.
     pub fn may_arrive(&self, task: &TaskId, attempt: u64) -> bool {
         self.get(task, attempt).is_some()
     }
 
-    /// Whether only copies of answered commands may still arrive of this attempt's start.
+    /// Whether the start commands for this attempt that may still arrive are all duplicates of answered calls.
     pub fn has_only_answered_duplicates(&self, task: &TaskId, attempt: u64) -> bool {
         self.get(task, attempt).is_some_and(|start| {
-            start.in_flight_under.is_none() && start.in_response.is_none() && !start.unanswered
+            start.in_flight_call_fence.is_none()
+                && start.in_response_to.is_none()
+                && !start.unanswered
         })
     }
 
-    /// Whether the fence must be raised to revoke this attempt's start.
+    /// Whether the fence must be raised to revoke the start command for this attempt: it was sent in a direct call
+    /// with the present fence.
     pub fn needs_fence_raise(&self, task: &TaskId, attempt: u64) -> bool {
         self.get(task, attempt).is_some_and(|start| {
-            start.delivered_under.max(start.in_flight_under) == Some(self.fence)
+            start.finished_call_fence.max(start.in_flight_call_fence) == Some(self.fence)
         })
     }
 
-    /// Raises the fence. Returns false if it can't be raised any further under this leader.
+    /// Raises the fence by one. Returns false if it has reached its maximum for this leader's epoch.
     pub fn raise_fence(&mut self) -> bool {
         let below_max = self.fence < MAX_FENCE;
         self.fence += u32::from(below_max);
--- a/src/bookkeeping/workers/registry.rs
+++ b/src/bookkeeping/workers/registry.rs
@@ -10,17 +10,17 @@
 }
 
 impl Workers {
-    /// The worker with a name.
+    /// The worker with this name.
     pub fn get(&self, name: &str) -> Option<&Worker> {
         self.workers.get(name)
     }
 
-    /// The worker with a name, mutably.
+    /// The worker with this name, mutably.
     pub fn get_mut(&mut self, name: &str) -> Option<&mut Worker> {
         self.workers.get_mut(name)
     }
 
-    /// The worker with a name, inserted if it is unknown.
+    /// The worker with this name; if there is none, inserts the one that `make` returns.
     pub fn get_or_insert_with(&mut self, name: &str, make: impl FnOnce() -> Worker) -> &mut Worker {
         self.workers.entry(name.to_owned()).or_insert_with(make)
     }
--- a/src/bookkeeping/workers/resources.rs
+++ b/src/bookkeeping/workers/resources.rs
@@ -7,7 +7,7 @@
 /// Tolerance for the rounding errors of sums of decimal amounts.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// The result of [`Resources::count_fitting`] for a request of nothing at all.
+/// The result of [`Resources::count_fitting`] for a request whose amounts are all zero.
 const MAX_EMPTY_REQUESTS: u32 = 1000;
 
 /// Resources that an instance has or a task requests.
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The largest share of `total` that any one of these resources takes.
+    /// The dominant share: the largest of the shares that these amounts of CPU, GPU and memory have in `total`.
     pub fn dominant_share(&self, total: &Resources) -> f64 {
         let share = |part: f64, total: f64| if total > 0.0 { part / total } else { 0.0 };
         share(self.cpus, total.cpus)
--- a/src/bookkeeping/workers/revocation.rs
+++ b/src/bookkeeping/workers/revocation.rs
@@ -1,30 +1,31 @@
-//! The worker's fence: revoking the starts that were sent so far.
+//! Revokes the start commands that were sent to a worker, by raising the worker's fence.
 
 use super::worker::Worker;
 
-/// Why starts that may still arrive at a worker are revoked.
+/// Why start commands that may still arrive at a worker are revoked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RevocationReason {
-    /// The job has ended.
+    /// A job has ended for which start commands may still arrive.
     JobEnded,
-    /// A task that the worker doesn't show is to leave it.
+    /// A task that the worker's heartbeat does not list is being evicted.
     Evicted,
-    /// An attempt that has exited can't be cleared while a start of it may arrive.
+    /// An attempt that has exited can't be cleared while a start command for it may arrive.
     Clear,
-    /// Too many starts are tracked.
+    /// Too many start commands are pending.
     TooManyPending,
 }
 
 impl RevocationReason {
-    /// Whether the worker is told at once, rather than in the response to its next heartbeat.
+    /// Whether the raised fence is sent at once in a direct call, rather than in the response to the worker's next
+    /// heartbeat.
     pub fn is_urgent(self) -> bool {
         matches!(self, RevocationReason::JobEnded | RevocationReason::Evicted)
     }
 }
 
 impl Worker {
-    /// Revokes all starts that were sent so far: the worker executes none of them once it has received the
-    /// next message. Returns false if the fence can't be raised any further.
+    /// Revokes all start commands sent so far by raising the fence: once the worker has received a message with the
+    /// new fence, it executes none of them. Returns false if the fence is at its maximum already.
     pub fn revoke_starts(&mut self, reason: RevocationReason) -> bool {
         let starts = self.pending_starts.len();
         let raised = self.pending_starts.raise_fence();
@@ -41,7 +42,7 @@
         raised
     }
 
-    /// Whether the eviction of a task waits for the worker to show its present fence.
+    /// Whether the eviction of some task can't finish before the worker has reported its present fence.
     pub fn awaits_fence_ack(&self) -> bool {
         self.pending_starts.awaits_fence_ack()
             && self.bindings.iter().any(|(task, binding)| {
@@ -51,15 +52,15 @@
             })
     }
 
-    /// Takes the fence that a heartbeat of the worker shows under this leader.
+    /// Records the fence that the worker reports in a heartbeat with this leader's epoch.
     pub fn observe_fence(&mut self, fence: u32) {
         if fence > self.pending_starts.fence() {
             tracing::error!(
                 worker = self.name,
                 fence,
                 given = self.pending_starts.fence(),
-                "Epoch: the worker shows a fence that it was not given; it is taken over. Look for a \
-                 second controller with this label"
+                "Epoch: the worker reports a higher fence than this leader has issued; continuing from that \
+                 fence. Check whether a second controller runs with this label"
             );
         }
         self.pending_starts.observe_fence(fence);
--- a/src/bookkeeping/workers/worker.rs
+++ b/src/bookkeeping/workers/worker.rs
@@ -1,4 +1,4 @@
-//! One worker: its machine, its lease, what is bound to it and what its heartbeats show.
+//! One worker: its instance, its lease, the tasks bound to it and the contents of its heartbeats.
 
 use super::binding::Binding;
 use super::pending_starts::PendingStarts;
@@ -8,10 +8,10 @@
 use crate::protocol::worker::{TaskId, TaskState, TaskStatus, WorkerHeartbeat};
 use std::collections::BTreeMap;
 
-/// Container images remembered of each worker.
+/// Maximum number of cached container images recorded for each worker.
 const MAX_CACHED_IMAGES: usize = 16;
 
-/// A worker, as the leader knows it. Times are seconds of the controller's steady clock.
+/// The leader's record of a worker. Times are seconds of the controller's monotonic clock.
 #[derive(Debug, Clone)]
 pub struct Worker {
     /// Name of the worker and its instance.
@@ -24,9 +24,9 @@
     pub spot: bool,
     /// Address of the worker's server; empty while unknown.
     pub endpoint: String,
-    /// The instance is to be released: no task is placed here any more.
+    /// The instance is to be deleted: no more tasks are placed here.
     pub terminating: bool,
-    /// Its replicas are being moved to other workers: no task is placed here until it is empty.
+    /// Its service replicas are being moved to other workers: no task is placed here until the worker is empty.
     pub draining: bool,
     /// The termination is committed to the state service, so that the delete request may be sent.
     pub termination_recorded: bool,
@@ -34,9 +34,9 @@
     pub incarnation: u64,
     /// Sequence number of the latest heartbeat of that incarnation.
     pub sequence: u64,
-    /// Highest token that the worker has shown.
+    /// Highest token that the worker has reported.
     pub token: FencingToken,
-    /// The worker has shown this leader's epoch.
+    /// The worker has reported a token with this leader's epoch.
     pub token_acknowledged: bool,
     /// Tasks in the latest heartbeat.
     pub observed_tasks: BTreeMap<TaskId, Vec<TaskStatus>>,
@@ -46,33 +46,34 @@
     pub first_heartbeat_at: Option<f64>,
     /// When this leader received the worker's latest heartbeat.
     pub last_heartbeat_at: Option<f64>,
-    /// Since when the latest direct call has had no answer, or an incarnation that ended has had no
-    /// successor: heartbeats may arrive from a worker that no response or command reaches.
+    /// Set if the latest direct call to the worker was not answered, or if its incarnation has ended and no later one
+    /// has been seen: since when this has been so. Heartbeats may still arrive from a worker that receives neither
+    /// responses nor commands.
     pub unreachable_since: Option<f64>,
-    /// When the cloud reclaims the instance.
+    /// When the cloud will reclaim the spot instance, if that was announced.
     pub reclaim_at: Option<f64>,
-    /// Bound tasks.
+    /// Tasks bound to the worker.
     pub bindings: BTreeMap<TaskId, Binding>,
-    /// Starts that may still arrive, and the worker's fence.
+    /// Start commands that may still arrive, and the worker's fence.
     pub pending_starts: PendingStarts,
-    /// Starts may still arrive of a job that has ended and of which nothing is bound here.
+    /// Pending start commands must be revoked because a job has ended that has no binding here any more.
     pub revoke_starts_of_ended_jobs: bool,
-    /// Container images that the worker is believed to have, the latest last.
+    /// Container images that the worker probably has in its cache, the most recently used last.
     pub cached_images: Vec<String>,
-    /// When the worker was first known.
+    /// When this leader first recorded the worker.
     pub first_seen_at: f64,
-    /// Since when nothing is bound here.
+    /// Since when no task has been bound here.
     pub idle_since: f64,
     /// Failures of tasks on this worker.
     pub failures: WorkerFailures,
-    /// When the instance was last in the cloud's list.
+    /// When the cloud's listing last contained the instance.
     pub last_listed_at: Option<f64>,
-    /// The cloud's list has shown the instance as running.
+    /// The cloud's listing has reported the instance as running.
     pub listed_running: bool,
 }
 
 impl Worker {
-    /// A worker of which only the name and the kind of instance are known.
+    /// A worker of which only the name and the pool (instance type, zone, spot or on-demand) are known.
     pub fn new(name: &str, instance_type: &str, zone: &str, spot: bool, now: f64) -> Worker {
         Worker {
             name: name.to_owned(),
@@ -105,12 +106,12 @@
         }
     }
 
-    /// Resources that all bindings take.
+    /// Resources of all bindings together.
     pub fn allocated(&self) -> Resources {
         self.bindings.values().map(|binding| binding.request).sum()
     }
 
-    /// Resources that bindings release which are evicted or being unbound.
+    /// Resources of the bindings that are being evicted or unbound, together.
     pub fn releasing(&self) -> Resources {
         self.bindings
             .values()
@@ -129,13 +130,13 @@
             && self.last_heartbeat_at.is_some()
     }
 
-    /// Whether a heartbeat is newer than all that were seen, by its numbers.
+    /// Whether a heartbeat is newer than all earlier ones, by its incarnation and sequence number.
     pub fn is_newer(&self, heartbeat: &WorkerHeartbeat) -> bool {
         (heartbeat.incarnation, heartbeat.sequence) > (self.incarnation, self.sequence)
     }
 
-    /// Whether a heartbeat shows a lower token than an earlier one did. A worker's token never sinks, so
-    /// the machine has restarted and forgotten it in between, or this is from before such a restart.
+    /// Whether a heartbeat has a lower token than an earlier one had. A worker's token never decreases. So either the
+    /// machine has restarted and lost its token in between, or this heartbeat was sent before such a restart.
     pub fn shows_lower_token(&self, heartbeat: &WorkerHeartbeat) -> bool {
         heartbeat.token < self.token
     }
@@ -148,27 +149,27 @@
             .find(|task_status| task_status.attempt == attempt)
     }
 
-    /// Whether a bound task that the latest heartbeat shows is missing in the newer `tasks`. Within an
-    /// incarnation only a clear removes a task, and none is sent while the task is bound: the machine has
-    /// restarted and forgotten its incarnations.
+    /// Whether a bound task that the latest heartbeat lists is missing from `tasks`, those of a newer one. Within an
+    /// incarnation only a clear command removes a task, and none is sent while the task is bound. So the machine has
+    /// restarted and lost its incarnation number.
     pub fn has_lost_bound_task(&self, tasks: &BTreeMap<TaskId, Vec<TaskStatus>>) -> bool {
         self.bindings.iter().any(|(task, binding)| {
-            let is_shown = |status: &TaskStatus| status.attempt == binding.attempt;
-            let was_shown = self.observed_task(task, binding.attempt).is_some();
-            was_shown
+            let is_listed = |status: &TaskStatus| status.attempt == binding.attempt;
+            let was_listed = self.observed_task(task, binding.attempt).is_some();
+            was_listed
                 && !tasks
                     .get(task)
-                    .is_some_and(|statuses| statuses.iter().any(is_shown))
+                    .is_some_and(|statuses| statuses.iter().any(is_listed))
         })
     }
 
-    /// Whether the latest heartbeat shows an attempt as exited.
+    /// Whether the latest heartbeat reports an attempt as exited.
     pub fn has_exited(&self, task: &TaskId, attempt: u64) -> bool {
         self.observed_task(task, attempt)
             .is_some_and(|task_status| task_status.state == TaskState::Exited)
     }
 
-    /// Remembers that the worker has an image.
+    /// Records that the worker has an image in its cache, and drops the oldest record beyond the maximum.
     pub fn remember_image(&mut self, image: &str) {
         self.cached_images.retain(|known| known != image);
         self.cached_images.push(image.to_owned());
