--- a/src/bookkeeping/jobs/closed_jobs.rs
+++ b/src/bookkeeping/jobs/closed_jobs.rs
@@ -1,26 +1,26 @@
-//! Memory of closed jobs: what is older than the end of a job opens it no more.
+//! Remembers closed jobs, so that outdated records don't reopen them.
 //!
-//! The id of a job is used once, so a record of an open job whose id is known to be closed is always older than the
-//! end of the job, however late it arrives: in a page of a listing that began before, in a lookup's response, or in the
-//! response to a submission.
+//! Each job id is used only once. So a record of an open job whose id is known to be closed is always older than the
+//! end of the job, however late it arrives: in a page of a listing that began earlier, in the response to a lookup, or
+//! in the response to a submission.
 
 use std::collections::{HashMap, VecDeque};
 
-/// Closed jobs that are remembered; the ones learnt first are forgotten. Should a record still arrive that is older
-/// than so many ends, the job counts as open until its first transaction fails.
+/// Number of closed jobs that are remembered; beyond it the oldest entry is dropped. If an outdated record of a job
+/// arrives after its entry was dropped, the job counts as open until its first transaction fails.
 const MAX_CLOSED_JOBS: usize = 20_000;
 
-/// The jobs that were learnt last to be closed.
+/// The closed jobs that this controller has most recently learned of.
 #[derive(Debug, Default)]
 pub struct ClosedJobs {
-    /// For each job the revision of the deletion of its `open/` key, if that was told.
+    /// For each job the revision at which its `open/` key was deleted, if that is known.
     revisions: HashMap<String, Option<u64>>,
-    /// Ids of the jobs, the one learnt first in front.
+    /// Ids of the jobs, the oldest entry first.
     order: VecDeque<String>,
 }
 
 impl ClosedJobs {
-    /// Records that a job is closed, at a revision if that is known.
+    /// Records that a job is closed, with the revision at which its `open/` key was deleted, if that is known.
     pub fn insert(&mut self, id: &str, revision: Option<u64>) {
         if let Some(known) = self.revisions.get_mut(id) {
             *known = known.or(revision);
@@ -40,8 +40,8 @@
         self.revisions.contains_key(id)
     }
 
-    /// Whether a record of an open job is news. One of a closed job is not: it is older than the job's end, or
-    /// was written by something that reuses ids.
+    /// Whether to accept a record of an open job. A record of a closed job is rejected: either it is older than the
+    /// job's end, or some program has used the id again.
     pub fn accepts_open_record(&self, id: &str, mod_revision: u64) -> bool {
         let Some(closed_at) = self.revisions.get(id) else {
             return true;
@@ -51,14 +51,14 @@
                 job = id,
                 mod_revision,
                 closed_at,
-                "open job ignored: put after the end of a job with its id"
+                "open job ignored: its id was already used by a job that has ended"
             );
         } else {
             tracing::debug!(
                 job = id,
                 mod_revision,
                 closed_at,
-                "older record of a closed job ignored"
+                "open job ignored: the record is older than the end of the job"
             );
         }
         false
--- a/src/bookkeeping/jobs/job.rs
+++ b/src/bookkeeping/jobs/job.rs
@@ -14,30 +14,30 @@
     pub is_running: bool,
 }
 
-/// An open job. Times are seconds of the controller's steady clock.
+/// An open job. Times are seconds of the controller's monotonic clock.
 ///
-/// The sets and counts of completed, bound and running tasks must agree with each other; they are changed by
+/// The sets and counts of completed, bound and running tasks must agree with each other; only
 /// [`complete`](Job::complete), [`bind`](Job::bind), [`observe_running`](Job::observe_running) and
-/// [`unbind`](Job::unbind).
+/// [`unbind`](Job::unbind) change them.
 #[derive(Debug, Clone)]
 pub struct Job {
     /// Specification, as submitted.
     pub spec: JobSpec,
-    /// Mod revision of its key in the state service.
+    /// Mod revision of the job's key in the state service.
     pub mod_revision: u64,
     /// When the job was submitted.
     pub submitted_at: f64,
     /// When the job should be complete, by its deadline or the objective of its class.
     pub deadline: Option<f64>,
-    /// Seconds within which its tasks should start.
+    /// Seconds within which the job's tasks should start, by the objective of its class.
     pub start_objective_s: Option<f64>,
-    /// Until then the job can wait, rather than preempt other tasks.
+    /// Before this time the job waits; from then on its tasks may preempt others.
     pub may_preempt_from: f64,
-    /// Completed tasks, committed or about to be.
+    /// Completed tasks, including those whose completion is not committed yet.
     completed: TaskSet,
-    /// The workers that each bound task is bound to; after failures there may be several.
+    /// The workers to which each bound task is bound; after failures a task may be bound to several.
     bound_workers: BTreeMap<u32, Vec<BoundWorker>>,
-    /// Workers where its tasks have completed while copies of their starts may still arrive.
+    /// Workers on which tasks of the job have completed while duplicates of their start commands may still arrive.
     pub workers_with_duplicate_starts: BTreeSet<String>,
     /// Number of bindings in each zone.
     bound_per_zone: HashMap<String, u32>,
@@ -45,30 +45,30 @@
     bound_completed: u32,
     /// Number of workers in `bound_workers` that are marked as running.
     running_tasks: u32,
-    /// The end of the job waits to be committed.
+    /// The end of the job has been added to the write-ahead log, but is not committed yet.
     pub finishing: bool,
-    /// Failures of its tasks.
+    /// Failures of the job's tasks.
     pub failures: JobFailures,
-    /// The latest attempt, which the tasks of a gang share.
+    /// Number of a gang's latest attempt, which all its tasks share.
     pub gang_attempt: Option<u64>,
     /// No task is placed before this time.
     pub eligible_at: f64,
-    /// Since when some task has waited.
+    /// Since when at least one task has been waiting to be placed.
     pub waiting_since: f64,
 }
 
 impl Job {
-    /// A job none of whose tasks is bound or complete.
-    pub fn new(spec: JobSpec, mod_revision: u64, since: f64) -> Job {
+    /// A job without bound or completed tasks.
+    pub fn new(spec: JobSpec, mod_revision: u64, submitted_at: f64) -> Job {
         let tasks = spec.tasks;
-        let deadline = spec.deadline_s.map(|deadline| since + deadline);
+        let deadline = spec.deadline_s.map(|deadline_s| submitted_at + deadline_s);
         Job {
             deadline,
             start_objective_s: None,
-            may_preempt_from: since,
+            may_preempt_from: submitted_at,
             spec,
             mod_revision,
-            submitted_at: since,
+            submitted_at,
             completed: TaskSet::new(tasks),
             bound_workers: BTreeMap::new(),
             workers_with_duplicate_starts: BTreeSet::new(),
@@ -79,7 +79,7 @@
             failures: JobFailures::default(),
             gang_attempt: None,
             eligible_at: 0.0,
-            waiting_since: since,
+            waiting_since: submitted_at,
         }
     }
 
@@ -88,16 +88,16 @@
         self.spec.kind == JobKind::Service
     }
 
-    /// The tasks that wait to be placed, in the order of placement.
+    /// The tasks that are waiting to be placed, in the order of placement.
     pub fn waiting_tasks(&self) -> impl Iterator<Item = u32> + '_ {
-        (0..self.spec.tasks).filter(|index| self.waits(*index))
+        (0..self.spec.tasks).filter(|index| self.is_waiting(*index))
     }
 
-    fn waits(&self, index: u32) -> bool {
+    fn is_waiting(&self, index: u32) -> bool {
         !self.completed.contains(index) && !self.bound_workers.contains_key(&index)
     }
 
-    /// Number of tasks that wait to be placed.
+    /// Number of tasks that are waiting to be placed.
     pub fn waiting_count(&self) -> u32 {
         if self.finishing {
             return 0;
@@ -106,13 +106,13 @@
         self.spec.tasks.saturating_sub(self.completed.len() + bound)
     }
 
-    /// Whether this is a service of which replicas have failed since the last success.
+    /// Whether this is a service whose replicas have failed since the last success of one of them.
     pub fn is_failing_service(&self) -> bool {
         self.is_service() && self.failures.workers().next().is_some()
     }
 
-    /// Number of tasks that may be placed now: all that wait; of a crash-looping job, though, only one at a
-    /// time, or one gang, as a probe.
+    /// Number of tasks that may be placed now: all waiting tasks, or, if the job is crash-looping, a probe of one task
+    /// or one gang at a time.
     pub fn startable_count(&self) -> u32 {
         let waiting = self.waiting_count();
         if !self.failures.is_crash_looping() {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// The completed tasks, committed or about to be.
+    /// The completed tasks, including those whose completion is not committed yet.
     pub fn completed(&self) -> &TaskSet {
         &self.completed
     }
@@ -136,7 +136,7 @@
         self.completed.len() == self.spec.tasks
     }
 
-    /// The workers that each bound task is bound to, by the index of the task.
+    /// The workers to which each bound task is bound, by the index of the task.
     pub fn bound_workers(&self) -> &BTreeMap<u32, Vec<BoundWorker>> {
         &self.bound_workers
     }
@@ -169,7 +169,7 @@
         !self.completed.is_empty() || !self.bound_workers.is_empty()
     }
 
-    /// Records that a task is complete. Returns false if that was known.
+    /// Records that a task is complete. Returns false if it already was.
     pub fn complete(&mut self, index: u32) -> bool {
         let new = self.completed.insert(index);
         if new && self.bound_workers.contains_key(&index) {
@@ -193,8 +193,8 @@
         }
     }
 
-    /// Records that a binding has ended. Returns false if the task is not bound to that worker, as far as
-    /// the job knows; nothing changes then.
+    /// Records that a binding has ended. If the job has no binding of this task to this worker, changes nothing and
+    /// returns false.
     pub fn unbind(&mut self, index: u32, worker: &str, zone: &str, now: f64) -> bool {
         let Some(workers) = self.bound_workers.get_mut(&index) else {
             return false;
@@ -204,7 +204,7 @@
         };
         let bound = workers.remove(position);
         if bound.is_running {
-            // Counted when the mark was set.
+            // `observe_running` counted the task when it set `is_running`.
             self.running_tasks -= 1;
         }
         if let Some(count) = self.bound_per_zone.get_mut(zone) {
--- a/src/bookkeeping/jobs/registry.rs
+++ b/src/bookkeeping/jobs/registry.rs
@@ -10,7 +10,7 @@
 }
 
 impl Jobs {
-    /// Inserts a job, unless one with its id is known.
+    /// Inserts a job, unless there already is one with its id.
     pub fn insert(&mut self, job: Job) {
         self.jobs.entry(job.spec.id.clone()).or_insert(job);
     }
@@ -20,12 +20,12 @@
         self.jobs.remove(id)
     }
 
-    /// The job with an id.
+    /// The job with this id.
     pub fn get(&self, id: &str) -> Option<&Job> {
         self.jobs.get(id)
     }
 
-    /// The job with an id, mutably.
+    /// The job with this id, mutably.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut Job> {
         self.jobs.get_mut(id)
     }
--- a/src/bookkeeping/reconciliation/commands.rs
+++ b/src/bookkeeping/reconciliation/commands.rs
@@ -4,8 +4,9 @@
 use crate::bookkeeping::workers::Worker;
 use crate::protocol::worker::{Command, CommandKind, TaskId, TaskState, TaskStatus};
 
-/// At most `limit` commands that turn the tasks in the worker's latest heartbeat into those that are bound to it.
-/// Starts are among them only with `may_start`, which takes a leader whose view of the open jobs is fresh.
+/// Compares the tasks in the worker's latest heartbeat with those bound to it, and returns at most `limit` commands
+/// that remove the difference. Start commands are included only if `may_start` is set, which requires a leader with a
+/// fresh view of the open jobs.
 pub fn commands(worker: &Worker, may_start: bool, limit: usize) -> Vec<Command> {
     let mut commands: Vec<Command> = worker
         .observed_tasks
@@ -14,13 +15,13 @@
         .filter_map(|(task, status)| command_for_observed(worker, task, status))
         .collect();
     if may_start {
-        commands.extend(starts(worker));
+        commands.extend(start_commands(worker));
     }
     commands.truncate(limit);
     commands
 }
 
-/// The command for an attempt that the worker shows: to clear it, to stop it, or none.
+/// The command for an attempt that the worker's heartbeat lists: clear, stop or none.
 fn command_for_observed(worker: &Worker, task: &TaskId, status: &TaskStatus) -> Option<Command> {
     let (kind, grace_s) = if permits::may_clear(worker, task, status).is_ok() {
         (CommandKind::Clear, None)
@@ -35,8 +36,8 @@
     })
 }
 
-/// Starts of the bound tasks that may be started.
-fn starts(worker: &Worker) -> impl Iterator<Item = Command> + '_ {
+/// Start commands for the bound tasks that may be started.
+fn start_commands(worker: &Worker) -> impl Iterator<Item = Command> + '_ {
     worker
         .bindings
         .iter()
@@ -49,8 +50,8 @@
         })
 }
 
-/// The seconds for a checkpoint of an attempt that is to be stopped, or stopped once more; none if it is to go
-/// on.
+/// The seconds for a checkpoint in the stop command to send for an attempt. `None` if no stop command is to be sent,
+/// because the attempt has exited, is to go on, or is already saving its checkpoint within a grace period.
 fn stop_grace_s(worker: &Worker, task: &TaskId, status: &TaskStatus) -> Option<f64> {
     if status.state == TaskState::Exited {
         return None;
@@ -60,6 +61,6 @@
         return Some(0.0);
     };
     let grace_s = binding.eviction?.grace_s;
-    let writes_checkpoint = status.state == TaskState::Checkpointing && grace_s > 0.0;
-    (!writes_checkpoint).then_some(grace_s)
+    let is_saving_checkpoint = status.state == TaskState::Checkpointing && grace_s > 0.0;
+    (!is_saving_checkpoint).then_some(grace_s)
 }
--- a/src/bookkeeping/reconciliation/mod.rs
+++ b/src/bookkeeping/reconciliation/mod.rs
@@ -1,4 +1,5 @@
-//! What is to be sent to a worker: its latest heartbeat compared with its bindings.
+//! Reconciliation: compares a worker's latest heartbeat with its bindings to decide which commands to send to it, and
+//! whether to revoke start commands that were sent before.
 
 mod commands;
 mod revocation;
--- a/src/bookkeeping/reconciliation/revocation.rs
+++ b/src/bookkeeping/reconciliation/revocation.rs
@@ -1,10 +1,10 @@
-//! When the starts that were sent to a worker must be revoked.
+//! Decides when the start commands that were sent to a worker must be revoked.
 
 use crate::bookkeeping::permits::{self, Denial};
 use crate::bookkeeping::workers::{EvictionReason, RevocationReason, Worker};
 
-/// Whether the starts that may still arrive at a worker are to be revoked, and why. A start that was sent under
-/// an earlier fence than the present one is revoked already.
+/// Whether the start commands that may still arrive at a worker must be revoked, and why. A start command that was
+/// sent with a lower fence than the present one is revoked already.
 pub fn pending_revocation(worker: &Worker) -> Option<RevocationReason> {
     let evicted = evicted_start(worker);
     if evicted == Some(RevocationReason::JobEnded) || worker.revoke_starts_of_ended_jobs {
@@ -17,12 +17,13 @@
         return Some(RevocationReason::Clear);
     }
     let starts = &worker.pending_starts;
-    let crowded = starts.exceeds_max_pending() && !starts.awaits_fence_ack();
-    crowded.then_some(RevocationReason::TooManyPending)
+    let too_many = starts.exceeds_max_pending() && !starts.awaits_fence_ack();
+    too_many.then_some(RevocationReason::TooManyPending)
 }
 
-/// Whether a start may still arrive of a task that is being evicted. The end of a job goes before other
-/// evictions; these need a revocation only while the worker doesn't show the task.
+/// Whether a start command may still arrive for a task that is being evicted, and why it must be revoked. The end of
+/// a job takes precedence over other reasons. Other evictions need a revocation only while the worker's heartbeat does
+/// not list the task.
 fn evicted_start(worker: &Worker) -> Option<RevocationReason> {
     let mut reason = None;
     for (task, binding) in &worker.bindings {
--- a/src/bookkeeping/reconciliation/revocation_counters.rs
+++ b/src/bookkeeping/reconciliation/revocation_counters.rs
@@ -1,9 +1,9 @@
-//! Counters of revocations, for the log.
+//! Counts revocations, for a periodic log line.
 
 use crate::bookkeeping::workers::RevocationReason;
 use std::collections::BTreeMap;
 
-/// Number of revocations of the starts that were sent to a worker, by reason.
+/// How often start commands that were sent to a worker have been revoked, by reason.
 #[derive(Debug, Default)]
 pub struct RevocationCounters {
     counts: BTreeMap<RevocationReason, u64>,
