--- a/src/bookkeeping/failure_attribution.rs
+++ b/src/bookkeeping/failure_attribution.rs
@@ -1,29 +1,28 @@
-//! Whether failures of tasks are attributed to the job or to the worker.
+//! Decides whether failures of tasks are attributed to the job or to the worker.
 //!
-//! One failed task does not tell whether the worker or the job is at fault; comparing tasks does. A job that
-//! fails on several workers without any success is crash-looping, and its failures don't count against the
-//! workers. A worker on which jobs fail that succeed elsewhere is faulty, and quarantined. Until the fault is
-//! attributed, a worker on which several jobs fail is cordoned.
+//! A single failure does not show whether the worker or the job is at fault; a comparison of several does. A job that
+//! fails on several workers without any success is crash-looping, and its failures don't count against the workers. A
+//! worker is faulty, and is quarantined, if jobs fail on it that succeed elsewhere. Until the fault is attributed, a
+//! worker on which several jobs fail is cordoned.
 
 use std::collections::BTreeMap;
 
-/// Number of workers on which a job fails, without a success in between, before it is crash-looping.
+/// Number of workers on which a job must fail, without a success in between, to be crash-looping.
 const CRASH_LOOP_WORKERS: usize = 3;
-/// Number of counted failures from which a worker is cordoned or quarantined.
+/// Number of counted failures at which a worker is cordoned or quarantined.
 const QUARANTINE_FAILURES: u32 = 3;
-/// Failures counted at most of a job that has succeeded nowhere: fewer than [`QUARANTINE_FAILURES`], so that no
-/// single job gets a worker cordoned.
-const UNPROVEN_FAILURES: u32 = 2;
-/// Workers remembered for a job, and jobs remembered for a worker.
-const MAX_REMEMBERED: usize = 64;
-/// Binary logarithm of the ratio of the longest to the shortest back-off between two probes of a crash-looping
-/// job.
+/// Maximum number of failures counted for each job that has not succeeded elsewhere. Lower than
+/// [`QUARANTINE_FAILURES`], so that no single job gets a worker cordoned.
+const MAX_UNPROVEN_FAILURES: u32 = 2;
+/// Maximum number of workers recorded per job, and of jobs recorded per worker.
+const MAX_RECORDED: usize = 64;
+/// Maximum exponent of the back-off: each failed probe of a crash-looping job doubles the time until the next one.
 const MAX_BACKOFF_EXPONENT: u32 = 4;
 
-/// The failures of a job's tasks since the last success of one of them.
+/// The failures of a job's tasks since one of them last succeeded.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct JobFailures {
-    /// Workers on which tasks failed, and when they first did.
+    /// Workers on which tasks failed, with the time of the first failure.
     workers: BTreeMap<String, f64>,
     succeeded: bool,
     crash_looping: bool,
@@ -31,8 +30,8 @@
 }
 
 impl JobFailures {
-    /// Whether the failures are attributed to the job itself. Only one of its tasks at a time is then started,
-    /// as a probe.
+    /// Whether the failures are attributed to the job itself. If so, only one task or gang at a time is started, as a
+    /// probe.
     pub fn is_crash_looping(&self) -> bool {
         self.crash_looping
     }
@@ -47,8 +46,8 @@
         self.workers.contains_key(worker)
     }
 
-    /// Whether further tasks of the job should be placed on other workers than this one. After `avoid_s` seconds
-    /// the worker is tried again, as there may be no other.
+    /// Whether further tasks of the job should be placed on other workers than this one. After `avoid_s` seconds the
+    /// job may use the worker again, as there may be no other.
     pub fn avoids(&self, worker: &str, avoid_s: f64, now: f64) -> bool {
         !self.crash_looping
             && self
@@ -62,14 +61,14 @@
         self.workers.keys().map(String::as_str)
     }
 
-    /// Records a failure. The job is crash-looping once it has failed on several workers, or again on one that
-    /// it had avoided for `avoid_s` seconds. Returns whether it has just become so.
+    /// Records a failure. The job becomes crash-looping once it has failed on several workers, or has failed again on
+    /// one that it had avoided for `avoid_s` seconds. Returns whether this failure made it so.
     pub fn record_failure(&mut self, worker: &str, avoid_s: f64, now: f64) -> bool {
         let again = self
             .workers
             .get(worker)
             .is_some_and(|at| now - at >= avoid_s);
-        if self.workers.len() < MAX_REMEMBERED {
+        if self.workers.len() < MAX_RECORDED {
             self.workers.entry(worker.to_owned()).or_insert(now);
         }
         let before = self.crash_looping;
@@ -77,7 +76,7 @@
         self.crash_looping && !before
     }
 
-    /// Marks the job as crash-looping, as an earlier leader had found.
+    /// Marks the job as crash-looping because an earlier leader had found it to be.
     pub fn mark_crash_looping(&mut self) {
         self.crash_looping = true;
     }
@@ -106,7 +105,7 @@
     job_works_elsewhere: bool,
 }
 
-/// The failures on a worker since the last task that completed there, by job.
+/// The failures on a worker since a task last completed there, by job.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct WorkerFailures {
     jobs: BTreeMap<String, AttributedFailures>,
@@ -115,7 +114,7 @@
 impl WorkerFailures {
     /// Records that a task of a job failed here.
     pub fn record_failure(&mut self, job: &str, job_works_elsewhere: bool) {
-        if self.jobs.len() >= MAX_REMEMBERED && !self.jobs.contains_key(job) {
+        if self.jobs.len() >= MAX_RECORDED && !self.jobs.contains_key(job) {
             return;
         }
         let job_failures = self.jobs.entry(job.to_owned()).or_default();
@@ -123,14 +122,14 @@
         job_failures.job_works_elsewhere |= job_works_elsewhere;
     }
 
-    /// Attributes a job's failures to this worker, as the job has succeeded elsewhere.
+    /// Attributes a job's failures to this worker, because the job has succeeded elsewhere.
     pub fn attribute_to_worker(&mut self, job: &str) {
         if let Some(job_failures) = self.jobs.get_mut(job) {
             job_failures.job_works_elsewhere = true;
         }
     }
 
-    /// Drops a job's failures, as the job itself is at fault, or may be.
+    /// Drops a job's failures, because the job itself is or may be at fault.
     pub fn attribute_to_job(&mut self, job: &str) {
         self.jobs.remove(job);
     }
@@ -140,18 +139,18 @@
         self.jobs.clear();
     }
 
-    /// Whether the worker may be faulty: it gets no more tasks until it is known which of the jobs that failed
-    /// here work elsewhere.
+    /// Whether the worker may be faulty. It gets no more tasks until it is known which of the jobs that failed here
+    /// succeed elsewhere.
     pub fn is_cordoned(&self) -> bool {
-        self.count_failures(UNPROVEN_FAILURES) >= QUARANTINE_FAILURES
+        self.count_failures(MAX_UNPROVEN_FAILURES) >= QUARANTINE_FAILURES
     }
 
-    /// Whether the worker is faulty: the jobs that failed here work elsewhere.
+    /// Whether the worker is faulty: the jobs that failed here have succeeded elsewhere.
     pub fn is_quarantined(&self) -> bool {
         self.count_failures(0) >= QUARANTINE_FAILURES
     }
 
-    /// Number of failures, with at most `max_unproven` counted of each job that has succeeded nowhere else.
+    /// Number of failures, of which at most `max_unproven` are counted for each job that has not succeeded elsewhere.
     fn count_failures(&self, max_unproven: u32) -> u32 {
         let count = |job: &AttributedFailures| {
             if job.job_works_elsewhere {
--- a/src/bookkeeping/invariants.rs
+++ b/src/bookkeeping/invariants.rs
@@ -1,8 +1,8 @@
 //! Safety invariants, checked at the point where a message is sent or a binding is dropped.
 //!
-//! The decisions are made in [`super::permits`]; these checks verify the outcome independently of them. A
-//! violation is a bug of this program: it is logged at `error` with a count, the action is refused, and the
-//! process goes on. Builds with debug assertions, such as tests, panic.
+//! [`super::permits`] decides which actions are permitted; these checks verify the outcome independently. A violation
+//! is a bug in this program: it is logged at `error` with a count, the action is refused, and the process goes on.
+//! Builds with debug assertions, such as tests, panic.
 
 use std::fmt::Arguments;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,17 +10,17 @@
 /// A condition that must hold for an action.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Invariant {
-    /// No start of a task is sent once this controller knows that the job has ended.
+    /// No start command for a task is sent once this controller knows that the job has ended.
     NoStartOfEndedJob,
-    /// No attempt is cleared while a start may arrive that runs it again.
+    /// No attempt is cleared while a start command may arrive that would run it again.
     NoClearWhileStartMayArrive,
-    /// No user is told that a job is aborted before that is committed.
+    /// No response to a user says that a job is aborted before that is committed.
     NoAbortedWithoutCommit,
     /// No lease of a worker is renewed beyond the lease grace period.
     NoRenewalBeyondLeaseGrace,
-    /// No binding is dropped while a start of it may still arrive.
+    /// No binding is dropped while a start command for it may still arrive.
     NoUnbindWhileStartMayArrive,
-    /// An open job knows of each binding of its tasks: its counts are those of the bindings.
+    /// The record of an open job contains each binding of its tasks that the workers' records contain.
     NoBindingUnknownToItsJob,
 }
 
--- a/src/bookkeeping/mod.rs
+++ b/src/bookkeeping/mod.rs
@@ -1,6 +1,6 @@
-//! The leader's records: jobs, workers, bindings and quotas, and how they are kept in the state service.
+//! The leader's records: jobs, workers, bindings and quotas, and how they are stored in the state service.
 //!
-//! Nothing here opens a socket or reads a clock; times are arguments, in seconds of a steady clock.
+//! Nothing here opens a socket or reads a clock; times are arguments, in seconds of a monotonic clock.
 
 pub mod failure_attribution;
 pub mod invariants;
--- a/src/bookkeeping/quotas.rs
+++ b/src/bookkeeping/quotas.rs
@@ -1,7 +1,7 @@
-//! Resources that teams use, and the quotas and limits that their settings give them.
+//! Resources that teams use, and the quotas and limits from their settings.
 //!
-//! A team's quota (`cpus`, `gpus`) is what it is guaranteed; its limit (`cpus_max`, `gpus_max`) is what it may
-//! use at most, where 0 stands for no limit.
+//! A team's quota (`cpus`, `gpus`) is the amount that it is guaranteed. Its limit (`cpus_max`, `gpus_max`) is the most
+//! that it may use; a limit of 0 means that there is none.
 
 use crate::protocol::job::{JobKind, JobSpec};
 use crate::settings::Team;
@@ -19,21 +19,21 @@
     pub gpus: f64,
 }
 
-/// A team's settings and what its bound tasks use.
+/// A team's settings and the resources that its bound tasks use.
 #[derive(Debug, Clone)]
 struct TeamUsage {
     team: Team,
     used: ResourceUsage,
 }
 
-/// The teams, with what their bound tasks use.
+/// The teams, with the resources that their bound tasks use.
 #[derive(Debug, Clone, Default)]
 pub struct Quotas {
     teams: HashMap<String, TeamUsage>,
 }
 
 impl Quotas {
-    /// Teams that use nothing yet.
+    /// The teams of the settings, without any bound tasks.
     pub fn new(teams: &[Team]) -> Quotas {
         let unused = |team: &Team| TeamUsage {
             team: team.clone(),
@@ -52,8 +52,8 @@
         self.teams.contains_key(team)
     }
 
-    /// Whether the limit of the job's team ever lets it run: one task of an array, all tasks of a service or a
-    /// gang.
+    /// Whether the limit of the job's team allows the job to run if the team uses nothing else: at least one task of an
+    /// array, or all tasks of a service or a gang together.
     pub fn can_ever_run(&self, spec: &JobSpec) -> bool {
         let Some(TeamUsage { team, .. }) = self.teams.get(&spec.team) else {
             return false;
@@ -66,7 +66,7 @@
             && is_within_limit(spec.gpus * tasks, team.gpus_max)
     }
 
-    /// Whether one more task fits under the team's limit.
+    /// Whether one more task that requests these amounts fits under the team's limit.
     pub fn has_capacity(&self, team: &str, cpus: f64, gpus: f64) -> bool {
         let Some(TeamUsage { team, used }) = self.teams.get(team) else {
             return false;
@@ -75,7 +75,7 @@
             && is_within_limit(used.gpus + gpus, team.gpus_max)
     }
 
-    /// How many more such tasks fit under the team's limit.
+    /// How many more tasks that each request these amounts fit under the team's limit.
     pub fn remaining_tasks(&self, team: &str, cpus: f64, gpus: f64) -> u32 {
         let Some(TeamUsage { team, used }) = self.teams.get(team) else {
             return 0;
@@ -92,7 +92,7 @@
         count(cpus, used.cpus, team.cpus_max).min(count(gpus, used.gpus, team.gpus_max)) as u32
     }
 
-    /// Whether these amounts are within the team's quota; never, if it has none.
+    /// Whether these amounts are within the team's quota; false if it has none.
     pub fn is_within_quota(&self, team: &str, cpus: f64, gpus: f64) -> bool {
         let Some(TeamUsage { team, .. }) = self.teams.get(team) else {
             return false;
@@ -103,7 +103,7 @@
             && gpus <= team.gpus + ROUNDING_TOLERANCE
     }
 
-    /// Whether the team still uses all of its quota, or more, without these amounts.
+    /// Whether the team would still use all of its quota, or more, after releasing these amounts.
     pub fn exceeds_quota_without(&self, team: &str, cpus: f64, gpus: f64) -> bool {
         let Some(TeamUsage { team, used }) = self.teams.get(team) else {
             return true;
@@ -112,7 +112,7 @@
             || (gpus > 0.0 && used.gpus - gpus >= team.gpus - ROUNDING_TOLERANCE)
     }
 
-    /// Adds a bound task to what its team uses.
+    /// Adds the resources of a bound task to its team's usage.
     pub fn charge(&mut self, team: &str, cpus: f64, gpus: f64) {
         if let Some(TeamUsage { used, .. }) = self.teams.get_mut(team) {
             used.cpus += cpus;
@@ -120,12 +120,12 @@
         }
     }
 
-    /// Takes a bound task from what its team uses.
+    /// Subtracts the resources of a task that is no longer bound from its team's usage.
     pub fn release(&mut self, team: &str, cpus: f64, gpus: f64) {
         self.charge(team, -cpus, -gpus);
     }
 
-    /// What a team uses; nothing, if it doesn't exist.
+    /// The resources that a team uses; zero if there is no such team.
     pub fn usage(&self, team: &str) -> ResourceUsage {
         self.teams
             .get(team)
@@ -134,7 +134,7 @@
     }
 }
 
-/// Whether an amount is within a limit, where 0 stands for no limit.
+/// Whether an amount is within a limit; a limit of 0 means that there is none.
 fn is_within_limit(amount: f64, limit: f64) -> bool {
     limit <= 0.0 || amount <= limit + ROUNDING_TOLERANCE
 }
--- a/src/bookkeeping/rate_limit.rs
+++ b/src/bookkeeping/rate_limit.rs
@@ -1,13 +1,13 @@
-//! Rate limits: token buckets, and the share of a budget that several controllers use together.
+//! Rate limits: token buckets, and how controllers divide a common rate budget among themselves.
 
-/// A rate limit with bursts.
+/// A token bucket: a rate limit that allows bursts.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
     /// Tokens per second.
     rate: f64,
-    /// Tokens that the bucket holds at most.
+    /// Maximum number of tokens in the bucket.
     burst: f64,
-    /// Tokens at `refilled_at`; negative while in debt.
+    /// Number of tokens at `refilled_at`; negative while in debt.
     available: f64,
     refilled_at: f64,
 }
@@ -39,7 +39,7 @@
         self.available
     }
 
-    /// Takes `count` tokens if so many are available. Returns whether they were.
+    /// Takes `count` tokens if that many are available. Returns whether they were taken.
     pub fn take(&mut self, count: f64, now: f64) -> bool {
         if self.available(now) >= count {
             self.available -= count;
@@ -49,16 +49,17 @@
         }
     }
 
-    /// Takes `count` tokens for a call that can't wait, with a debt of at most the burst if there are too few.
+    /// Takes `count` tokens for a call that can't wait. If too few are available, the bucket goes into debt, by at most
+    /// the burst.
     pub fn take_with_debt(&mut self, count: f64, now: f64) {
         self.available(now);
         self.available = (self.available - count).max(-self.burst);
     }
 }
 
-/// A controller's part of a rate that all controllers share: an equal part, or what the others leave unused,
-/// whichever is more. `other_rates` holds the rate at which each other controller uses the budget, if that is
-/// known; one whose rate is unknown or not finite is taken to use its equal part.
+/// The rate that this controller may use of a budget that all controllers share: an equal part, or what the others
+/// leave unused, whichever is more. `other_rates` holds the rate that each other controller uses; one whose rate is
+/// unknown or not finite is assumed to use an equal part.
 pub fn fair_share_rate(budget: f64, other_rates: &[Option<f64>]) -> f64 {
     let equal_part = budget / (other_rates.len() + 1) as f64;
     let in_use = |rate: &Option<f64>| match rate {
--- a/src/bookkeeping/records.rs
+++ b/src/bookkeeping/records.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Key of the record of the present leader.
+/// Key of the current leader's record.
 pub const LEADER_KEY: &str = "leader";
 /// Key of the instance catalog, kept for controllers that start while the cloud is unavailable.
 pub const INSTANCE_CATALOG_KEY: &str = "catalogue";
@@ -12,7 +12,7 @@
 pub const OPEN_PREFIX: &str = "open/";
 /// Prefix of the keys of finished jobs.
 pub const FINISHED_PREFIX: &str = "over/";
-/// Prefix of the keys of the log's slots.
+/// Prefix of the keys of the write-ahead log's slots.
 pub const LOG_PREFIX: &str = "log/";
 /// Prefix of the keys of provisioning requests.
 pub const PROVISIONING_PREFIX: &str = "rental/";
@@ -27,7 +27,7 @@
     format!("{FINISHED_PREFIX}{id}")
 }
 
-/// Key of a slot of the log.
+/// Key of a slot of the write-ahead log.
 pub fn log_key(slot: u32) -> String {
     format!("{LOG_PREFIX}{slot:05}")
 }
@@ -43,7 +43,7 @@
     /// Label of the leading controller.
     #[serde(rename = "Label")]
     pub label: String,
-    /// Tells the processes apart that have run under this label.
+    /// Distinguishes this process from earlier ones with the same label.
     #[serde(rename = "Life")]
     pub process_incarnation: u64,
 }
