--- a/src/bookkeeping/wal/completed_tasks.rs
+++ b/src/bookkeeping/wal/completed_tasks.rs
@@ -1,13 +1,13 @@
-//! The stored form of a job's completed tasks: chunks of a bitmap, in hexadecimal.
+//! The stored form of a job's completed tasks: a bitmap, divided into chunks and written in hexadecimal.
 
 use crate::bookkeeping::jobs::TaskSet;
 
-/// Tasks in a chunk of a job's completed tasks.
+/// Number of tasks in a chunk of the bitmap.
 pub const TASKS_PER_CHUNK: u32 = 256;
-/// Tasks that one hexadecimal digit stands for.
+/// Number of tasks that one hexadecimal digit encodes.
 pub(super) const TASKS_PER_DIGIT: u32 = 4;
 
-/// The bitmap of a chunk of a job with so many tasks: four tasks per digit, the lowest bit first.
+/// Encodes a chunk of the bitmap of a job with `tasks` tasks: four tasks per digit, the lowest bit first.
 pub fn encode_chunk(completed: &TaskSet, chunk: u32, tasks: u32) -> String {
     let first = chunk * TASKS_PER_CHUNK;
     let end = (first + TASKS_PER_CHUNK).min(tasks);
@@ -22,7 +22,8 @@
         .collect()
 }
 
-/// Indices of the completed tasks in the bitmap of a chunk. Characters that are no digits count as 0.
+/// Decodes the bitmap of a chunk into the indices of the completed tasks. Characters other than hexadecimal digits
+/// count as 0.
 pub fn decode_chunk(chunk: u32, bitmap: &str) -> impl Iterator<Item = u32> + '_ {
     bitmap
         .chars()
--- a/src/bookkeeping/wal/draft.rs
+++ b/src/bookkeeping/wal/draft.rs
@@ -1,4 +1,4 @@
-//! The transaction that is being put together: a segment of the log, and writes of other keys.
+//! Builds a transaction: a segment of the log, and writes to other keys.
 
 use super::completed_tasks::{TASKS_PER_CHUNK, TASKS_PER_DIGIT, encode_chunk};
 use super::log_entry::LogEntry;
@@ -11,27 +11,27 @@
 use crate::protocol::worker::TaskId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Share of the byte limits that a segment or a transaction fills at most.
+/// Maximum share of a byte limit that a segment or a transaction uses.
 const FILL_SHARE: f64 = 0.9;
-/// The least writes that a budget is taken to allow, so that the first change always goes in.
+/// A lower write budget counts as this one, so that the first change always fits.
 const MIN_WRITE_BUDGET: usize = 3;
-/// Compares that one change adds at most.
+/// Maximum number of compares that one change adds.
 const COMPARES_PER_CHANGE: usize = 2;
 /// Approximate bytes of a compare.
 const COMPARE_BYTES: usize = 64;
-/// Approximate bytes of the writes that finish a job, apart from its id, which stands in both.
+/// Approximate bytes of the writes that finish a job, apart from its id, which is in each of them.
 const FINISH_JOB_BYTES: usize = 256;
-/// Approximate bytes of an entry of a worker that is not known any more, apart from names.
+/// Approximate bytes of an entry for a worker that is no longer in the registry, apart from names.
 const UNKNOWN_WORKER_ENTRY_BYTES: usize = 128;
-/// Bytes of the bitmap of a chunk of completed tasks.
+/// Bytes of the bitmap of one chunk of completed tasks.
 const CHUNK_BYTES: usize = (TASKS_PER_CHUNK / TASKS_PER_DIGIT) as usize;
 
 /// Limits of a transaction.
 #[derive(Debug, Clone, Copy)]
 pub struct TxnLimits {
-    /// Number of puts and deletes.
+    /// Maximum number of puts and deletes.
     pub max_writes: usize,
-    /// Bytes of a value.
+    /// Maximum size of a value in bytes.
     pub max_value_bytes: usize,
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl Registries<'_> {
-    /// Bytes that an entry of a worker and a job adds to a segment at most, apart from a bitmap.
+    /// Maximum number of bytes that an entry for this worker and job adds to a segment, apart from a bitmap.
     fn entry_bytes(&self, worker: &str, job: &str) -> usize {
         let Some(worker) = self.workers.get(worker) else {
             return 2 * worker.len() + job.len() + UNKNOWN_WORKER_ENTRY_BYTES;
@@ -52,7 +52,7 @@
         SegmentBuilder::entry_bytes(worker, job, team)
     }
 
-    /// What a change adds to a transaction at most.
+    /// Upper bound of what a change adds to a transaction.
     fn cost(&self, change: &LogEntry) -> ChangeCost {
         match change {
             LogEntry::Bind { worker, task, .. } => {
@@ -81,16 +81,16 @@
 /// What a change adds to a transaction.
 #[derive(Debug, Clone, Copy)]
 struct ChangeCost {
-    /// Writes of keys outside of the log.
+    /// Number of writes to keys outside of the log.
     key_writes: usize,
     /// Bytes in the segment.
     segment_bytes: usize,
-    /// Bytes of the writes of other keys.
+    /// Bytes of the writes to keys outside of the log.
     key_write_bytes: usize,
 }
 
 impl ChangeCost {
-    /// Of a change that is written to the segment only.
+    /// The cost of a change that is written to the segment only.
     fn of_segment(segment_bytes: usize) -> ChangeCost {
         ChangeCost {
             key_writes: 0,
@@ -100,7 +100,7 @@
     }
 }
 
-/// A transaction with the changes that it makes and the entries that it makes live.
+/// A transaction, with the changes that it commits and the live entries of its segment.
 #[derive(Debug)]
 pub(super) struct DraftedTransaction {
     pub txn: Txn,
@@ -108,7 +108,7 @@
     pub live_entries: Vec<LiveEntry>,
 }
 
-/// A transaction that is being put together.
+/// A transaction that is being built.
 #[derive(Debug)]
 pub(super) struct SegmentDraft {
     epoch: u64,
@@ -116,8 +116,8 @@
     changes: Vec<LogEntry>,
     live_entries: Vec<LiveEntry>,
     described_workers: BTreeSet<String>,
-    /// Jobs of which tasks are bound, or which finish: each must still be open.
-    bound_jobs: BTreeSet<String>,
+    /// Jobs that finish or whose tasks are bound; the transaction is conditional on each of them being open.
+    jobs_required_open: BTreeSet<String>,
     /// Finished jobs, with the number of their completed tasks.
     finished_jobs: BTreeMap<String, u32>,
     key_writes: Vec<WriteOp>,
@@ -133,7 +133,7 @@
             changes: Vec::new(),
             live_entries: Vec::new(),
             described_workers: BTreeSet::new(),
-            bound_jobs: BTreeSet::new(),
+            jobs_required_open: BTreeSet::new(),
             finished_jobs: BTreeMap::new(),
             key_writes: Vec::new(),
             key_write_bytes: 0,
@@ -145,15 +145,15 @@
         self.changes.is_empty() && self.live_entries.is_empty()
     }
 
-    /// Whether one more change fits, into the limits and a budget of writes.
+    /// Whether one more change fits into the limits and the budget of writes.
     pub fn fits(
         &self,
         change: &LogEntry,
-        known: Registries,
+        registries: Registries,
         limits: TxnLimits,
         budget: usize,
     ) -> bool {
-        let cost = known.cost(change);
+        let cost = registries.cost(change);
         let max_writes = limits.max_writes.min(budget.max(MIN_WRITE_BUDGET));
         let max_compares = COMPARES_PER_WRITE * limits.max_writes;
         let txn_bytes = limits.max_value_bytes
@@ -162,8 +162,8 @@
             + cost.key_write_bytes;
         self.write_count() + cost.key_writes <= max_writes
             && self.compare_count() + COMPARES_PER_CHANGE <= max_compares
-            && self.builder.bytes() + cost.segment_bytes <= filled(limits.max_value_bytes)
-            && txn_bytes <= filled(MAX_TXN_BYTES)
+            && self.builder.bytes() + cost.segment_bytes <= usable_bytes(limits.max_value_bytes)
+            && txn_bytes <= usable_bytes(MAX_TXN_BYTES)
     }
 
     fn write_count(&self) -> usize {
@@ -171,14 +171,15 @@
     }
 
     fn compare_count(&self) -> usize {
-        2 + self.bound_jobs.len() + self.finished_jobs.len()
+        2 + self.jobs_required_open.len() + self.finished_jobs.len()
     }
 
-    /// Copies an entry of the segment that is to be overwritten, if what it tells of is still known.
-    pub fn carry_over(&mut self, entry: &LiveEntry, known: Registries) {
+    /// Copies a live entry of the segment that is to be overwritten, if its worker, binding or job is still in the
+    /// registries.
+    pub fn carry_over(&mut self, entry: &LiveEntry, registries: Registries) {
         match entry {
             LiveEntry::Worker(name) => {
-                let Some(worker) = known.workers.get(name) else {
+                let Some(worker) = registries.workers.get(name) else {
                     return;
                 };
                 self.builder
@@ -186,14 +187,14 @@
                 self.described_workers.insert(name.clone());
             }
             LiveEntry::Binding { worker: name, task } => {
-                let worker = known.workers.get(name);
+                let worker = registries.workers.get(name);
                 let Some(binding) = worker.and_then(|worker| worker.bindings.get(task)) else {
                     return;
                 };
                 self.builder.bind(name, task, binding);
             }
             LiveEntry::Completed { job: id, chunk } => {
-                let Some(job) = known.jobs.get(id) else {
+                let Some(job) = registries.jobs.get(id) else {
                     return;
                 };
                 let bitmap = encode_chunk(job.completed(), *chunk, job.spec.tasks);
@@ -203,19 +204,19 @@
         self.live_entries.push(entry.clone());
     }
 
-    /// Adds a change. Gives it back if it has become void.
+    /// Adds a change. Returns the change as the error if it is no longer valid.
     pub fn add(
         &mut self,
         change: LogEntry,
         ring: &SegmentRing,
-        known: Registries,
+        registries: Registries,
     ) -> Result<(), LogEntry> {
         let valid = match &change {
             LogEntry::Bind {
                 worker,
                 task,
                 attempt,
-            } => self.add_binding(worker, task, *attempt, ring, known),
+            } => self.add_binding(worker, task, *attempt, ring, registries),
             LogEntry::Unbind {
                 worker,
                 task,
@@ -224,13 +225,13 @@
             } => {
                 self.builder.end_binding(worker, task, *attempt);
                 if *completed {
-                    self.add_completed_chunk(task, known);
+                    self.add_completed_chunk(task, registries);
                 }
                 true
             }
-            LogEntry::FinishJob { job } => self.add_finished_job(job, known),
+            LogEntry::FinishJob { job } => self.add_finished_job(job, registries),
             LogEntry::RecordTermination { worker } => {
-                self.add_termination(worker, known);
+                self.add_termination(worker, registries);
                 true
             }
             LogEntry::RemoveWorker { worker } => {
@@ -250,22 +251,22 @@
         Ok(())
     }
 
-    /// Returns false if the binding has ended, or its job.
+    /// Returns false if the binding or its job has ended.
     fn add_binding(
         &mut self,
         name: &str,
         task: &TaskId,
         attempt: u64,
         ring: &SegmentRing,
-        known: Registries,
+        registries: Registries,
     ) -> bool {
-        let Some(worker) = known.workers.get(name) else {
+        let Some(worker) = registries.workers.get(name) else {
             return false;
         };
         let Some(binding) = worker.bindings.get(task) else {
             return false;
         };
-        if known.jobs.get(&task.job).is_none() || binding.attempt != attempt {
+        if registries.jobs.get(&task.job).is_none() || binding.attempt != attempt {
             return false;
         }
         let description = LiveEntry::Worker(name.to_owned());
@@ -278,18 +279,19 @@
             worker: name.to_owned(),
             task: task.clone(),
         });
-        self.bound_jobs.insert(task.job.clone());
+        self.jobs_required_open.insert(task.job.clone());
         true
     }
 
-    /// Adds the chunk of a completed task, unless it is there or not needed any more.
-    fn add_completed_chunk(&mut self, task: &TaskId, known: Registries) {
+    /// Adds the chunk that contains a completed task, unless the draft has it already, or the job has ended or is
+    /// finishing.
+    fn add_completed_chunk(&mut self, task: &TaskId, registries: Registries) {
         let chunk = task.index / TASKS_PER_CHUNK;
         let entry = LiveEntry::Completed {
             job: task.job.clone(),
             chunk,
         };
-        if let Some(job) = known.jobs.get(&task.job)
+        if let Some(job) = registries.jobs.get(&task.job)
             && !job.finishing
             && !self.live_entries.contains(&entry)
         {
@@ -300,25 +302,25 @@
     }
 
     /// Returns false if the job has ended.
-    fn add_finished_job(&mut self, id: &str, known: Registries) -> bool {
-        let Some(job) = known.jobs.get(id) else {
+    fn add_finished_job(&mut self, id: &str, registries: Registries) -> bool {
+        let Some(job) = registries.jobs.get(id) else {
             return false;
         };
-        self.bound_jobs.insert(id.to_owned());
+        self.jobs_required_open.insert(id.to_owned());
         self.finished_jobs
             .insert(id.to_owned(), job.completed().len());
         true
     }
 
-    fn add_termination(&mut self, name: &str, known: Registries) {
-        if let Some(worker) = known.workers.get(name) {
+    fn add_termination(&mut self, name: &str, registries: Registries) {
+        if let Some(worker) = registries.workers.get(name) {
             self.builder.describe_worker(worker, true);
             self.described_workers.insert(name.to_owned());
             self.live_entries.push(LiveEntry::Worker(name.to_owned()));
         }
     }
 
-    /// The transaction that writes the draft to a slot.
+    /// Returns the transaction that writes the draft to a slot.
     pub fn finish(self, slot: TargetSlot, jobs: &Jobs) -> DraftedTransaction {
         let compares = self.compares(slot, jobs);
         let mut writes = vec![WriteOp::put(
@@ -341,13 +343,14 @@
         }
     }
 
-    /// This leader must still lead and hold the slot; bound jobs must be open, and finished jobs not finished.
+    /// The conditions of the transaction: this controller is still the leader, nobody has overwritten the slot, jobs
+    /// that finish or whose tasks are bound are open, and jobs that finish have no record as finished jobs.
     fn compares(&self, slot: TargetSlot, jobs: &Jobs) -> Vec<Compare> {
         let mut compares = vec![
             Compare::new(records::LEADER_KEY, self.epoch),
             Compare::new(records::log_key(slot.number), slot.mod_revision),
         ];
-        for id in &self.bound_jobs {
+        for id in &self.jobs_required_open {
             let mod_revision = jobs.get(id).map_or(0, |job| job.mod_revision);
             compares.push(Compare::new(records::open_key(id), mod_revision));
         }
@@ -358,7 +361,7 @@
     }
 }
 
-/// The part of a byte limit that is filled at most.
-fn filled(max_bytes: usize) -> usize {
+/// The part of a byte limit that may be used.
+fn usable_bytes(max_bytes: usize) -> usize {
     (max_bytes as f64 * FILL_SHARE) as usize
 }
--- a/src/bookkeeping/wal/entries.rs
+++ b/src/bookkeeping/wal/entries.rs
@@ -1,19 +1,22 @@
-//! Entries of a segment. Each is stored as the list of its fields in their order, without names.
+//! Entries of a segment. Each is stored as a list of its fields, in their order and without their names.
+//!
+//! An entry refers to a worker or job by its number, the index in the segment's table of worker names or of jobs.
 
 use crate::bookkeeping::workers::Resources;
 use crate::protocol::cbor;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// A number that may have been written as an integer.
+/// A decimal number; its stored form may also be an integer.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Amount(#[serde(deserialize_with = "cbor::amount")] pub f64);
 
-/// A job in the segment's table of jobs, with what is needed to count its bindings after it has ended.
+/// A job in the segment's table of jobs. Its team and its request are stored so that resources of its bindings can be
+/// accounted for after the job has ended.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobEntry {
     /// Id of the job.
     pub id: String,
-    /// Team of the job; empty where only the id matters.
+    /// Team of the job; empty if the segment has no binding of the job.
     pub team: String,
     /// CPU cores that a task requests.
     pub cpus: Amount,
@@ -24,7 +27,7 @@
 }
 
 impl JobEntry {
-    /// An entry of which only the id matters.
+    /// An entry with an id, but without a team and a request.
     pub(super) fn with_id(id: &str) -> JobEntry {
         JobEntry {
             id: id.to_owned(),
@@ -35,7 +38,7 @@
         }
     }
 
-    /// What one task requests.
+    /// The resources that one task requests.
     pub fn request(&self) -> Resources {
         Resources {
             cpus: self.cpus.0,
@@ -48,7 +51,7 @@
 /// The description of a worker.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WorkerEntry {
-    /// Number of the worker's name.
+    /// Number of the worker.
     pub worker: u32,
     /// Name of the instance type.
     pub instance_type: String,
@@ -58,14 +61,14 @@
     pub spot: bool,
     /// Address of the worker's server; empty if it was unknown.
     pub endpoint: String,
-    /// The worker is to be released.
+    /// The worker's instance is to be deleted.
     pub terminating: bool,
 }
 
 /// A task that is bound to a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BindingEntry {
-    /// Number of the worker's name.
+    /// Number of the worker.
     pub worker: u32,
     /// Number of the job.
     pub job: u32,
@@ -73,14 +76,14 @@
     pub index: u32,
     /// Number of the task's attempt.
     pub attempt: u64,
-    /// Incarnation of the worker for which the task was bound.
+    /// Incarnation of the worker to which the task was bound.
     pub incarnation: u64,
 }
 
 /// A binding that has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EndedBindingEntry {
-    /// Number of the worker's name.
+    /// Number of the worker.
     pub worker: u32,
     /// Number of the job.
     pub job: u32,
@@ -97,11 +100,11 @@
     pub job: u32,
     /// Number of the chunk.
     pub chunk: u32,
-    /// The tasks, as [`encode_chunk`](super::encode_chunk) writes them.
+    /// The tasks, as encoded by [`encode_chunk`](super::encode_chunk).
     pub bitmap: String,
 }
 
-/// Stores a struct as the list of its fields.
+/// Implements serialization and deserialization of a struct as a list of its fields.
 macro_rules! stored_as_list {
     ($entry:ident { $($field:ident),+ }) => {
         impl Serialize for $entry {
--- a/src/bookkeeping/wal/log.rs
+++ b/src/bookkeeping/wal/log.rs
@@ -10,19 +10,19 @@
 use crate::protocol::kv::Txn;
 use std::collections::VecDeque;
 
-/// A transaction whose outcome is not known.
+/// A transaction that the caller is to send or has sent, and whose outcome has not been reported yet.
 #[derive(Debug)]
 struct InFlight {
     transaction: DraftedTransaction,
     seq: u64,
     epoch: u64,
     slot: TargetSlot,
-    /// It was sent and not answered: it may have been executed, or may yet be.
+    /// The transaction was not answered; it may have been executed, or may be executed later.
     outcome_unknown: bool,
 }
 
-/// The leader's write-ahead log: the changes that are to be committed, one transaction of them in flight, and
-/// the ring of committed segments.
+/// The leader's write-ahead log: a queue of changes to commit, at most one transaction in flight, and the ring of
+/// committed segments.
 #[derive(Debug)]
 pub struct WriteAheadLog {
     limits: TxnLimits,
@@ -44,18 +44,18 @@
         }
     }
 
-    /// Takes the bindings that became void before they were sent.
+    /// Returns the bindings that became invalid before they were sent, and clears the list of them.
     pub fn take_rejected_bindings(&mut self) -> Vec<RejectedBinding> {
         std::mem::take(&mut self.rejected_bindings)
     }
 
-    /// Takes a segment that an earlier leader committed; segments come in the order of their sequence
+    /// Adds a segment that an earlier leader committed. The caller must pass segments in the order of their sequence
     /// numbers.
     pub fn replay_segment(&mut self, key: &str, mod_revision: u64, segment: &Segment) {
         self.ring.replay_segment(key, mod_revision, segment);
     }
 
-    /// Drops the completed tasks of a job that has ended.
+    /// Drops the live entries with the completed tasks of a job that has ended.
     pub fn remove_job(&mut self, job: &str) {
         self.ring.remove_job(job);
     }
@@ -65,23 +65,23 @@
         self.queue.push_back(change);
     }
 
-    /// Number of changes that are not committed yet, those in flight included.
+    /// Number of changes that are not committed yet, including those in flight.
     pub fn backlog(&self) -> usize {
         let in_flight = self.in_flight.as_ref();
         self.queue.len() + in_flight.map_or(0, |sent| sent.transaction.changes.len())
     }
 
-    /// Whether a transaction is in flight, or its outcome unknown.
+    /// Whether a transaction is in flight, including one of unknown outcome.
     pub fn is_busy(&self) -> bool {
         self.in_flight.is_some()
     }
 
-    /// Number of slots of the ring.
+    /// Number of slots in the ring.
     pub fn slots(&self) -> usize {
         self.ring.len()
     }
 
-    /// The transaction whose outcome is unknown, to be sent once more as it was.
+    /// The transaction in flight, if its outcome is unknown: it must be sent again unchanged.
     pub fn transaction_to_retry(&self) -> Option<Txn> {
         let sent = self
             .in_flight
@@ -90,8 +90,8 @@
         Some(sent.transaction.txn.clone())
     }
 
-    /// Puts together the next transaction, of at most `budget` writes, unless one is in flight or there is
-    /// nothing to write. The caller sends it, and reports its outcome.
+    /// Builds the next transaction, with at most `budget` writes, unless one is in flight or there is nothing to
+    /// write. The caller sends it and reports its outcome.
     pub fn next_transaction(
         &mut self,
         epoch: u64,
@@ -102,15 +102,15 @@
         if self.in_flight.is_some() || budget == 0 || self.queue.is_empty() {
             return None;
         }
-        let known = Registries { workers, jobs };
+        let registries = Registries { workers, jobs };
         let slot = self.ring.target_slot(self.limits.max_value_bytes);
         let mut draft = SegmentDraft::new(epoch, self.ring.next_seq());
         if let Some(overwritten_seq) = slot.overwritten_seq {
             for entry in self.ring.live_entries(overwritten_seq) {
-                draft.carry_over(entry, known);
+                draft.carry_over(entry, registries);
             }
         }
-        self.move_queued_changes(&mut draft, known, budget);
+        self.move_queued_changes(&mut draft, registries, budget);
         if draft.is_empty() {
             return None;
         }
@@ -126,10 +126,15 @@
         Some(txn)
     }
 
-    /// Moves changes from the head of the queue into a draft, as many as fit.
-    fn move_queued_changes(&mut self, draft: &mut SegmentDraft, known: Registries, budget: usize) {
+    /// Moves as many changes as fit from the head of the queue into a draft.
+    fn move_queued_changes(
+        &mut self,
+        draft: &mut SegmentDraft,
+        registries: Registries,
+        budget: usize,
+    ) {
         while let Some(change) = self.queue.front() {
-            if !draft.fits(change, known, self.limits, budget) {
+            if !draft.fits(change, registries, self.limits, budget) {
                 break;
             }
             let Some(change) = self.queue.pop_front() else {
@@ -139,7 +144,7 @@
                 worker,
                 task,
                 attempt,
-            }) = draft.add(change, &self.ring, known)
+            }) = draft.add(change, &self.ring, registries)
             {
                 self.rejected_bindings.push(RejectedBinding {
                     worker,
@@ -150,7 +155,7 @@
         }
     }
 
-    /// Takes that the transaction in flight was committed at this revision. Returns its changes.
+    /// Records that the transaction in flight was committed at this revision, and returns its changes.
     pub fn complete_in_flight(&mut self, mod_revision: u64) -> Vec<LogEntry> {
         let Some(sent) = self.in_flight.take() else {
             return Vec::new();
@@ -168,7 +173,7 @@
         changes
     }
 
-    /// Takes that the transaction in flight was not answered: it may have been executed, or may yet be.
+    /// Records that the transaction in flight was not answered: it may have been executed, or may be executed later.
     pub fn mark_outcome_unknown(&mut self) {
         if let Some(sent) = &mut self.in_flight {
             sent.outcome_unknown = true;
@@ -182,19 +187,20 @@
             .is_some_and(|sent| sent.outcome_unknown)
     }
 
-    /// The key whose value tells whether the transaction in flight was executed.
+    /// The key of the slot that the transaction in flight writes: its value shows whether the transaction was
+    /// executed.
     pub fn read_back_key(&self) -> Option<String> {
         Some(records::log_key(self.in_flight.as_ref()?.slot.number))
     }
 
-    /// Whether a segment that was read back is that of the transaction in flight.
+    /// Whether a segment that was read from that key was written by the transaction in flight.
     pub fn is_in_flight_segment(&self, segment: &Segment) -> bool {
         self.in_flight
             .as_ref()
             .is_some_and(|sent| (sent.epoch, sent.seq) == (segment.epoch, segment.seq))
     }
 
-    /// Takes that the transaction in flight was not executed and never will be: its changes go back to the
+    /// Records that the transaction in flight was not executed and never will be, and puts its changes back at the
     /// head of the queue.
     pub fn requeue_in_flight(&mut self) {
         if let Some(sent) = self.in_flight.take() {
--- a/src/bookkeeping/wal/log_entry.rs
+++ b/src/bookkeeping/wal/log_entry.rs
@@ -15,7 +15,7 @@
         /// Number of the task's attempt.
         attempt: u64,
     },
-    /// A binding ends; the job's completed tasks are recorded in the same transaction.
+    /// A binding ends. If the task is complete, the same transaction records this.
     Unbind {
         /// Name of the worker.
         worker: String,
@@ -31,24 +31,25 @@
         /// Id of the job.
         job: String,
     },
-    /// A worker is to be released.
+    /// A worker's instance is to be deleted.
     RecordTermination {
         /// Name of the worker.
         worker: String,
     },
-    /// A worker is gone, with all its bindings.
+    /// A worker no longer exists; all its bindings end.
     RemoveWorker {
         /// Name of the worker.
         worker: String,
     },
-    /// A key outside of the log is put or deleted.
+    /// A key outside of the log is written or deleted.
     WriteKey {
-        /// The write.
+        /// The put or delete operation.
         write: WriteOp,
     },
 }
 
-/// A binding that had become void before it was sent: nothing was written, and no start was sent.
+/// A binding that became invalid before it was sent to the state service: it was not written, and no start command
+/// was sent for it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RejectedBinding {
     /// Name of the worker.
--- a/src/bookkeeping/wal/mod.rs
+++ b/src/bookkeeping/wal/mod.rs
@@ -1,14 +1,14 @@
-//! The write-ahead log: the leader's writes, folded into one transaction at a time.
+//! The write-ahead log, through which the leader commits its changes, batched in one transaction at a time.
 //!
-//! Bindings, their ends, terminations of workers and completed tasks go to the log, a ring of keys
-//! `log/<slot>`. Each transaction overwrites the oldest slot with a new [`Segment`], into which it carries over
-//! the entries of the old one that are still live; the ring grows only while too little of it is free. Jobs
-//! that finish and provisioning requests are keys of their own, written in the same transaction.
+//! Bindings, ends of bindings, terminations of workers and completed tasks are stored in the log, a ring of keys
+//! `log/<slot>`. Each transaction overwrites the oldest slot with a new [`Segment`], and copies those entries of the
+//! overwritten segment to it that are still live. The ring grows only while it has too few slots for its live entries.
+//! Finished jobs and provisioning requests have keys of their own, which are written in the same transaction.
 //!
-//! Every transaction is conditional on the mod revisions of `leader`, of the slot, and of `open/<id>` of
-//! every job that it binds tasks of or finishes. So a deposed leader writes nothing, and a cancellation wins.
-//! A condition that has failed once can never hold again, and nothing else is written before the outcome of
-//! a transaction is known; so none is ever applied late or twice.
+//! Every transaction is conditional on the mod revisions of `leader`, of the slot, and of `open/<id>` for every job
+//! that it finishes or whose tasks it binds. So a deposed leader can't write, and a cancellation that comes first
+//! makes the transaction fail. A condition that has failed once can never hold again, and no other transaction is sent
+//! before the outcome of the present one is known. So no transaction is ever applied late or twice.
 
 mod completed_tasks;
 mod draft;
--- a/src/bookkeeping/wal/ring.rs
+++ b/src/bookkeeping/wal/ring.rs
@@ -1,4 +1,4 @@
-//! The ring of slots: which segment holds which live entry, and which slot is written next.
+//! The ring of slots: records which segment holds each live entry, and selects the slot to write next.
 
 use super::log_entry::LogEntry;
 use super::segment::Segment;
@@ -6,14 +6,14 @@
 use crate::protocol::worker::TaskId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The least number of slots.
+/// Minimum number of slots.
 const MIN_SLOTS: usize = 8;
-/// The ring has at least this many times the slots that its live entries would fill.
+/// The ring has at least this many times the number of slots that its live entries would fill.
 const SPARE_FACTOR: usize = 3;
-/// Approximate bytes of an entry in a segment; only the size of the ring depends on it.
+/// Approximate bytes of an entry in a segment; used only to choose the size of the ring.
 const LIVE_ENTRY_BYTES: usize = 64;
 
-/// Something that the log must hold until it has ended.
+/// An entry that must stay in the log until what it describes has ended.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum LiveEntry {
     /// The description of a worker.
@@ -60,16 +60,16 @@
 struct Slot {
     number: u32,
     mod_revision: u64,
-    /// Entries that are live and stand in this segment only.
+    /// Live entries that are stored in this segment and in no later one.
     live_entries: BTreeSet<LiveEntry>,
 }
 
-/// The slots in the order of their segments.
+/// The slots, in the order of their segments' sequence numbers.
 #[derive(Debug, Default)]
 pub(super) struct SegmentRing {
-    /// By the sequence number of the segment.
+    /// The slots, by the sequence number of their segment.
     slots: BTreeMap<u64, Slot>,
-    /// The segment that holds each live entry; `slots` agrees with it.
+    /// For each live entry, the sequence number of the segment that holds it; must agree with `slots`.
     location: BTreeMap<LiveEntry, u64>,
     next_seq: u64,
 }
@@ -85,7 +85,7 @@
         self.next_seq
     }
 
-    /// Takes the sequence number of the next segment.
+    /// Returns the sequence number of the next segment, and increments it.
     pub fn take_next_seq(&mut self) -> u64 {
         let seq = self.next_seq;
         self.next_seq += 1;
@@ -105,8 +105,8 @@
             .flat_map(|slot| &slot.live_entries)
     }
 
-    /// The slot for the next segment, of at most `max_value_bytes`: the oldest, or a new one while too
-    /// little of the ring is free.
+    /// The slot for the next segment: the oldest one, or a new one while the ring has too few slots for its live
+    /// entries. `max_value_bytes` is the maximum size of a segment.
     pub fn target_slot(&self, max_value_bytes: usize) -> TargetSlot {
         let oldest = self.slots.iter().next();
         match oldest.filter(|_| self.is_large_enough(max_value_bytes)) {
@@ -129,7 +129,7 @@
         self.slots.len() >= (SPARE_FACTOR * filled).max(MIN_SLOTS)
     }
 
-    /// Takes a segment that was committed to a slot, with its live entries.
+    /// Records that a segment with these live entries was committed to a slot.
     pub fn commit_segment(
         &mut self,
         seq: u64,
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Takes a committed change: what it ends is live no more.
+    /// Applies a committed change: removes the live entries for what the change ends.
     pub fn apply(&mut self, entry: &LogEntry) {
         match entry {
             LogEntry::Unbind { worker, task, .. } => self.remove(&LiveEntry::Binding {
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Takes a segment that an earlier leader committed; segments come in the order of their sequence
+    /// Adds a segment that an earlier leader committed. The caller must pass segments in the order of their sequence
     /// numbers.
     pub fn replay_segment(&mut self, key: &str, mod_revision: u64, segment: &Segment) {
         let Some(number) = key
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Drops the completed tasks of a job that has ended.
+    /// Drops the live entries with the completed tasks of a job that has ended.
     pub fn remove_job(&mut self, job: &str) {
         let first = LiveEntry::Completed {
             job: job.to_owned(),
@@ -209,7 +209,7 @@
         self.remove_while(first, |entry| entry.is_completed_of(job));
     }
 
-    /// Drops a worker that is gone, with its bindings.
+    /// Drops the live entries of a worker that no longer exists, including its bindings.
     fn remove_worker(&mut self, worker: &str) {
         self.remove(&LiveEntry::Worker(worker.to_owned()));
         let first = LiveEntry::Binding {
@@ -231,7 +231,7 @@
         self.slots.insert(seq, slot);
     }
 
-    /// Moves an entry to this segment, or adds it.
+    /// Adds a live entry to this segment. If an earlier segment holds it, moves it.
     fn insert(&mut self, entry: LiveEntry, seq: u64) {
         self.remove(&entry);
         if let Some(slot) = self.slots.get_mut(&seq) {
@@ -248,7 +248,7 @@
         }
     }
 
-    /// Removes the entries from `first` on, up to the first that doesn't match.
+    /// Removes live entries in their order, from `first` on, up to the first entry that doesn't match.
     fn remove_while(&mut self, first: LiveEntry, matches: impl Fn(&LiveEntry) -> bool) {
         let ended: Vec<LiveEntry> = self
             .location
--- a/src/bookkeeping/wal/segment.rs
+++ b/src/bookkeeping/wal/segment.rs
@@ -1,8 +1,8 @@
-//! One value of the log: what a transaction bound, ended, terminated and completed, with the entries that it
-//! carried over from the segment that it overwrote.
+//! Segments, the values of the log's slots. A segment holds the bindings, ends of bindings, terminations and completed
+//! tasks that one transaction commits, and the live entries that it copies from the segment that it overwrites.
 //!
-//! Names stand once, in tables at the head; entries refer to them by number and are stored as lists, so that
-//! many fit into a value.
+//! Each name is stored once, in tables at the head. Entries refer to names by number and are stored as lists, so that
+//! many entries fit into a value.
 
 use super::entries::{
     Amount, BindingEntry, CompletedEntry, EndedBindingEntry, JobEntry, WorkerEntry,
@@ -12,30 +12,30 @@
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// Brackets and separators of an entry, at most.
+/// Maximum bytes of the brackets and separators of an entry.
 const ENTRY_FRAME_BYTES: usize = 8;
-/// A segment without entries.
+/// Bytes of a segment without entries.
 const EMPTY_SEGMENT_BYTES: usize = 120;
-/// A job in the table of jobs, apart from its id, its team and the amounts of its request.
+/// Bytes of a job in the table of jobs, apart from its id, its team and the amounts of its request.
 const JOB_FRAME_BYTES: usize = 2 * ENTRY_FRAME_BYTES + 12;
-/// Description of a worker, apart from its texts.
+/// Bytes of the description of a worker, apart from its strings.
 const WORKER_FRAME_BYTES: usize = 3 * ENTRY_FRAME_BYTES + 4 + 12;
-/// The longest forms of the numbers of an entry: three amounts, two numbers of 64 bits and three of 32.
+/// Maximum bytes of the numbers in an entry: three amounts, two integers of 64 bits and three of 32.
 const ENTRY_NUMBER_BYTES: usize = 3 * 24 + 2 * 20 + 3 * 10;
 
 /// Value of `log/<slot>`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Segment {
-    /// Place in the log's order, in place of the keys, which are reused.
+    /// Sequence number, which gives the order of the log's segments; keys don't, since they are reused.
     #[serde(rename = "Seq")]
     pub seq: u64,
-    /// Epoch of the leader that wrote it.
+    /// Epoch of the leader that wrote the segment.
     #[serde(rename = "Epoch")]
     pub epoch: u64,
-    /// Names of workers, by number.
+    /// Table of worker names; the index of a name is the worker's number in this segment.
     #[serde(rename = "H", default)]
     pub worker_names: Vec<String>,
-    /// Jobs, by number.
+    /// Table of jobs; the index of a job is its number in this segment.
     #[serde(rename = "J", default)]
     pub jobs: Vec<JobEntry>,
     /// Descriptions of workers.
@@ -47,7 +47,7 @@
     /// Bindings that have ended.
     #[serde(rename = "E", default)]
     pub ended_bindings: Vec<EndedBindingEntry>,
-    /// Numbers of workers that are gone, with all bindings.
+    /// Numbers of workers that no longer exist; all their bindings have ended.
     #[serde(rename = "G", default)]
     pub removed_workers: Vec<u32>,
     /// Completed tasks.
@@ -56,18 +56,18 @@
 }
 
 impl Segment {
-    /// The name of the worker with a number; none if the table is too short.
+    /// The name of the worker with this number; `None` if the table is too short.
     pub fn worker_name(&self, number: u32) -> Option<&str> {
         self.worker_names.get(number as usize).map(String::as_str)
     }
 
-    /// The job with a number; none if the table is too short.
+    /// The job with this number; `None` if the table is too short.
     pub fn job(&self, number: u32) -> Option<&JobEntry> {
         self.jobs.get(number as usize)
     }
 }
 
-/// Builds a segment, and counts its size as JSON, never too low.
+/// Builds a segment, and computes an upper bound of its size as JSON.
 #[derive(Debug, Default)]
 pub struct SegmentBuilder {
     segment: Segment,
@@ -90,12 +90,12 @@
         }
     }
 
-    /// Size so far, in bytes.
+    /// Upper bound of the size so far, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Bytes that any one entry with its names adds at most, apart from a bitmap.
+    /// Maximum bytes that one entry of any kind adds together with its names, apart from a bitmap.
     pub fn entry_bytes(worker: &Worker, job: &str, team: &str) -> usize {
         4 * ENTRY_FRAME_BYTES
             + 2 * worker.name.len()
@@ -107,7 +107,7 @@
             + ENTRY_NUMBER_BYTES
     }
 
-    /// Describes a worker, in place of an earlier description in this segment.
+    /// Adds the description of a worker. Replaces an earlier description in this segment.
     pub fn describe_worker(&mut self, worker: &Worker, terminating: bool) {
         let number = self.worker_number(&worker.name);
         self.segment.workers.retain(|entry| entry.worker != number);
@@ -154,7 +154,7 @@
         self.segment.ended_bindings.push(entry);
     }
 
-    /// Adds a worker that is gone.
+    /// Adds a worker that no longer exists.
     pub fn remove_worker(&mut self, worker: &str) {
         let number = self.worker_number(worker);
         self.bytes += digits([number]) + 1;
@@ -170,12 +170,12 @@
             .push(CompletedEntry { job, chunk, bitmap });
     }
 
-    /// The segment.
+    /// Returns the segment.
     pub fn finish(self) -> Segment {
         self.segment
     }
 
-    /// The number of a worker's name, which is added if it is not in the table.
+    /// The number of a worker; adds its name to the table if it is not there.
     fn worker_number(&mut self, name: &str) -> u32 {
         if let Some(number) = self.worker_numbers.get(name) {
             return *number;
@@ -187,7 +187,7 @@
         number
     }
 
-    /// The number of a job, which is added if it is not in the table.
+    /// The number of a job; adds it to the table if it is not there.
     fn job_number(&mut self, id: &str) -> u32 {
         if let Some(number) = self.job_numbers.get(id) {
             return *number;
@@ -199,7 +199,7 @@
         number
     }
 
-    /// The number of a job, to whose entry the team and the request of a binding are added.
+    /// The number of a job; adds the team and the request of one of its bindings to the job's entry in the table.
     fn requesting_job_number(&mut self, id: &str, binding: &Binding) -> u32 {
         let number = self.job_number(id);
         if let Some(entry) = self.segment.jobs.get_mut(number as usize)
@@ -219,7 +219,7 @@
     }
 }
 
-/// Decimal digits of some numbers.
+/// Total number of decimal digits of some numbers.
 fn digits<N: Into<u64>, const COUNT: usize>(numbers: [N; COUNT]) -> usize {
     let digits_of = |number: u64| number.checked_ilog10().map_or(1, |log| log as usize + 1);
     numbers
