--- a/src/protocol/http_status.rs
+++ b/src/protocol/http_status.rs
@@ -1,35 +1,35 @@
-//! HTTP statuses of the interfaces, and how a response's body becomes a value.
+//! HTTP status codes that the interfaces use, and the decoding of response bodies.
 
 use super::cbor::{self, CborError};
 use serde::de::DeserializeOwned;
 
-/// Executed; the body has the result.
+/// Executed; the body contains the result.
 pub const OK: u16 = 200;
-/// Malformed, says the receiver.
+/// The receiver considers the request malformed.
 pub const BAD_REQUEST: u16 = 400;
 /// There is no such key, lease or job.
 pub const NOT_FOUND: u16 = 404;
 /// Not executed: a condition does not hold.
 pub const CONFLICT: u16 = 409;
-/// What was asked for is no longer kept.
+/// The requested data is no longer available, such as revisions that were compacted.
 pub const GONE: u16 = 410;
-/// Not executed: over the rate limit.
+/// Not executed: the rate limit is exceeded.
 pub const TOO_MANY_REQUESTS: u16 = 429;
-/// Not executed: unavailable, or without capacity.
+/// Not executed: the service is unavailable, or has no capacity.
 pub const SERVICE_UNAVAILABLE: u16 = 503;
 
-/// A response that says nothing of what came of the call: its outcome is unknown.
+/// A response from which the outcome of the request can't be determined.
 #[derive(Debug, thiserror::Error)]
 pub enum UnusableResponse {
-    /// The call has no response with this status.
-    #[error("status {0} is no response to this call")]
+    /// The protocol defines no response with this status for the request.
+    #[error("unexpected status {0} in the response to this request")]
     UnexpectedStatus(u16),
-    /// The body is not what the status promises.
+    /// The body does not have the form that belongs to the status.
     #[error(transparent)]
     Body(#[from] CborError),
 }
 
-/// Decodes a body and makes a response of it.
+/// Decodes a body, and converts the result by `response`.
 pub(super) fn decode_body<T: DeserializeOwned, R>(
     body: &[u8],
     response: impl FnOnce(T) -> R,
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -1,27 +1,27 @@
-//! Jobs as users submit them: the wire form and its checks.
+//! The users' interface: the wire form of jobs, and the validation of submissions.
 
 use super::cbor;
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// The most tasks a job may have.
+/// Maximum number of tasks in a job.
 pub const MAX_TASKS: u64 = 100_000;
-/// The longest text we take in a field.
-const MAX_TEXT: usize = 200;
-/// The most instance types a job may name.
+/// Maximum length of a text field.
+const MAX_TEXT_BYTES: usize = 200;
+/// Maximum number of instance types that a job may list.
 const MAX_INSTANCE_TYPES: usize = 64;
-/// The largest amount we take in a field; far beyond any machine, and safe in sums.
+/// Maximum value of a numeric field; far above what any machine has, and low enough for sums.
 const MAX_AMOUNT: f64 = 1e9;
 
-/// Whether the tasks of a job complete or run until the job is cancelled.
+/// How the tasks of a job run: to completion, independently or together, or until the job is cancelled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobKind {
     /// Independent tasks, each of which runs to completion.
     Array,
-    /// Gang scheduling: tasks that run to completion and need one another are started together. Not in the
-    /// protocol's text, but its users' tools send it; see docs/questions.md.
+    /// Gang scheduling: tasks that depend on each other are started together and run to completion. The protocol's
+    /// specification does not mention this kind, but its users' tools send it; see docs/questions.md.
     #[serde(rename = "group")]
     Gang,
     /// Replicas that run until the job is cancelled.
@@ -29,33 +29,33 @@
     Service,
 }
 
-/// Priority, the most important first.
+/// Priority classes, the highest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PriorityClass {
-    /// Before everything else.
+    /// Highest priority.
     Production,
-    /// Before normal work.
+    /// Above normal priority.
     Urgent,
-    /// The usual.
+    /// Normal priority.
     Normal,
-    /// What is left over.
+    /// Lowest priority: uses what the others leave.
     BestEffort,
 }
 
-/// A job, as submitted and as kept in the state service.
+/// The specification of a job, as submitted and as stored in the state service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
     /// Id, chosen by the user.
     #[serde(rename = "NameId")]
     pub id: String,
-    /// Class of jobs.
+    /// Class of the job, to which objectives in the settings refer.
     #[serde(rename = "Jobclass")]
     pub class: String,
-    /// Team whose guarantee and limit apply.
+    /// Team whose quota and limit apply.
     #[serde(rename = "Owner")]
     pub team: String,
-    /// Array or service.
+    /// Array, gang or service.
     #[serde(rename = "Shape")]
     pub kind: JobKind,
     /// Priority.
@@ -64,55 +64,56 @@
     /// Number of tasks.
     #[serde(rename = "Steps")]
     pub tasks: u32,
-    /// CPUs of each task.
+    /// CPU cores that each task requests.
     #[serde(rename = "Cores", deserialize_with = "cbor::amount")]
     pub cpus: f64,
-    /// GPUs of each task.
+    /// GPUs that each task requests.
     #[serde(rename = "Gpus", deserialize_with = "cbor::amount")]
     pub gpus: f64,
-    /// Memory of each task.
+    /// Memory in GB that each task requests.
     #[serde(rename = "RamGb", deserialize_with = "cbor::amount")]
     pub ram_gb: f64,
-    /// Allowed instance types; none: any.
+    /// Allowed instance types; `None` allows all.
     #[serde(rename = "Flavors")]
     pub instance_types: Option<Vec<String>>,
-    /// The only allowed zone.
+    /// The only allowed zone; `None` allows all.
     #[serde(rename = "Grove")]
     pub zone: Option<String>,
-    /// All tasks in one zone.
+    /// Whether all tasks must run in the same zone.
     #[serde(rename = "OneZone")]
     pub one_zone: bool,
-    /// At most half of the tasks, rounded up, in one zone.
+    /// Whether at most half of the tasks, rounded up, may run in the same zone.
     #[serde(rename = "Spread")]
     pub spread: bool,
-    /// May use spot machines.
+    /// Whether tasks may run on spot instances.
     #[serde(rename = "Windfall")]
     pub spot: bool,
-    /// Image that the machine fetches first.
+    /// Container image, which the worker pulls before it starts a task.
     #[serde(rename = "Bundle")]
     pub image: String,
-    /// Its size.
+    /// Size of the image in GB.
     #[serde(rename = "PullGb", deserialize_with = "cbor::amount")]
     pub image_gb: f64,
-    /// The owner's estimate of a task's run time.
+    /// The user's estimate of a task's run time, in seconds.
     #[serde(rename = "ExpectS", deserialize_with = "cbor::amount")]
     pub expected_runtime_s: f64,
-    /// Checkpoint interval, 0 for none.
+    /// Seconds between two checkpoints of a task; 0 if it saves none.
     #[serde(rename = "SnapshotS", deserialize_with = "cbor::amount")]
     pub checkpoint_interval_s: f64,
-    /// Time to save when stopped.
+    /// Seconds that a task needs to save a checkpoint when it is stopped.
     #[serde(rename = "FlushS", deserialize_with = "cbor::amount")]
     pub checkpoint_grace_s: f64,
-    /// Deadline from submission.
+    /// Deadline, in seconds after the submission.
     #[serde(rename = "DueS", default, deserialize_with = "cbor::optional_amount")]
     pub deadline_s: Option<f64>,
-    /// Time of day at which a controller took the job, in seconds; our own addition.
+    /// Wall-clock time at which a controller accepted the job, in seconds. Not part of a submission; added to the
+    /// stored record.
     #[serde(rename = "At", default, deserialize_with = "cbor::amount")]
     pub submitted_at: f64,
 }
 
 impl JobSpec {
-    /// The most tasks of this job that may be in one zone.
+    /// Maximum number of tasks of this job that may run in the same zone.
     pub fn zone_limit(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
@@ -121,57 +122,59 @@
         }
     }
 
-    /// Whether the job may use a machine of this type, zone and kind.
+    /// Whether the job's tasks may run on instances of this type, in this zone, spot or on-demand.
     pub fn allows(&self, instance_type: &str, zone: &str, spot: bool) -> bool {
         (self.spot || !spot)
             && self.zone.as_deref().is_none_or(|only| only == zone)
             && self
                 .instance_types
                 .as_ref()
-                .is_none_or(|instance_types| instance_types.iter().any(|f| f == instance_type))
+                .is_none_or(|allowed| allowed.iter().any(|name| name == instance_type))
     }
 }
 
-/// Why a submission is malformed (400).
+/// Why a submission is malformed; the response has status 400.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidJob {
     /// The body is not CBOR, or not a map.
     #[error("the body is not a CBOR map")]
     NotAMap,
-    /// A field that must be there is not.
+    /// A required field is missing.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// A field is of the wrong kind or out of range.
+    /// A field has the wrong type or is out of range.
     #[error("{0} is invalid")]
     Invalid(&'static str),
 }
 
-/// Whether a text has the form that all job ids have.
+/// Whether a string has the form of a job id: `j-` and up to 20 digits.
 pub fn is_valid_job_id(id: &str) -> bool {
-    id.strip_prefix("j-")
-        .is_some_and(|n| (1..=20).contains(&n.len()) && n.bytes().all(|b| b.is_ascii_digit()))
+    id.strip_prefix("j-").is_some_and(|digits| {
+        (1..=20).contains(&digits.len()) && digits.bytes().all(|byte| byte.is_ascii_digit())
+    })
 }
 
+/// The fields of a submission, by their names on the wire. Null counts as missing.
 struct Fields(HashMap<String, Value>);
 
 impl Fields {
     fn get(&self, name: &'static str) -> Option<&Value> {
         self.0.get(name).filter(|value| !value.is_null())
     }
-    fn need(&self, name: &'static str) -> Result<&Value, InvalidJob> {
+    fn required(&self, name: &'static str) -> Result<&Value, InvalidJob> {
         self.get(name).ok_or(InvalidJob::Missing(name))
     }
     fn text_of(value: &Value, name: &'static str) -> Result<String, InvalidJob> {
         match value.as_text() {
-            Some(text) if !text.is_empty() && text.len() <= MAX_TEXT => Ok(text.to_owned()),
+            Some(text) if !text.is_empty() && text.len() <= MAX_TEXT_BYTES => Ok(text.to_owned()),
             _ => Err(InvalidJob::Invalid(name)),
         }
     }
     fn text(&self, name: &'static str) -> Result<String, InvalidJob> {
-        Self::text_of(self.need(name)?, name)
+        Self::text_of(self.required(name)?, name)
     }
     fn amount(&self, name: &'static str) -> Result<f64, InvalidJob> {
-        let number = match self.need(name)? {
+        let number = match self.required(name)? {
             Value::Float(number) => *number,
             Value::Integer(number) => i128::from(*number) as f64,
             _ => return Err(InvalidJob::Invalid(name)),
@@ -183,21 +186,23 @@
         }
     }
     fn count(&self, name: &'static str) -> Result<u64, InvalidJob> {
-        self.need(name)?
+        self.required(name)?
             .as_integer()
             .and_then(|number| u64::try_from(number).ok())
             .ok_or(InvalidJob::Invalid(name))
     }
     fn flag(&self, name: &'static str) -> Result<bool, InvalidJob> {
-        self.need(name)?.as_bool().ok_or(InvalidJob::Invalid(name))
+        self.required(name)?
+            .as_bool()
+            .ok_or(InvalidJob::Invalid(name))
     }
     fn choice<T: for<'de> Deserialize<'de>>(&self, name: &'static str) -> Result<T, InvalidJob> {
-        cbor::from_value(self.need(name)?).map_err(|_| InvalidJob::Invalid(name))
+        cbor::from_value(self.required(name)?).map_err(|_| InvalidJob::Invalid(name))
     }
 }
 
-/// Reads a submission. `at` is the time of day at which it came.
-pub fn parse_submission(body: &[u8], at: f64) -> Result<JobSpec, InvalidJob> {
+/// Parses and validates the body of a submission. `submitted_at` is the wall-clock time at which it arrived.
+pub fn parse_submission(body: &[u8], submitted_at: f64) -> Result<JobSpec, InvalidJob> {
     let value: Value = cbor::decode(body).map_err(|_| InvalidJob::NotAMap)?;
     let pairs = value.into_map().map_err(|_| InvalidJob::NotAMap)?;
     let mut map = HashMap::with_capacity(pairs.len());
@@ -255,53 +260,53 @@
         checkpoint_interval_s: fields.amount("SnapshotS")?,
         checkpoint_grace_s: fields.amount("FlushS")?,
         deadline_s,
-        submitted_at: at,
+        submitted_at,
     })
 }
 
-/// State of a job, as told to users.
+/// Status of a job, as reported to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobStatus {
-    /// No task runs.
+    /// No task is running.
     Queued,
-    /// Some task runs.
+    /// At least one task is running.
     Running,
-    /// All tasks are done.
+    /// All tasks are complete.
     Done,
     /// Cancelled.
     Aborted,
 }
 
-/// Answer to submissions and cancels.
+/// Response to submissions and cancellations.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct JobAccepted {
     /// Job id.
     #[serde(rename = "NameId")]
     pub id: String,
-    /// Present state.
+    /// Current status.
     #[serde(rename = "Status")]
     pub status: JobStatus,
 }
 
-/// Answer to polls.
+/// Response to status requests.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct JobView {
     /// Job id.
     #[serde(rename = "NameId")]
     pub id: String,
-    /// Present state.
+    /// Current status.
     #[serde(rename = "Status")]
     pub status: JobStatus,
-    /// Completed tasks, for display.
+    /// Number of completed tasks, for display.
     pub done: u32,
-    /// Running tasks, for display.
+    /// Number of running tasks, for display.
     pub running: u32,
 }
 
-/// Body of an answer that says no.
+/// Body of an error response.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// Why.
+    /// Description of the error.
     pub error: String,
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -8,9 +8,9 @@
 //! | cloud | [`cloud`] | HTTP, CBOR |
 //! | other controllers | [`peer`] | frames, `rkyv` |
 //!
-//! A request type knows its HTTP form (`http_request`) and the meaning of each response (`response`); a response that
-//! is not usable leaves the outcome unknown. Names on the wire are mapped here, by `serde(rename)`, and appear nowhere
-//! else. Amounts are floating-point numbers, with the unit in the field's name.
+//! Each request type converts itself to an HTTP request (`http_request`) and interprets the responses to it
+//! (`response`). After an unusable response, the outcome of the request counts as unknown. Names on the wire appear in
+//! this module only, mostly in `serde(rename)`. Amounts are floating-point numbers, with the unit in the field's name.
 
 pub mod cbor;
 pub mod cloud;
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -1,20 +1,21 @@
-//! Heartbeats between controllers: one-way messages in `rkyv` archives.
+//! Heartbeats between controllers: one-way messages, encoded as `rkyv` archives.
 //!
-//! The order of the fields is the wire form. Nothing relies on a heartbeat's arrival: each repeats what still matters.
+//! The wire form depends on the order and the types of the fields. A lost heartbeat does no harm, since each heartbeat
+//! repeats all information that is still relevant.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// The longest frame in bytes; a longer one ends the connection.
+/// Maximum length of a frame; a longer one ends the connection.
 pub const MAX_FRAME_BYTES: usize = 256 * 1024;
-/// The most jobs whose counts fit into one message.
+/// Maximum number of jobs whose counts are sent in one message.
 pub const MAX_JOB_COUNTS: usize = 2000;
 
-/// The most crash-looping jobs that fit into one message; the others are found to be so once more.
+/// Maximum number of crash-looping jobs in one message. A new leader has to detect the others again.
 pub const MAX_CRASH_LOOPING_JOBS: usize = 500;
-/// The most terminations that fit into one message; others are looked up when somebody asks.
+/// Maximum number of terminations in one message. Peers look up the others in the state service when they need them.
 pub const MAX_TERMINATIONS: usize = 1000;
 
-/// Display counts of one job.
+/// Task counts of one job, for display to users.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct JobCounts {
     /// Job id.
@@ -25,79 +26,80 @@
     pub running: u32,
 }
 
-/// How a job has ended; this never changes.
+/// The end of a job. A job that has ended never changes again.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct Termination {
     /// Job id.
     pub job: String,
-    /// Cancelled, rather than done.
+    /// Whether the job was cancelled, rather than completed.
     pub aborted: bool,
     /// Completed tasks.
     pub done: u32,
 }
 
-/// Up to which number a controller has received a peer's terminations.
+/// Acknowledges the terminations that a controller has received from a peer.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct TerminationAck {
-    /// The peer.
+    /// Label of the peer.
     pub label: String,
-    /// Which process of the peer.
+    /// Incarnation of the peer's process, from its [`TerminationLog`].
     pub process_incarnation: u64,
-    /// All terminations before this number were received.
+    /// All terminations with lower sequence numbers were received.
     pub up_to: u64,
 }
 
-/// Terminations of jobs that some peer has not acknowledged yet; peers need not look them up.
+/// Terminations of jobs that at least one peer has not acknowledged yet. Peers that receive them need not look them up
+/// in the state service.
 #[derive(Debug, Clone, Default, PartialEq, Archive, Serialize, Deserialize)]
 pub struct TerminationLog {
-    /// Tells this process from earlier ones of the same controller.
+    /// Distinguishes the sender's process from earlier ones with the same label.
     pub process_incarnation: u64,
-    /// Number of the first of the list.
+    /// Sequence number of the first entry.
     pub first_sequence: u64,
-    /// The terminations, numbered in order.
+    /// The terminations, with consecutive sequence numbers.
     pub entries: Vec<Termination>,
-    /// What was received of each peer.
+    /// For each peer, which of its terminations the sender has received.
     pub acks: Vec<TerminationAck>,
 }
 
 /// A controller's regular message to its peers.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct PeerHeartbeat {
-    /// Sender.
+    /// Label of the sender.
     pub label: String,
     /// Highest epoch that the sender knows.
     pub epoch: u64,
-    /// The leader, as far as the sender knows.
+    /// Label of the leader, if the sender knows one.
     pub leader: Option<String>,
-    /// Whether the state service has lately answered the sender.
+    /// Whether the state service has recently answered the sender.
     pub state_service_ok: bool,
-    /// Workers that the sender has lately redirected to another leader.
+    /// Number of workers that the sender has recently redirected to another leader.
     pub redirected_workers: u32,
-    /// From the leader: display counts of the open jobs.
+    /// Sent by the leader only: task counts of the open jobs.
     pub counts: Vec<JobCounts>,
-    /// From the leader: jobs that are crash-looping, since their tasks fail on several machines.
+    /// Sent by the leader only: ids of the jobs that are crash-looping.
     pub crash_looping_jobs: Vec<String>,
-    /// Writes per second that the sender has lately made in the state service for its users.
+    /// Recent rate at which the sender has written to the state service for its users.
     pub user_writes_per_s: f64,
-    /// Jobs that the sender has lately ended.
+    /// Jobs that the sender has recently finished or cancelled.
     pub terminations: TerminationLog,
 }
 
-/// A message that cannot be encoded, or bytes that are none.
+/// Failure to encode or decode a heartbeat.
 #[derive(Debug, thiserror::Error)]
 pub enum PeerMessageError {
-    /// The archive cannot be written.
-    #[error("cannot be encoded: {0}")]
+    /// The archive can't be written.
+    #[error("peer heartbeat could not be encoded: {0}")]
     Encode(rkyv::rancor::Error),
-    /// The bytes are no valid archive of a heartbeat, such as those of another version.
-    #[error("is no heartbeat: {0}")]
+    /// The bytes are not a valid archive of a heartbeat of this version.
+    #[error("not a valid peer heartbeat: {0}")]
     Decode(rkyv::rancor::Error),
 }
 
 /// Encodes a message, without its frame.
 ///
 /// # Errors
-/// If the archive cannot be written; our own messages always can.
+/// If the archive can't be written, which does not happen with the messages of this program.
 pub fn encode(heartbeat: &PeerHeartbeat) -> Result<Vec<u8>, PeerMessageError> {
     rkyv::to_bytes::<rkyv::rancor::Error>(heartbeat)
         .map(|bytes| bytes.to_vec())
@@ -107,7 +109,7 @@
 /// Decodes and validates a message.
 ///
 /// # Errors
-/// If the bytes are no valid archive of a heartbeat.
+/// If the bytes are not a valid archive of a heartbeat.
 pub fn decode(bytes: &[u8]) -> Result<PeerHeartbeat, PeerMessageError> {
     let mut aligned = rkyv::util::AlignedVec::<16>::with_capacity(bytes.len());
     aligned.extend_from_slice(bytes);
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -1,29 +1,30 @@
-//! The worker protocol: heartbeats with the tasks of a worker, the commands that respond to them, and direct calls.
+//! The worker protocol: heartbeats that list a worker's tasks, responses with commands, and direct calls.
 //!
-//! A worker sends a heartbeat at intervals to one controller. A response with commands renews its lease; when that
-//! expires, the worker ends all its tasks and goes on with the next incarnation. A direct call carries commands, too,
-//! and renews nothing. A worker ignores whatever carries a [fencing token](FencingToken) below the highest that it has
-//! seen. (Incarnation and sequence) order its messages.
+//! A worker regularly sends a heartbeat to one controller. A response with commands renews the worker's lease. When the
+//! lease expires, the worker stops all its tasks and begins its next incarnation. A direct call from a controller
+//! carries commands too, but does not renew the lease. A worker ignores all messages whose
+//! [fencing token](FencingToken) is lower than the highest that it has seen. The messages of a worker are ordered by
+//! incarnation, then by sequence number.
 
 use super::cbor;
 use super::http_status::{self, UnusableResponse, decode_body};
 use super::token::FencingToken;
 use serde::{Deserialize, Serialize};
 
-/// A task: its job and its number there, written `j-000412/3` on the wire.
+/// Identifies a task by its job and its index in the job; written `j-000412/3` on the wire.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
     /// Job id.
     pub job: String,
-    /// Number of the task in the job.
+    /// Index of the task in the job.
     pub index: u32,
 }
 
 impl TaskId {
-    /// Reads the wire form.
+    /// Parses the wire form.
     ///
     /// # Errors
-    /// If there is no slash, or no number after the last one.
+    /// If the text has no slash, or no number after the last slash.
     pub fn parse(text: &str) -> Result<TaskId, InvalidTaskId> {
         let invalid = || InvalidTaskId(text.to_owned());
         let (job, index) = text.rsplit_once('/').ok_or_else(invalid)?;
@@ -34,7 +35,7 @@
     }
 }
 
-/// A text that names no task.
+/// A string that is not the wire form of a task id.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is no task: a job, a slash and a number are expected")]
 pub struct InvalidTaskId(String);
@@ -49,39 +50,39 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskState {
-    /// Waiting for its container image.
+    /// The worker is fetching the task's container image.
     Fetching,
     /// Running.
     Running,
-    /// Stopped by command, and saving a checkpoint.
+    /// The task was told to stop and is saving a checkpoint.
     #[serde(rename = "flushing")]
     Checkpointing,
-    /// Ended; see [`ExitReason`].
+    /// Ended, or not started; see [`ExitReason`].
     Exited,
-    /// A state that this version does not know; the task counts as being on the worker.
+    /// A state that this version does not know; the task counts as present on the worker.
     #[serde(rename = "other", other)]
     Unknown,
 }
 
-/// Why a task ended.
+/// Why a task has exited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitReason {
     /// Completed.
     #[serde(rename = "done")]
     Completed,
-    /// Stopped by command.
+    /// Stopped by a command.
     Stopped,
     /// Failed.
     #[serde(rename = "error")]
     Failed,
-    /// Start refused: not enough free resources.
+    /// Not started: the worker has too few free resources.
     #[serde(rename = "full")]
     InsufficientResources,
-    /// Start refused: the worker has this task with another attempt.
+    /// Not started: the worker has another attempt of the task.
     #[serde(rename = "busy")]
     AttemptConflict,
-    /// Start refused: no such job or task.
+    /// Not started: there is no such job or task.
     #[serde(rename = "no_such")]
     UnknownTask,
     /// A reason that this version does not know.
@@ -92,16 +93,16 @@
 /// One task in a heartbeat.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TaskStatus {
-    /// Task, in wire form.
+    /// Id of the task, in wire form.
     #[serde(rename = "Step")]
     pub task: String,
-    /// Attempt.
+    /// Number of the task's attempt.
     #[serde(rename = "Try")]
     pub attempt: u64,
     /// State.
     #[serde(rename = "Status")]
     pub state: TaskState,
-    /// Why it exited.
+    /// Why the task has exited, if it has.
     #[serde(rename = "Cause", default)]
     pub exit_reason: Option<ExitReason>,
 }
@@ -109,10 +110,10 @@
 /// A worker's heartbeat.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WorkerHeartbeat {
-    /// The worker, by the name of its instance.
+    /// Name of the worker, which is that of its instance.
     #[serde(rename = "Host")]
     pub worker: String,
-    /// Address for direct commands.
+    /// Address for direct calls.
     #[serde(rename = "Endpoint")]
     pub endpoint: String,
     /// Instance type.
@@ -124,23 +125,23 @@
     /// Spot instance, rather than on-demand.
     #[serde(rename = "Windfall")]
     pub spot: bool,
-    /// Incarnation of the worker, from 1; grows each time its lease expires.
+    /// Incarnation of the worker, from 1; incremented each time its lease expires.
     #[serde(rename = "Tenure")]
     pub incarnation: u64,
-    /// Order of messages within the incarnation.
+    /// Sequence number of the message within the incarnation.
     #[serde(rename = "Tick")]
     pub sequence: u64,
     /// Highest token that the worker has seen.
     #[serde(rename = "Epoch")]
     pub token: FencingToken,
-    /// Seconds until the cloud reclaims the spot instance; none: not announced.
+    /// Seconds until the cloud reclaims the spot instance; `None` if that has not been announced.
     #[serde(
         rename = "WarningS",
         default,
         deserialize_with = "cbor::optional_amount"
     )]
     pub reclaim_in_s: Option<f64>,
-    /// All tasks on the worker, with exited ones until they are cleared.
+    /// All tasks on the worker, including exited ones until they are cleared.
     #[serde(rename = "Steps", default)]
     pub tasks: Vec<TaskStatus>,
 }
@@ -154,23 +155,23 @@
     /// Stop a task.
     #[serde(rename = "halt")]
     Stop,
-    /// Drop an exited task from the heartbeats.
+    /// Forget an exited task, so that heartbeats no longer list it.
     Clear,
 }
 
 /// One command to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Command {
-    /// What to do.
+    /// What the worker is to do.
     #[serde(rename = "Verb")]
     pub kind: CommandKind,
-    /// To which task.
+    /// Id of the task, in wire form.
     #[serde(rename = "Step")]
     pub task: String,
-    /// Attempt.
+    /// Number of the task's attempt.
     #[serde(rename = "Try")]
     pub attempt: u64,
-    /// For a stop: seconds to save a checkpoint in; 0: at once.
+    /// For a stop command: seconds that the task is given to save a checkpoint; 0 stops it at once.
     #[serde(rename = "DrainS", skip_serializing_if = "Option::is_none", default)]
     pub grace_s: Option<f64>,
 }
@@ -178,21 +179,21 @@
 /// Response to a heartbeat, and the body of direct calls.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CommandBatch {
-    /// Who commands, and from which fence on.
+    /// Token of the leader that sends the commands.
     #[serde(rename = "Epoch")]
     pub token: FencingToken,
-    /// The incarnation that is meant; only in direct calls.
+    /// The worker's incarnation for which the commands are; only in direct calls.
     #[serde(rename = "Tenure", skip_serializing_if = "Option::is_none", default)]
     pub incarnation: Option<u64>,
-    /// Commands in order.
+    /// Commands, in the order of execution.
     #[serde(rename = "Orders")]
     pub commands: Vec<Command>,
 }
 
-/// Body of a 421: this controller does not lead.
+/// Body of a 421 response to a heartbeat: this controller is not the leader.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct NotLeader {
-    /// The leader, as far as known.
+    /// Label of the leader, if this controller knows one.
     #[serde(rename = "Foreman", skip_serializing_if = "Option::is_none", default)]
     pub leader_hint: Option<String>,
 }
@@ -200,22 +201,22 @@
 /// A direct call to a worker.
 #[derive(Debug, Clone)]
 pub enum WorkerRequest {
-    /// Commands that cannot wait for a heartbeat, or none to probe the worker.
+    /// Commands that can't wait for a heartbeat; an empty batch probes the worker.
     Commands(CommandBatch),
 }
 
-/// What came of a direct call.
+/// The outcome of a direct call.
 #[derive(Debug, Clone)]
 pub enum WorkerResponse {
-    /// Executed; with the worker's state after the commands.
+    /// The worker has executed the commands; contains its state after them.
     Executed(Box<WorkerHeartbeat>),
-    /// Nothing executed: the token is too low, or the incarnation is not the worker's.
+    /// The worker has executed nothing, because the token is too low or the incarnation is not its own.
     Rejected(Box<WorkerHeartbeat>),
-    /// The call was never sent: no connection was free for it in time.
+    /// The call was never sent: no connection became free in time.
     NotSent,
     /// The call was never sent: the worker accepts no connection.
     Unreachable,
-    /// No usable response; the call may be executed at any later time.
+    /// There was no usable response; the worker may execute the call at any later time.
     OutcomeUnknown,
 }
 
@@ -229,7 +230,7 @@
         }
     }
 
-    /// The meaning of a response. One that is not usable leaves the outcome unknown.
+    /// Interprets a response. If it is unusable, the outcome is unknown.
     pub fn response(status: u16, body: &[u8]) -> WorkerResponse {
         parse_response(status, body).unwrap_or(WorkerResponse::OutcomeUnknown)
     }
