--- a/src/protocol/cbor.rs
+++ b/src/protocol/cbor.rs
@@ -1,44 +1,44 @@
-//! CBOR bodies: encoding, decoding and helpers that read numbers however they were written.
+//! CBOR bodies: encoding, decoding, and helpers that accept numbers in integer and in floating-point form.
 
 use ciborium::Value;
 use serde::de::{DeserializeOwned, Error as _, Visitor};
 use serde::{Deserializer, Serialize};
 
-/// A body that is not the CBOR that was expected.
+/// A body that is not valid CBOR, or does not contain a message of the expected type.
 #[derive(Debug, thiserror::Error)]
 #[error("not the expected CBOR: {0}")]
 pub struct CborError(String);
 
-/// A message that cannot be written as CBOR.
+/// A message that can't be encoded as CBOR.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot be written as CBOR: {0}")]
 pub struct EncodeError(String);
 
-/// Nesting beyond this is refused; no message of ours goes deeper.
+/// Maximum nesting depth of a received message; no message of the protocol is nested more deeply.
 const MAX_DEPTH: usize = 32;
-/// Bytes that most messages fit into.
-const USUAL_BODY_BYTES: usize = 256;
+/// Initial buffer size, which is enough for most messages.
+const INITIAL_BODY_BYTES: usize = 256;
 
 /// Encodes a message.
 ///
 /// # Errors
-/// If the message's own serialization fails.
+/// If the serialization of the message fails.
 pub fn try_encode<T: Serialize>(message: &T) -> Result<Vec<u8>, EncodeError> {
-    let mut body = Vec::with_capacity(USUAL_BODY_BYTES);
+    let mut body = Vec::with_capacity(INITIAL_BODY_BYTES);
     ciborium::into_writer(message, &mut body).map_err(|error| EncodeError(error.to_string()))?;
     Ok(body)
 }
 
-/// Encodes one of our own messages, which always succeeds. Should it fail all the same, that is logged, and the
-/// empty body is one that no receiver accepts.
+/// Encodes a message of this program, which is expected to succeed always. If it fails nevertheless, logs the error and
+/// returns an empty body, which no receiver accepts.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     try_encode(message).unwrap_or_else(|error| {
-        tracing::error!(%error, message = std::any::type_name::<T>(), "message not encoded");
+        tracing::error!(%error, message = std::any::type_name::<T>(), "message could not be encoded");
         Vec::new()
     })
 }
 
-/// Decodes a message, refusing deep nesting and trailing bytes.
+/// Decodes a message. Rejects deeply nested messages and trailing bytes.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, CborError> {
     let mut rest = body;
     let message = ciborium::de::from_reader_with_recursion_limit(&mut rest, MAX_DEPTH)
@@ -50,20 +50,20 @@
     }
 }
 
-/// Converts one of our own types into a value for the state service.
+/// Converts a record of this program to a value for the state service.
 pub fn to_value<T: Serialize>(message: &T) -> Value {
     Value::serialized(message).unwrap_or(Value::Null)
 }
 
-/// Reads one of our own types out of a value of the state service.
+/// Converts a value from the state service to a record of this program.
 pub fn from_value<T: DeserializeOwned>(value: &Value) -> Result<T, CborError> {
     value
         .deserialized()
         .map_err(|error| CborError(error.to_string()))
 }
 
-/// The size of a value in its JSON form, in which the protocol counts its limits. Never too small
-/// for the values we write: numbers are counted with their longest form.
+/// Upper bound of the size of a value in JSON, in which the protocol counts its limits, for all values that this
+/// program writes. Floating-point numbers are counted with their longest form.
 pub fn json_size(value: &Value) -> usize {
     match value {
         Value::Null | Value::Bool(_) => 5,
@@ -100,7 +100,7 @@
     }
 }
 
-/// For `serde(deserialize_with)`: a finite amount, written as a decimal or as an integer.
+/// For `serde(deserialize_with)`: a finite amount, in floating-point or integer form.
 pub fn amount<'de, D: Deserializer<'de>>(source: D) -> Result<f64, D::Error> {
     let number = source.deserialize_any(Number)?;
     if number.is_finite() {
@@ -110,7 +110,7 @@
     }
 }
 
-/// For `serde(deserialize_with)`: an amount that may be null.
+/// For `serde(deserialize_with)`: like [`amount`], but may be null.
 pub fn optional_amount<'de, D: Deserializer<'de>>(source: D) -> Result<Option<f64>, D::Error> {
     struct Optional;
     impl<'de> Visitor<'de> for Optional {
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,20 +1,20 @@
 //! The cloud's interface: instance types, and the creation, deletion and listing of instances.
 //!
-//! An instance runs one worker. A request to create instances carries an idempotency key: repeated, it creates
-//! nothing more and has the same response. The listing lags behind by some seconds.
+//! An instance runs one worker. A request to create instances carries an idempotency key: if the request is repeated,
+//! it creates no further instances and has the same response. The listing lags behind by some seconds.
 
 use super::cbor;
 use super::http_status::{self, UnusableResponse, decode_body};
 use super::job::ErrorBody;
 use serde::{Deserialize, Serialize};
 
-/// The most instances of one provisioning request.
+/// Maximum number of instances in one provisioning request.
 pub const MAX_INSTANCES_PER_CREATE: u32 = 50;
-/// The most instances of one deletion.
+/// Maximum number of instances in one delete request.
 pub const MAX_INSTANCES_PER_DELETE: usize = 100;
-/// Instances in a page of the list.
+/// Number of instances in a page of the listing.
 pub const PAGE_SIZE: u32 = 500;
-/// The error of a provisioning request that the cloud has no instances for.
+/// The error in the response to a provisioning request for which the cloud has no instances.
 const OUT_OF_CAPACITY: &str = "no capacity";
 
 /// An instance type.
@@ -23,16 +23,16 @@
     /// Name.
     #[serde(rename = "Label")]
     pub name: String,
-    /// CPUs.
+    /// Number of CPU cores.
     #[serde(rename = "Cores", deserialize_with = "cbor::amount")]
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     #[serde(rename = "Gpus", default, deserialize_with = "cbor::amount")]
     pub gpus: f64,
     /// Memory in GB.
     #[serde(rename = "RamGb", deserialize_with = "cbor::amount")]
     pub ram_gb: f64,
-    /// Space for cached images in GB.
+    /// Size of the cache for container images, in GB.
     #[serde(rename = "LocalGb", default, deserialize_with = "cbor::amount")]
     pub image_cache_gb: f64,
     /// Rate at which images are pulled, in GB per second.
@@ -41,17 +41,17 @@
     /// On-demand price per hour.
     #[serde(rename = "Hourly", deserialize_with = "cbor::amount")]
     pub on_demand_price: f64,
-    /// Present spot price per hour.
+    /// Current spot price per hour; `None` if there are no spot instances of this type.
     #[serde(
         rename = "MarketPrice",
         default,
         deserialize_with = "cbor::optional_amount"
     )]
     pub spot_price: Option<f64>,
-    /// Usual boot time in seconds.
+    /// Typical boot time in seconds.
     #[serde(rename = "ReadyS", deserialize_with = "cbor::amount")]
     pub boot_time_s: f64,
-    /// Zones in which it is offered.
+    /// Zones in which the cloud offers this type.
     #[serde(rename = "Groves")]
     pub zones: Vec<String>,
 }
@@ -62,22 +62,22 @@
     instance_types: Vec<InstanceType>,
 }
 
-/// State of an instance in the list.
+/// State of an instance in the listing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceStatus {
     /// Booting.
     Starting,
-    /// Up.
+    /// Running.
     Running,
-    /// Stopped by itself.
+    /// The instance has failed and stopped.
     Failed,
-    /// A state this version does not know.
+    /// A state that this version does not know.
     #[serde(other)]
     Other,
 }
 
-/// An instance in the list.
+/// An instance in the listing.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Instance {
     /// Name.
@@ -98,7 +98,7 @@
     /// State.
     #[serde(rename = "Status")]
     pub status: InstanceStatus,
-    /// Age in seconds at the time that the list describes.
+    /// Age in seconds, at the time whose state the listing shows.
     #[serde(rename = "AgeS", default, deserialize_with = "cbor::amount")]
     pub age_s: f64,
 }
@@ -120,7 +120,7 @@
 /// A provisioning request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CreateInstances {
-    /// Idempotency key; never used for another request.
+    /// Idempotency key, which is unique to this request.
     #[serde(rename = "Bid")]
     pub idempotency_key: String,
     /// Instance type.
@@ -132,13 +132,13 @@
     /// Spot instances, rather than on-demand.
     #[serde(rename = "Windfall")]
     pub spot: bool,
-    /// How many.
+    /// Number of instances.
     #[serde(rename = "Count")]
     pub count: u32,
 }
 
 #[derive(Serialize)]
-struct Names<'a> {
+struct DeleteInstancesBody<'a> {
     #[serde(rename = "Hosts")]
     instances: &'a [String],
 }
@@ -146,41 +146,41 @@
 /// A request to the cloud.
 #[derive(Debug, Clone)]
 pub enum CloudRequest {
-    /// The instance catalog.
+    /// List the instance types.
     ListInstanceTypes,
-    /// Rent instances.
+    /// Create instances.
     CreateInstances(CreateInstances),
     /// Delete the instances with these names.
     DeleteInstances(Vec<String>),
-    /// List a page of instances, after this name.
+    /// List a page of instances, starting after this name; `None` for the first page.
     ListInstances(Option<String>),
 }
 
-/// What came of a request to the cloud.
+/// The outcome of a request to the cloud.
 #[derive(Debug, Clone)]
 pub enum CloudResponse {
-    /// The instance catalog.
+    /// All instance types.
     InstanceTypes(Vec<InstanceType>),
-    /// The names of the new instances; may be fewer than asked for.
+    /// Names of the new instances, which may be fewer than requested.
     Created(Vec<String>),
-    /// Not executed: none available of this type, in this zone, of this kind.
+    /// Not executed: the cloud has no instance of this type in this zone, spot or on-demand as requested.
     InsufficientCapacity,
-    /// The instances are gone.
+    /// The instances have been deleted.
     Deleted,
-    /// A page of the list.
+    /// A page of the listing.
     Page {
         /// Instances in the order of their names.
         instances: Vec<Instance>,
-        /// Whether more follow.
+        /// Whether more pages follow.
         more: bool,
     },
-    /// Not executed: over the rate limit.
+    /// Not executed: the rate limit is exceeded.
     RateLimited,
-    /// Not executed: an outage.
+    /// Not executed: the cloud's API has an outage.
     Unavailable,
-    /// Not executed: malformed, says the cloud.
+    /// Not executed: the cloud considers the request malformed.
     InvalidRequest,
-    /// No usable response; the request may be executed at any later time.
+    /// There was no usable response; the request may be executed at any later time.
     OutcomeUnknown,
 }
 
@@ -195,20 +195,20 @@
             CloudRequest::DeleteInstances(instances) => (
                 "POST",
                 "/machines/delete".to_owned(),
-                cbor::encode(&Names { instances }),
+                cbor::encode(&DeleteInstancesBody { instances }),
             ),
             CloudRequest::ListInstances(None) => {
                 ("GET", format!("/machines?Page={PAGE_SIZE}"), Vec::new())
             }
-            CloudRequest::ListInstances(Some(from)) => (
+            CloudRequest::ListInstances(Some(after)) => (
                 "GET",
-                format!("/machines?From={from}&Page={PAGE_SIZE}"),
+                format!("/machines?From={after}&Page={PAGE_SIZE}"),
                 Vec::new(),
             ),
         }
     }
 
-    /// The meaning of a response. One that is not usable leaves the outcome unknown.
+    /// Interprets a response. If it is unusable, the outcome is unknown.
     pub fn response(&self, status: u16, body: &[u8]) -> CloudResponse {
         self.parse_response(status, body)
             .unwrap_or(CloudResponse::OutcomeUnknown)
@@ -246,7 +246,8 @@
     }
 }
 
-/// Whether a 503 says that a pool is sold out; without such a body it is an outage.
+/// Whether the body of a response with status 503 says that the cloud has no capacity. With any other body, the status
+/// means an outage.
 fn is_out_of_capacity(body: &[u8]) -> bool {
-    cbor::decode::<ErrorBody>(body).is_ok_and(|refusal| refusal.error == OUT_OF_CAPACITY)
+    cbor::decode::<ErrorBody>(body).is_ok_and(|response| response.error == OUT_OF_CAPACITY)
 }
--- a/src/protocol/kv.rs
+++ b/src/protocol/kv.rs
@@ -1,23 +1,24 @@
 //! The state service's interface: a consensus-backed key-value store with transactions, leases and watches.
 //!
-//! Each change of the store has a revision, counted up; a key's mod revision is that of its last change, and 0 if
-//! there is no such key. A transaction compares mod revisions and writes, all or nothing. Keys may be attached to a
-//! lease and are deleted with it. A watch waits for changes under a prefix. A request whose response is lost may
-//! have been executed, or may be executed at any later time.
+//! Each change increments the revision of the store. A key's mod revision is the revision of its last change, and 0 if
+//! the key does not exist. A transaction compares the mod revisions of some keys, and executes all of its writes if all
+//! compares hold, or none. A key may be attached to a lease, and is deleted when the lease ends. A watch waits for
+//! changes of keys with a prefix. A request whose response is lost may have been executed, or may be executed at any
+//! later time.
 
 use super::cbor;
 use super::http_status::{self, UnusableResponse, decode_body};
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 
-/// The largest transaction in bytes, counted as JSON.
+/// Maximum size of a transaction, counted as JSON.
 pub const MAX_TXN_BYTES: usize = 64 * 1024;
-/// Compares that a transaction may have for each of its allowed writes.
+/// The maximum number of compares in a transaction is this many times the maximum number of writes.
 pub const COMPARES_PER_WRITE: usize = 4;
-/// Keys in a page of a listing.
+/// Number of keys in a page of a listing.
 pub const PAGE_SIZE: u32 = 1000;
 
-/// A condition of a transaction: the key has this mod revision (0: it does not exist).
+/// A condition of a transaction: the key has this mod revision, where 0 means that the key does not exist.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Compare {
     /// Key.
@@ -29,7 +30,7 @@
 }
 
 impl Compare {
-    /// The key has this mod revision.
+    /// The condition that the key has this mod revision.
     pub fn new(key: impl Into<String>, mod_revision: u64) -> Compare {
         Compare {
             key: key.into(),
@@ -50,7 +51,7 @@
         /// Value.
         #[serde(rename = "V")]
         value: Value,
-        /// Lease to attach the key to; without one it stays until it is deleted.
+        /// Lease to attach the key to; without one the key stays until it is deleted.
         #[serde(rename = "Hold", skip_serializing_if = "Option::is_none", default)]
         lease_id: Option<u64>,
     },
@@ -63,7 +64,7 @@
 }
 
 impl WriteOp {
-    /// Puts a record, attached to no lease.
+    /// Puts a record that is not attached to a lease.
     pub fn put<T: Serialize>(key: impl Into<String>, value: &T) -> WriteOp {
         WriteOp::Put {
             key: key.into(),
@@ -75,7 +76,7 @@
     pub fn delete(key: impl Into<String>) -> WriteOp {
         WriteOp::Delete { key: key.into() }
     }
-    /// Size in bytes as the protocol counts it, which is in JSON; never too small.
+    /// Upper bound of the size in bytes, which the protocol counts as JSON.
     pub fn json_size(&self) -> usize {
         match self {
             WriteOp::Put { key, value, .. } => key.len() + 48 + cbor::json_size(value),
@@ -87,10 +88,10 @@
 /// A transaction.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Txn {
-    /// All must hold.
+    /// Conditions, all of which must hold.
     #[serde(rename = "When", default)]
     pub compares: Vec<Compare>,
-    /// What is written if they do; nothing: the transaction only compares.
+    /// Writes to execute if the conditions hold; empty if the transaction only compares.
     #[serde(rename = "Writes", default)]
     pub writes: Vec<WriteOp>,
 }
@@ -112,7 +113,7 @@
     pub lease_id: Option<u64>,
 }
 
-/// A change seen by a watch.
+/// A change that a watch reports.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum WatchEvent {
@@ -140,19 +141,19 @@
 }
 
 #[derive(Deserialize)]
-struct Revision {
+struct CommittedBody {
     #[serde(rename = "Ledger")]
     revision: u64,
 }
 
 #[derive(Deserialize)]
-struct Failed {
+struct CompareFailedBody {
     #[serde(default)]
     failed: Vec<String>,
 }
 
 #[derive(Deserialize)]
-struct ItemPage {
+struct PageBody {
     #[serde(rename = "Items", default)]
     items: Vec<KeyValue>,
     #[serde(rename = "More", default)]
@@ -162,7 +163,7 @@
 }
 
 #[derive(Deserialize)]
-struct Events {
+struct EventsBody {
     #[serde(rename = "Ledger")]
     revision: u64,
     #[serde(rename = "Events", default)]
@@ -190,32 +191,32 @@
     List {
         /// Prefix.
         prefix: String,
-        /// Key after which the page starts; none: at the first.
+        /// Key after which the page starts; `None` for the first page.
         after: Option<String>,
     },
-    /// Compare and write, all or nothing.
+    /// Execute a transaction.
     Txn(Txn),
-    /// Grant a lease that expires after so many milliseconds.
+    /// Grant a lease that expires after this many milliseconds.
     GrantLease(u64),
     /// Renew the lease with this id.
     KeepAlive(u64),
     /// End the lease with this id, and delete the keys attached to it.
     RevokeLease(u64),
-    /// Wait for changes under a prefix.
+    /// Wait for changes of keys with a prefix.
     Watch {
         /// Prefix.
         prefix: String,
-        /// Revision up to which changes are known.
+        /// Report changes after this revision.
         after: u64,
-        /// Longest wait in milliseconds.
+        /// Maximum time to wait, in milliseconds.
         wait_ms: u64,
     },
 }
 
-/// What came of a request to the state service.
+/// The outcome of a request to the state service.
 #[derive(Debug, Clone)]
 pub enum KvResponse {
-    /// The key.
+    /// The requested key with its value.
     Value(KeyValue),
     /// The key does not exist.
     NotFound,
@@ -223,14 +224,14 @@
     Page {
         /// Keys in order.
         items: Vec<KeyValue>,
-        /// Whether more follow.
+        /// Whether more pages follow.
         more: bool,
-        /// The revision that the page shows.
+        /// The revision of the store at which the page was read.
         revision: u64,
     },
-    /// Committed at a revision.
+    /// The transaction was committed at this revision.
     Committed(u64),
-    /// Not committed: the compares of these keys do not hold.
+    /// The transaction was not committed: the compares of these keys do not hold.
     CompareFailed(Vec<String>),
     /// The id of the new lease.
     LeaseGranted(u64),
@@ -238,22 +239,22 @@
     LeaseOk,
     /// The lease has expired.
     LeaseExpired,
-    /// The revision to watch from has been compacted: the keys must be listed anew.
+    /// The store no longer has the changes after the requested revision: the keys must be listed again.
     Compacted,
-    /// Changes under the prefix.
+    /// Changes of keys with the prefix.
     Events {
         /// Changes in order.
         events: Vec<WatchEvent>,
-        /// The revision that they lead to.
+        /// The revision up to which all changes have been reported.
         revision: u64,
     },
-    /// Over the rate limit; not executed.
+    /// Not executed: the rate limit is exceeded.
     RateLimited,
-    /// Not executed: an outage, or this controller is refused.
+    /// Not executed: the state service has an outage, or rejects this controller.
     Unavailable,
-    /// Not executed: malformed, or a write with an expired lease.
+    /// Not executed: the request is malformed, or writes with an expired lease.
     InvalidRequest,
-    /// No usable response; the request may be executed at any later time.
+    /// There was no usable response; the request may be executed at any later time.
     OutcomeUnknown,
 }
 
@@ -262,11 +263,8 @@
     pub fn http_request(&self) -> (&'static str, String, Vec<u8>) {
         match self {
             KvRequest::Get(key) => ("GET", format!("/keys/{key}"), Vec::new()),
-            KvRequest::List {
-                prefix,
-                after: from,
-            } => {
-                let from = from
+            KvRequest::List { prefix, after } => {
+                let from = after
                     .as_ref()
                     .map(|key| format!("&From={key}"))
                     .unwrap_or_default();
@@ -290,17 +288,17 @@
             }
             KvRequest::Watch {
                 prefix,
-                after: from,
+                after,
                 wait_ms,
             } => (
                 "GET",
-                format!("/follow?Under={prefix}&From={from}&WaitMs={wait_ms}"),
+                format!("/follow?Under={prefix}&From={after}&WaitMs={wait_ms}"),
                 Vec::new(),
             ),
         }
     }
 
-    /// The meaning of a response. One that is not usable leaves the outcome unknown.
+    /// Interprets a response. If it is unusable, the outcome is unknown.
     pub fn response(&self, status: u16, body: &[u8]) -> KvResponse {
         self.parse_response(status, body)
             .unwrap_or(KvResponse::OutcomeUnknown)
@@ -317,20 +315,22 @@
             (KvRequest::Get(_), http_status::OK) => decode_body(body, KvResponse::Value),
             (KvRequest::Get(_), http_status::NOT_FOUND) => Ok(KvResponse::NotFound),
             (KvRequest::List { .. }, http_status::OK) => {
-                decode_body(body, |page: ItemPage| KvResponse::Page {
+                decode_body(body, |page: PageBody| KvResponse::Page {
                     items: page.items,
                     more: page.more,
                     revision: page.revision,
                 })
             }
-            (KvRequest::Txn(_), http_status::OK) => decode_body(body, |committed: Revision| {
-                KvResponse::Committed(committed.revision)
-            }),
-            (KvRequest::Txn(_), http_status::CONFLICT) => decode_body(body, |conflict: Failed| {
-                KvResponse::CompareFailed(conflict.failed)
+            (KvRequest::Txn(_), http_status::OK) => decode_body(body, |body: CommittedBody| {
+                KvResponse::Committed(body.revision)
             }),
-            (KvRequest::GrantLease(_), http_status::OK) => decode_body(body, |lease: LeaseBody| {
-                KvResponse::LeaseGranted(lease.lease_id)
+            (KvRequest::Txn(_), http_status::CONFLICT) => {
+                decode_body(body, |body: CompareFailedBody| {
+                    KvResponse::CompareFailed(body.failed)
+                })
+            }
+            (KvRequest::GrantLease(_), http_status::OK) => decode_body(body, |body: LeaseBody| {
+                KvResponse::LeaseGranted(body.lease_id)
             }),
             (KvRequest::KeepAlive(_) | KvRequest::RevokeLease(_), 200..=299) => {
                 Ok(KvResponse::LeaseOk)
@@ -339,9 +339,9 @@
                 Ok(KvResponse::LeaseExpired)
             }
             (KvRequest::Watch { .. }, http_status::OK) => {
-                decode_body(body, |page: Events| KvResponse::Events {
-                    events: page.events,
-                    revision: page.revision,
+                decode_body(body, |body: EventsBody| KvResponse::Events {
+                    events: body.events,
+                    revision: body.revision,
                 })
             }
             (KvRequest::Watch { .. }, http_status::GONE) => Ok(KvResponse::Compacted),
