--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -1,11 +1,11 @@
-//! The bytes on the wire and in the state service, the files that operators write, and what the program
-//! prints: all as they were before identifiers were renamed in the sources. Every case is one line of a data
-//! file in `tests/golden/`, `name<TAB>hex`; only the `.rs` files name Rust items, so that a renaming never
-//! touches a data file.
+//! Golden tests: the bytes on the wire and in the state service, the meaning of the files that operators write, and the
+//! output of the program must not change when the sources are refactored. Each case is one line `name<TAB>hex` of a
+//! data file in `tests/golden/`. Only the `.rs` files name Rust items, so that renaming an item never changes a data
+//! file.
 //!
-//! `GOLDEN_WRITE=1 cargo test --locked --test golden` writes the data files anew. That is right only for a
-//! change that is meant to alter the protocol, the records or the program's texts, or for a new version of a
-//! library whose words stand in them.
+//! `GOLDEN_WRITE=1 cargo test --locked --test golden` writes the data files anew. Use it only for an intended change of
+//! the protocol, the stored records or the program's texts, or for a new version of a library whose messages are in the
+//! data files.
 
 #[path = "golden/controllers.rs"]
 mod controllers;
--- a/tests/instance_catalog.rs
+++ b/tests/instance_catalog.rs
@@ -1,9 +1,8 @@
-//! The stored instance types (`catalogue`) are the leader's to write.
+//! Only the current leader may write the stored instance types (`catalogue`).
 //!
-//! Their put had no compare. One that was held on its way from a leader that has since been deposed replaced the
-//! newer types of its successor when it arrived: a controller that started while the cloud was out then offered types
-//! that the cloud no longer has. The put is in `a_late_put_of_a_deposed_leader_is_refused`, with no compare on `leader`
-//! on the sources before.
+//! Guards against a put without a compare on `leader`: if such a put is delayed until its leader has been deposed, it
+//! replaces the newer types of the next leader when it arrives. A controller that starts while the cloud is unavailable
+//! then offers instance types that the cloud no longer has. See `a_late_put_of_a_deposed_leader_is_refused`.
 
 mod common;
 mod harness;
@@ -13,7 +12,7 @@
 use common::instance_type;
 use harness::{Harness, HeldResponses};
 
-/// When a leader has read what is stored, and has put its types.
+/// Time within which a new leader reads the stored instance types and puts its own.
 const STORED_AFTER_S: f64 = 45.0;
 
 fn stored(harness: &Harness) -> Option<ciborium::Value> {
@@ -29,7 +28,7 @@
     harness.hold(HeldResponses::CatalogPuts);
     harness.run_for(STORED_AFTER_S);
     let late = harness.puts_of(INSTANCE_CATALOG_KEY);
-    assert!(!late.is_empty(), "the types were put");
+    assert!(!late.is_empty(), "the leader has put its instance types");
     harness.elect_other_controller();
     let newer = WriteOp::put(INSTANCE_CATALOG_KEY, &vec![instance_type("newer")]);
     harness.store.transact(&Txn {
@@ -47,7 +46,7 @@
     assert_eq!(stored(&harness), before);
 }
 
-/// A put whose outcome is unknown, or that was refused, is made again.
+/// A put whose outcome is unknown is repeated until the instance types are stored.
 #[test]
 fn types_that_were_not_stored_are_put_again() {
     let mut harness = Harness::default();
@@ -61,6 +60,6 @@
     assert_eq!(
         harness.puts_of(INSTANCE_CATALOG_KEY).len(),
         1,
-        "once it is stored"
+        "a stored put is not repeated"
     );
 }
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -1,4 +1,4 @@
-//! What comes in from outside: submissions, HTTP, frames, settings.
+//! Parsing and validation of submissions, HTTP requests, frames between controllers, and settings.
 
 use cedarladder::protocol::job::{InvalidJob, parse_submission};
 use cedarladder::protocol::peer::{
@@ -51,10 +51,10 @@
 }
 
 #[test]
-fn submissions() {
-    let good = parse_submission(&body(&submission()), 5.0).expect("a good one");
+fn submissions_are_validated() {
+    let spec = parse_submission(&body(&submission()), 5.0).expect("a valid submission");
     assert_eq!(
-        (good.tasks, good.gpus, good.deadline_s),
+        (spec.tasks, spec.gpus, spec.deadline_s),
         (16, 1.0, Some(900.0))
     );
     let text = |s: &str| Value::Text(s.into());
@@ -113,9 +113,9 @@
 }
 
 #[test]
-fn requests() {
+fn http_requests_are_parsed() {
     let long = format!("GET /{} HTTP/1.1\r\n", "x".repeat(9000));
-    // Method, path, body and whether the connection stays; `None`: more bytes are needed.
+    // Method, path, body and whether the connection is kept open; `None` if more bytes are needed.
     type Expected<'a> = Result<Option<(&'a str, &'a str, &'a str, bool)>, u16>;
     let cases: Vec<(&str, Expected)> = vec![
         (
@@ -185,9 +185,9 @@
     }
 }
 
-/// Truncated and changed bytes at every interface: nothing panics, and what is taken is whole.
+/// No parser panics on truncated or modified messages, whichever interface they are for.
 #[test]
-fn mangled() {
+fn corrupted_messages_cause_no_panic() {
     let mut rng = SmallRng::seed_from_u64(3);
     let heartbeat = PeerHeartbeat {
         label: "n1".into(),
@@ -259,24 +259,28 @@
 }
 
 #[test]
-fn frames() {
+fn frames_are_split() {
     let frame = |body: &[u8]| {
         let mut bytes = (body.len() as u32).to_le_bytes().to_vec();
         bytes.extend_from_slice(body);
         bytes
     };
-    let mut inbox = frame(b"one");
-    inbox.extend(frame(b""));
-    inbox.extend(&frame(b"half")[..6]);
-    let frames = split_frames(&mut inbox, 100).expect("within the limit");
+    let mut buffer = frame(b"one");
+    buffer.extend(frame(b""));
+    buffer.extend(&frame(b"half")[..6]);
+    let frames = split_frames(&mut buffer, 100).expect("all frames are within the limit");
     assert_eq!(frames, vec![b"one".to_vec(), vec![]]);
-    assert_eq!(inbox.len(), 6, "the rest is kept");
-    assert_eq!(split_frames(&mut frame(&[0; 101]), 100), None, "too long");
+    assert_eq!(buffer.len(), 6, "the incomplete frame stays in the buffer");
+    assert_eq!(
+        split_frames(&mut frame(&[0; 101]), 100),
+        None,
+        "a frame above the limit"
+    );
 }
 
 #[test]
-fn settings() {
-    Settings::parse(SETTINGS).expect("the example is good");
+fn settings_are_validated() {
+    Settings::parse(SETTINGS).expect("valid settings");
     let cases = [
         ("label = \"n0\"", "", "label"),
         ("label = \"n0\"", "label = \"\"", "label"),
--- a/tests/tokens.rs
+++ b/tests/tokens.rs
@@ -1,4 +1,5 @@
-//! Fencing tokens: their order across leaders, fences and versions, and those that no controller gives.
+//! Fencing tokens: their order across leaders, fences and versions, and the rejection of tokens that no controller can
+//! have issued.
 
 mod common;
 
@@ -23,8 +24,8 @@
     Controller::new(settings, policy, 1)
 }
 
-/// A heartbeat with whatever stands for its token.
-fn report(epoch: Value) -> Vec<u8> {
+/// A worker's heartbeat with this value as its token.
+fn heartbeat(token: Value) -> Vec<u8> {
     let text = |s: &str| Value::Text(s.to_owned());
     let fields = vec![
         (text("Host"), text("h")),
@@ -34,28 +35,28 @@
         (text("Windfall"), Value::Bool(false)),
         (text("Tenure"), Value::from(1)),
         (text("Tick"), Value::from(1)),
-        (text("Epoch"), epoch),
+        (text("Epoch"), token),
         (text("Steps"), Value::Array(Vec::new())),
     ];
     cbor::encode(&Value::Map(fields))
 }
 
-/// Status and body of the answer to a heartbeat.
-fn answer(epoch: Value) -> (u16, String) {
-    let mut node = controller();
-    node.on_request(1, "POST", "/v1/report", &report(epoch), START);
-    let answer = node.take_effects().into_iter().find_map(|action| {
-        let Effect::Respond { status, body, .. } = action else {
+/// Status and body of the response to a heartbeat with this token.
+fn response_to(token: Value) -> (u16, String) {
+    let mut controller = controller();
+    controller.on_request(1, "POST", "/v1/report", &heartbeat(token), START);
+    let response = controller.take_effects().into_iter().find_map(|effect| {
+        let Effect::Respond { status, body, .. } = effect else {
             return None;
         };
         let body: Value = cbor::decode(&body).expect("CBOR");
         Some((status, format!("{body:?}")))
     });
-    answer.expect("an answer")
+    response.expect("a response")
 }
 
-/// A later leader has higher tokens, whatever fences an earlier one gave. Versions without fences gave plain
-/// epochs, which are lower than the tokens of any later leader.
+/// All tokens of a later leader are higher than those of an earlier one, whatever their fences. Versions without fences
+/// issued plain epochs as tokens, which are lower than the tokens of any later leader.
 #[test]
 fn a_later_leader_has_higher_tokens() {
     let rising = [
@@ -76,9 +77,9 @@
     for pair in rising.windows(2) {
         assert!(pair[0].1 < pair[1].1, "{} and {}", pair[0].0, pair[1].0);
     }
-    let old_and_high = FencingToken::from_wire(20_000_000);
-    assert!(old_and_high < FencingToken::new(20_000_001, 0));
-    assert!(old_and_high.epoch() < 20_000_001);
+    let high_plain_epoch = FencingToken::from_wire(20_000_000);
+    assert!(high_plain_epoch < FencingToken::new(20_000_001, 0));
+    assert!(high_plain_epoch.epoch() < 20_000_001);
     let token = FencingToken::new(41, 7);
     assert_eq!((token.epoch(), token.fence()), (41, 7));
     assert_eq!(
@@ -87,7 +88,8 @@
     );
 }
 
-/// A token beyond the limits is refused, and parts that would not fit are capped, not wrapped.
+/// A received token beyond the limits is refused. Parts of a new token that would not fit are capped; they don't wrap
+/// around.
 #[test]
 fn tokens_beyond_the_limits_are_refused_or_capped() {
     assert!(FencingToken::new(MAX_EPOCH, MAX_FENCE).validate().is_ok());
@@ -102,23 +104,23 @@
 /// A heartbeat with an impossible token is refused; the error names the field and a remedy.
 #[test]
 fn heartbeats_with_impossible_tokens_are_refused() {
-    for (name, epoch, remedy) in [
+    for (name, token, remedy) in [
         ("too high", Value::from(u64::MAX), "restart the worker"),
         ("below zero", Value::from(-1), "an integer from 0"),
         ("a text", Value::Text("41".into()), "an integer from 0"),
     ] {
-        let (status, body) = answer(epoch);
+        let (status, body) = response_to(token);
         assert_eq!(status, 400, "{name}");
         assert!(body.contains("Epoch: "), "{name}: {body}");
         assert!(body.contains(remedy), "{name}: {body}");
     }
-    assert_eq!(answer(Value::from(41)).0, 421, "a possible token");
+    assert_eq!(response_to(Value::from(41)).0, 421, "a possible token");
 }
 
-/// A peer's heartbeat with an impossible epoch changes nothing: workers are redirected to the known leader.
+/// A peer's heartbeat with an impossible epoch is ignored: workers are not redirected to the leader that it names.
 #[test]
 fn peer_heartbeats_with_impossible_epochs_are_ignored() {
-    let heartbeat = |epoch: u64| PeerHeartbeat {
+    let peer_heartbeat = |epoch: u64| PeerHeartbeat {
         label: "n1".into(),
         epoch,
         leader: Some("n1".into()),
@@ -129,19 +131,22 @@
         user_writes_per_s: 0.0,
         terminations: TerminationLog::default(),
     };
-    for (name, epoch, known) in [("possible", 7, true), ("too high", MAX_EPOCH + 1, false)] {
-        let mut node = controller();
-        node.on_peer_heartbeat(heartbeat(epoch), START);
-        node.on_request(1, "POST", "/v1/report", &report(Value::from(0)), START);
-        let told = node.take_effects().into_iter().any(|action| match action {
-            Effect::Respond {
-                status: 421, body, ..
-            } => {
-                let body: Value = cbor::decode(&body).expect("CBOR");
-                format!("{body:?}").contains("n1")
-            }
-            _ => false,
-        });
-        assert_eq!(told, known, "{name}");
+    for (name, epoch, is_accepted) in [("possible", 7, true), ("too high", MAX_EPOCH + 1, false)] {
+        let mut controller = controller();
+        controller.on_peer_heartbeat(peer_heartbeat(epoch), START);
+        controller.on_request(1, "POST", "/v1/report", &heartbeat(Value::from(0)), START);
+        let is_redirected = controller
+            .take_effects()
+            .into_iter()
+            .any(|effect| match effect {
+                Effect::Respond {
+                    status: 421, body, ..
+                } => {
+                    let body: Value = cbor::decode(&body).expect("CBOR");
+                    format!("{body:?}").contains("n1")
+                }
+                _ => false,
+            });
+        assert_eq!(is_redirected, is_accepted, "{name}");
     }
 }
--- a/tests/write_ahead_log.rs
+++ b/tests/write_ahead_log.rs
@@ -1,4 +1,4 @@
-//! The write-ahead log: the compares and writes of its transactions, and what follows from their outcomes.
+//! The write-ahead log: the compares and writes of its transactions, and the effects of their outcomes.
 
 mod common;
 
@@ -42,20 +42,21 @@
     }
 }
 
-fn unbind(worker: &str, index: u32, done: bool) -> LogEntry {
+fn unbind(worker: &str, index: u32, completed: bool) -> LogEntry {
     LogEntry::Unbind {
         worker: worker.into(),
         task: task("j-1", index),
         attempt: 7,
-        completed: done,
+        completed,
     }
 }
 
-fn keys(txn: &Txn) -> (Vec<String>, Vec<String>) {
-    let when = txn
+/// The compares of a transaction as `key=revision`, and its writes as `+key` or `-key`.
+fn compares_and_writes(txn: &Txn) -> (Vec<String>, Vec<String>) {
+    let compares = txn
         .compares
         .iter()
-        .map(|c| format!("{}={}", c.key, c.mod_revision))
+        .map(|compare| format!("{}={}", compare.key, compare.mod_revision))
         .collect();
     let writes = txn
         .writes
@@ -65,16 +66,16 @@
             WriteOp::Delete { key } => format!("-{key}"),
         })
         .collect();
-    (when, writes)
+    (compares, writes)
 }
 
 fn segment(txn: &Txn) -> Segment {
     let Some(WriteOp::Put { value, .. }) = txn.writes.first() else {
-        panic!("a segment first: {:?}", txn.writes);
+        panic!("the first write is not a segment: {:?}", txn.writes);
     };
     assert!(
         cbor::json_size(value) <= VALUE_BYTES,
-        "within a value's size"
+        "the segment is within the size of a value"
     );
     cbor::from_value(value).expect("a segment")
 }
@@ -89,7 +90,8 @@
         [usize; 4],
     );
     let slot = "log/00000=0";
-    // Entries: described workers, bindings, ended bindings, chunks of completed tasks.
+    // Each case: name, changes, expected compares, expected writes, and the expected numbers of entries in the segment
+    // (workers, bindings, ended bindings, chunks of completed tasks).
     let cases: Vec<Case> = vec![
         (
             "a bind is conditional on leader, slot and job",
@@ -113,7 +115,7 @@
             [0, 0, 1, 1],
         ),
         (
-            "a binding that ends without completion completes nothing",
+            "a binding that ends without completion records no completed task",
             vec![unbind("h3", 4, false)],
             vec!["leader=3", slot],
             vec!["+log/00000"],
@@ -150,7 +152,7 @@
             [1, 1, 0, 0],
         ),
     ];
-    for (name, changes, when, writes, entries) in cases {
+    for (name, changes, compares, writes, entries) in cases {
         let (mut log, (workers, mut jobs)) = (empty_log(), registries());
         jobs.get_mut("j-1").unwrap().complete(4);
         for change in changes {
@@ -159,43 +161,50 @@
         let txn = log
             .next_transaction(EPOCH, &workers, &jobs, 100)
             .expect(name);
-        let (got_when, got_writes) = keys(&txn);
-        assert_eq!(got_when, when, "{name}");
+        let (got_compares, got_writes) = compares_and_writes(&txn);
+        assert_eq!(got_compares, compares, "{name}");
         assert_eq!(got_writes, writes, "{name}");
-        let s = segment(&txn);
-        let got = [
-            s.workers.len(),
-            s.bindings.len(),
-            s.ended_bindings.len(),
-            s.completed.len(),
+        let segment = segment(&txn);
+        let got_entries = [
+            segment.workers.len(),
+            segment.bindings.len(),
+            segment.ended_bindings.len(),
+            segment.completed.len(),
         ];
-        assert_eq!(got, entries, "{name}");
+        assert_eq!(got_entries, entries, "{name}");
         assert!(
             log.next_transaction(EPOCH, &workers, &jobs, 100).is_none(),
-            "{name}: one at a time"
+            "{name}: only one transaction at a time"
         );
     }
 }
 
-/// What becomes of a transaction and its changes after each outcome.
+/// What happens to a transaction and its changes after each outcome.
 #[test]
 fn changes_are_committed_requeued_or_kept_by_the_outcome() {
-    type Steps = fn(&mut WriteAheadLog) -> usize;
-    let cases: [(&str, Steps, usize, bool); 4] = [
-        ("committed", |l| l.complete_in_flight(20).len(), 0, false),
+    // Reports an outcome to the log, and returns the number of committed changes.
+    type Report = fn(&mut WriteAheadLog) -> usize;
+    // Each case: name, report, expected backlog, and whether the transaction must be sent again.
+    let cases: [(&str, Report, usize, bool); 4] = [
+        (
+            "committed",
+            |log| log.complete_in_flight(20).len(),
+            0,
+            false,
+        ),
         (
             "compare failed: all changes are queued again",
-            |l| {
-                l.requeue_in_flight();
+            |log| {
+                log.requeue_in_flight();
                 0
             },
             2,
             false,
         ),
         (
-            "outcome unknown: the same transaction once more, and nothing else",
-            |l| {
-                l.mark_outcome_unknown();
+            "outcome unknown: the same transaction is sent again, and no other",
+            |log| {
+                log.mark_outcome_unknown();
                 0
             },
             2,
@@ -203,44 +212,48 @@
         ),
         (
             "outcome unknown, then found executed",
-            |l| {
-                l.mark_outcome_unknown();
-                l.complete_in_flight(20).len()
+            |log| {
+                log.mark_outcome_unknown();
+                log.complete_in_flight(20).len()
             },
             0,
             false,
         ),
     ];
-    for (name, steps, backlog, again) in cases {
+    for (name, report, backlog, is_sent_again) in cases {
         let (mut log, (workers, jobs)) = (empty_log(), registries());
         log.push(bind("h1", 0));
         log.push(bind("h2", 2));
         let first = log
             .next_transaction(EPOCH, &workers, &jobs, 100)
             .expect(name);
-        let own = segment(&first);
-        assert!(log.is_in_flight_segment(&own), "{name}");
-        assert_eq!(steps(&mut log), 2 - backlog, "{name}");
+        let in_flight = segment(&first);
+        assert!(log.is_in_flight_segment(&in_flight), "{name}");
+        assert_eq!(report(&mut log), 2 - backlog, "{name}");
         assert_eq!(log.backlog(), backlog, "{name}");
-        assert_eq!(log.transaction_to_retry(), again.then_some(first), "{name}");
-        if again {
+        assert_eq!(
+            log.transaction_to_retry(),
+            is_sent_again.then_some(first),
+            "{name}"
+        );
+        if is_sent_again {
             log.push(bind("h1", 1));
             assert!(
                 log.next_transaction(EPOCH, &workers, &jobs, 100).is_none(),
                 "{name}"
             );
         }
-        // A segment of another leader, or another of our own, is not taken for it.
+        // A segment of another leader is not mistaken for that of the transaction.
         let other = Segment {
             epoch: EPOCH + 1,
-            ..own.clone()
+            ..in_flight.clone()
         };
         assert!(!log.is_in_flight_segment(&other), "{name}");
     }
 }
 
-/// Thousands of bindings come and go while some stay for long: the ring stays small, every segment
-/// fits into a value, and a replay of the log finds what is bound and completed.
+/// Thousands of bindings begin and end while a few remain: the ring stays small, every segment fits into a value, and a
+/// replay of the log restores which tasks are bound and completed.
 #[test]
 fn replay_restores_the_state_and_the_ring_stays_small() {
     let mut workers = Workers::default();
@@ -259,7 +272,7 @@
             bound.running_since = None;
             known.bindings.insert(task("j-1", index), bound);
             log.push(bind(&name, index));
-            // Every sixteenth stays; the others end four rounds later.
+            // Every sixteenth binding remains; the others end four rounds after they began.
             if let Some(old) = index.checked_sub(32).filter(|old| old % 16 != 0) {
                 jobs.get_mut("j-1").unwrap().complete(old);
                 log.push(unbind(&format!("host-{:06}", old % 40), old, true));
@@ -273,7 +286,7 @@
         while let Some(txn) = log.next_transaction(EPOCH, &workers, &jobs, 100) {
             mod_revision += 1;
             let Some(WriteOp::Put { key, .. }) = txn.writes.first() else {
-                panic!("a segment");
+                panic!("the first write is not a segment");
             };
             written.insert(key.clone(), segment(&txn));
             for change in log.complete_in_flight(mod_revision) {
@@ -294,9 +307,9 @@
     assert!(changes > 6000, "{changes} changes");
     assert!(log.slots() <= 32, "{} slots", log.slots());
 
-    // Replay, as a new leader would.
+    // Replays the segments as a new leader does.
     let mut segments: Vec<&Segment> = written.values().collect();
-    segments.sort_by_key(|s| s.seq);
+    segments.sort_by_key(|segment| segment.seq);
     let mut bound = std::collections::BTreeSet::new();
     let mut completed = TaskSet::new(4000);
     let mut terminating = std::collections::BTreeMap::new();
@@ -319,7 +332,13 @@
     }
     let expected: std::collections::BTreeSet<(String, u32)> = workers
         .iter()
-        .flat_map(|h| h.bindings.keys().map(|t| (h.name.clone(), t.index)))
+        .flat_map(|worker| {
+            let name = &worker.name;
+            worker
+                .bindings
+                .keys()
+                .map(|task| (name.clone(), task.index))
+        })
         .collect();
     assert_eq!(bound, expected);
     assert_eq!(&completed, jobs.get("j-1").unwrap().completed());
@@ -345,7 +364,7 @@
         for index in &tasks {
             set.insert(*index);
         }
-        let bits = encode_chunk(&set, chunk, 1000);
-        assert_eq!(decode_chunk(chunk, &bits).collect::<Vec<_>>(), tasks);
+        let bitmap = encode_chunk(&set, chunk, 1000);
+        assert_eq!(decode_chunk(chunk, &bitmap).collect::<Vec<_>>(), tasks);
     }
 }
