--- a/tests/golden/program.rs
+++ b/tests/golden/program.rs
@@ -191,8 +191,10 @@
         pin_run(&mut file, case, &output, &address);
         let names_host = String::from_utf8_lossy(&request).contains(&address);
         assert!(names_host, "{case}: the request does not name its host");
-        let request = replace_address(&request, &address);
-        file.pin(&format!("{case}, request"), &request);
+        file.pin(
+            &format!("{case}, request"),
+            &replace_address(&request, &address),
+        );
     }
     let (address, server) = serve_once(b"nonsense\r\n\r\n".to_vec());
     let address = address.to_string();
--- a/tests/golden/records.rs
+++ b/tests/golden/records.rs
@@ -29,11 +29,8 @@
     record: &T,
 ) {
     let writes = vec![WriteOp::put(key, record)];
-    let (_, _, body) = KvRequest::Txn(Txn {
-        compares: Vec::new(),
-        writes,
-    })
-    .http_request();
+    let compares = Vec::new();
+    let (_, _, body) = KvRequest::Txn(Txn { compares, writes }).http_request();
     file.pin(&format!("{case}, transaction"), &body);
     let bytes = file.pin(&format!("{case}, value"), &cbor::encode(record));
     let value: Value = cbor::decode(&bytes).expect("CBOR");
--- a/tests/golden/users.rs
+++ b/tests/golden/users.rs
@@ -194,8 +194,7 @@
         cases.push((format!("{name} null"), with(&whole, &name, Value::Null)));
     }
     for (name, description, value) in values_of_fields() {
-        let changed = with(&whole, name, value);
-        cases.push((format!("{name} {description}"), changed));
+        cases.push((format!("{name} {description}"), with(&whole, name, value)));
     }
     for (case, submission) in cases {
         let body = file.pin(&case, &cbor::encode(&submission));
@@ -415,8 +414,11 @@
                     let (method, path, body) = request.http_request();
                     let bytes = http::write_request(method, STATE_SERVICE, &path, &body);
                     file.pin(&format!("{case}, call {calls}"), &bytes);
-                    let response = kv_response(&request, state_service);
-                    controller.on_kv_response(correlation_id, response, START);
+                    controller.on_kv_response(
+                        correlation_id,
+                        kv_response(&request, state_service),
+                        START,
+                    );
                 }
                 _ => {}
             }
@@ -519,8 +521,13 @@
         ),
     ];
     for (case, state_service, request) in cases {
-        let controller = controller_with_instance_types();
-        pin_exchange(&mut file, case, controller, state_service, request);
+        pin_exchange(
+            &mut file,
+            case,
+            controller_with_instance_types(),
+            state_service,
+            request,
+        );
     }
     let early = "submit before the types are known";
     let request = ("POST", "/work", &valid[..]);
--- a/tests/write_ahead_log.rs
+++ b/tests/write_ahead_log.rs
@@ -333,11 +333,10 @@
     let expected: std::collections::BTreeSet<(String, u32)> = workers
         .iter()
         .flat_map(|worker| {
-            let name = &worker.name;
             worker
                 .bindings
                 .keys()
-                .map(|task| (name.clone(), task.index))
+                .map(|task| (worker.name.clone(), task.index))
         })
         .collect();
     assert_eq!(bound, expected);
