--- a/src/bookkeeping/failure_attribution.rs
+++ b/src/bookkeeping/failure_attribution.rs
@@ -16,7 +16,8 @@
 const MAX_UNPROVEN_FAILURES: u32 = 2;
 /// Maximum number of workers recorded per job, and of jobs recorded per worker.
 const MAX_RECORDED: usize = 64;
-/// Maximum exponent of the back-off: each failed probe of a crash-looping job doubles the time until the next one.
+/// Maximum exponent of the back-off between two probes of a crash-looping job: the longest is the shortest times two to
+/// the power of this.
 const MAX_BACKOFF_EXPONENT: u32 = 4;
 
 /// The failures of a job's tasks since one of them last succeeded.
--- a/src/bookkeeping/invariants.rs
+++ b/src/bookkeeping/invariants.rs
@@ -20,7 +20,7 @@
     NoRenewalBeyondLeaseGrace,
     /// No binding is dropped while a start command for it may still arrive.
     NoUnbindWhileStartMayArrive,
-    /// The record of an open job contains each binding of its tasks that the workers' records contain.
+    /// Each binding in a worker's record is also in the record of its job, as long as the job is open.
     NoBindingUnknownToItsJob,
 }
 
--- a/src/bookkeeping/permits/denial.rs
+++ b/src/bookkeeping/permits/denial.rs
@@ -40,7 +40,7 @@
     Terminating,
     /// A start command for the attempt may still arrive at the worker.
     StartMayArrive,
-    /// The lease grace period has expired: jobs may have been cancelled, without this controller's knowledge, so
-    /// long ago that their tasks must stop no later than the leases that are held now end.
+    /// The lease grace period has expired. Jobs may have been cancelled without this controller's knowledge, and so
+    /// long ago that their tasks must have stopped when the workers' current leases end.
     LeaseGraceExpired,
 }
--- a/src/bookkeeping/reconciliation/revocation.rs
+++ b/src/bookkeeping/reconciliation/revocation.rs
@@ -4,7 +4,7 @@
 use crate::bookkeeping::workers::{EvictionReason, RevocationReason, Worker};
 
 /// Whether the start commands that may still arrive at a worker must be revoked, and why. A start command that was
-/// sent with a lower fence than the present one is revoked already.
+/// sent with a lower fence than the current one is revoked already.
 pub fn pending_revocation(worker: &Worker) -> Option<RevocationReason> {
     let evicted = evicted_start(worker);
     if evicted == Some(RevocationReason::JobEnded) || worker.revoke_starts_of_ended_jobs {
--- a/src/bookkeeping/wal/entries.rs
+++ b/src/bookkeeping/wal/entries.rs
@@ -10,8 +10,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Amount(#[serde(deserialize_with = "cbor::amount")] pub f64);
 
-/// A job in the segment's table of jobs. Its team and its request are stored so that resources of its bindings can be
-/// accounted for after the job has ended.
+/// A job in the segment's table of jobs. Its team and its request are stored so that the resources of its bindings can
+/// be accounted for after the job has ended.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobEntry {
     /// Id of the job.
--- a/src/bookkeeping/wal/mod.rs
+++ b/src/bookkeeping/wal/mod.rs
@@ -8,7 +8,7 @@
 //! Every transaction is conditional on the mod revisions of `leader`, of the slot, and of `open/<id>` for every job
 //! that it finishes or whose tasks it binds. So a deposed leader can't write, and a cancellation that comes first
 //! makes the transaction fail. A condition that has failed once can never hold again, and no other transaction is sent
-//! before the outcome of the present one is known. So no transaction is ever applied late or twice.
+//! before the outcome of the current one is known. So no transaction is ever applied late or twice.
 
 mod completed_tasks;
 mod draft;
--- a/src/bookkeeping/wal/ring.rs
+++ b/src/bookkeeping/wal/ring.rs
@@ -47,7 +47,7 @@
 /// The slot that the next segment is written to.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct TargetSlot {
-    /// Number of the slot's key.
+    /// Number of the slot, which is part of its key.
     pub number: u32,
     /// Mod revision of the slot's key; 0 if it is new.
     pub mod_revision: u64,
--- a/src/bookkeeping/workers/pending_starts.rs
+++ b/src/bookkeeping/workers/pending_starts.rs
@@ -34,7 +34,7 @@
     unanswered: bool,
     /// Fence of the direct call in flight that carries it.
     in_flight_call_fence: Option<u32>,
-    /// Sequence number of the heartbeat in whose response it was sent; none once a later heartbeat has arrived.
+    /// Sequence number of the heartbeat in whose response it was sent; `None` once a later heartbeat has arrived.
     in_response_to: Option<u64>,
 }
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// The start commands that may still arrive at the present incarnation of a worker, and the worker's fence.
+/// The start commands that may still arrive at the current incarnation of a worker, and the worker's fence.
 #[derive(Debug, Clone, Default)]
 pub struct PendingStarts {
     /// Sent in the token of every message to the worker.
@@ -62,7 +62,7 @@
         self.fence
     }
 
-    /// Whether the worker has not reported its present fence yet.
+    /// Whether the worker has not reported its current fence yet.
     pub fn awaits_fence_ack(&self) -> bool {
         self.observed_fence < self.fence
     }
@@ -170,7 +170,7 @@
     }
 
     /// Whether the fence must be raised to revoke the start command for this attempt: it was sent in a direct call
-    /// with the present fence.
+    /// with the current fence.
     pub fn needs_fence_raise(&self, task: &TaskId, attempt: u64) -> bool {
         self.get(task, attempt).is_some_and(|start| {
             start.finished_call_fence.max(start.in_flight_call_fence) == Some(self.fence)
--- a/src/bookkeeping/workers/revocation.rs
+++ b/src/bookkeeping/workers/revocation.rs
@@ -42,7 +42,7 @@
         raised
     }
 
-    /// Whether the eviction of some task can't finish before the worker has reported its present fence.
+    /// Whether the eviction of some task can't finish before the worker has reported its current fence.
     pub fn awaits_fence_ack(&self) -> bool {
         self.pending_starts.awaits_fence_ack()
             && self.bindings.iter().any(|(task, binding)| {
--- a/src/protocol/http_status.rs
+++ b/src/protocol/http_status.rs
@@ -29,10 +29,10 @@
     Body(#[from] CborError),
 }
 
-/// Decodes a body, and converts the result by `response`.
+/// Decodes the body of a response, and applies `convert` to the result.
 pub(super) fn decode_body<T: DeserializeOwned, R>(
     body: &[u8],
-    response: impl FnOnce(T) -> R,
+    convert: impl FnOnce(T) -> R,
 ) -> Result<R, UnusableResponse> {
-    Ok(response(cbor::decode(body)?))
+    Ok(convert(cbor::decode(body)?))
 }
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -39,7 +39,7 @@
     Urgent,
     /// Normal priority.
     Normal,
-    /// Lowest priority: uses what the others leave.
+    /// Lowest priority; uses the resources that other jobs leave free.
     BestEffort,
 }
 
@@ -79,10 +79,10 @@
     /// The only allowed zone; `None` allows all.
     #[serde(rename = "Grove")]
     pub zone: Option<String>,
-    /// Whether all tasks must run in the same zone.
+    /// If set, all tasks must run in the same zone.
     #[serde(rename = "OneZone")]
     pub one_zone: bool,
-    /// Whether at most half of the tasks, rounded up, may run in the same zone.
+    /// If set, at most half of the tasks, rounded up, may run in the same zone.
     #[serde(rename = "Spread")]
     pub spread: bool,
     /// Whether tasks may run on spot instances.
--- a/src/protocol/kv.rs
+++ b/src/protocol/kv.rs
@@ -187,7 +187,7 @@
 pub enum KvRequest {
     /// Read a key.
     Get(String),
-    /// Read a page of the keys under a prefix.
+    /// Read a page of the keys with a prefix.
     List {
         /// Prefix.
         prefix: String,
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -237,12 +237,12 @@
 }
 
 fn parse_response(status: u16, body: &[u8]) -> Result<WorkerResponse, UnusableResponse> {
-    let boxed = |response: fn(Box<WorkerHeartbeat>) -> WorkerResponse| {
-        decode_body(body, move |heartbeat| response(Box::new(heartbeat)))
+    let decode_heartbeat = |variant: fn(Box<WorkerHeartbeat>) -> WorkerResponse| {
+        decode_body(body, move |heartbeat| variant(Box::new(heartbeat)))
     };
     match status {
-        http_status::OK => boxed(WorkerResponse::Executed),
-        http_status::CONFLICT => boxed(WorkerResponse::Rejected),
+        http_status::OK => decode_heartbeat(WorkerResponse::Executed),
+        http_status::CONFLICT => decode_heartbeat(WorkerResponse::Rejected),
         _ => Err(UnusableResponse::UnexpectedStatus(status)),
     }
 }
--- a/tests/golden/pinned.rs
+++ b/tests/golden/pinned.rs
@@ -268,7 +268,7 @@
     assert_eq!(found, DATA_FILES);
 }
 
-/// The comparison with a data file reports each kind of difference. If it never failed, it would pin nothing.
+/// The comparison with a data file reports each kind of difference; one that always succeeds would pin nothing.
 #[test]
 fn differences_are_reported() {
     let file = |pinned: &[(&str, &[u8])], produced: &[(&str, &[u8])]| {
