--- a/src/bookkeeping/workers/worker.rs
+++ b/src/bookkeeping/workers/worker.rs
@@ -46,9 +46,9 @@
     pub first_heartbeat_at: Option<f64>,
     /// When this leader received the worker's latest heartbeat.
     pub last_heartbeat_at: Option<f64>,
-    /// Set if the latest direct call to the worker was not answered, or if its incarnation has ended and no later one
-    /// has been seen: since when this has been so. Heartbeats may still arrive from a worker that receives neither
-    /// responses nor commands.
+    /// Since when the worker may be unreachable, because a direct call was not answered or the worker has begun a new
+    /// incarnation although its heartbeats were answered; `None` once it answers a direct call. Heartbeats may still
+    /// arrive from a worker that receives neither responses nor commands.
     pub unreachable_since: Option<f64>,
     /// When the cloud will reclaim the spot instance, if that was announced.
     pub reclaim_at: Option<f64>,
@@ -58,7 +58,7 @@
     pub pending_starts: PendingStarts,
     /// Pending start commands must be revoked because a job has ended that has no binding here any more.
     pub revoke_starts_of_ended_jobs: bool,
-    /// Container images that the worker probably has in its cache, the most recently used last.
+    /// Container images that the worker probably has in its cache, the most recently recorded last.
     pub cached_images: Vec<String>,
     /// When this leader first recorded the worker.
     pub first_seen_at: f64,
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -11,7 +11,7 @@
 const MAX_TEXT_BYTES: usize = 200;
 /// Maximum number of instance types that a job may list.
 const MAX_INSTANCE_TYPES: usize = 64;
-/// Maximum value of a numeric field; far above what any machine has, and low enough for sums.
+/// Maximum value of a numeric field; far above what any machine has, and low enough that values can safely be added.
 const MAX_AMOUNT: f64 = 1e9;
 
 /// How the tasks of a job run: to completion, independently or together, or until the job is cancelled.
@@ -106,7 +106,7 @@
     /// Deadline, in seconds after the submission.
     #[serde(rename = "DueS", default, deserialize_with = "cbor::optional_amount")]
     pub deadline_s: Option<f64>,
-    /// Wall-clock time at which a controller accepted the job, in seconds. Not part of a submission; added to the
+    /// Wall-clock time at which a controller received the job, in seconds. Not part of a submission; added to the
     /// stored record.
     #[serde(rename = "At", default, deserialize_with = "cbor::amount")]
     pub submitted_at: f64,
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -77,7 +77,7 @@
     pub redirected_workers: u32,
     /// Sent by the leader only: task counts of the open jobs.
     pub counts: Vec<JobCounts>,
-    /// Sent by the leader only: ids of the jobs that are crash-looping.
+    /// Sent by the leader only: ids of the jobs that are crash-looping, since their tasks fail on several workers.
     pub crash_looping_jobs: Vec<String>,
     /// Recent rate at which the sender has written to the state service for its users.
     pub user_writes_per_s: f64,
