--- a/src/bookkeeping/failure_attribution.rs
+++ b/src/bookkeeping/failure_attribution.rs
@@ -16,8 +16,8 @@
 const MAX_UNPROVEN_FAILURES: u32 = 2;
 /// Maximum number of workers recorded per job, and of jobs recorded per worker.
 const MAX_RECORDED: usize = 64;
-/// Maximum exponent of the back-off between two probes of a crash-looping job: the longest is the shortest times two to
-/// the power of this.
+/// Limits the back-off between two probes of a crash-looping job: the longest one is `2^MAX_BACKOFF_EXPONENT` times as
+/// long as the shortest.
 const MAX_BACKOFF_EXPONENT: u32 = 4;
 
 /// The failures of a job's tasks since one of them last succeeded.
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Drops a job's failures, because the job itself is or may be at fault.
+    /// Stops counting a job's failures against this worker, because the job itself is or may be at fault.
     pub fn attribute_to_job(&mut self, job: &str) {
         self.jobs.remove(job);
     }
--- a/src/bookkeeping/jobs/closed_jobs.rs
+++ b/src/bookkeeping/jobs/closed_jobs.rs
@@ -6,8 +6,9 @@
 
 use std::collections::{HashMap, VecDeque};
 
-/// Number of closed jobs that are remembered; beyond it the oldest entry is dropped. If an outdated record of a job
-/// arrives after its entry was dropped, the job counts as open until its first transaction fails.
+/// Maximum number of closed jobs that are remembered; when there are more, the one that was added first is dropped. If
+/// an outdated record of a dropped job arrives, the job counts as open until the leader's first transaction for this
+/// job fails.
 const MAX_CLOSED_JOBS: usize = 20_000;
 
 /// The closed jobs that this controller has most recently learned of.
@@ -15,7 +16,7 @@
 pub struct ClosedJobs {
     /// For each job the revision at which its `open/` key was deleted, if that is known.
     revisions: HashMap<String, Option<u64>>,
-    /// Ids of the jobs, the oldest entry first.
+    /// Ids of the jobs, in the order in which they were added.
     order: VecDeque<String>,
 }
 
--- a/src/bookkeeping/jobs/registry.rs
+++ b/src/bookkeeping/jobs/registry.rs
@@ -15,7 +15,7 @@
         self.jobs.entry(job.spec.id.clone()).or_insert(job);
     }
 
-    /// Removes a job.
+    /// Removes the job with this id, and returns it if there was one.
     pub fn remove(&mut self, id: &str) -> Option<Job> {
         self.jobs.remove(id)
     }
--- a/src/bookkeeping/wal/draft.rs
+++ b/src/bookkeeping/wal/draft.rs
@@ -13,7 +13,7 @@
 
 /// Maximum share of a byte limit that a segment or a transaction uses.
 const FILL_SHARE: f64 = 0.9;
-/// A lower write budget counts as this one, so that the first change always fits.
+/// Minimum write budget: lower budgets are raised to this, so that the first change always fits.
 const MIN_WRITE_BUDGET: usize = 3;
 /// Maximum number of compares that one change adds.
 const COMPARES_PER_CHANGE: usize = 2;
@@ -21,7 +21,7 @@
 const COMPARE_BYTES: usize = 64;
 /// Approximate bytes of the writes that finish a job, apart from its id, which is in each of them.
 const FINISH_JOB_BYTES: usize = 256;
-/// Approximate bytes of an entry for a worker that is no longer in the registry, apart from names.
+/// Estimated maximum of the bytes of an entry for a worker that is no longer in the registry, apart from names.
 const UNKNOWN_WORKER_ENTRY_BYTES: usize = 128;
 /// Bytes of the bitmap of one chunk of completed tasks.
 const CHUNK_BYTES: usize = (TASKS_PER_CHUNK / TASKS_PER_DIGIT) as usize;
@@ -43,7 +43,8 @@
 }
 
 impl Registries<'_> {
-    /// Maximum number of bytes that an entry for this worker and job adds to a segment, apart from a bitmap.
+    /// Maximum number of bytes that an entry for this worker and job adds to a segment, apart from the bitmap of
+    /// completed tasks.
     fn entry_bytes(&self, worker: &str, job: &str) -> usize {
         let Some(worker) = self.workers.get(worker) else {
             return 2 * worker.len() + job.len() + UNKNOWN_WORKER_ENTRY_BYTES;
--- a/src/bookkeeping/wal/log.rs
+++ b/src/bookkeeping/wal/log.rs
@@ -193,7 +193,8 @@
         Some(records::log_key(self.in_flight.as_ref()?.slot.number))
     }
 
-    /// Whether a segment that was read from that key was written by the transaction in flight.
+    /// Whether a segment that was read from [`read_back_key`](WriteAheadLog::read_back_key) was written by the
+    /// transaction in flight.
     pub fn is_in_flight_segment(&self, segment: &Segment) -> bool {
         self.in_flight
             .as_ref()
--- a/src/bookkeeping/wal/segment.rs
+++ b/src/bookkeeping/wal/segment.rs
@@ -77,7 +77,7 @@
 }
 
 impl SegmentBuilder {
-    /// An empty segment.
+    /// A builder whose segment has no entries yet.
     pub fn new(epoch: u64, seq: u64) -> SegmentBuilder {
         SegmentBuilder {
             segment: Segment {
@@ -95,7 +95,8 @@
         self.bytes
     }
 
-    /// Maximum bytes that one entry of any kind adds together with its names, apart from a bitmap.
+    /// Maximum number of bytes that one entry of any kind adds together with its names, apart from the bitmap of
+    /// completed tasks.
     pub fn entry_bytes(worker: &Worker, job: &str, team: &str) -> usize {
         4 * ENTRY_FRAME_BYTES
             + 2 * worker.name.len()
--- a/src/bookkeeping/workers/pending_starts.rs
+++ b/src/bookkeeping/workers/pending_starts.rs
@@ -28,13 +28,14 @@
 /// A start command that may still arrive.
 #[derive(Debug, Clone, Default, PartialEq)]
 struct PendingStart {
-    /// Highest fence of the finished direct calls that carried it and that may still be executed.
+    /// Highest fence of the direct calls that carried the command, have an outcome, and may still be executed.
     finished_call_fence: Option<u32>,
     /// At least one of these calls was not answered.
     unanswered: bool,
-    /// Fence of the direct call in flight that carries it.
+    /// Fence of the direct call that carries the command and has no outcome yet.
     in_flight_call_fence: Option<u32>,
-    /// Sequence number of the heartbeat in whose response it was sent; `None` once a later heartbeat has arrived.
+    /// Sequence number of the heartbeat in whose response the command was sent; `None` once a later heartbeat has
+    /// arrived.
     in_response_to: Option<u64>,
 }
 
--- a/src/bookkeeping/workers/registry.rs
+++ b/src/bookkeeping/workers/registry.rs
@@ -25,7 +25,7 @@
         self.workers.entry(name.to_owned()).or_insert_with(make)
     }
 
-    /// Removes a worker.
+    /// Removes the worker with this name, and returns it if there was one.
     pub fn remove(&mut self, name: &str) -> Option<Worker> {
         self.workers.remove(name)
     }
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -73,7 +73,7 @@
     pub leader: Option<String>,
     /// Whether the state service has recently answered the sender.
     pub state_service_ok: bool,
-    /// Number of workers that the sender has recently redirected to another leader.
+    /// Number of workers that the sender has recently redirected to the leader.
     pub redirected_workers: u32,
     /// Sent by the leader only: task counts of the open jobs.
     pub counts: Vec<JobCounts>,
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -182,7 +182,7 @@
     /// Token of the leader that sends the commands.
     #[serde(rename = "Epoch")]
     pub token: FencingToken,
-    /// The worker's incarnation for which the commands are; only in direct calls.
+    /// The incarnation of the worker that is to execute the commands; only in direct calls.
     #[serde(rename = "Tenure", skip_serializing_if = "Option::is_none", default)]
     pub incarnation: Option<u64>,
     /// Commands, in the order of execution.
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -3,6 +3,10 @@
 //! data file in `tests/golden/`. Only the `.rs` files name Rust items, so that renaming an item never changes a data
 //! file.
 //!
+//! Names of cases and pinned texts are part of the data files too, and use some older words: a report is a heartbeat, a
+//! session an incarnation, a notice the announcement that a spot instance will be reclaimed, a machine an instance, and
+//! a rental a provisioning request.
+//!
 //! `GOLDEN_WRITE=1 cargo test --locked --test golden` writes the data files anew. Use it only for an intended change of
 //! the protocol, the stored records or the program's texts, or for a new version of a library whose messages are in the
 //! data files.
--- a/tests/golden/controllers.rs
+++ b/tests/golden/controllers.rs
@@ -66,7 +66,10 @@
 fn heartbeats_keep_their_bytes_and_are_decoded_from_them() {
     let mut file = PinnedFile::open("heartbeats");
     for (case, heartbeat) in [("full", full_heartbeat()), ("empty", empty_heartbeat())] {
-        let pinned = file.pin(case, &peer::encode(&heartbeat).expect("encodes"));
+        let pinned = file.pin(
+            case,
+            &peer::encode(&heartbeat).expect("the heartbeat can be encoded"),
+        );
         assert_eq!(peer::decode(&pinned).ok(), Some(heartbeat), "{case}");
         let cut = &pinned[..pinned.len() - 1];
         assert_eq!(peer::decode(cut).ok(), None, "{case}, cut off");
--- a/tests/golden/leaders.rs
+++ b/tests/golden/leaders.rs
@@ -90,6 +90,9 @@
             } => Some(http::write_response(status, &body, retry_after_s, true)),
             _ => None,
         });
-    file.pin("answer to a report", &response.expect("a response"));
+    file.pin(
+        "answer to a report",
+        &response.expect("the controller has responded"),
+    );
     file.finish();
 }
--- a/tests/golden/operator_files.rs
+++ b/tests/golden/operator_files.rs
@@ -6,7 +6,7 @@
 
 /// A settings file with all keys.
 const SETTINGS: &str = include_str!("settings.toml");
-/// A policy file with all figures and all variables.
+/// A policy file that sets all keys, which the policy calls figures, and uses all variables.
 const POLICY: &str = include_str!("every.policy");
 
 fn parse(text: &str) -> Settings {
@@ -113,7 +113,8 @@
     file.finish();
 }
 
-/// Each line is left out in turn; of equal lines, the first. Its key is required or has a default.
+/// Parses the settings without each of their lines in turn: the key is required or has a default. If several lines are
+/// equal, the first of them is left out.
 #[test]
 fn settings_without_a_key_keep_their_defaults_and_errors() {
     let mut file = PinnedFile::open("settings_without_a_key");
@@ -162,7 +163,9 @@
     ];
     let mut cases = Vec::new();
     for line in positive_keys {
-        let (key, _) = line.split_once(" = ").expect("a key and a value");
+        let (key, _) = line
+            .split_once(" = ")
+            .expect("the line has a key and a value");
         for value in ["-1.0", "0.0", "nan", "inf", "\"long\""] {
             cases.push((line, format!("{key} = {value}")));
         }
@@ -193,7 +196,10 @@
         cases.push((line, wrong.to_owned()));
     }
     for (line, wrong) in cases {
-        assert!(SETTINGS.contains(&format!("{line}\n")), "{line}");
+        assert!(
+            SETTINGS.contains(&format!("{line}\n")),
+            "{line} is not in the settings file"
+        );
         let text = SETTINGS.replacen(&format!("{line}\n"), &format!("{wrong}\n"), 1);
         let result = match Settings::parse(&text) {
             Ok(_) => "taken".to_owned(),
@@ -234,7 +240,7 @@
         ("every name", POLICY),
         ("empty", ""),
     ] {
-        let policy = Policy::parse(text, name, &settings).expect("no problems");
+        let policy = Policy::parse(text, name, &settings).expect("the policy has no problems");
         for (kind, pool) in pools() {
             let parameters = policy.parameters(&pool);
             for (figure, value) in [
@@ -268,7 +274,8 @@
         "waiting",
     ] {
         let text = format!("cooldown_s = {variable}");
-        let policy = Policy::parse(&text, "my.policy", &settings).expect("no problems");
+        let policy =
+            Policy::parse(&text, "my.policy", &settings).expect("the policy has no problems");
         for (kind, pool) in pools() {
             let value = policy.parameters(&pool).cooldown_s;
             file.pin_text(&format!("{variable}, {kind}"), &value.to_string());
--- a/tests/golden/pinned.rs
+++ b/tests/golden/pinned.rs
@@ -70,14 +70,19 @@
 impl PinnedFile {
     /// Opens `tests/golden/<name>.txt`.
     pub fn open(name: &str) -> PinnedFile {
-        assert!(DATA_FILES.contains(&name), "{name} is not listed");
+        assert!(
+            DATA_FILES.contains(&name),
+            "{name} is not listed in DATA_FILES"
+        );
         let path = directory().join(format!("{name}.txt"));
         let is_written = std::env::var_os(WRITE_VARIABLE).is_some();
         let mut expected = BTreeMap::new();
         if !is_written {
             let text = std::fs::read_to_string(&path).expect("the data file can be read");
             for line in text.lines() {
-                let (case, hex) = line.split_once('\t').expect("name, tab and hex");
+                let (case, hex) = line
+                    .split_once('\t')
+                    .expect("the line has a name, a tab and hexadecimal digits");
                 let earlier = expected.insert(case.to_owned(), from_hex(hex));
                 assert!(earlier.is_none(), "{name}: two lines for {case}");
             }
@@ -92,7 +97,10 @@
 
     /// Adds a case with the bytes that the program produces, and returns the pinned bytes, for tests that decode them.
     pub fn pin(&mut self, case: &str, bytes: &[u8]) -> Vec<u8> {
-        assert!(!case.contains(['\t', '\n']), "{case:?} can't be a name");
+        assert!(
+            !case.contains(['\t', '\n']),
+            "{case:?} can't be the name of a case"
+        );
         assert!(
             self.produced.iter().all(|(other, _)| other != case),
             "{case} is named twice"
@@ -179,12 +187,16 @@
 
 fn from_hex(hex: &str) -> Vec<u8> {
     assert!(hex.is_ascii(), "{hex:?} is not hexadecimal");
-    assert_eq!(hex.len() % DIGITS_PER_BYTE, 0, "half a byte in {hex}");
+    assert_eq!(
+        hex.len() % DIGITS_PER_BYTE,
+        0,
+        "odd number of digits in {hex}"
+    );
     (0..hex.len())
         .step_by(DIGITS_PER_BYTE)
         .map(|at| u8::from_str_radix(&hex[at..at + DIGITS_PER_BYTE], HEXADECIMAL))
         .collect::<Result<_, _>>()
-        .expect("hexadecimal digits")
+        .expect("all characters are hexadecimal digits")
 }
 
 /// Bytes in hexadecimal and as text, for the message of a failed test.
@@ -222,7 +234,7 @@
 
 /// The fields of a map. Panics for any other value.
 pub fn fields_of(value: Value) -> Vec<(Value, Value)> {
-    value.into_map().expect("a map")
+    value.into_map().expect("the value is a map")
 }
 
 /// A map without one of its fields.
@@ -251,7 +263,7 @@
 pub fn names_of(map: &Value) -> Vec<String> {
     fields_of(map.clone())
         .into_iter()
-        .map(|(name, _)| name.into_text().expect("a text"))
+        .map(|(name, _)| name.into_text().expect("the name of the field is a text"))
         .collect()
 }
 
@@ -259,8 +271,8 @@
 #[test]
 fn every_data_file_is_listed() {
     let mut found: Vec<String> = std::fs::read_dir(directory())
-        .expect("the directory of the data files")
-        .map(|entry| entry.expect("an entry").path())
+        .expect("the directory of the data files can be read")
+        .map(|entry| entry.expect("the directory entry can be read").path())
         .filter(|path| path.extension().is_some_and(|kind| kind == "txt"))
         .filter_map(|path| Some(path.file_stem()?.to_str()?.to_owned()))
         .collect();
--- a/tests/golden/program.rs
+++ b/tests/golden/program.rs
@@ -25,7 +25,7 @@
 /// Pins the exit code, the standard output and the standard error. Replaces `address` in both, unless it is empty.
 fn pin_run(file: &mut PinnedFile, case: &str, output: &Output, address: &str) {
     let text = |bytes: &[u8]| {
-        let text = String::from_utf8(bytes.to_vec()).expect("UTF-8");
+        let text = String::from_utf8(bytes.to_vec()).expect("the output is UTF-8");
         match address {
             "" => text,
             address => text.replace(address, ADDRESS),
@@ -107,14 +107,14 @@
 
 /// Starts a server that sends `response` to one request. Its thread returns the request.
 fn serve_once(response: Vec<u8>) -> (SocketAddr, JoinHandle<Vec<u8>>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port can be bound");
+    let address = listener.local_addr().expect("the listener has an address");
     let server = std::thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("a connection");
+        let (mut stream, _) = listener.accept().expect("the program connects");
         let mut request = Vec::new();
         let mut chunk = [0; 1024];
         loop {
-            let count = stream.read(&mut chunk).expect("more of the request");
+            let count = stream.read(&mut chunk).expect("the request can be read");
             request.extend_from_slice(&chunk[..count]);
             match http::parse_request(&request) {
                 Ok(Parsed::Complete(..)) => break,
@@ -187,7 +187,7 @@
         let (address, server) = serve_once(http::write_response(status, &body, None, true));
         let address = address.to_string();
         let output = run(&[args[0], "--to", &address, args[1]]);
-        let request = server.join().expect("one request");
+        let request = server.join().expect("the server has received a request");
         pin_run(&mut file, case, &output, &address);
         let names_host = String::from_utf8_lossy(&request).contains(&address);
         assert!(names_host, "{case}: the request does not name its host");
@@ -199,7 +199,7 @@
     let (address, server) = serve_once(b"nonsense\r\n\r\n".to_vec());
     let address = address.to_string();
     let output = run(&["status", "--to", &address, id]);
-    server.join().expect("one request");
+    server.join().expect("the server has received a request");
     pin_run(&mut file, "no HTTP", &output, &address);
     file.finish();
 }
@@ -207,8 +207,11 @@
 #[test]
 fn a_service_that_cannot_be_reached_gives_exit_code_1() {
     let mut file = PinnedFile::open("program_unreached");
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("an address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port can be bound");
+    let address = listener
+        .local_addr()
+        .expect("the listener has an address")
+        .to_string();
     drop(listener);
     let output = run(&["status", "--to", &address, "j-1"]);
     pin_run(&mut file, "status", &output, &address);
--- a/tests/golden/records.rs
+++ b/tests/golden/records.rs
@@ -33,7 +33,7 @@
     let (_, _, body) = KvRequest::Txn(Txn { compares, writes }).http_request();
     file.pin(&format!("{case}, transaction"), &body);
     let bytes = file.pin(&format!("{case}, value"), &cbor::encode(record));
-    let value: Value = cbor::decode(&bytes).expect("CBOR");
+    let value: Value = cbor::decode(&bytes).expect("the pinned bytes are CBOR");
     pin_decoded::<T>(file, case, &value);
 }
 
@@ -94,7 +94,8 @@
         process_incarnation: u64::MAX,
     };
     pin_record(&mut file, "leader", records::LEADER_KEY, &leader);
-    let stored = cbor!({"Label" => "rung-1", "Life" => 5}).expect("a value");
+    let stored =
+        cbor!({"Label" => "rung-1", "Life" => 5}).expect("the literal is a valid CBOR value");
     pin_decoded_variants::<LeaderRecord>(&mut file, "leader", &stored);
     let provisioning = ProvisioningRecord {
         instance_type: "g8".into(),
@@ -109,7 +110,11 @@
         &provisioning,
     );
     let stored = cbor!({"Flavor" => "g8", "Grove" => "a", "Windfall" => true, "Count" => 12});
-    pin_decoded_variants::<ProvisioningRecord>(&mut file, "rental", &stored.expect("a value"));
+    pin_decoded_variants::<ProvisioningRecord>(
+        &mut file,
+        "rental",
+        &stored.expect("the literal is a valid CBOR value"),
+    );
     file.finish();
 }
 
@@ -123,10 +128,12 @@
             completed_tasks: 3,
         };
         pin_record(&mut file, case, &key, &record);
-        let stored = cbor!({"Status" => case, "Done" => 3}).expect("a value");
+        let stored =
+            cbor!({"Status" => case, "Done" => 3}).expect("the literal is a valid CBOR value");
         pin_decoded_variants::<FinishedRecord>(&mut file, case, &stored);
     }
-    let unknown = cbor!({"Status" => "lost", "Done" => 3}).expect("a value");
+    let unknown =
+        cbor!({"Status" => "lost", "Done" => 3}).expect("the literal is a valid CBOR value");
     pin_decoded::<FinishedRecord>(&mut file, "unknown ending", &unknown);
     file.finish();
 }
@@ -142,7 +149,11 @@
         "RamGb" => 64, "Flavors" => ["g8"], "Grove" => "a", "OneZone" => true,
         "Spread" => false, "Windfall" => true, "Bundle" => "img-07", "PullGb" => 6.2,
         "ExpectS" => 240, "SnapshotS" => 30, "FlushS" => 4, "DueS" => 900, "At" => 5});
-    pin_decoded_variants::<JobSpec>(&mut file, "job", &stored.expect("a value"));
+    pin_decoded_variants::<JobSpec>(
+        &mut file,
+        "job",
+        &stored.expect("the literal is a valid CBOR value"),
+    );
     file.finish();
 }
 
@@ -166,7 +177,11 @@
     let stored = cbor!({"Label" => "g8", "Cores" => 96, "Gpus" => 8, "RamGb" => 768,
         "LocalGb" => 200, "PullGbPerS" => 1, "Hourly" => 12, "MarketPrice" => null,
         "ReadyS" => 45, "Groves" => ["a", "b"]});
-    pin_decoded_variants::<InstanceType>(&mut file, "type", &stored.expect("a value"));
+    pin_decoded_variants::<InstanceType>(
+        &mut file,
+        "type",
+        &stored.expect("the literal is a valid CBOR value"),
+    );
     file.finish();
 }
 
@@ -232,7 +247,11 @@
         "J" => [["j-000412", "vision", 8, 1, 64]],
         "K" => [[0, "g8", "a", true, "10.1.0.232:9000", false]],
         "B" => [[0, 1, 2, 3, 4]], "E" => [[5, 6, 7, 8]], "G" => [9, 10], "D" => [[0, 1, "0f8"]]});
-    pin_decoded_variants::<Segment>(&mut file, "segment", &stored.expect("a value"));
+    pin_decoded_variants::<Segment>(
+        &mut file,
+        "segment",
+        &stored.expect("the literal is a valid CBOR value"),
+    );
     file.finish();
 }
 
@@ -322,7 +341,7 @@
     for chunk in [0, 1] {
         let bitmap = wal::encode_chunk(&completed, chunk, tasks);
         let pinned = file.pin(&format!("chunk {chunk}"), bitmap.as_bytes());
-        let bitmap = String::from_utf8(pinned).expect("UTF-8");
+        let bitmap = String::from_utf8(pinned).expect("the bitmap is UTF-8");
         decoded.extend(wal::decode_chunk(chunk, &bitmap));
     }
     assert_eq!(decoded, indices);
--- a/tests/golden/services.rs
+++ b/tests/golden/services.rs
@@ -50,7 +50,7 @@
 fn kv_requests() -> Vec<(&'static str, KvRequest)> {
     let attached = WriteOp::Put {
         key: "leader".into(),
-        value: cbor!({"Label" => "n0", "Life" => 5}).expect("a value"),
+        value: cbor!({"Label" => "n0", "Life" => 5}).expect("the literal is a valid CBOR value"),
         lease_id: Some(7),
     };
     let list = |after: Option<&str>| KvRequest::List {
@@ -147,7 +147,7 @@
         ("error", cbor!({"error" => "no such lease"})),
     ];
     bodies
-        .map(|(name, body)| (name, body.expect("a value")))
+        .map(|(name, body)| (name, body.expect("the literal is a valid CBOR value")))
         .into()
 }
 
@@ -230,14 +230,14 @@
     cbor!({"Label" => "g8", "Cores" => 96, "Gpus" => 8, "RamGb" => 768, "LocalGb" => 200,
         "PullGbPerS" => 1.0, "Hourly" => 12.0, "MarketPrice" => 4.5, "ReadyS" => 45,
         "Groves" => ["a", "b"]})
-    .expect("a value")
+    .expect("the literal is a valid CBOR value")
 }
 
 /// The instance from the protocol's example.
 fn received_instance(status: &str) -> Value {
     cbor!({"NameId" => "host-000231", "Endpoint" => "10.1.0.232:9000", "Flavor" => "g8",
         "Grove" => "a", "Windfall" => true, "Status" => status, "AgeS" => 61.5})
-    .expect("a value")
+    .expect("the literal is a valid CBOR value")
 }
 
 fn cloud_bodies() -> Vec<(&'static str, Value)> {
@@ -264,7 +264,7 @@
         ("trouble", cbor!({"error" => "trouble"})),
     ];
     bodies
-        .map(|(name, body)| (name, body.expect("a value")))
+        .map(|(name, body)| (name, body.expect("the literal is a valid CBOR value")))
         .into()
 }
 
--- a/tests/golden/users.rs
+++ b/tests/golden/users.rs
@@ -86,7 +86,7 @@
         "RamGb" => 64.0, "Bundle" => "img-07", "PullGb" => 6.2, "Flavors" => ["g8"],
         "Grove" => "a", "OneZone" => true, "Spread" => false, "Windfall" => true,
         "ExpectS" => 240.0, "SnapshotS" => 30.0, "FlushS" => 4.0, "DueS" => 900.0})
-    .expect("a value")
+    .expect("the literal is a valid CBOR value")
 }
 
 fn text(word: &str) -> Value {
@@ -324,7 +324,7 @@
 pub fn respond_with_instance_types(controller: &mut Controller) -> Vec<Effect> {
     let types = cbor!({"Flavors" => [{"Label" => "f", "Cores" => 8, "RamGb" => 32,
         "Hourly" => 1, "ReadyS" => 25, "Groves" => ["a", "b"]}]});
-    let body = cbor::encode(&types.expect("a value"));
+    let body = cbor::encode(&types.expect("the literal is a valid CBOR value"));
     let mut others = Vec::new();
     for effect in controller.take_effects() {
         match effect {
--- a/tests/golden/workers.rs
+++ b/tests/golden/workers.rs
@@ -20,7 +20,7 @@
         "WarningS" => 25.5,
         "Steps" => [{"Step" => "j-000412/3", "Try" => 2, "Status" => "running"},
             {"Step" => "j-000398/0", "Try" => 1, "Status" => "exited", "Cause" => "done"}]})
-    .expect("a value")
+    .expect("the literal is a valid CBOR value")
 }
 
 /// The response to a heartbeat or, with an incarnation, the body of a direct call.
@@ -44,7 +44,11 @@
 
 fn with_task(name: &str, value: Value) -> Value {
     let task = cbor!({"Step" => "j-000412/3", "Try" => 2, "Status" => "exited", "Cause" => "done"});
-    let task = with(&task.expect("a value"), name, value);
+    let task = with(
+        &task.expect("the literal is a valid CBOR value"),
+        name,
+        value,
+    );
     with(&received_heartbeat(), "Steps", Value::Array(vec![task]))
 }
 
@@ -180,10 +184,16 @@
     }
     let received = cbor!({"Epoch" => 41, "Orders" => [
         {"Verb" => "halt", "Step" => "j-000377/1", "Try" => 1, "DrainS" => 10.0}]});
-    file.pin_received::<CommandBatch>("received", &received.expect("a value"));
+    file.pin_received::<CommandBatch>(
+        "received",
+        &received.expect("the literal is a valid CBOR value"),
+    );
     let unknown = cbor!({"Epoch" => 41, "Orders" => [
         {"Verb" => "dance", "Step" => "j-000377/1", "Try" => 1}]});
-    file.pin_received::<CommandBatch>("received with an unknown verb", &unknown.expect("a value"));
+    file.pin_received::<CommandBatch>(
+        "received with an unknown verb",
+        &unknown.expect("the literal is a valid CBOR value"),
+    );
     file.finish();
 }
 
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -217,7 +217,7 @@
             }],
         },
     };
-    let frame = peer::encode(&heartbeat).expect("encodes");
+    let frame = peer::encode(&heartbeat).expect("the heartbeat can be encoded");
     assert_eq!(peer::decode(&frame).ok(), Some(heartbeat));
     let commands = worker::CommandBatch {
         token: FencingToken::new(5, 2),
--- a/tests/tokens.rs
+++ b/tests/tokens.rs
@@ -19,7 +19,8 @@
 };
 
 fn controller() -> Controller {
-    let settings = Rc::new(Settings::parse(include_str!("world/settings.toml")).expect("settings"));
+    let settings =
+        Rc::new(Settings::parse(include_str!("world/settings.toml")).expect("valid settings"));
     let policy = Rc::new(Policy::built_in(&settings));
     Controller::new(settings, policy, 1)
 }
@@ -49,10 +50,10 @@
         let Effect::Respond { status, body, .. } = effect else {
             return None;
         };
-        let body: Value = cbor::decode(&body).expect("CBOR");
+        let body: Value = cbor::decode(&body).expect("the body is CBOR");
         Some((status, format!("{body:?}")))
     });
-    response.expect("a response")
+    response.expect("the controller has responded")
 }
 
 /// All tokens of a later leader are higher than those of an earlier one, whatever their fences. Versions without fences
@@ -142,7 +143,7 @@
                 Effect::Respond {
                     status: 421, body, ..
                 } => {
-                    let body: Value = cbor::decode(&body).expect("CBOR");
+                    let body: Value = cbor::decode(&body).expect("the body is CBOR");
                     format!("{body:?}").contains("n1")
                 }
                 _ => false,
--- a/tests/write_ahead_log.rs
+++ b/tests/write_ahead_log.rs
@@ -77,7 +77,7 @@
         cbor::json_size(value) <= VALUE_BYTES,
         "the segment is within the size of a value"
     );
-    cbor::from_value(value).expect("a segment")
+    cbor::from_value(value).expect("the value is a segment")
 }
 
 #[test]
@@ -115,7 +115,7 @@
             [0, 0, 1, 1],
         ),
         (
-            "a binding that ends without completion records no completed task",
+            "when a binding ends without completion, no task is recorded as completed",
             vec![unbind("h3", 4, false)],
             vec!["leader=3", slot],
             vec!["+log/00000"],
