--- a/src/coordination/leader/binding_reconciliation.rs
+++ b/src/coordination/leader/binding_reconciliation.rs
@@ -1,5 +1,5 @@
-//! Binding reconciliation: bindings against the tasks that a worker reports as running or exited, and
-//! the eviction of those that must move.
+//! Binding reconciliation: compares a worker's bindings with the tasks in its heartbeat, and evicts tasks
+//! that can't finish before the cloud reclaims their machine.
 
 use super::Leader;
 use crate::bookkeeping::invariants::{self, Invariant};
@@ -9,73 +9,76 @@
 use crate::bookkeeping::workers::{Binding, Eviction, EvictionReason, Worker};
 use crate::protocol::worker::{ExitReason, TaskId, TaskState};
 
-/// What a heartbeat says about a bound task.
-enum Finding {
-    /// It has begun to run.
-    Began,
-    /// A replica of a failing service has run for so many seconds.
-    RanFor(f64),
-    /// It has exited.
+/// What a heartbeat shows about a bound task.
+enum TaskObservation {
+    /// The task has started: no earlier heartbeat showed it running.
+    Started,
+    /// A replica of a failing service is running, for this number of seconds so far.
+    RunningFor(f64),
+    /// The task has exited.
     Exited {
-        /// Why.
+        /// Why it exited.
         reason: ExitReason,
-        /// Whether it was seen running before.
+        /// Whether an earlier heartbeat showed it running.
         was_running: bool,
     },
-    /// It is not on the worker, and no start of it may still arrive.
+    /// The worker does not show the task, and no start command for it can still arrive.
     Absent,
 }
 
-/// What the latest heartbeat of a worker says about a task that is bound to it.
-fn finding(
+/// Returns what the worker's latest heartbeat shows about a task that is bound to it; `None` if the
+/// leader need not act on it.
+fn observe_task(
     worker: &Worker,
     task: &TaskId,
     binding: &Binding,
     jobs: &Jobs,
     now: f64,
-) -> Option<Finding> {
+) -> Option<TaskObservation> {
     if binding.unbinding || !binding.durable {
         return None;
     }
     let Some(task_status) = worker.observed_task(task, binding.attempt) else {
         let absent = permits::may_unbind_absent(worker, task, binding).is_ok();
-        return absent.then_some(Finding::Absent);
+        return absent.then_some(TaskObservation::Absent);
     };
     match (task_status.state, binding.running_since) {
-        (TaskState::Exited, running_since) => Some(Finding::Exited {
+        (TaskState::Exited, running_since) => Some(TaskObservation::Exited {
             reason: task_status.exit_reason.unwrap_or(ExitReason::Unknown),
             was_running: running_since.is_some(),
         }),
         (TaskState::Fetching, _) => None,
-        (_, None) => Some(Finding::Began),
+        (_, None) => Some(TaskObservation::Started),
         (TaskState::Running, Some(since)) => {
             let failing = jobs.get(&task.job).is_some_and(Job::is_failing_service);
-            failing.then_some(Finding::RanFor(now - since))
+            failing.then_some(TaskObservation::RunningFor(now - since))
         }
         _ => None,
     }
 }
 
 impl Leader {
-    /// Compares a worker's bindings with its latest heartbeat.
+    /// Compares a worker's bindings with its latest heartbeat, and acts on the differences.
     pub(super) fn reconcile_bindings(&mut self, name: &str, now: f64) {
         let Some(worker) = self.workers.get(name) else {
             return;
         };
-        let findings: Vec<(TaskId, u64, Finding)> = worker
+        let observations: Vec<(TaskId, u64, TaskObservation)> = worker
             .bindings
             .iter()
             .filter_map(|(task, binding)| {
-                let finding = finding(worker, task, binding, &self.jobs, now)?;
-                Some((task.clone(), binding.attempt, finding))
+                let observation = observe_task(worker, task, binding, &self.jobs, now)?;
+                Some((task.clone(), binding.attempt, observation))
             })
             .collect();
-        for (task, attempt, finding) in findings {
-            match finding {
-                Finding::Began => self.on_task_started(name, &task, attempt, now),
-                Finding::RanFor(for_s) => self.record_steady_replica(name, &task.job, for_s),
-                Finding::Absent => self.end_binding(name, &task, attempt, false),
-                Finding::Exited {
+        for (task, attempt, observation) in observations {
+            match observation {
+                TaskObservation::Started => self.on_task_started(name, &task, attempt, now),
+                TaskObservation::RunningFor(running_s) => {
+                    self.record_steady_replica(name, &task.job, running_s);
+                }
+                TaskObservation::Absent => self.end_binding(name, &task, attempt, false),
+                TaskObservation::Exited {
                     reason,
                     was_running,
                 } => self.on_task_exited(name, &task, attempt, reason, was_running, now),
@@ -97,15 +100,16 @@
         }
     }
 
-    /// Ends a binding whose task has exited, or is not on its worker and won't be.
-    pub(super) fn end_binding(&mut self, name: &str, task: &TaskId, attempt: u64, done: bool) {
+    /// Queues the end of a binding whose task has exited, or is not on the worker and can't start there any
+    /// more. `completed` marks the task as complete in the log.
+    pub(super) fn end_binding(&mut self, name: &str, task: &TaskId, attempt: u64, completed: bool) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
         let exited = worker.has_exited(task, attempt);
-        let gone = exited || !worker.pending_starts.may_arrive(task, attempt);
+        let can_end = exited || !worker.pending_starts.may_arrive(task, attempt);
         let details = format_args!("worker {name}, task {task}, attempt {attempt}");
-        if !invariants::check(Invariant::NoUnbindWhileStartMayArrive, gone, details) {
+        if !invariants::check(Invariant::NoUnbindWhileStartMayArrive, can_end, details) {
             return;
         }
         if let Some(binding) = worker.bindings.get_mut(task)
@@ -118,7 +122,7 @@
                 worker: name.to_owned(),
                 task: task.clone(),
                 attempt,
-                completed: done,
+                completed,
             });
         }
     }
@@ -133,20 +137,20 @@
         now: f64,
     ) {
         tracing::debug!(worker = name, %task, attempt, cause = ?reason, "task exited");
-        let mut done = false;
+        let mut newly_completed = false;
         match reason {
             ExitReason::Completed => {
                 if was_running {
                     self.record_runtime(name, task, now);
                 }
                 let worker = self.workers.get(name);
-                let copies =
+                let start_may_arrive =
                     worker.is_some_and(|worker| worker.pending_starts.may_arrive(task, attempt));
                 if let Some(job) = self.jobs.get_mut(&task.job).filter(|job| !job.is_service()) {
-                    if copies {
+                    if start_may_arrive {
                         job.workers_with_duplicate_starts.insert(name.to_owned());
                     }
-                    done = job.complete(task.index);
+                    newly_completed = job.complete(task.index);
                 }
                 self.record_success(name, &task.job);
             }
@@ -157,15 +161,16 @@
             | ExitReason::InsufficientResources
             | ExitReason::AttemptConflict => {}
         }
-        // The end of the job goes first: should only it be written, the binding still is in the
-        // records and ends by the worker's next heartbeat.
-        if done {
+        // The end of the job is queued before the end of the binding. If only the first is written,
+        // the log still holds the binding, and the worker's next heartbeat ends it.
+        if newly_completed {
             self.finish_job(&task.job);
         }
-        self.end_binding(name, task, attempt, done);
+        self.end_binding(name, task, attempt, newly_completed);
     }
 
-    /// Evicts the tasks that can't finish before the cloud reclaims their machine.
+    /// Evicts the tasks that can't finish before the cloud reclaims their machine. A task gets its checkpoint
+    /// grace period if the time left is enough for it, otherwise none.
     pub(super) fn evict_before_reclaim(&mut self, name: &str, now: f64) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
@@ -180,10 +185,10 @@
             };
             let spec = &job.spec;
             let ran_s = binding.running_since.map_or(0.0, |since| now - since);
-            let finishes = !job.is_service()
+            let finishes_in_time = !job.is_service()
                 && binding.running_since.is_some()
                 && (spec.expected_runtime_s - ran_s).max(0.0) < left_s;
-            if !finishes {
+            if !finishes_in_time {
                 tracing::debug!(worker = name, %task, "task evicted: instance reclaim announced");
                 let grace_s = if spec.checkpoint_grace_s <= left_s {
                     spec.checkpoint_grace_s
--- a/src/coordination/leader/bindings.rs
+++ b/src/coordination/leader/bindings.rs
@@ -1,5 +1,5 @@
-//! The end of bindings: of tasks that are lost with their worker's lease or incarnation, and of those
-//! whose end is committed.
+//! Ends bindings whose tasks stopped with their worker's lease or incarnation, and removes bindings from
+//! the tables once their end is committed.
 
 use super::Leader;
 use crate::bookkeeping::invariants::{self, Invariant};
@@ -7,7 +7,7 @@
 use crate::protocol::worker::TaskId;
 
 impl Leader {
-    /// Ends the bindings of workers whose lease has certainly expired.
+    /// Ends the bindings of workers whose lease has expired for certain: they have stopped all tasks.
     pub(super) fn expire_worker_leases(&mut self, now: f64) {
         let expired: Vec<String> = self
             .workers
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Ends bindings of tasks that are certainly no longer on the worker.
+    /// Ends the bindings that `is_lost` selects, whose tasks are certainly no longer on the worker.
     pub(super) fn end_lost_bindings(&mut self, name: &str, is_lost: impl Fn(&Binding) -> bool) {
         let Some(worker) = self.workers.get(name) else {
             return;
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Drops a binding from the tables, after its end is committed or its worker is removed.
+    /// Removes a binding from the tables, after its end is committed or its worker's instance is deleted.
     pub(super) fn drop_binding(&mut self, name: &str, task: &TaskId, attempt: u64, now: f64) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
@@ -65,7 +65,8 @@
             if let Some(job) = self.jobs.get_mut(&task.job) {
                 let was_known = job.unbind(task.index, name, &worker.zone, now);
                 let details = format_args!("worker {name}, task {task}, attempt {attempt}");
-                // There is nothing to refuse: the binding is gone, and the job has not counted it.
+                // The result is not needed: the binding is removed already, and a job that did not know
+                // it has no counts to correct.
                 let _ = invariants::check(Invariant::NoBindingUnknownToItsJob, was_known, details);
             }
             self.scheduling.request();
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Drops all bindings of a worker that is removed.
+    /// Removes all bindings of a worker whose instance is deleted from the tables.
     pub(super) fn drop_all_bindings(&mut self, name: &str, now: f64) {
         let bound: Vec<(TaskId, u64)> = self
             .workers
--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -333,7 +333,7 @@
             self.emit(LeaderEvent::HigherEpochSeen(heartbeat.token.epoch()));
             return;
         }
-        self.apply_heartbeat(&heartbeat, HeartbeatPath::DirectAnswer, now);
+        self.apply_heartbeat(&heartbeat, HeartbeatPath::DirectResponse, now);
     }
 }
 
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of workers: what the leader learns from them, and the commands that answer them.
+//! Heartbeats of workers: updates the table of workers from them, and responds with commands.
 
 use super::{Leader, LeaderEvent};
 use crate::bookkeeping::permits::{PermitKind, ViewFreshness};
@@ -9,32 +9,34 @@
 };
 use std::collections::BTreeMap;
 
-/// Commands in one message, well below the size limit of messages.
+/// Maximum number of commands in one message; keeps it well below the size limit of messages.
 pub(super) const MAX_COMMANDS: usize = 300;
 
-/// By which path a heartbeat came.
+/// How a heartbeat reached the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum HeartbeatPath {
-    /// A request of the worker; the answer renews its lease.
+    /// The worker sent it as a request; the response renews the worker's lease.
     Request,
-    /// The answer to a direct call.
-    DirectAnswer,
+    /// The worker sent it in the response to a direct call, which renews no lease.
+    DirectResponse,
 }
 
-/// What to answer a worker.
+/// How the controller responds to a worker's heartbeat.
 #[derive(Debug, PartialEq)]
 pub enum HeartbeatOutcome {
-    /// 200 with these commands.
+    /// Status 200 with these commands; renews the worker's lease.
     Commands(CommandBatch),
-    /// An answer that does not renew its lease: what runs there may have been cancelled.
+    /// A response that does not renew the worker's lease, because a job whose tasks run there may have been
+    /// cancelled.
     LeaseNotRenewed,
-    /// The worker has seen a higher epoch: 421.
+    /// Status 421: the worker has seen a higher epoch than this leader's.
     NewerLeaderExists,
 }
 
 impl Leader {
-    /// Takes a heartbeat that a worker sent as a request. The answer renews its lease if `freshness`
-    /// allows it. `is_open` tells the open jobs that this controller knows besides the tables.
+    /// Handles a heartbeat that a worker sent as a request. The response renews the worker's lease if
+    /// `freshness` allows it. `is_open` returns whether the controller's view shows a job as open; it is
+    /// needed during recovery, while the leader's table of jobs is not complete.
     pub fn on_heartbeat(
         &mut self,
         heartbeat: &WorkerHeartbeat,
@@ -59,15 +61,16 @@
             return HeartbeatOutcome::LeaseNotRenewed;
         }
         if let Some(recovery) = &mut self.recovery {
-            // Nothing can be stopped yet, however long recovery takes: workers with tasks of jobs
-            // that have ended don't have their leases renewed meanwhile.
-            let runs_closed = heartbeat
+            // The leader can't send stop commands before recovery completes, however long that takes.
+            // Until then, it does not renew the leases of workers that run tasks of jobs that have
+            // ended, so that these tasks stop when the lease expires.
+            let runs_ended_job = heartbeat
                 .tasks
                 .iter()
                 .filter(|task_status| task_status.state != TaskState::Exited)
                 .filter_map(|task_status| TaskId::parse(&task_status.task).ok())
                 .any(|task| !is_open(&task.job));
-            if runs_closed || !recovery.buffer_heartbeat(heartbeat) {
+            if runs_ended_job || !recovery.buffer_heartbeat(heartbeat) {
                 return HeartbeatOutcome::LeaseNotRenewed;
             }
             return self.respond_to_heartbeat(heartbeat, Vec::new(), freshness);
@@ -75,13 +78,15 @@
         let is_newest = self.apply_heartbeat(heartbeat, HeartbeatPath::Request, now);
         self.revoke_pending_starts(&heartbeat.worker);
         let Some(worker) = self.workers.get(&heartbeat.worker).filter(|_| is_newest) else {
-            // Late: its answer renews nothing, and its task list is old.
+            // The heartbeat was ignored, for example since a newer one is known. Its list of tasks may
+            // be out of date, so no commands are derived from it.
             return self.respond_to_heartbeat(heartbeat, Vec::new(), freshness);
         };
         let may_start = freshness.may_start().is_ok();
         let commands = reconciliation::commands(worker, may_start, MAX_COMMANDS);
         if may_start && commands.len() < MAX_COMMANDS {
-            // The answer carries all commands; the next heartbeat shows what became of them.
+            // The response carries all commands that the worker needs. The next heartbeat shows their
+            // effect, so no direct call is needed before that.
             self.dispatcher.sent(&heartbeat.worker, &commands, now);
         }
         self.respond_to_heartbeat(heartbeat, commands, freshness)
@@ -98,7 +103,8 @@
         HeartbeatOutcome::Commands(batch)
     }
 
-    /// Takes a heartbeat that came by either path. Returns false if a newer one is known.
+    /// Updates the worker from a heartbeat that arrived by either path. Returns false if the heartbeat was
+    /// ignored: a newer one is known, it shows a lower token than before, or the instance was deleted.
     pub(super) fn apply_heartbeat(
         &mut self,
         heartbeat: &WorkerHeartbeat,
@@ -151,8 +157,8 @@
         true
     }
 
-    /// Takes note of a worker that knows this epoch: it receives this leader's answers, and from its
-    /// first such heartbeat on no other leader renews its lease or reaches it at all.
+    /// Marks the worker as knowing this epoch if its heartbeat shows it. Such a worker receives this
+    /// leader's messages, and it accepts no lease renewal or command from an earlier leader any more.
     fn acknowledge_token(&mut self, heartbeat: &WorkerHeartbeat, now: f64) {
         if heartbeat.token.epoch() != self.epoch {
             return;
@@ -170,8 +176,8 @@
     }
 }
 
-/// A worker that was not known before its heartbeat. An earlier leader may have renewed its lease
-/// until `lease_from`.
+/// Creates the entry of a worker that was not known before this heartbeat. Its lease counts from
+/// `lease_from`, because an earlier leader may have renewed it until then.
 fn registered_worker(heartbeat: &WorkerHeartbeat, lease_from: f64, now: f64) -> Worker {
     let mut worker = Worker::new(
         &heartbeat.worker,
@@ -184,17 +190,20 @@
     worker
 }
 
-/// A copy, or a heartbeat that a direct answer has overtaken. Should the worker still wait for our
-/// answer, its lease counts from when it sent this, which was before its newest heartbeat.
+/// Handles a heartbeat that is older than the newest one: a copy, or a request that the response to a direct
+/// call has overtaken. If the worker still waits for the response to it, that response renews its lease from
+/// the time at which the worker sent this heartbeat, which is before the newest one arrived.
 fn renew_by_late_heartbeat(worker: &mut Worker, path: HeartbeatPath) {
     if let (HeartbeatPath::Request, Some(last)) = (path, worker.last_heartbeat_at) {
         worker.lease_renewed_at = worker.lease_renewed_at.max(last);
     }
 }
 
-/// A machine that has restarted and forgotten its incarnations sent this, after the restart or before it: the
-/// numbers don't tell which. Its tasks are not those that are bound there now, or were not yet. Sent after it,
-/// the answer tells the worker the token, renews its lease from now at the latest, and the next heartbeat counts.
+/// Handles a heartbeat with a lower token than the worker showed before. The machine has restarted and lost its
+/// stored incarnation and token. The heartbeat was sent before or after that restart; its sequence number and
+/// incarnation don't tell which. Its list of tasks therefore can't be compared with the present bindings, and is
+/// ignored. If it was sent after the restart, the response gives the worker the present token and renews its
+/// lease, from now at the latest; the worker's next heartbeat is then processed as usual.
 fn ignore_lower_token(worker: &mut Worker, heartbeat: &WorkerHeartbeat, now: f64) {
     tracing::warn!(
         worker = worker.name,
@@ -209,43 +218,46 @@
     worker.lease_renewed_at = worker.lease_renewed_at.max(now);
 }
 
-/// The answer to a worker's request renews its lease.
+/// Records that the response to a worker's request renews its lease. The response to a direct call does not.
 fn renew_lease(worker: &mut Worker, path: HeartbeatPath, now: f64) {
-    if path == HeartbeatPath::DirectAnswer {
+    if path == HeartbeatPath::DirectResponse {
         return;
     }
     worker.lease_renewed_at = if worker.token_acknowledged {
         now
     } else {
-        // An earlier leader may have renewed it for longer.
+        // An earlier leader may have renewed the lease for longer.
         worker.lease_renewed_at.max(now)
     };
 }
 
-/// The worker has begun a new incarnation.
+/// Resets what depends on the worker's incarnation, after a heartbeat of a new one.
 fn begin_incarnation(worker: &mut Worker, now: f64) {
     if worker.last_heartbeat_at.is_some() {
-        // It lost an incarnation although we answered it: perhaps our answers don't arrive.
+        // Its incarnation ended although the leader responded to its heartbeats: the responses may
+        // not reach it.
         worker.unreachable_since = Some(now);
     }
     worker.pending_starts.clear_for_new_incarnation();
     worker.idle_since = now;
-    // Its lease runs from its beginning, which a direct answer may be the first to show.
+    // The lease of an incarnation counts from its beginning. The response to a direct call, which does
+    // not renew leases, may be the first message that shows it.
     worker.lease_renewed_at = worker.lease_renewed_at.max(now);
 }
 
-/// The machine has restarted, and its incarnation has begun once more: the lease runs from that beginning, which
-/// lies after the heartbeats that were answered before.
+/// Counts the lease from now after the machine has restarted, lost its stored incarnation, and begun the same
+/// incarnation again. The lease counts from that second beginning, which is later than the heartbeats that this
+/// leader has responded to.
 fn restart_lease(worker: &mut Worker, now: f64) {
     tracing::warn!(
         worker = worker.name,
         incarnation = worker.incarnation,
-        "worker has lost tasks within its incarnation: lease counted from now"
+        "bound tasks missing from a later heartbeat of the same incarnation: lease counted from now"
     );
     worker.lease_renewed_at = worker.lease_renewed_at.max(now);
 }
 
-/// Takes over what a worker's newest heartbeat says, with its `tasks`.
+/// Updates a worker from its newest heartbeat, which lists these `tasks`.
 fn record_heartbeat(
     worker: &mut Worker,
     heartbeat: &WorkerHeartbeat,
@@ -273,7 +285,7 @@
     worker.observed_tasks = tasks;
 }
 
-/// The statuses of a heartbeat by task; what is no task of ours is left out.
+/// Groups the statuses in a heartbeat by task. Statuses whose task id can't be parsed are left out.
 fn observed_tasks(heartbeat: &WorkerHeartbeat) -> BTreeMap<TaskId, Vec<TaskStatus>> {
     let mut statuses: BTreeMap<TaskId, Vec<TaskStatus>> = BTreeMap::new();
     for status in &heartbeat.tasks {
