--- a/src/coordination/leader/commit.rs
+++ b/src/coordination/leader/commit.rs
@@ -1,5 +1,5 @@
-//! The commit pipeline: log entries leave in transactions on the state service, one at a time, and
-//! take effect in the leader's tables once their transaction is committed.
+//! The commit pipeline: sends log entries to the state service in transactions, one at a time. An entry takes
+//! effect in the leader's tables once its transaction is committed.
 
 use super::{LEADER_STATE_SHARE, Leader, LeaderEvent};
 use crate::bookkeeping::jobs::Jobs;
@@ -12,25 +12,26 @@
 use crate::protocol::kv::{KvRequest, KvResponse};
 use crate::settings::Settings;
 
-/// Writes of the leader's budget that must have come back before the next transaction.
+/// The least time between two transactions is the time in which the leader's budget refills by this many writes.
 const WRITES_BETWEEN_COMMITS: f64 = 2.0;
 
-/// What the answer to a transaction, or to the read that follows one of unknown outcome, means.
+/// The outcome of a transaction, from the response to it or to the read-back of its segment. The read-back
+/// follows a transaction of unknown outcome.
 #[derive(Debug)]
 pub(super) enum CommitOutcome {
     /// These entries are durable, in this order.
     Committed(Vec<LogEntry>),
-    /// Somebody else has written the leader's key or the log: this controller must stop leading.
+    /// Another controller has written the leader's key or the log: this controller must stop leading.
     Deposed,
-    /// These jobs have been closed by somebody else. The entries are queued again and leave without
-    /// what concerned these jobs.
+    /// These jobs were closed by another writer, for example by a cancellation. The entries are queued
+    /// again; the next transaction omits those that need the closed jobs to be open.
     JobsClosed(Vec<String>),
-    /// Nothing is known yet; the pipeline tries again by itself.
+    /// The outcome is not known yet, or the transaction was not executed; the pipeline tries again.
     Pending,
 }
 
-/// The write-ahead log and the transactions that carry it to the state service, within the leader's
-/// share of the state service's limits. At most one request is in flight.
+/// Writes the write-ahead log to the state service, within the leader's share of the state service's limits.
+/// At most one request is in flight.
 #[derive(Debug)]
 pub(super) struct CommitPipeline {
     epoch: u64,
@@ -40,16 +41,16 @@
     heartbeat_interval_s: f64,
     /// Shortest time between two transactions, in seconds.
     commit_interval_s: f64,
-    /// A transaction, or the read of its outcome, is in flight.
+    /// A transaction, or the read-back of its segment, is in flight.
     in_flight: bool,
     /// No transaction before this monotonic time, in seconds.
     next_commit_at: f64,
-    /// The keys whose compares failed in a transaction of unknown outcome.
+    /// The keys whose compares failed in the transaction of unknown outcome, until the read-back is answered.
     failed_compares: Vec<String>,
 }
 
 impl CommitPipeline {
-    /// An empty pipeline for a leader of this epoch.
+    /// Creates an empty pipeline for a leader of this epoch.
     pub(super) fn new(settings: &Settings, epoch: u64) -> CommitPipeline {
         let state = &settings.deployment.state;
         let limits = TxnLimits {
@@ -75,34 +76,33 @@
         self.log.push(entry);
     }
 
-    /// Entries that are not durable yet, those in flight included.
+    /// Returns the number of entries that are not durable yet, those in flight included.
     pub(super) fn backlog(&self) -> usize {
         self.log.backlog()
     }
 
-    /// A job has ended: its completed tasks need not be kept in the log.
+    /// Drops the completed tasks of a job that has ended from the log.
     pub(super) fn remove_job(&mut self, job: &str) {
         self.log.remove_job(job);
     }
 
-    /// Takes over a segment that an earlier leader wrote. Segments come in the log's order.
+    /// Adds a segment that an earlier leader wrote to the log. Segments must be added in the log's order.
     pub(super) fn replay_segment(&mut self, key: &str, mod_revision: u64, segment: &Segment) {
         self.log.replay_segment(key, mod_revision, segment);
     }
 
-    /// Charges a request outside the pipeline to the leader's request budget.
+    /// Charges a request that another component sends to the leader's request budget.
     pub(super) fn charge_request(&mut self, now: f64) {
         self.request_budget.take_with_debt(1.0, now);
     }
 
-    /// Seconds after which a request to the state service is given up.
+    /// Returns the timeout of requests to the state service.
     pub(super) fn request_timeout_s(&self) -> f64 {
         self.heartbeat_interval_s / 2.0
     }
 
-    /// Sends the next transaction if there is one and the budgets allow it, or once more the one
-    /// whose outcome is unknown. Returns bindings that were not written and never will be, since
-    /// their jobs have ended.
+    /// Sends the next transaction if there is one and the budgets allow it, or repeats the one whose outcome
+    /// is unknown. Returns the bindings that are dropped without being written, since their jobs have ended.
     pub(super) fn poll(
         &mut self,
         workers: &Workers,
@@ -122,7 +122,8 @@
             self.write_budget
                 .take_with_debt(txn.writes.len() as f64, now);
             self.in_flight = true;
-            // Small transactions are batched, the longer the more of the budget is used up.
+            // The pause lets several entries share one transaction. While the write budget is used up,
+            // more entries queue up for the next one.
             self.next_commit_at = now + self.commit_interval_s;
             let context = KvRequestContext::LogAppend(self.epoch);
             effects.call_kv(context, KvRequest::Txn(txn), self.request_timeout_s(), now);
@@ -130,7 +131,7 @@
         self.log.take_rejected_bindings()
     }
 
-    /// Takes the response to a transaction.
+    /// Handles the response to a transaction.
     pub(super) fn on_txn_response(
         &mut self,
         response: KvResponse,
@@ -145,7 +146,8 @@
             }
             KvResponse::CompareFailed(failed) => self.on_compare_failed(failed, effects, now),
             KvResponse::RateLimited | KvResponse::Unavailable => {
-                // An earlier copy may still be in flight; if there is none, all entries are queued anew.
+                // The transaction was not executed. If it repeats one of unknown outcome, the earlier copy
+                // may still be; otherwise all its entries are queued again.
                 if !self.log.is_outcome_unknown() {
                     self.log.requeue_in_flight();
                 }
@@ -153,14 +155,12 @@
                 CommitOutcome::Pending
             }
             KvResponse::InvalidRequest => {
-                tracing::error!(
-                    "commit rejected: the state service calls the transaction malformed"
-                );
+                tracing::error!("commit rejected: state service reported a malformed transaction");
                 self.log.requeue_in_flight();
                 self.next_commit_at = now + self.heartbeat_interval_s;
                 CommitOutcome::Pending
             }
-            // It may have been executed, or may yet be.
+            // The transaction may have been executed, or may still be.
             _ => {
                 tracing::info!("commit outcome unknown");
                 self.log.mark_outcome_unknown();
@@ -179,7 +179,8 @@
             return CommitOutcome::Deposed;
         }
         match self.log.read_back_key() {
-            // The compares may have failed on an earlier copy of this transaction.
+            // An earlier copy of this transaction may have been executed, which makes its own compares
+            // fail now. Reading the segment back tells whether it was.
             Some(key) if self.log.is_outcome_unknown() => {
                 self.failed_compares = failed;
                 self.read_back(key, effects, now);
@@ -196,7 +197,8 @@
         effects.call_kv(context, KvRequest::Get(key), self.request_timeout_s(), now);
     }
 
-    /// Takes the response to the read that tells whether a transaction of unknown outcome was executed.
+    /// Handles the response to the read-back, which shows whether a transaction of unknown outcome was
+    /// executed.
     pub(super) fn on_read_back_response(
         &mut self,
         response: &KvResponse,
@@ -227,18 +229,19 @@
         }
     }
 
-    /// The transaction in flight was not executed and never will be: these keys have changed.
+    /// Gives up the transaction in flight: these keys have changed, so that it was not executed and never will
+    /// be.
     fn reject_in_flight(&mut self, failed: &[String]) -> CommitOutcome {
         tracing::info!(?failed, "commit rejected: compare failed");
         if failed
             .iter()
             .any(|key| key.starts_with(records::LOG_PREFIX))
         {
-            // Another controller writes the log: whichever it is, this one must not.
+            // Another controller has written the log; this one must not write it any more.
             return CommitOutcome::Deposed;
         }
         self.log.requeue_in_flight();
-        // Keys of jobs change only when the job ends.
+        // The key of a job changes only when the job ends.
         let closed = failed.iter().filter_map(|key| {
             key.strip_prefix(records::OPEN_PREFIX)
                 .or_else(|| key.strip_prefix(records::FINISHED_PREFIX))
@@ -248,7 +251,7 @@
 }
 
 impl Leader {
-    /// Sends what waits to be committed, once the tables are recovered.
+    /// Sends queued log entries, unless the tables are still being recovered.
     pub(super) fn commit_pending(&mut self, effects: &mut Effects, now: f64) {
         if self.is_recovering() {
             return;
@@ -259,13 +262,13 @@
         }
     }
 
-    /// Takes the response to a transaction.
+    /// Handles the response to a transaction.
     pub fn on_commit_response(&mut self, response: KvResponse, effects: &mut Effects, now: f64) {
         let outcome = self.commits.on_txn_response(response, effects, now);
         self.apply_commit_outcome(outcome, now);
     }
 
-    /// Takes the response to the read that tells whether a transaction of unknown outcome was executed.
+    /// Handles the response to the read-back of a transaction of unknown outcome.
     pub fn on_commit_read_back(&mut self, response: KvResponse, effects: &mut Effects, now: f64) {
         let outcome = self.commits.on_read_back_response(&response, effects, now);
         self.apply_commit_outcome(outcome, now);
@@ -289,7 +292,7 @@
         }
     }
 
-    /// Does what a committed entry allows.
+    /// Applies a committed entry to the tables.
     pub(super) fn apply_entry(&mut self, entry: &LogEntry, now: f64) {
         match entry {
             LogEntry::Bind {
@@ -298,7 +301,7 @@
                 attempt,
             } => {
                 let known = self.workers.get_mut(worker);
-                if let Some(binding) = known.and_then(|h| h.bindings.get_mut(task))
+                if let Some(binding) = known.and_then(|known| known.bindings.get_mut(task))
                     && binding.attempt == *attempt
                 {
                     binding.durable = true;
@@ -313,7 +316,7 @@
             } => self.drop_binding(worker, task, *attempt, now),
             LogEntry::FinishJob { job } => {
                 tracing::debug!(job, "job completed");
-                // The watch may have shown its end first.
+                // The job is missing if the watch has shown its end first.
                 if let Some(known) = self.jobs.remove(job) {
                     let record = FinishedRecord {
                         outcome: JobOutcome::Done,
@@ -332,7 +335,7 @@
                 }
             }
             LogEntry::RemoveWorker { worker } => {
-                // A record that was read again meanwhile may have brought bindings back.
+                // Records that were read again since the instance was deleted may have added bindings.
                 self.drop_all_bindings(worker, now);
                 self.workers.remove(worker);
                 self.dispatcher.remove_worker(worker);
--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -1,4 +1,5 @@
-//! Direct commands to workers: probes of late workers, and commands that cannot wait for a heartbeat.
+//! Direct calls to workers: probes of workers whose heartbeat is late, and commands that cannot wait for the
+//! worker's next heartbeat.
 
 use super::fencing::target_incarnation;
 use super::heartbeats::{HeartbeatPath, MAX_COMMANDS};
@@ -10,32 +11,32 @@
 use crate::protocol::worker::{Command, CommandKind, WorkerRequest, WorkerResponse};
 use std::collections::{BTreeSet, HashMap};
 
-/// Heartbeat intervals without a heartbeat after which a worker is asked directly. They come with a
-/// quarter more at most.
+/// Heartbeat intervals without a heartbeat after which a worker is target directly. The interval between two
+/// heartbeats varies by up to a quarter.
 const PROBE_AFTER_HEARTBEATS: f64 = 1.3;
 
-/// Share of the direct calls that may be in flight to workers that may not answer, as a divisor.
+/// Divides the limit of direct calls in flight; the quotient is the limit for workers that may not respond.
 const UNCERTAIN_CALLS_DIVISOR: usize = 2;
 
 /// A direct call that a worker needs.
 struct WorkerCall {
     worker: String,
     commands: Vec<Command>,
-    /// Starts that may still arrive are to be revoked, which can't wait.
+    /// The call raises the worker's fence to revoke starts, which can't wait.
     is_urgent: bool,
-    answer: AnswerExpectation,
+    response: ResponseExpectation,
 }
 
-/// Whether a worker is expected to answer a direct call.
+/// Whether a worker is expected to respond to a direct call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum AnswerExpectation {
-    /// It has sent its latest heartbeat and can be reached.
+enum ResponseExpectation {
+    /// Its heartbeat is not late, it does not count as unreachable, and it knows this leader's epoch.
     Expected,
-    /// It has missed a heartbeat, or does not know this leader's epoch yet.
+    /// Its heartbeat is late, it counts as unreachable, or it does not know this leader's epoch yet.
     Uncertain,
 }
 
-/// The commands that were last sent to a worker, by whatever path.
+/// The commands that were last sent to a worker, in a direct call or in a response to a heartbeat.
 #[derive(Debug)]
 struct LastDispatch {
     commands: Vec<Command>,
@@ -43,19 +44,19 @@
     sent_at: f64,
 }
 
-/// Keeps which workers may need a direct call, which calls are in flight, and what was sent last.
-/// The number of calls in flight is bounded, and calls that may not be answered take only a part of
-/// them: a partitioned zone must not keep commands from the others.
+/// Keeps track of which workers may need a direct call, which calls are in flight, and what was last sent to
+/// each worker. The number of calls in flight is limited. Calls to workers that may not respond have a lower
+/// limit, so that a partitioned zone does not hold up commands to the other zones.
 #[derive(Debug)]
 pub(super) struct CommandDispatcher {
     max_in_flight: usize,
     due: BTreeSet<String>,
-    in_flight: HashMap<String, AnswerExpectation>,
+    in_flight: HashMap<String, ResponseExpectation>,
     last_dispatches: HashMap<String, LastDispatch>,
 }
 
 impl CommandDispatcher {
-    /// A dispatcher with at most `max_in_flight` direct calls at a time.
+    /// Creates a dispatcher with at most `max_in_flight` direct calls at a time.
     pub(super) fn new(max_in_flight: usize) -> CommandDispatcher {
         CommandDispatcher {
             max_in_flight,
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Has the worker checked for commands that it needs at the next poll.
+    /// Marks a worker to be checked at the next poll for whether it needs a direct call.
     pub(super) fn mark_due(&mut self, worker: &str) {
         if !self.due.contains(worker) {
             self.due.insert(worker.to_owned());
@@ -77,8 +78,8 @@
         self.in_flight.contains_key(worker)
     }
 
-    /// All commands that the worker needs have been sent to it.
-    pub(super) fn sent(&mut self, worker: &str, commands: &[Command], now: f64) {
+    /// Records that all commands that the worker needs have been sent to it.
+    pub(super) fn record_sent(&mut self, worker: &str, commands: &[Command], now: f64) {
         self.due.remove(worker);
         let dispatch = LastDispatch {
             commands: commands.to_vec(),
@@ -87,13 +88,13 @@
         self.last_dispatches.insert(worker.to_owned(), dispatch);
     }
 
-    /// Forgets a worker that has been removed. A call in flight to it stays counted until it ends.
+    /// Removes the state of a worker. A call in flight to it counts against the limit until it ends.
     pub(super) fn remove_worker(&mut self, worker: &str) {
         self.due.remove(worker);
         self.last_dispatches.remove(worker);
     }
 
-    /// Workers that are due and have no call in flight, by name.
+    /// Returns the workers that are due and have no call in flight, in the order of their names.
     fn due_workers(&self) -> Vec<String> {
         self.due
             .iter()
@@ -102,60 +103,60 @@
             .collect()
     }
 
-    /// The worker needs no call.
     fn clear_due(&mut self, worker: &str) {
         self.due.remove(worker);
     }
 
-    /// A direct call has left for the worker.
-    fn call_started(&mut self, worker: &str, answer: AnswerExpectation) {
-        self.in_flight.insert(worker.to_owned(), answer);
+    fn record_call_started(&mut self, worker: &str, response: ResponseExpectation) {
+        self.in_flight.insert(worker.to_owned(), response);
     }
 
-    /// A direct call to the worker has ended, in whatever way; what it needs now is checked anew.
-    fn call_finished(&mut self, worker: &str) {
+    /// Records that a direct call to the worker has ended, with or without a response. The worker is due again,
+    /// since the outcome may have changed what it needs.
+    fn record_call_finished(&mut self, worker: &str) {
         self.in_flight.remove(worker);
         self.mark_due(worker);
     }
 
-    /// Allows the next call to the worker at once, even with the same commands.
+    /// Allows the next call to the worker at once, even if it carries the same commands as the last.
     fn forget_last_dispatch(&mut self, worker: &str) {
         self.last_dispatches.remove(worker);
     }
 
-    /// When commands were last sent to the worker; negative infinity if never.
+    /// Returns when commands were last sent to the worker; negative infinity if never.
     fn last_sent_at(&self, worker: &str) -> f64 {
         self.last_dispatches
             .get(worker)
             .map_or(f64::NEG_INFINITY, |dispatch| dispatch.sent_at)
     }
 
-    /// Whether the same commands were sent to the worker less than `within_s` ago.
+    /// Whether the same commands were last sent to the worker less than `within_s` seconds ago.
     fn was_just_sent(&self, worker: &str, commands: &[Command], within_s: f64, now: f64) -> bool {
         self.last_dispatches
             .get(worker)
             .is_some_and(|last| last.commands == commands && now - last.sent_at < within_s)
     }
 
-    /// Whether one more call may be made to a worker that is expected to answer.
+    /// Whether one more call may be made to a worker that is expected to respond.
     fn has_capacity(&self) -> bool {
         self.in_flight.len() < self.max_in_flight
     }
 
-    /// How many more calls may be made to workers that may not answer.
+    /// Returns how many more calls may be made to workers that may not respond.
     fn uncertain_capacity(&self) -> usize {
         let uncertain = self
             .in_flight
             .values()
-            .filter(|answer| **answer == AnswerExpectation::Uncertain)
+            .filter(|response| **response == ResponseExpectation::Uncertain)
             .count();
         (self.max_in_flight / UNCERTAIN_CALLS_DIVISOR).saturating_sub(uncertain)
     }
 }
 
 impl Leader {
-    /// Sends direct commands where the workers don't yet do what is wanted, and this leader's epoch
-    /// where it is not known yet, as far as the dispatcher has capacity.
+    /// Makes the direct calls that workers need, as far as the dispatcher has capacity. A call carries commands,
+    /// probes a worker whose heartbeat is late, or announces this leader's epoch to a worker that does not know
+    /// it.
     pub(super) fn dispatch_commands(
         &mut self,
         freshness: &ViewFreshness,
@@ -170,22 +171,22 @@
                 self.dispatcher.clear_due(&name);
                 continue;
             };
-            // What has just been sent is not repeated before its answer could show.
+            // Commands are not repeated before a response to the previous message could show their effect.
             let just_sent =
                 self.dispatcher
                     .was_just_sent(&call.worker, &call.commands, repeat_after_s, now);
             if !call.is_urgent && just_sent {
                 continue;
             }
-            match call.answer {
-                AnswerExpectation::Uncertain => uncertain.push(call),
-                AnswerExpectation::Expected if self.dispatcher.has_capacity() => {
+            match call.response {
+                ResponseExpectation::Uncertain => uncertain.push(call),
+                ResponseExpectation::Expected if self.dispatcher.has_capacity() => {
                     self.dispatch(call, freshness, effects, now);
                 }
-                AnswerExpectation::Expected => {}
+                ResponseExpectation::Expected => {}
             }
         }
-        // Those called the longest ago go first.
+        // The workers that were sent commands the longest ago go first.
         uncertain.sort_by(|a, b| {
             let last_sent_at = |call: &WorkerCall| self.dispatcher.last_sent_at(&call.worker);
             last_sent_at(a).total_cmp(&last_sent_at(b))
@@ -196,29 +197,29 @@
         }
     }
 
-    /// Whether a worker has missed its latest heartbeat, or could not be reached.
-    fn has_missed_heartbeat(&self, worker: &Worker, now: f64) -> bool {
+    /// Whether a worker's heartbeat is late, or the worker counts as unreachable.
+    fn is_late_or_unreachable(&self, worker: &Worker, now: f64) -> bool {
         let heartbeat_interval_s = self.settings.deployment.workers.heartbeat_interval_s;
         let late = |at| now - at > PROBE_AFTER_HEARTBEATS * heartbeat_interval_s;
         worker.unreachable_since.is_some() || worker.last_heartbeat_at.is_some_and(late)
     }
 
-    /// Marks workers due that have missed their latest heartbeat.
+    /// Marks the workers as due whose heartbeat is late or that could not be reached.
     fn probe_late_workers(&mut self, now: f64) {
         let late: Vec<&Worker> = self
             .workers
             .iter()
-            .filter(|worker| self.has_missed_heartbeat(worker, now))
+            .filter(|worker| self.is_late_or_unreachable(worker, now))
             .collect();
         for worker in late {
             self.dispatcher.mark_due(&worker.name);
         }
     }
 
-    /// The direct call that a worker needs, if it needs one.
+    /// Returns the direct call that a worker needs, if it needs one.
     fn next_call(&self, name: &str, freshness: &ViewFreshness, now: f64) -> Option<WorkerCall> {
         let worker = self.workers.get(name)?;
-        let missed = self.has_missed_heartbeat(worker, now);
+        let late_or_unreachable = self.is_late_or_unreachable(worker, now);
         let may_start = freshness.may_start().is_ok();
         let commands = if worker.token_acknowledged {
             reconciliation::commands(worker, may_start, MAX_COMMANDS)
@@ -227,33 +228,36 @@
         };
         let revocation =
             reconciliation::pending_revocation(worker).filter(|_| worker.token_acknowledged);
-        let revokes = revocation.is_some_and(|reason| reason.is_urgent());
-        let waits = worker.token_acknowledged && worker.awaits_fence_ack();
-        // It is probed before it counts as unresponsive: its heartbeats may have gone to a controller that
-        // does not answer them.
-        let probe = worker.token_acknowledged && !worker.termination_recorded && missed;
+        let revokes_urgently = revocation.is_some_and(|reason| reason.is_urgent());
+        let awaits_fence = worker.token_acknowledged && worker.awaits_fence_ack();
+        // A late worker is probed before it counts as unresponsive: it may be sending its heartbeats to a
+        // controller that does not respond to them.
+        let needs_probe =
+            worker.token_acknowledged && !worker.termination_recorded && late_or_unreachable;
         let may_be_up = worker.last_heartbeat_at.is_some()
             || worker.listed_running
             || !worker.bindings.is_empty();
-        let announce = !worker.token_acknowledged && !worker.termination_recorded && may_be_up;
-        // Clears can wait for the next heartbeat.
+        let announces_epoch =
+            !worker.token_acknowledged && !worker.termination_recorded && may_be_up;
+        // `Clear` commands can wait for the worker's next heartbeat.
         let has_urgent = commands
             .iter()
             .any(|command| command.kind != CommandKind::Clear);
-        let wanted = has_urgent || revokes || waits || probe || announce;
-        if !wanted || worker.endpoint.is_empty() {
+        let is_needed =
+            has_urgent || revokes_urgently || awaits_fence || needs_probe || announces_epoch;
+        if !is_needed || worker.endpoint.is_empty() {
             return None;
         }
-        let answer = if !worker.token_acknowledged || missed {
-            AnswerExpectation::Uncertain
+        let response = if !worker.token_acknowledged || late_or_unreachable {
+            ResponseExpectation::Uncertain
         } else {
-            AnswerExpectation::Expected
+            ResponseExpectation::Expected
         };
         Some(WorkerCall {
             worker: name.to_owned(),
             commands,
-            is_urgent: revokes,
-            answer,
+            is_urgent: revokes_urgently,
+            response,
         })
     }
 
@@ -274,27 +278,32 @@
         }
         let commands =
             self.prepare_commands(&name, call.commands, DeliveryPath::DirectCall, freshness);
-        self.dispatcher.call_started(&name, call.answer);
-        self.dispatcher.sent(&name, &commands.commands, now);
-        let kind = WorkerRequestContext {
+        self.dispatcher.record_call_started(&name, call.response);
+        self.dispatcher.record_sent(&name, &commands.commands, now);
+        let context = WorkerRequestContext {
             epoch: self.epoch,
             worker: name,
             commands: commands.commands.clone(),
         };
         let within_s = self.settings.deployment.workers.heartbeat_interval_s / 2.0;
-        effects.call_worker(kind, endpoint, WorkerRequest::Commands(commands), within_s);
+        effects.call_worker(
+            context,
+            endpoint,
+            WorkerRequest::Commands(commands),
+            within_s,
+        );
     }
 
-    /// Takes the response to a direct call.
+    /// Handles the response to a direct call, or its absence.
     pub fn on_worker_response(
         &mut self,
-        kind: &WorkerRequestContext,
+        context: &WorkerRequestContext,
         response: WorkerResponse,
         now: f64,
     ) {
-        self.dispatcher.call_finished(&kind.worker);
-        if let Some(worker) = self.workers.get_mut(&kind.worker) {
-            worker.record_call_outcome(&kind.commands, call_outcome(&response));
+        self.dispatcher.record_call_finished(&context.worker);
+        if let Some(worker) = self.workers.get_mut(&context.worker) {
+            worker.record_call_outcome(&context.commands, call_outcome(&response));
             match response {
                 WorkerResponse::Executed(_) | WorkerResponse::Rejected(_) => {
                     worker.unreachable_since = None;
@@ -309,11 +318,12 @@
         let heartbeat = match response {
             WorkerResponse::Executed(heartbeat) => heartbeat,
             WorkerResponse::Rejected(heartbeat) => {
-                let called = self.workers.get(&kind.worker).map(target_incarnation);
-                if called.is_some_and(|incarnation| heartbeat.incarnation >= incarnation) {
-                    // Its incarnation is known now: the next call can follow at once. A machine that shows
-                    // an earlier one has forgotten it, and would reject the next call too.
-                    self.dispatcher.forget_last_dispatch(&kind.worker);
+                let target = self.workers.get(&context.worker).map(target_incarnation);
+                if target.is_some_and(|incarnation| heartbeat.incarnation >= incarnation) {
+                    // The call was for an earlier incarnation than the worker's present one, which is known
+                    // now: the next call can follow at once. A machine that shows an earlier incarnation than
+                    // the call was for has lost its stored incarnation, and would reject the next call too.
+                    self.dispatcher.forget_last_dispatch(&context.worker);
                 }
                 heartbeat
             }
@@ -321,12 +331,12 @@
             | WorkerResponse::Unreachable
             | WorkerResponse::OutcomeUnknown => return,
         };
-        if heartbeat.worker != kind.worker {
-            tracing::warn!(worker = kind.worker, "unexpected worker at endpoint");
+        if heartbeat.worker != context.worker {
+            tracing::warn!(worker = context.worker, "unexpected worker at endpoint");
             return;
         }
         if let Err(error) = heartbeat.token.validate() {
-            tracing::error!(worker = kind.worker, %error, "worker response rejected");
+            tracing::error!(worker = context.worker, %error, "worker response rejected");
             return;
         }
         if heartbeat.token.epoch() > self.epoch {
@@ -337,7 +347,7 @@
     }
 }
 
-/// What the response to a direct call says about its commands.
+/// Returns what the response to a direct call shows about whether its commands were executed.
 fn call_outcome(response: &WorkerResponse) -> CallOutcome {
     match response {
         WorkerResponse::Executed(_) | WorkerResponse::Rejected(_) => CallOutcome::Answered,
--- a/src/coordination/leader/failure_attribution.rs
+++ b/src/coordination/leader/failure_attribution.rs
@@ -1,5 +1,5 @@
-//! Failure attribution: whether a failed task is the fault of its worker or of its job, as the failures
-//! and successes of others tell.
+//! Failure attribution: records failures and successes of tasks, from which it follows whether a failure is the
+//! fault of the worker or of the job.
 
 use super::{AVOID_LEASES, Leader};
 use crate::bookkeeping::jobs::Job;
@@ -9,15 +9,16 @@
 use rand::Rng;
 use std::collections::BTreeSet;
 
-/// The shortest wait of a crash-looping job between two probes, in heartbeat intervals.
+/// The shortest back-off between two probes of a crash-looping job, in heartbeat intervals.
 const PROBE_HEARTBEATS: f64 = 1.0;
-/// By how much that wait varies, so that jobs that began to crash-loop together don't probe together.
-const JITTER: f64 = 0.25;
-/// Heartbeat intervals for which a replica must run to show that its job works.
+/// Share by which the back-off varies at random, so that jobs that began to crash-loop at the same time are not
+/// is_probe at the same time.
+const BACKOFF_JITTER: f64 = 0.25;
+/// Heartbeat intervals for which a replica must run to count as a success of its job.
 const STEADY_HEARTBEATS: f64 = 2.0;
 
 impl Leader {
-    /// Counts the run time of a task that has completed.
+    /// Records the run time of a task that has completed, for its pool's averages.
     pub(super) fn record_runtime(&mut self, worker: &str, task: &TaskId, now: f64) {
         let Some(worker) = self.workers.get(worker) else {
             return;
@@ -34,8 +35,8 @@
         }
     }
 
-    /// A task of a job has completed on a worker: both work, so where the job failed before, that was
-    /// the worker's fault, unless the job is crash-looping.
+    /// Records that a task of a job has completed on a worker, so neither of the two is faulty. The job's earlier
+    /// failures are attributed to the workers on which they happened, unless the job is crash-looping.
     pub(super) fn record_success(&mut self, worker: &str, job: &str) {
         if let Some(worker) = self.workers.get_mut(worker) {
             worker.failures.record_success();
@@ -57,16 +58,16 @@
         job.failures.record_success();
     }
 
-    /// A replica of a failing service runs on a worker: it never completes, so having run for a while is
-    /// its success.
-    pub(super) fn record_steady_replica(&mut self, worker: &str, job: &str, for_s: f64) {
+    /// Records a success once a replica of a failing service has run for some time. Replicas never complete, so
+    /// this takes the place of a completed task.
+    pub(super) fn record_steady_replica(&mut self, worker: &str, job: &str, running_s: f64) {
         let steady_s = STEADY_HEARTBEATS * self.settings.deployment.workers.heartbeat_interval_s;
-        if for_s >= steady_s {
+        if running_s >= steady_s {
             self.record_success(worker, job);
         }
     }
 
-    /// A task has failed: its worker may be faulty, or its job was submitted with a mistake.
+    /// Records that a task has failed: its worker may be faulty, or its job was submitted with a mistake.
     pub(super) fn record_failure(
         &mut self,
         worker: &str,
@@ -81,10 +82,12 @@
             return;
         };
         tracing::info!(worker, %task, ?cause, "task failed");
-        let probed = job.failures.is_crash_looping() && now >= job.eligible_at;
+        let is_probe = job.failures.is_crash_looping() && now >= job.eligible_at;
         let newly_crash_looping = job.failures.record_failure(worker, avoid_s, now);
-        if probed || newly_crash_looping {
-            let jitter = self.rng.random_range(1.0 - JITTER..1.0 + JITTER);
+        if is_probe || newly_crash_looping {
+            let jitter = self
+                .rng
+                .random_range(1.0 - BACKOFF_JITTER..1.0 + BACKOFF_JITTER);
             let wait_s = job.failures.next_backoff_s(shortest_s) * jitter;
             job.eligible_at = now + wait_s;
             tracing::info!(
@@ -99,12 +102,14 @@
             && !job.failures.is_crash_looping()
             && let Some(worker) = self.workers.get_mut(worker)
         {
-            let proven = job.failures.has_succeeded();
-            worker.failures.record_failure(&task.job, proven);
+            let job_works_elsewhere = job.failures.has_succeeded();
+            worker
+                .failures
+                .record_failure(&task.job, job_works_elsewhere);
         }
     }
 
-    /// Jobs that are crash-looping, for the leader after this one.
+    /// Returns the jobs that are crash-looping, for the peers: one of them may be the next leader.
     pub fn crash_looping_jobs(&self) -> Vec<String> {
         let crash_looping = self
             .jobs
@@ -114,8 +119,9 @@
         ids.take(MAX_CRASH_LOOPING_JOBS).collect()
     }
 
-    /// Takes over the jobs that an earlier leader has reported as crash-looping: they begin with a probe.
-    /// For any other the leader finds out anew, at the price of a failure of all its tasks.
+    /// Takes over the jobs that an earlier leader reported as crash-looping; they are started again with a probe.
+    /// A crash-looping job that is not among them is detected again only after its tasks have failed again, up to
+    /// all of them.
     pub fn inherit_crash_looping(&mut self, crash_looping_jobs: BTreeSet<String>) {
         if let Some(recovery) = &mut self.recovery {
             recovery.inherit_crash_looping(crash_looping_jobs);
@@ -131,8 +137,8 @@
         }
     }
 
-    /// A job has ended. Its failures no longer count against workers, unless it has succeeded
-    /// elsewhere: it may have been at fault itself.
+    /// Stops counting the failures of a job that has ended against workers, since the job itself may have been at
+    /// fault. If any of its tasks has succeeded, the failures still count.
     pub(super) fn withdraw_failures(&mut self, job: &Job) {
         if !job.failures.has_succeeded() {
             withdraw_failures(job, &mut self.workers);
@@ -140,7 +146,7 @@
     }
 }
 
-/// Attributes a job's failures to the job, not to the workers on which its tasks failed.
+/// Attributes a job's failures to the job instead of the workers on which its tasks failed.
 fn withdraw_failures(job: &Job, workers: &mut Workers) {
     for name in job.failures.workers() {
         if let Some(worker) = workers.get_mut(name) {
--- a/src/coordination/leader/failure_detection.rs
+++ b/src/coordination/leader/failure_detection.rs
@@ -1,32 +1,37 @@
-//! Failure detection: workers that are of no use (unresponsive, faulty, reclaimed, or never up), and
-//! zones that are partitioned from this controller.
+//! Failure detection: finds workers to be released because they are unresponsive, faulty, reclaimed or never
+//! came up, and zones that are partitioned from this controller.
 
 use super::Leader;
 use super::fleet::ScaleInReason;
 use crate::bookkeeping::workers::Worker;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Usual boot times after which a machine that is not up is released.
+/// A machine that is not up after this number of usual boot times is released.
 const BOOT_TIMEOUT_FACTOR: f64 = 2.5;
-/// Delays of the cloud's listing after which a machine that it no longer shows is gone.
+/// List lags, in addition to the usual boot time, after which a machine that the cloud no longer lists counts as
+/// lost.
 const LIST_LAGS_UNTIL_LOST: f64 = 4.0;
-/// Heartbeat intervals without a heartbeat that are more than chance.
+/// Heartbeat intervals without a heartbeat after which a worker has missed one; varying intervals alone don't
+/// explain so long a gap.
 const MISSED_HEARTBEATS: f64 = 1.5;
-/// Heartbeat intervals without any heartbeat, from whatever worker, that are more than chance.
-const QUIET_HEARTBEATS: f64 = 1.25;
-/// A smaller zone's workers may fall silent together by chance.
+/// Heartbeat intervals without a heartbeat from any worker after which this controller counts as isolated;
+/// varying intervals alone don't explain so long a gap.
+const SILENCE_HEARTBEATS: f64 = 1.25;
+/// Least number of workers in a zone for detecting a partition; the workers of a smaller zone may fall silent at
+/// the same time by chance.
 const MIN_ZONE_WORKERS: usize = 6;
-/// Heartbeat intervals after which a heartbeat is late. They come with a quarter more at most, so that
-/// even if all workers send theirs at the same moment three in ten are late at most.
+/// Heartbeat intervals after which a heartbeat is late. The interval varies by up to a quarter, so at most three
+/// in ten workers are late without a fault, even if all send their heartbeats at the same moment.
 const LATE_HEARTBEATS: f64 = 1.1;
-/// Share of a zone's workers that are late, from which the zone is taken to be partitioned.
-const LATE_SHARE: f64 = 0.35;
-/// Worker leases for which the workers of a partitioned zone are kept.
+/// A zone counts as partitioned while at least this share of its workers is late.
+const MIN_LATE_SHARE: f64 = 0.35;
+/// Worker leases for which the silent workers of a partitioned zone are kept.
 const PARTITION_LEASES: f64 = 3.0;
-/// Heartbeat intervals that workers take to come again: a heartbeat without answer, and another controller.
+/// Heartbeat intervals that workers need to reconnect: one heartbeat without a response, and one to another
+/// controller.
 const RECONNECT_HEARTBEATS: f64 = 2.5;
 
-/// How many of a zone's workers should send heartbeats, and how many of them are late.
+/// Number of a zone's workers that should send heartbeats, and how many of them are late.
 #[derive(Debug, Default)]
 struct ZoneContact {
     workers: usize,
@@ -35,20 +40,20 @@
 
 impl ZoneContact {
     fn is_partitioned(&self) -> bool {
-        self.late as f64 >= LATE_SHARE * self.workers as f64
+        self.late as f64 >= MIN_LATE_SHARE * self.workers as f64
     }
 }
 
-/// Which zones are partitioned from this controller.
+/// The zones that are partitioned from this controller.
 #[derive(Debug)]
-struct PartitionSurvey {
+struct ZonePartitions {
     partitioned: BTreeSet<String>,
-    /// All zones are that have more than a few workers.
-    is_everywhere: bool,
+    /// All zones with at least [`MIN_ZONE_WORKERS`] workers are partitioned.
+    all_partitioned: bool,
 }
 
 impl Leader {
-    /// Releases workers that are of no use.
+    /// Releases workers that have failed.
     pub(super) fn remove_failed_workers(&mut self, now: f64) {
         self.update_partitioned_zones(now);
         let is_isolated = self.is_isolated(now);
@@ -66,8 +71,8 @@
         }
     }
 
-    /// Why a worker is to be released, if it is. While this controller `is_isolated`, silence is no
-    /// reason.
+    /// Returns the reason to release a worker, if there is one. While this controller `is_isolated`, a worker's
+    /// silence is no reason.
     fn removal_reason(
         &self,
         worker: &Worker,
@@ -75,7 +80,7 @@
         now: f64,
     ) -> Option<ScaleInReason> {
         let boot_time_s = self.usual_boot_time_s(worker);
-        let silence_counts = !is_isolated && !self.awaits_zone(worker, now);
+        let silence_counts = !is_isolated && !self.is_kept_during_partition(worker, now);
         if self.is_reclaimed(worker, now) {
             Some(ScaleInReason::Reclaimed)
         } else if self.has_boot_timed_out(worker, boot_time_s, now) {
@@ -93,15 +98,16 @@
         }
     }
 
-    /// Whether the cloud has taken the machine, or may at once since nothing is bound to it.
+    /// Whether the time at which the cloud reclaims the machine has passed, or will come and nothing is bound to
+    /// the machine.
     fn is_reclaimed(&self, worker: &Worker, now: f64) -> bool {
         worker.reclaim_at.is_some_and(|at| {
             now > at + self.fleet.heartbeat_interval_s || worker.bindings.is_empty()
         })
     }
 
-    /// Whether a machine is not up long after the usual boot time. One that was listed as running may
-    /// have booted under an earlier leader and needs time to find this one.
+    /// Whether a machine is still not up long after the usual boot time. A machine that the cloud lists as running
+    /// may have booted under an earlier leader, and gets the time of a lease to find this one.
     fn has_boot_timed_out(&self, worker: &Worker, boot_time_s: f64, now: f64) -> bool {
         worker.last_heartbeat_at.is_none()
             && worker.bindings.is_empty()
@@ -110,30 +116,31 @@
                 || now - self.elected_at > self.settings.deployment.workers.lease_s)
     }
 
-    /// Whether a worker has missed its latest heartbeats and leaves direct calls unanswered, or has
-    /// been silent for so long that calls don't matter.
+    /// Whether a worker has missed a heartbeat and has not responded to a direct call since its last one, or has
+    /// been silent for so long that no call is needed.
     fn is_unresponsive(&self, worker: &Worker, now: f64) -> bool {
         let worker_settings = &self.settings.deployment.workers;
-        self.leases.last_contact(worker).is_some_and(|since| {
-            let quiet_s = now - since;
-            let asked = worker.unreachable_since.is_some_and(|at| at >= since);
-            let long_s = match worker.last_heartbeat_at {
+        self.leases.silent_since(worker).is_some_and(|since| {
+            let silent_s = now - since;
+            let call_failed = worker.unreachable_since.is_some_and(|at| at >= since);
+            let max_silence_s = match worker.last_heartbeat_at {
                 Some(_) => worker_settings.lease_s / 2.0,
                 None => worker_settings.lease_s,
             };
-            quiet_s > long_s
-                || (asked && quiet_s > MISSED_HEARTBEATS * worker_settings.heartbeat_interval_s)
+            silent_s > max_silence_s
+                || (call_failed
+                    && silent_s > MISSED_HEARTBEATS * worker_settings.heartbeat_interval_s)
         })
     }
 
-    /// Whether no answer or command has reached a worker for the time of its lease.
+    /// Whether neither responses nor commands have reached a worker for the time of its lease.
     fn is_unreachable(&self, worker: &Worker, now: f64) -> bool {
         worker
             .unreachable_since
             .is_some_and(|at| now - at > self.settings.deployment.workers.lease_s)
     }
 
-    /// Whether a machine that never came up was listed once and is no longer.
+    /// Whether a machine that never came up has disappeared from the cloud's list.
     fn is_no_longer_listed(&self, worker: &Worker, boot_time_s: f64, now: f64) -> bool {
         let lost_s = LIST_LAGS_UNTIL_LOST * self.fleet.list_lag_s + boot_time_s;
         worker.last_heartbeat_at.is_none()
@@ -141,7 +148,7 @@
             && worker.bindings.is_empty()
     }
 
-    /// The usual boot time of a worker's instance type, in seconds.
+    /// Returns the usual boot time of a worker's instance type, in seconds.
     fn usual_boot_time_s(&self, worker: &Worker) -> f64 {
         self.instance_types
             .iter()
@@ -151,38 +158,39 @@
             })
     }
 
-    /// Whether a silent worker is kept since its zone is partitioned. A zone that stays away for long
-    /// is given up: its machines cost more by then than their boots. Once it is back, all its workers
-    /// get the time to come again.
-    fn awaits_zone(&self, worker: &Worker, now: f64) -> bool {
-        let longest_s = PARTITION_LEASES * self.settings.deployment.workers.lease_s;
+    /// Whether a silent worker is kept because its zone is partitioned, or was until recently. Workers of a zone
+    /// that stays partitioned for long are released, since by then waiting costs more than booting new machines.
+    /// After the partition, all workers of the zone get the time to reconnect.
+    fn is_kept_during_partition(&self, worker: &Worker, now: f64) -> bool {
+        let max_silence_s = PARTITION_LEASES * self.settings.deployment.workers.lease_s;
         !worker.spot
             && self.fleet.was_partitioned(&worker.zone)
             && self
                 .leases
-                .last_contact(worker)
-                .is_some_and(|since| now - since < longest_s)
+                .silent_since(worker)
+                .is_some_and(|since| now - since < max_silence_s)
     }
 
-    /// Whether it is this controller that is partitioned, not its workers that have failed. Should
-    /// this last and this controller still lead, the workers are dead.
+    /// Whether the silence of workers is explained by a partition of this controller rather than by failed
+    /// workers. If the silence lasts for a worker lease and this controller still leads, the workers count as
+    /// failed.
     fn is_isolated(&self, now: f64) -> bool {
         let lease_s = self.settings.deployment.workers.lease_s;
-        // Zones that fall silent together show before most workers have missed enough heartbeats.
+        // A partition of all zones is detected before most workers have missed a heartbeat.
         let all_partitioned = self
             .fleet
             .all_partitioned_since
             .is_some_and(|since| now - since < lease_s);
-        // Should nobody at all be heard for longer, leadership is given up.
+        // If no worker at all is heard from for longer, this controller resigns its leadership.
         let silence_s = self.leases.silence_s(now);
-        let none_heard =
-            silence_s > QUIET_HEARTBEATS * self.fleet.heartbeat_interval_s && silence_s < lease_s;
-        self.most_are_silent(now) || all_partitioned || none_heard
+        let no_heartbeats =
+            silence_s > SILENCE_HEARTBEATS * self.fleet.heartbeat_interval_s && silence_s < lease_s;
+        self.are_most_workers_silent(now) || all_partitioned || no_heartbeats
     }
 
-    /// Whether most workers have missed their latest heartbeat, or can't be reached. Counting only
-    /// those past the limit for a release would release the first few that pass it.
-    fn most_are_silent(&self, now: f64) -> bool {
+    /// Whether most workers have missed their latest heartbeat, or can't be reached. This counts workers before
+    /// they reach the limit for a release; otherwise the first few to reach it would be released.
+    fn are_most_workers_silent(&self, now: f64) -> bool {
         let missed_s = MISSED_HEARTBEATS * self.fleet.heartbeat_interval_s;
         let (mut up, mut silent, mut unreachable) = (0, 0, 0);
         for worker in self.workers.iter() {
@@ -197,14 +205,15 @@
         2 * silent > up || 2 * unreachable > up
     }
 
-    /// Finds zones of which so many workers are late at once that they are partitioned, not so many
-    /// dead machines. What runs there may go on, and comes back with the zone; a deletion would only
-    /// add a boot. This shows before the first of them counts as unresponsive.
-    fn survey_zones(&self, now: f64) -> PartitionSurvey {
+    /// Finds the zones in which so many workers are late at once that a partition explains it better than failed
+    /// machines. Tasks there may continue to run, and their workers return with the zone; deleting the machines
+    /// would only cost their reboot. A partition is detected before the first of the workers counts as
+    /// unresponsive.
+    fn detect_partitions(&self, now: f64) -> ZonePartitions {
         let late_s = LATE_HEARTBEATS * self.settings.deployment.workers.heartbeat_interval_s;
         let mut zones: BTreeMap<&str, ZoneContact> = BTreeMap::new();
         for worker in self.workers.iter().filter(|worker| !worker.terminating) {
-            if let Some(since) = self.leases.last_contact(worker) {
+            if let Some(since) = self.leases.silent_since(worker) {
                 let zone = zones.entry(&worker.zone).or_default();
                 zone.workers += 1;
                 zone.late += usize::from(now - since > late_s);
@@ -216,20 +225,20 @@
             .filter(|(_, contact)| contact.is_partitioned())
             .map(|(zone, _)| (*zone).to_owned())
             .collect();
-        let is_everywhere = !zones.is_empty() && partitioned.len() == zones.len();
-        PartitionSurvey {
+        let all_partitioned = !zones.is_empty() && partitioned.len() == zones.len();
+        ZonePartitions {
             partitioned,
-            is_everywhere,
+            all_partitioned,
         }
     }
 
-    /// Updates which zones are partitioned, and which have come back for long enough.
+    /// Records the zones that are partitioned now, and removes those that have been reachable for long enough.
     fn update_partitioned_zones(&mut self, now: f64) {
-        let survey = self.survey_zones(now);
+        let partitions = self.detect_partitions(now);
         let fleet = &mut self.fleet;
         let all_since = fleet.all_partitioned_since.unwrap_or(now);
-        fleet.all_partitioned_since = survey.is_everywhere.then_some(all_since);
-        for zone in survey.partitioned {
+        fleet.all_partitioned_since = partitions.all_partitioned.then_some(all_since);
+        for zone in partitions.partitioned {
             if fleet.partitioned_zones.insert(zone.clone(), now).is_none() {
                 tracing::info!(zone, "zone partitioned");
             }
--- a/src/coordination/leader/fencing.rs
+++ b/src/coordination/leader/fencing.rs
@@ -1,5 +1,6 @@
-//! Commands that leave for a worker, by either path: they carry its fencing token, whose fence is raised
-//! where earlier starts are to be revoked, and each is checked against the invariants.
+//! Fencing of messages to workers, in direct calls and in responses to heartbeats. Each message carries the
+//! worker's fencing token; raising the fence in it revokes start commands that were sent before. Each command is
+//! checked against the invariants before it is sent.
 
 use super::Leader;
 use super::fleet::ScaleInReason;
@@ -12,7 +13,7 @@
 use crate::protocol::worker::{Command, CommandBatch, CommandKind, ExitReason, TaskId};
 
 impl Leader {
-    /// The fencing token for the next message to a worker.
+    /// Returns the fencing token for the next message to a worker.
     pub(super) fn fencing_token_for(&self, worker: &str) -> FencingToken {
         let fence = self
             .workers
@@ -21,17 +22,17 @@
         FencingToken::new(self.epoch, fence)
     }
 
-    /// Raises a worker's fence if starts are to be revoked. The commands of a direct call in flight would
-    /// be lost by that, so only urgent revocations don't wait for its end.
+    /// Raises a worker's fence if start commands that were sent to it must be revoked. This also invalidates the
+    /// commands of a direct call in flight, so a revocation waits until that call has ended, unless it is urgent.
     pub(super) fn revoke_pending_starts(&mut self, name: &str) {
-        let in_call = self.dispatcher.is_in_flight(name);
+        let call_in_flight = self.dispatcher.is_in_flight(name);
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
         let Some(reason) = reconciliation::pending_revocation(worker) else {
             return;
         };
-        if in_call && !reason.is_urgent() {
+        if call_in_flight && !reason.is_urgent() {
             return;
         }
         self.decisions.count_revocation(reason);
@@ -40,12 +41,13 @@
         }
     }
 
-    /// Makes the message with these commands, and records them as sent.
+    /// Builds the message that carries these commands, and records the commands as sent. Commands that violate an
+    /// invariant are left out.
     pub(super) fn prepare_commands(
         &mut self,
         name: &str,
         mut commands: Vec<Command>,
-        way: DeliveryPath,
+        path: DeliveryPath,
         freshness: &ViewFreshness,
     ) -> CommandBatch {
         let token = self.fencing_token_for(name);
@@ -58,8 +60,8 @@
             };
         };
         commands.retain(|command| upholds_invariants(command, worker, jobs));
-        worker.record_sent(&commands, way, freshness.view_age_s);
-        let incarnation = match way {
+        worker.record_sent(&commands, path, freshness.view_age_s);
+        let incarnation = match path {
             DeliveryPath::DirectCall => Some(target_incarnation(worker)),
             DeliveryPath::HeartbeatResponse(_) => None,
         };
@@ -71,16 +73,16 @@
     }
 }
 
-/// The incarnation that the commands of a direct call are for.
+/// Returns the incarnation that the commands of a direct call to the worker are for.
 pub(super) fn target_incarnation(worker: &Worker) -> u64 {
     let bound = worker.bindings.values().map(|binding| binding.incarnation);
     worker.incarnation.max(bound.max().unwrap_or(1)).max(1)
 }
 
-/// Whether a command may be sent, checked independently of the code that decided on it.
+/// Checks that a command upholds the invariants, independently of the code that decided on it.
 fn upholds_invariants(command: &Command, worker: &Worker, jobs: &Jobs) -> bool {
     let Ok(task) = TaskId::parse(&command.task) else {
-        // Workers may show what is no task of ours; it is stopped and cleared.
+        // A worker may show a task whose id can't be parsed. It may be stopped and cleared, not started.
         return command.kind != CommandKind::Start;
     };
     let attempt = command.attempt;
@@ -94,9 +96,9 @@
             let cause = worker
                 .observed_task(&task, attempt)
                 .and_then(|task_status| task_status.exit_reason);
-            let harmless = cause == Some(ExitReason::Completed)
+            let may_clear = cause == Some(ExitReason::Completed)
                 || !worker.pending_starts.may_arrive(&task, attempt);
-            invariants::check(Invariant::NoClearWhileStartMayArrive, harmless, details)
+            invariants::check(Invariant::NoClearWhileStartMayArrive, may_clear, details)
         }
         CommandKind::Stop => true,
     }
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -87,7 +87,8 @@
         if may_start && commands.len() < MAX_COMMANDS {
             // The response carries all commands that the worker needs. The next heartbeat shows their
             // effect, so no direct call is needed before that.
-            self.dispatcher.sent(&heartbeat.worker, &commands, now);
+            self.dispatcher
+                .record_sent(&heartbeat.worker, &commands, now);
         }
         self.respond_to_heartbeat(heartbeat, commands, freshness)
     }
--- a/src/coordination/leader/recovery.rs
+++ b/src/coordination/leader/recovery.rs
@@ -1,5 +1,5 @@
 //! Recovery: after an election the leader reads all records from the state service (open jobs, the
-//! log, and provisioning requests) and rebuilds its tables from them.
+//! write-ahead log, and provisioning requests) and rebuilds its tables from them.
 
 use super::Leader;
 use super::heartbeats::HeartbeatPath;
@@ -14,38 +14,38 @@
 use serde::de::DeserializeOwned;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Workers whose heartbeats are kept during recovery.
+/// Maximum number of workers whose heartbeats are buffered during recovery.
 const MAX_BUFFERED_HEARTBEATS: usize = 4096;
 
-/// The page-wise read of all records, and what arrives before it has completed.
+/// The read of all records, page by page, and the heartbeats and job events that arrive before it completes.
 #[derive(Debug, Default)]
 pub(super) struct Recovery {
-    /// Prefixes that are not read to their end; the last is read first.
+    /// Key prefixes that have not been read completely; the last element is read first.
     remaining_prefixes: Vec<&'static str>,
     records: Vec<KeyValue>,
-    /// The last key that was read under the current prefix.
+    /// The last key that was read under the current prefix; the next page begins after it.
     after: Option<String>,
     in_flight: bool,
     /// No request before this monotonic time, in seconds.
     retry_at: f64,
     /// The latest heartbeat of each worker.
     buffered_heartbeats: BTreeMap<String, WorkerHeartbeat>,
-    /// Jobs that were closed meanwhile; what was read may still show them as open.
+    /// Jobs that were closed during recovery; the records that were read may still show them as open.
     closed_jobs: ClosedJobs,
-    /// The latest listing of the open jobs.
+    /// The latest listing of the open jobs, made by the watch.
     listing: Option<OpenJobsListing>,
     /// Jobs that were crash-looping under an earlier leader.
     crash_looping: BTreeSet<String>,
 }
 
-/// The open jobs at a revision of the state service.
+/// The ids of the open jobs at a revision of the state service.
 #[derive(Debug)]
 struct OpenJobsListing {
     revision: u64,
     jobs: BTreeSet<String>,
 }
 
-/// The records that were read, decoded.
+/// The decoded records.
 #[derive(Debug, Default)]
 struct RecoveredRecords {
     jobs: Vec<RecoveredJob>,
@@ -60,7 +60,7 @@
     spec: JobSpec,
 }
 
-/// A segment of the log, with its key and mod revision.
+/// A segment of the write-ahead log, with its key and mod revision.
 #[derive(Debug)]
 pub(super) struct RecoveredSegment {
     pub(super) key: String,
@@ -75,7 +75,7 @@
 }
 
 impl Recovery {
-    /// A recovery that has read nothing yet.
+    /// Creates a recovery that has read no records yet.
     pub(super) fn new() -> Recovery {
         Recovery {
             remaining_prefixes: vec![
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The request for the next page, unless one is in flight or it is too early to try again.
+    /// Returns the request for the next page, unless one is in flight or a retry is not due yet.
     fn next_request(&mut self, now: f64) -> Option<KvRequest> {
         if self.in_flight || now < self.retry_at {
             return None;
@@ -100,7 +100,8 @@
         })
     }
 
-    /// Takes a page, or asks for it again from `retry_at` on. Returns whether all records are read.
+    /// Handles the response to a request for a page; if it is no page, the request is repeated from `retry_at`
+    /// on. Returns whether all records are read.
     fn on_page(&mut self, response: KvResponse, retry_at: f64) -> bool {
         self.in_flight = false;
         let KvResponse::Page { items, more, .. } = response else {
@@ -117,8 +118,8 @@
         self.remaining_prefixes.is_empty()
     }
 
-    /// Keeps a worker's latest heartbeat until the tables are known. Returns false if there are too
-    /// many workers.
+    /// Buffers a worker's latest heartbeat until the tables are rebuilt. Returns false if heartbeats of too many
+    /// workers are buffered.
     pub(super) fn buffer_heartbeat(&mut self, heartbeat: &WorkerHeartbeat) -> bool {
         let buffered = &mut self.buffered_heartbeats;
         if !buffered.contains_key(&heartbeat.worker) && buffered.len() >= MAX_BUFFERED_HEARTBEATS {
@@ -128,22 +129,22 @@
         true
     }
 
-    /// A job was closed.
+    /// Records that a job was closed.
     pub(super) fn on_job_closed(&mut self, id: &str) {
         self.closed_jobs.insert(id, None);
     }
 
-    /// The open jobs were listed at a revision.
+    /// Records a listing of the open jobs at a revision.
     pub(super) fn on_open_jobs_listed(&mut self, revision: u64, jobs: BTreeSet<String>) {
         self.listing = Some(OpenJobsListing { revision, jobs });
     }
 
-    /// Takes over the jobs that were crash-looping under an earlier leader.
+    /// Records the jobs that were crash-looping under an earlier leader.
     pub(super) fn inherit_crash_looping(&mut self, jobs: BTreeSet<String>) {
         self.crash_looping = jobs;
     }
 
-    /// Decodes what was read for a leader of this epoch; what can't be decoded is logged.
+    /// Decodes the records for a leader of this epoch; those that can't be decoded are logged and left out.
     fn take_records(&mut self, epoch: u64) -> RecoveredRecords {
         let mut recovered = RecoveredRecords::default();
         for item in std::mem::take(&mut self.records) {
@@ -164,12 +165,12 @@
     fn decode_job(&self, item: &KeyValue) -> Option<RecoveredJob> {
         let spec = decode_or_log::<JobSpec>(item, "job record unreadable")?;
         let mod_revision = item.mod_revision;
-        let is_news = self.closed_jobs.accepts_open_record(&spec.id, mod_revision);
-        is_news.then_some(RecoveredJob { mod_revision, spec })
+        let is_open = self.closed_jobs.accepts_open_record(&spec.id, mod_revision);
+        is_open.then_some(RecoveredJob { mod_revision, spec })
     }
 }
 
-/// Decodes a record; one that can't be decoded is logged and left out.
+/// Decodes a record; returns `None` and logs `message` if it can't be decoded.
 fn decode_or_log<T: DeserializeOwned>(item: &KeyValue, message: &str) -> Option<T> {
     match cbor::from_value::<T>(&item.value) {
         Ok(record) => Some(record),
@@ -187,8 +188,8 @@
             key = item.key,
             epoch = segment.epoch,
             ours = epoch,
-            "Epoch: the segment is of a leader after this one, which can't be; its bindings are kept. Look for a \
-             state service that was set back"
+            "Epoch: log segment written by a leader of a higher epoch than this one; its bindings are kept. \
+             Check whether the state service was restored from an older state"
         );
     }
     Some(RecoveredSegment {
@@ -208,7 +209,7 @@
 }
 
 impl Leader {
-    /// Requests the next page of records.
+    /// Requests the next page of records, if one is due.
     pub(super) fn poll_recovery(&mut self, effects: &mut Effects, now: f64) {
         let Some(request) = self
             .recovery
@@ -222,7 +223,7 @@
         effects.call_kv(context, request, self.commits.request_timeout_s(), now);
     }
 
-    /// Takes a page of records. The last one completes the recovery.
+    /// Handles the response to a request for a page of records. The last page completes the recovery.
     pub fn on_recovery_page(&mut self, response: KvResponse, now: f64, wall: f64) {
         let retry_at = now + self.settings.deployment.workers.heartbeat_interval_s / 10.0;
         let is_complete = self
@@ -234,7 +235,8 @@
         }
     }
 
-    /// Rebuilds the tables from the records, then takes what arrived meanwhile.
+    /// Rebuilds the tables from the records, then applies the job events and heartbeats that arrived during
+    /// recovery.
     fn finish_recovery(&mut self, mut recovery: Recovery, now: f64, wall: f64) {
         let records = recovery.take_records(self.epoch);
         for job in &records.jobs {
--- a/src/coordination/leader/replay.rs
+++ b/src/coordination/leader/replay.rs
@@ -1,4 +1,4 @@
-//! Replay: the tables of workers and bindings, rebuilt from the write-ahead log during recovery.
+//! Replay: rebuilds the tables of workers and bindings from the write-ahead log during recovery.
 
 use super::Leader;
 use super::recovery::RecoveredSegment;
@@ -9,9 +9,9 @@
 use crate::protocol::worker::TaskId;
 
 impl Leader {
-    /// Replays the log's segments, in the log's order.
+    /// Replays the log's segments, which must be in the log's order.
     pub(super) fn replay_log(&mut self, segments: &[RecoveredSegment], now: f64) {
-        // A worker may be described in a later segment than its bindings.
+        // The entry that describes a worker may be in a later segment than those of its bindings.
         for recovered in segments {
             self.replay_workers(&recovered.segment, now);
         }
@@ -22,9 +22,9 @@
         }
     }
 
-    /// Replays what a segment of the log says about workers.
+    /// Replays a segment's entries of workers.
     fn replay_workers(&mut self, segment: &Segment, now: f64) {
-        // An earlier leader may have answered heartbeats until its lease grace period ended.
+        // An earlier leader may have renewed worker leases until its lease grace period ended.
         let lease_from = self.leases.previous_leader_deadline();
         for entry in &segment.workers {
             let Some(name) = segment.worker_name(entry.worker) else {
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Replays what a segment of the log says about tasks, in the order in which the log records it.
+    /// Replays a segment's entries of bindings, removed workers and completed tasks, in the order in which the
+    /// log records them.
     fn replay_bindings(&mut self, segment: &Segment) {
         for entry in &segment.bindings {
             self.replay_binding(segment, entry);
@@ -113,12 +114,13 @@
         }
     }
 
-    /// Charges the replayed bindings to jobs and quotas.
+    /// Counts the replayed bindings in their jobs and in the teams' quotas.
     pub(super) fn charge_inherited_bindings(&mut self) {
         for worker in self.workers.iter() {
             for (task, binding) in &worker.bindings {
-                let need = binding.request;
-                self.quotas.charge(&binding.team, need.cpus, need.gpus);
+                let request = binding.request;
+                self.quotas
+                    .charge(&binding.team, request.cpus, request.gpus);
                 if let Some(job) = self.jobs.get_mut(&task.job) {
                     job.bind(task.index, &worker.name, &worker.zone);
                 }
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Finishes jobs whose last task is recorded as completed, but whose end is not.
+    /// Finishes the jobs whose tasks are all recorded as completed, but whose end is not recorded.
     pub(super) fn finish_completed_jobs(&mut self) {
         let complete: Vec<String> = self
             .jobs
--- a/src/coordination/leader/scheduling.rs
+++ b/src/coordination/leader/scheduling.rs
@@ -1,4 +1,4 @@
-//! Scheduling: when a cycle runs, and what becomes of its assignments.
+//! Scheduling: decides when a scheduling cycle runs, and turns its assignments into bindings and evictions.
 
 use super::{AVOID_LEASES, Leader};
 use crate::bookkeeping::jobs::Job;
@@ -9,16 +9,17 @@
 use crate::protocol::job::JobKind;
 use crate::protocol::worker::TaskId;
 
-/// Bits of an attempt's number that count within an epoch.
+/// Low bits of an attempt's number, which count the attempts of an epoch; the bits above hold the epoch.
 const ATTEMPT_COUNTER_BITS: u32 = 24;
-/// No cycle runs while more log entries than this are not durable.
+/// No scheduling cycle runs while more log entries than this are not durable.
 const MAX_BACKLOG: usize = 600;
-/// Worker leases for which a job waits without a start before it goes first among its equals.
+/// A job that has waited for this number of worker leases without a start goes ahead of the other jobs of the
+/// same priority and quota status.
 const AGEING_LEASES: f64 = 6.0;
-/// Scheduling cycles in a heartbeat interval, at most.
+/// Maximum number of scheduling cycles in a heartbeat interval.
 const CYCLES_PER_HEARTBEAT: f64 = 25.0;
 
-/// When the next scheduling cycle runs, and the demand that the latest one left.
+/// When the next scheduling cycle runs, and the demand that the latest one left unplaced.
 #[derive(Debug)]
 pub(super) struct SchedulingTrigger {
     is_requested: bool,
@@ -30,7 +31,7 @@
 }
 
 impl SchedulingTrigger {
-    /// A trigger with a first cycle requested.
+    /// Creates a trigger with a first cycle requested.
     pub(super) fn new(heartbeat_interval_s: f64) -> SchedulingTrigger {
         SchedulingTrigger {
             is_requested: true,
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Something has changed that may allow other assignments.
+    /// Requests a cycle, after a change that may allow other assignments.
     pub(super) fn request(&mut self) {
         self.is_requested = true;
     }
@@ -49,7 +50,7 @@
         self.is_requested && now >= self.next_cycle_at
     }
 
-    fn cycle_started(&mut self, now: f64) {
+    fn record_cycle_started(&mut self, now: f64) {
         self.is_requested = false;
         self.next_cycle_at = now + self.min_interval_s;
     }
@@ -64,7 +65,7 @@
         {
             return;
         }
-        self.scheduling.cycle_started(now);
+        self.scheduling.record_cycle_started(now);
         let lease_s = self.settings.deployment.workers.lease_s;
         let limits = scheduler::CycleLimits {
             starvation_after_s: AGEING_LEASES * lease_s,
@@ -88,7 +89,7 @@
         self.scheduling.pending_demand = assignments.pending_demand;
     }
 
-    /// Evicts a task in favour of more urgent ones.
+    /// Evicts a task in favour of tasks of a higher priority.
     fn preempt(&mut self, name: &str, task: &TaskId) {
         let worker = self.workers.get_mut(name);
         if let Some(binding) = worker.and_then(|worker| worker.bindings.get_mut(task)) {
@@ -116,11 +117,11 @@
             (self.epoch << ATTEMPT_COUNTER_BITS) | self.attempts
         });
         job.gang_attempt = Some(attempt);
-        let need = scheduler::resource_request(&job.spec);
+        let request = scheduler::resource_request(&job.spec);
         let binding = Binding {
             attempt,
             incarnation: worker.incarnation,
-            request: need,
+            request,
             team: job.spec.team.clone(),
             durable: false,
             inherited: false,
@@ -131,8 +132,9 @@
         tracing::debug!(worker = name, %task, attempt, "task bound");
         worker.bindings.insert(task.clone(), binding);
         job.bind(task.index, name, &worker.zone);
-        self.quotas.charge(&job.spec.team, need.cpus, need.gpus);
-        let share = forecast_share(job, worker, &need, &self.instance_types);
+        self.quotas
+            .charge(&job.spec.team, request.cpus, request.gpus);
+        let share = forecast_share(job, worker, &request, &self.instance_types);
         self.fleet.record_start(worker, share, now);
         self.commits.push(LogEntry::Bind {
             worker: name.to_owned(),
@@ -142,23 +144,24 @@
     }
 }
 
-/// The attempt that a job's tasks share: those of a gang find one another by it.
+/// Returns the attempt that the tasks of a gang share, by which they find one another; `None` for other jobs
+/// and while no task of the gang is bound.
 fn gang_attempt(job: &Job) -> Option<u64> {
     let is_bound_gang = job.spec.kind == JobKind::Gang && !job.bound_workers().is_empty();
     job.gang_attempt.filter(|_| is_bound_gang)
 }
 
-/// The share of a machine that a task counts for in its pool's forecast. Forecasts are for what
-/// belongs in the pool: neither replicas, which stay, nor work that has only spilled over from the
-/// spot pools, nor probes of a crash-looping job.
+/// Returns the share of a machine that a task requests, for its pool's forecast; `None` if the task does not
+/// count in it. These don't count: replicas, which run until they are cancelled; tasks that run on demand
+/// only because no spot instance was available; and probes of a crash-looping job.
 fn forecast_share(
     job: &Job,
     worker: &Worker,
     request: &Resources,
     instance_types: &[InstanceType],
 ) -> Option<f64> {
-    let spilled = job.spec.spot && !worker.spot;
-    if job.is_service() || spilled || job.failures.is_crash_looping() {
+    let spilled_over = job.spec.spot && !worker.spot;
+    if job.is_service() || spilled_over || job.failures.is_crash_looping() {
         return None;
     }
     instance_types
