--- a/src/coordination/leader/consolidation.rs
+++ b/src/coordination/leader/consolidation.rs
@@ -1,49 +1,49 @@
-//! Replicas moved together, so that a machine that few are left on can be released.
+//! Consolidation: moves the replicas of a sparsely used machine to other machines, so that it can be released.
 
 use super::Leader;
 use crate::bookkeeping::workers::{Eviction, EvictionReason, Resources, Worker};
 
-/// Share of a machine that its replicas take at most if they are moved.
-const SPARSE: f64 = 0.5;
+/// A machine is sparsely used if its replicas request at most this share of it.
+const MAX_SPARSE_SHARE: f64 = 0.5;
 
 impl Leader {
-    /// Empties one sparsely used on-demand machine of a zone, if its replicas find room on others
-    /// beside the `keep` replicas to come for which room is kept there.
-    pub(super) fn consolidate(&mut self, zone: &str, keep: u32, need: &Resources) {
+    /// Drains one sparsely used on-demand machine of a zone, if the other machines in use have room for its
+    /// replicas in addition to `headroom_replicas` more. `request` is what one replica requests on average.
+    pub(super) fn consolidate(&mut self, zone: &str, headroom_replicas: u32, request: &Resources) {
         for worker in self.workers.iter_mut() {
             worker.draining &= !worker.bindings.is_empty();
         }
-        let whole = |worker: &Worker| {
+        let capacity = |worker: &Worker| {
             let instance_type = self
                 .instance_types
                 .iter()
-                .find(|f| f.name == worker.instance_type);
+                .find(|candidate| candidate.name == worker.instance_type);
             instance_type.map(Resources::from).unwrap_or_default()
         };
-        let here =
+        let is_candidate =
             |worker: &&Worker| worker.is_schedulable() && !worker.spot && worker.zone == zone;
         let in_use = || {
             self.workers
                 .iter()
-                .filter(here)
+                .filter(is_candidate)
                 .filter(|worker| !worker.bindings.is_empty())
         };
-        let room = |worker: &Worker| (whole(worker) - worker.allocated()).count_fitting(need);
+        let room = |worker: &Worker| (capacity(worker) - worker.allocated()).count_fitting(request);
         let free: u32 = in_use().map(room).sum();
-        let settled = |worker: &Worker| {
+        let only_steady_replicas = |worker: &Worker| {
             worker.bindings.iter().all(|(task, binding)| {
-                let standing = self.jobs.get(&task.job).is_some_and(|job| job.is_service());
-                standing && binding.running_since.is_some() && binding.eviction.is_none()
+                let is_replica = self.jobs.get(&task.job).is_some_and(|job| job.is_service());
+                is_replica && binding.running_since.is_some() && binding.eviction.is_none()
             })
         };
-        let sparse = in_use()
-            .filter(|worker| settled(worker))
-            .map(|worker| (worker.allocated().dominant_share(&whole(worker)), worker))
-            .filter(|(share, _)| *share <= SPARSE)
+        let sparsest = in_use()
+            .filter(|worker| only_steady_replicas(worker))
+            .map(|worker| (worker.allocated().dominant_share(&capacity(worker)), worker))
+            .filter(|(share, _)| *share <= MAX_SPARSE_SHARE)
             .min_by(|a, b| a.0.total_cmp(&b.0));
-        let Some((_, worker)) = sparse else { return };
+        let Some((_, worker)) = sparsest else { return };
         let moved = worker.bindings.len() as u32;
-        if free.saturating_sub(room(worker)) < keep + moved {
+        if free.saturating_sub(room(worker)) < headroom_replicas + moved {
             return;
         }
         let name = worker.name.clone();
--- a/src/coordination/leader/decision_log.rs
+++ b/src/coordination/leader/decision_log.rs
@@ -1,13 +1,13 @@
-//! Counts of what was allowed and denied, logged from time to time.
+//! Counts permit decisions and revocations, and logs the counts at a fixed interval.
 
 use crate::bookkeeping::permits::{DecisionCounters, Denial, PermitKind};
 use crate::bookkeeping::reconciliation::RevocationCounters;
 use crate::bookkeeping::workers::RevocationReason;
 
-/// Heartbeat intervals between two logs.
+/// Heartbeat intervals between two log outputs.
 const HEARTBEATS_PER_LOG: f64 = 24.0;
 
-/// Decision counters that are logged at a fixed interval.
+/// Counters of permit decisions and revocations, and when they are next logged.
 #[derive(Debug)]
 pub(super) struct DecisionLog {
     permits: DecisionCounters,
@@ -18,7 +18,7 @@
 }
 
 impl DecisionLog {
-    /// A log that is first written at the next poll.
+    /// Creates a log whose first output is due at the next poll.
     pub(super) fn new(heartbeat_interval_s: f64, now: f64) -> DecisionLog {
         DecisionLog {
             permits: DecisionCounters::default(),
@@ -28,17 +28,17 @@
         }
     }
 
-    /// Counts a decision.
+    /// Counts a decision on a permit.
     pub(super) fn count(&mut self, permit: PermitKind, decision: Result<(), Denial>) {
         self.permits.count(permit, decision);
     }
 
-    /// Counts a revocation of a worker's starts.
+    /// Counts a revocation of start commands.
     pub(super) fn count_revocation(&mut self, reason: RevocationReason) {
         self.revocations.count(reason);
     }
 
-    /// Logs the counters if it is time.
+    /// Logs and resets the counters if the interval has passed.
     pub(super) fn poll(&mut self, now: f64) {
         if now >= self.next_log_at {
             self.next_log_at = now + self.interval_s;
--- a/src/coordination/leader/fleet/inventory.rs
+++ b/src/coordination/leader/fleet/inventory.rs
@@ -1,4 +1,4 @@
-//! The inventory: the cloud's list of instances, read page by page.
+//! The inventory: reads the cloud's list of instances, page by page.
 
 use super::{CallSchedule, ScaleInReason};
 use crate::bookkeeping::workers::Worker;
@@ -6,18 +6,18 @@
 use crate::coordination::leader::Leader;
 use crate::protocol::cloud::{CloudRequest, CloudResponse, Instance, InstanceStatus};
 
-/// Progress of listing the instances.
+/// The state of reading the cloud's list.
 #[derive(Debug, Default)]
 pub(super) struct Inventory {
     call: CallSchedule,
-    /// Pages of a list that is not complete yet.
+    /// Instances on the pages of the list that were read so far.
     partial_listing: Vec<Instance>,
-    /// When the last complete list arrived.
+    /// When the list was last read completely.
     pub(super) listed_at: Option<f64>,
 }
 
 impl Leader {
-    /// Requests the next page of the list, if it is due.
+    /// Requests the next page of the list, if one is due.
     pub(super) fn list_instances(&mut self, effects: &mut Effects, now: f64) {
         let fleet = &mut self.fleet;
         let inventory = &mut fleet.inventory;
@@ -36,7 +36,8 @@
         );
     }
 
-    /// Takes a page of the list; with the last one, the list as a whole.
+    /// Handles the response to a request for a page of the list. The last page completes the list, and the workers
+    /// are updated from it.
     pub fn on_instances_listed(&mut self, response: CloudResponse, now: f64) {
         let fleet = &mut self.fleet;
         let inventory = &mut fleet.inventory;
@@ -61,7 +62,7 @@
         self.complete_provisioning();
     }
 
-    /// Updates the worker of a listed instance; one that is not known yet is added.
+    /// Updates the worker of a listed instance; adds the worker if it is not known yet.
     fn observe_instance(&mut self, instance: &Instance, now: f64) {
         if self.fleet.is_deleted(&instance.name) {
             return;
--- a/src/coordination/leader/fleet/mod.rs
+++ b/src/coordination/leader/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The fleet: instances that are listed, provisioned and deleted at the cloud.
+//! The fleet: lists, provisions and deletes instances through the cloud's API.
 
 mod inventory;
 mod pool;
@@ -18,25 +18,26 @@
 pub use pool::PoolKey;
 pub(super) use scale_in::ScaleInReason;
 
-/// Share of the cloud's rate limit that the leader uses; the rest is for the instance catalog and for
-/// a leader that has just been deposed.
+/// Share of the cloud's rate limit that the leader uses; the rest is left to the requests for the instance
+/// catalog and to a leader that has just been deposed and may still send requests.
 const CLOUD_SHARE: f64 = 0.8;
-/// Seconds' worth of the leader's share that may be used at once.
+/// Burst of the leader's requests to the cloud, in seconds of its share of the rate limit.
 const CLOUD_BURST_S: f64 = 1.5;
 /// Timeout of calls to the cloud, in heartbeat intervals.
 const CALL_TIMEOUT_HEARTBEATS: f64 = 2.0;
-/// Usual boot times within which most instances are up. Those that are not are no longer counted on.
-pub(super) const BOOT_USUAL: f64 = 1.5;
+/// An instance that is not up after this number of usual boot times is overdue, and no longer counts as
+/// capacity to come. Most instances are up by then.
+pub(super) const BOOT_OVERDUE_FACTOR: f64 = 1.5;
 /// Checks for failed workers in a heartbeat interval.
 const CHECKS_PER_HEARTBEAT: f64 = 8.0;
-/// Rounds of the autoscaler in the time of the quickest boot.
+/// Rounds of the autoscaler in the boot time of the instance type that boots fastest.
 const ROUNDS_PER_BOOT: f64 = 5.0;
-/// Boots that take longer don't slow the rounds down.
+/// Upper bound on the boot time that determines the interval between rounds of the autoscaler.
 const MAX_BOOT_TIME_S: f64 = 60.0;
-/// Heartbeat intervals after which a new leader has heard from the workers that there are.
+/// Heartbeat intervals after which a new leader has received a heartbeat of every worker that is up.
 const FIRST_HEARTBEATS: f64 = 1.5;
 
-/// When calls of one kind may be made to the cloud: one at a time, and none before some time.
+/// When calls of one kind may be made to the cloud: one at a time, and none before `not_before`.
 #[derive(Debug, Default)]
 struct CallSchedule {
     in_flight: bool,
@@ -61,14 +62,14 @@
     next_scaling_at: f64,
     next_failure_check_at: f64,
     pub(super) pools: BTreeMap<PoolKey, Pool>,
-    /// Run times of tasks over their owners' estimates, on average; on some days estimates are mostly
-    /// too high or too low.
+    /// Running average of tasks' run times divided by their owners' estimates. It corrects for estimates that
+    /// are mostly too high or mostly too low, as they are on some days.
     pub(super) runtime_bias: f64,
-    /// Zones that are taken to be partitioned, and when that was last so.
+    /// Zones that are or were recently partitioned, with the time at which the partition was last detected.
     pub(super) partitioned_zones: BTreeMap<String, f64>,
-    /// Since when all zones have been silent at once.
+    /// Since when all zones have been partitioned at once.
     pub(super) all_partitioned_since: Option<f64>,
-    /// Seconds by which the cloud's list may lag behind.
+    /// Seconds by which the cloud's list of instances may be out of date.
     pub(super) list_lag_s: f64,
     pub(super) heartbeat_interval_s: f64,
 }
@@ -101,7 +102,7 @@
         CALL_TIMEOUT_HEARTBEATS * self.heartbeat_interval_s
     }
 
-    /// Whether a zone is partitioned, or was until recently.
+    /// Whether a zone is partitioned, or was so recently that its workers may not have reconnected.
     pub(super) fn was_partitioned(&self, zone: &str) -> bool {
         self.partitioned_zones.contains_key(zone)
     }
@@ -113,8 +114,9 @@
             .is_some_and(|at| now - at < self.heartbeat_interval_s / CHECKS_PER_HEARTBEAT * 2.0)
     }
 
-    /// Whether enough is known to decide on instances: the cloud's list, and a round of heartbeats
-    /// unless no instance was ever requested.
+    /// Whether the leader knows enough to decide on instances: it has read the cloud's list, and the workers have
+    /// had time to send heartbeats. The first leader of all need not wait for heartbeats, as no instance exists
+    /// yet.
     fn is_informed(&self, is_first_leader: bool, now: f64) -> bool {
         self.inventory.listed_at.is_some()
             && (is_first_leader
@@ -123,9 +125,10 @@
 }
 
 impl Leader {
-    /// Lists, deletes, scales and provisions instances, as is due.
-    pub(super) fn poll_fleet(&mut self, confirmed: bool, effects: &mut Effects, now: f64) {
-        if !confirmed {
+    /// Does the fleet's work that is due: lists, deletes and provisions instances, checks for failed workers,
+    /// and runs the autoscaler. Does nothing unless the leader's lease is certainly held.
+    pub(super) fn poll_fleet(&mut self, lease_held: bool, effects: &mut Effects, now: f64) {
+        if !lease_held {
             return;
         }
         self.list_instances(effects, now);
--- a/src/coordination/leader/fleet/pool.rs
+++ b/src/coordination/leader/fleet/pool.rs
@@ -1,4 +1,4 @@
-//! Pools of instances: what they are keyed by, what is measured of them, and their back-off.
+//! Pools of instances: their keys, the measurements of their use, and the back-off after failed requests.
 
 use super::Fleet;
 use crate::bookkeeping::workers::Worker;
@@ -6,33 +6,33 @@
 use crate::coordination::rate_meter::RateMeter;
 use crate::protocol::cloud::MAX_INSTANCES_PER_CREATE;
 
-/// Weight of the latest value in running averages.
+/// Weight of the latest value in a running average.
 const SMOOTHING: f64 = 0.1;
-/// The runtime bias is an average over all jobs: the latest value weighs less by this factor.
+/// Divides the weight of the latest value in the average of the runtime bias, which is taken over all jobs.
 const BIAS_DAMPING: f64 = 10.0;
-/// Bounds within which a single task's run time over its estimate counts.
+/// Lower and upper bound on the ratio of a single task's run time to its estimate.
 const RUNTIME_BIAS_RANGE: (f64, f64) = (0.2, 5.0);
-/// Least share of an instance that a task is taken to use.
+/// Least share of an instance that counts for a task in the average of its pool.
 const MIN_INSTANCE_SHARE: f64 = 1e-3;
-/// Shortest time for which a pool is left alone after it could not give what was asked for, in boot
+/// Shortest time for which a pool is blocked after the cloud could not create all requested instances, in boot
 /// times.
 const MIN_BLOCK_BOOTS: f64 = 0.5;
-/// Longest such time, in boot times.
+/// Longest time for which a pool is blocked, in boot times.
 const MAX_BLOCK_BOOTS: f64 = 4.0;
 
-/// A pool of instances: type, zone, and whether spot.
+/// Identifies a pool: all instances of one type in one zone, either spot or on-demand.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PoolKey {
     /// Instance type.
     pub instance_type: String,
     /// Zone.
     pub zone: String,
-    /// Spot instances; else on-demand instances.
+    /// Whether the pool has spot instances; otherwise it has on-demand instances.
     pub spot: bool,
 }
 
 impl PoolKey {
-    /// The pool that a worker belongs to.
+    /// Returns the key of the pool that a worker belongs to.
     pub(in crate::coordination::leader) fn of(worker: &Worker) -> PoolKey {
         PoolKey {
             instance_type: worker.instance_type.clone(),
@@ -51,21 +51,21 @@
 
 impl std::fmt::Display for PoolKey {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        let kind = if self.spot { "spot" } else { "ordinary" };
-        write!(f, "{}/{}/{kind}", self.instance_type, self.zone)
+        let purchase = if self.spot { "spot" } else { "ordinary" };
+        write!(f, "{}/{}/{purchase}", self.instance_type, self.zone)
     }
 }
 
-/// What is known of a pool from its use.
+/// Measurements of a pool's use, and its back-off.
 #[derive(Debug, Default)]
 pub(in crate::coordination::leader) struct Pool {
-    /// Nothing is requested before this time.
+    /// No instance is requested before this time.
     blocked_until: f64,
-    /// Seconds of the last block; 0 once all that was requested could be created.
+    /// Duration of the last block in seconds; 0 once the cloud has created all instances of a request.
     block_s: f64,
-    /// Starts of tasks.
+    /// Starts of tasks that count in the forecast.
     pub(in crate::coordination::leader) starts: RateMeter,
-    /// Tasks that have finished.
+    /// Completions of tasks.
     pub(in crate::coordination::leader) finishes: RateMeter,
     /// Average run time of a task in seconds.
     pub(in crate::coordination::leader) task_s: Option<f64>,
@@ -80,12 +80,12 @@
         now < self.blocked_until
     }
 
-    /// Notes that all instances of a request were created.
+    /// Resets the back-off, after all instances of a request were created.
     pub(super) fn unblock(&mut self) {
         self.block_s = 0.0;
     }
 
-    /// Leaves the pool alone for a while, twice as long each time.
+    /// Blocks the pool for twice as long as the last time, within bounds.
     fn block(&mut self, boot_time_s: f64, now: f64) {
         self.block_s = (self.block_s * 2.0)
             .clamp(boot_time_s * MIN_BLOCK_BOOTS, boot_time_s * MAX_BLOCK_BOOTS);
@@ -93,18 +93,18 @@
     }
 }
 
-fn average(known: Option<f64>, value: f64) -> Option<f64> {
+fn running_average(known: Option<f64>, value: f64) -> Option<f64> {
     Some(known.map_or(value, |known| known + (value - known) * SMOOTHING))
 }
 
 impl Fleet {
-    /// Whether a pool is known to have no capacity left.
+    /// Whether a pool is blocked, because the cloud recently lacked capacity for it.
     pub(in crate::coordination::leader) fn is_blocked(&self, key: &PoolKey, now: f64) -> bool {
         self.pools.get(key).is_some_and(|pool| pool.is_blocked(now))
     }
 
-    /// How many instances of a pool may be requested in one round: a single call's worth after the
-    /// pool could not give all that was requested.
+    /// Returns how many instances of a pool may be requested in one round. After the cloud could not create all
+    /// requested instances, it is no more than a single call may request.
     pub(in crate::coordination::leader) fn request_limit(&self, key: &PoolKey) -> u32 {
         match self.pools.get(key) {
             Some(pool) if pool.block_s > 0.0 => MAX_INSTANCES_PER_CREATE,
@@ -112,18 +112,18 @@
         }
     }
 
-    /// Blocks a pool that could not give all that was requested.
+    /// Blocks a pool for which the cloud could not create all requested instances.
     pub(super) fn block(&mut self, key: &PoolKey, boot_time_s: f64, now: f64) {
         let pool = self.pools.entry(key.clone()).or_default();
         pool.block(boot_time_s, now);
-        // Other pools are asked soon for what this one can't give.
+        // The next round of the autoscaler comes soon, to request the missing instances from other pools.
         self.next_scaling_at = self
             .next_scaling_at
             .min(now + self.heartbeat_interval_s / 5.0);
     }
 
-    /// Records the start of a task that requests `share` of its worker; `None` for tasks that don't
-    /// count in forecasts.
+    /// Records the start of a task that requests `share` of its worker; `None` if the task does not count in
+    /// forecasts.
     pub(in crate::coordination::leader) fn record_start(
         &mut self,
         worker: &Worker,
@@ -133,12 +133,12 @@
         let pool = self.pools.entry(PoolKey::of(worker)).or_default();
         if let Some(share) = share {
             pool.starts.add(1.0, now);
-            pool.machine_share = average(pool.machine_share, share.max(MIN_INSTANCE_SHARE));
+            pool.machine_share = running_average(pool.machine_share, share.max(MIN_INSTANCE_SHARE));
         }
     }
 
-    /// Records that a task has finished after `ran_s` seconds, of which its owner expected
-    /// `expected_runtime_s`.
+    /// Records that a task has completed after `ran_s` seconds. Its owner's estimate was `expected_runtime_s`; 0
+    /// if there is none.
     pub(in crate::coordination::leader) fn record_finish(
         &mut self,
         worker: &Worker,
@@ -153,6 +153,6 @@
         }
         let pool = self.pools.entry(PoolKey::of(worker)).or_default();
         pool.finishes.add(1.0, now);
-        pool.task_s = average(pool.task_s, ran_s);
+        pool.task_s = running_average(pool.task_s, ran_s);
     }
 }
--- a/src/coordination/leader/fleet/provisioning.rs
+++ b/src/coordination/leader/fleet/provisioning.rs
@@ -1,4 +1,4 @@
-//! Scale-out: provisioning requests, from their records to the instances that come of them.
+//! Scale-out: records provisioning requests, sends them to the cloud, and adds the created instances as workers.
 //!
 //! A request is recorded in the state service before it is sent, under an idempotency key, so that a
 //! later leader can send it again and learn which instances were created.
@@ -16,28 +16,29 @@
 use crate::protocol::kv::WriteOp;
 use std::collections::BTreeMap;
 
-/// Instances requested of one pool in a round, at most; the next round sees how many it could give.
+/// Maximum number of instances that are requested from one pool in a round. The next round knows how many of
+/// them the cloud could create.
 const MAX_INSTANCES_PER_ROUND: u32 = 8 * MAX_INSTANCES_PER_CREATE;
 
-/// Where a provisioning request stands.
+/// The state of a provisioning request.
 #[derive(Debug, Clone, PartialEq)]
 enum ProvisioningState {
-    /// Its record is being written.
+    /// Its record is being committed to the state service.
     Recording,
-    /// To be sent, or sent again, from this time on.
+    /// It is to be sent, or sent again, from this time on.
     Ready { not_before: f64 },
-    /// Sent, without a response yet.
+    /// It was sent, and the response has not arrived yet.
     InFlight,
-    /// These instances were created; not all of them have been seen yet.
+    /// These instances were created; not all of them have been listed or have sent a heartbeat yet.
     Created { instances: Vec<String> },
-    /// Its record is being removed.
+    /// Its record is being removed from the state service.
     Completing,
 }
 
-/// The order in which requests are sent: the most urgent work's first.
+/// Orders the requests that are ready to be sent: by priority, then by age.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct SendOrder {
-    /// The most urgent work that the request is for.
+    /// Highest priority of the tasks that the request is for.
     priority: PriorityClass,
     /// Number of the request within the epoch; 0 for requests of earlier leaders.
     sequence: u64,
@@ -48,7 +49,7 @@
     record: ProvisioningRecord,
     state: ProvisioningState,
     order: SendOrder,
-    /// It may have reached the cloud.
+    /// It was sent at least once, and may have reached the cloud.
     sent: bool,
 }
 
@@ -65,7 +66,7 @@
         matches!(self.state, ProvisioningState::Ready { not_before } if now >= not_before)
     }
 
-    /// Instances that may come of it and are not among the workers yet.
+    /// Returns the number of instances that it may create and that are not known as workers yet.
     fn instances_expected(&self) -> u32 {
         match self.state {
             ProvisioningState::Created { .. } | ProvisioningState::Completing => 0,
@@ -74,17 +75,17 @@
     }
 }
 
-/// Provisioning requests that are not complete, by idempotency key.
+/// The provisioning requests that are not complete, by idempotency key.
 #[derive(Debug, Default)]
 pub(super) struct Provisioning {
     requests: BTreeMap<String, ProvisioningRequest>,
-    /// Requests made in this epoch.
+    /// Number of requests made in this epoch.
     requests_made: u64,
     create_in_flight: bool,
 }
 
 impl Fleet {
-    /// Takes over a provisioning request that an earlier leader has recorded.
+    /// Adds a provisioning request that an earlier leader has recorded and may have sent.
     pub(in crate::coordination::leader) fn inherit_provisioning(
         &mut self,
         idempotency_key: &str,
@@ -103,8 +104,8 @@
         requests.insert(idempotency_key.to_owned(), request);
     }
 
-    /// A key was written or removed; if it is the record of a provisioning request, the request may
-    /// now be sent, or is complete.
+    /// Handles the commit of a write to a key. If the key is the record of a provisioning request, the request may
+    /// be sent once the record is written, and is complete once it is removed.
     pub(in crate::coordination::leader) fn on_record_written(&mut self, write: &WriteOp) {
         let requests = &mut self.provisioning.requests;
         match write {
@@ -128,7 +129,7 @@
         !self.provisioning.requests.is_empty()
     }
 
-    /// Instances of a pool that are being provisioned and are not among the workers yet.
+    /// Returns the number of instances of a pool that are being provisioned and are not known as workers yet.
     pub(in crate::coordination::leader) fn instances_expected(&self, key: &PoolKey) -> u32 {
         self.provisioning
             .requests
@@ -139,7 +140,7 @@
     }
 }
 
-/// The log entry that removes a request's record.
+/// Returns the log entry that removes the record of a request.
 fn remove_record(idempotency_key: &str) -> LogEntry {
     LogEntry::WriteKey {
         write: WriteOp::delete(records::provisioning_key(idempotency_key)),
@@ -147,7 +148,8 @@
 }
 
 impl Leader {
-    /// Records requests for `count` more instances of a pool, which the work of `priority` needs.
+    /// Records requests for `count` more instances of a pool. `priority` is the highest priority of the tasks that
+    /// need them.
     pub(in crate::coordination::leader) fn scale_out(
         &mut self,
         key: &PoolKey,
@@ -202,7 +204,8 @@
         let pool = request.pool();
         let blocked = fleet.pools.get(&pool).is_some_and(|p| p.is_blocked(now));
         if blocked && !request.sent {
-            // The pool has turned out to have no capacity; the next round asks others.
+            // The cloud has lacked capacity for this pool since the request was made; the next round of the
+            // autoscaler requests instances from other pools.
             request.state = ProvisioningState::Completing;
             self.commits.push(remove_record(idempotency_key));
             return;
@@ -228,7 +231,7 @@
         );
     }
 
-    /// Takes the response to a provisioning request.
+    /// Handles the response to a provisioning request.
     pub fn on_instances_created(
         &mut self,
         idempotency_key: &str,
@@ -256,7 +259,8 @@
                 self.block_pool(&pool, now);
                 self.commits.push(remove_record(idempotency_key));
             }
-            // It may have been carried out: it is sent again under its key until there is a response.
+            // The cloud may have executed the request. It is sent again under the same idempotency key until
+            // there is a definite response.
             _ => {
                 request.state = ProvisioningState::Ready {
                     not_before: now + self.fleet.heartbeat_interval_s,
@@ -265,8 +269,7 @@
         }
     }
 
-    /// Adds the workers of instances that were created, and notes whether the pool gave all that
-    /// were requested.
+    /// Adds the workers of created instances. Blocks the pool if fewer instances were created than requested.
     fn record_created(&mut self, pool: &PoolKey, wanted: u32, instances: &[String], now: f64) {
         if instances.len() < wanted as usize {
             self.block_pool(pool, now);
@@ -294,7 +297,8 @@
         self.fleet.block(pool, boot_time_s, now);
     }
 
-    /// Removes the records of provisioning requests whose instances have all been seen.
+    /// Removes the records of provisioning requests whose instances have all been listed or have sent a
+    /// heartbeat.
     pub(super) fn complete_provisioning(&mut self) {
         for (idempotency_key, request) in &mut self.fleet.provisioning.requests {
             let ProvisioningState::Created { instances } = &request.state else {
--- a/src/coordination/leader/fleet/scale_in.rs
+++ b/src/coordination/leader/fleet/scale_in.rs
@@ -8,57 +8,58 @@
 use crate::protocol::cloud::{CloudRequest, CloudResponse, MAX_INSTANCES_PER_DELETE};
 use std::collections::HashMap;
 
-/// Confirmed deletions are remembered for so many list lags or heartbeat intervals, whichever is
-/// longer: lists and heartbeats may show a deleted instance for a while.
-const DELETION_MEMORY: f64 = 60.0;
+/// Time for which confirmed deletions are remembered, in list lags or heartbeat intervals, whichever are longer.
+/// Until then, a late list or heartbeat may still show the deleted instance.
+const DELETION_RETENTION_FACTOR: f64 = 60.0;
 
 /// Why an instance is deleted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::coordination::leader) enum ScaleInReason {
     /// The cloud reclaims it.
     Reclaimed,
-    /// It has not booted in time.
+    /// It was not up long after its usual boot time.
     BootTimedOut,
-    /// Its heartbeats are missing, and direct calls to it remain unanswered.
+    /// It has sent no heartbeat for too long, or has missed one and not responded to a direct call.
     Unresponsive,
     /// Its heartbeats arrive, but neither responses nor commands reach it.
     Unreachable,
-    /// Tasks of several jobs fail on it that succeed elsewhere.
+    /// Tasks fail on it whose jobs succeed elsewhere.
     FailsTasks,
     /// The cloud no longer lists it.
     NotListed,
     /// The cloud lists it as failed.
     Failed,
-    /// Nothing is bound to it, and it is not needed.
+    /// No task is bound to it, and its pool has more instances than its target.
     Idle,
     /// Its fence can't be raised any further.
     FenceExhausted,
 }
 
-/// Progress of deleting instances.
+/// Delete requests, and the instances whose deletion was confirmed.
 #[derive(Debug, Default)]
 pub(super) struct Deletions {
     call: CallSchedule,
-    /// Instances whose deletion was confirmed, and when.
+    /// Instances whose deletion was confirmed recently, with the time of the confirmation.
     deleted_at: HashMap<String, f64>,
 }
 
 impl Fleet {
-    /// Whether an instance's deletion was confirmed.
+    /// Whether an instance's deletion was confirmed recently.
     pub(in crate::coordination::leader) fn is_deleted(&self, name: &str) -> bool {
         self.deletions.deleted_at.contains_key(name)
     }
 
-    /// Forgets deletions that no list and no heartbeat can contradict any more.
+    /// Forgets deletions that are so old that no late list or heartbeat can still show the instance.
     pub(super) fn forget_old_deletions(&mut self, now: f64) {
-        let memory_s = DELETION_MEMORY * self.list_lag_s.max(self.heartbeat_interval_s);
+        let retention_s =
+            DELETION_RETENTION_FACTOR * self.list_lag_s.max(self.heartbeat_interval_s);
         let deleted_at = &mut self.deletions.deleted_at;
-        deleted_at.retain(|_, at| now - *at < memory_s);
+        deleted_at.retain(|_, at| now - *at < retention_s);
     }
 }
 
 impl Leader {
-    /// Marks a worker as terminating; its instance is deleted once the mark is written.
+    /// Marks a worker as terminating; its instance may be deleted once the mark is committed.
     pub(in crate::coordination::leader) fn scale_in(&mut self, name: &str, reason: ScaleInReason) {
         if let Some(worker) = self.workers.get_mut(name)
             && !worker.terminating
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Requests the deletion of instances that may be deleted, in one call.
+    /// Requests the deletion of the instances that may be deleted, in one call.
     pub(super) fn delete_instances(&mut self, effects: &mut Effects, now: f64) {
         if !self.fleet.deletions.call.is_due(now) {
             return;
@@ -97,7 +98,7 @@
         );
     }
 
-    /// Takes the response to a delete request.
+    /// Handles the response to a delete request. Confirmed deletions remove the workers and their bindings.
     pub fn on_instances_deleted(&mut self, names: &[String], response: &CloudResponse, now: f64) {
         let retry_at = now + self.fleet.heartbeat_interval_s;
         let call = &mut self.fleet.deletions.call;
--- a/src/coordination/leader/jobs.rs
+++ b/src/coordination/leader/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs that are opened, closed and finished, and what follows for their tasks.
+//! Handles jobs that are opened, closed or finished, and evicts the tasks of jobs that have ended.
 
 use super::{Leader, RUNTIME_ESTIMATE_MARGIN};
 use crate::bookkeeping::jobs::Job;
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 
 impl Leader {
-    /// A job was opened, as the watch or the job API shows it.
+    /// Adds a job that was opened, as shown by the watch, the job API or a record that recovery has read.
     pub fn on_job_opened(&mut self, mod_revision: u64, spec: &JobSpec, now: f64, wall: f64) {
         if self.jobs.get(&spec.id).is_some() {
             return;
@@ -31,8 +31,8 @@
         self.scheduling.request();
     }
 
-    /// Seconds within which jobs of a class should be finished, or their tasks started, by the
-    /// tightest objective.
+    /// Returns the shortest time, in seconds, that the objectives of a kind set for jobs of a class: to finish
+    /// the job (`finished`), or to start its tasks (`wait`).
     fn objective(&self, kind: &str, class: &str) -> Option<f64> {
         self.settings
             .deployment
@@ -43,7 +43,7 @@
             .min_by(f64::total_cmp)
     }
 
-    /// A job was closed. Its tasks are evicted; their bindings last until the tasks are gone.
+    /// Removes a job that was closed, and evicts its tasks. Each binding ends once its task has exited.
     pub fn on_job_closed(&mut self, id: &str) {
         if let Some(recovery) = &mut self.recovery {
             recovery.on_job_closed(id);
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Revokes start commands of a job's completed tasks that may still arrive: no task of a job that
-    /// may have been cancelled may be started, not even to exit at once.
+    /// Revokes start commands that may still arrive for completed tasks of a job that has ended. The job may have
+    /// been cancelled, and then none of its tasks may be started again, even if it would exit at once.
     fn revoke_start_copies(&mut self, job: &Job) {
         for name in &job.workers_with_duplicate_starts {
             if let Some(worker) = self.workers.get_mut(name) {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Evicts a job's bound tasks after its end.
+    /// Evicts the bound tasks of a job that has ended.
     pub(super) fn evict_tasks_of(&mut self, job: &Job) {
         for (index, workers) in job.bound_workers() {
             let task = TaskId {
@@ -92,8 +92,9 @@
         self.scheduling.request();
     }
 
-    /// The open jobs were listed at a revision. The leader's own listing may be older: for a job that
-    /// was closed between the two no event comes.
+    /// Closes the jobs that are missing from a listing of the open jobs at this revision. The records that the
+    /// leader has read may be older than the listing; for a job that was closed between the two, the watch
+    /// delivers no event.
     pub fn on_open_jobs_listed(&mut self, revision: u64, listed: BTreeSet<String>) {
         let closed: Vec<String> = self
             .jobs
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Evicts all bound tasks whose job has ended.
+    /// Evicts all bound tasks whose job is not open.
     pub(super) fn evict_orphans(&mut self) {
         for worker in self.workers.iter_mut() {
             for (task, binding) in &mut worker.bindings {
@@ -123,7 +124,7 @@
         self.scheduling.request();
     }
 
-    /// Queues the end of a job once all its tasks have completed.
+    /// Queues the end of a job if all its tasks have completed.
     pub(super) fn finish_job(&mut self, id: &str) {
         if let Some(job) = self.jobs.get_mut(id)
             && !job.finishing
@@ -136,7 +137,8 @@
         }
     }
 
-    /// Display counts of the open jobs.
+    /// Returns the numbers of completed and running tasks of the open jobs, for display, of at most
+    /// [`MAX_JOB_COUNTS`] jobs.
     pub fn job_counts(&self) -> Vec<JobCounts> {
         self.jobs
             .iter()
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -1,20 +1,22 @@
-//! The leader: the one controller that binds tasks to workers and sizes the fleet.
+//! The leader: the controller that binds tasks to workers and scales the fleet; there is one at a time.
 //!
-//! `Leader` holds the tables of jobs, workers and quotas for one epoch and wires the components
-//! that own the rest of its state:
+//! `Leader` holds the tables of jobs, workers and quotas for one epoch, and connects the components that hold the
+//! rest of its state:
 //!
-//! - `recovery`: the read of all records after the election, and what arrives meanwhile; `replay`: the tables
-//!   rebuilt from the write-ahead log
-//! - `commit`: the write-ahead log and its transactions on the state service
-//! - `leases`: leases of workers, and those that an earlier leader may have renewed
-//! - `heartbeats`: what workers report, and the commands that answer them
-//! - `dispatch`: direct calls to workers; `fencing`: the token and checks of all commands
-//! - `jobs`: jobs that are opened, closed and finished
-//! - `scheduling`: cycles of the scheduler, and the bindings that they make
-//! - `binding_reconciliation` and `bindings`: bindings against what workers report, and their end
-//! - `failure_attribution` and `failure_detection`: whose fault a failed task is, and which
-//!   workers are of no use
-//! - `fleet`, `scaling` and `consolidation`: instances that are rented, needed, and released
+//! - `recovery`: reads all records after the election, and buffers heartbeats and job events until then;
+//!   `replay`: rebuilds the tables from the write-ahead log
+//! - `commit`: commits the write-ahead log in transactions on the state service
+//! - `leases`: tracks worker leases, including those that an earlier leader may have renewed
+//! - `heartbeats`: handles heartbeats of workers, and responds with commands
+//! - `dispatch`: makes direct calls to workers; `fencing`: adds the fencing token to messages and checks the
+//!   commands in them
+//! - `jobs`: handles jobs that are opened, closed or finished
+//! - `scheduling`: runs cycles of the scheduler, and creates the bindings that follow
+//! - `binding_reconciliation`: compares bindings with the tasks that workers report; `bindings`: ends bindings
+//! - `failure_attribution`: decides whether a failed task is the fault of its worker or of its job;
+//!   `failure_detection`: finds workers to be released, and partitioned zones
+//! - `fleet`: provisions and deletes instances; `scaling`: decides how many are needed; `consolidation`: moves
+//!   replicas together to empty a machine
 //!
 //! Times are monotonic, in seconds, unless they are called `wall`.
 
@@ -59,47 +61,47 @@
 
 /// Share of the state service's limits that the leader's own writes may use.
 pub const LEADER_STATE_SHARE: f64 = 0.5;
-/// By how much a task may take longer than its estimated run time: estimates are often wrong by half.
+/// Factor on a task's estimated run time that allows for wrong estimates, which are often off by half.
 const RUNTIME_ESTIMATE_MARGIN: f64 = 1.5;
-/// Worker leases for which a job's tasks avoid a worker on which one of them has failed.
+/// Time for which a job's tasks avoid a worker on which one of them has failed, in worker leases.
 const AVOID_LEASES: f64 = 1.0;
 
-/// What the rest of the controller must learn from the leader.
+/// An event that the leader reports to the rest of the controller.
 #[derive(Debug, PartialEq)]
 pub enum LeaderEvent {
-    /// A job has ended.
+    /// All tasks of a job have completed, and the end of the job is committed.
     JobFinished {
         /// The job.
         job: String,
-        /// How it has ended.
+        /// The record of its end.
         record: FinishedRecord,
     },
-    /// A transaction has found a job to be closed by somebody else.
+    /// A transaction failed because another writer had closed a job.
     JobClosed {
         /// The job.
         job: String,
     },
-    /// Another leader's epoch was seen.
+    /// A worker has shown the epoch of a later leader.
     HigherEpochSeen(u64),
-    /// A transaction found the leader's key changed.
+    /// A transaction failed because another controller had written the leader's key or the log.
     Deposed,
 }
 
-/// What a leader is made from.
+/// What a leader is created with.
 pub struct LeaderConfig {
-    /// The epoch that the election has given it.
+    /// The leader's epoch, assigned by the election.
     pub epoch: u64,
     /// The controller's settings.
     pub settings: Rc<Settings>,
     /// The policy for the autoscaler.
     pub policy: Rc<Policy>,
-    /// The cloud's instance types, as far as they are known.
+    /// The cloud's instance types; empty if they are not known yet.
     pub instance_types: Rc<Vec<InstanceType>>,
     /// Seconds from its election for which an earlier leader may still renew worker leases.
     pub lease_grace_s: f64,
 }
 
-/// The leader's tables, and the components that keep them and the workers up to date, for one epoch.
+/// The leader's tables for one epoch, and the components that update them and the workers.
 pub struct Leader {
     epoch: u64,
     elected_at: f64,
@@ -113,14 +115,14 @@
     /// `None` once the tables are rebuilt.
     recovery: Option<Recovery>,
     scheduling: SchedulingTrigger,
-    /// Attempts that this leader has numbered.
+    /// Counter for the numbers of attempts in this epoch.
     attempts: u64,
     /// Whether start commands were allowed at the last poll.
     may_start: bool,
     dispatcher: CommandDispatcher,
     fleet: Fleet,
     events: Vec<LeaderEvent>,
-    /// No earlier leader has written anything: there are no instances of ours.
+    /// No earlier leader has written a log segment or a provisioning request, so no instances exist yet.
     is_first_leader: bool,
     leases: LeaseTracker,
     decisions: DecisionLog,
@@ -128,7 +130,7 @@
 }
 
 impl Leader {
-    /// A leader that has been elected now and knows nothing yet: it starts with recovery.
+    /// Creates a leader that has just been elected. Its tables are empty until recovery completes.
     pub fn new(config: LeaderConfig, rng: SmallRng, now: f64) -> Leader {
         let LeaderConfig {
             epoch,
@@ -162,13 +164,13 @@
         }
     }
 
-    /// The epoch that the election has given this leader.
+    /// Returns the leader's epoch, assigned by the election.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// A controller has shown that it knows this epoch, or a higher one: it never again answers
-    /// heartbeats for an earlier one. Once all have, no other controller renews any lease.
+    /// Records that a peer knows this epoch or a higher one: it no longer responds to heartbeats as the leader of
+    /// an earlier epoch. Once all peers know it, no earlier leader renews worker leases any more.
     pub fn on_epoch_acknowledged(&mut self, label: &str, now: f64) {
         if self.leases.on_epoch_acknowledged(label, now) {
             for worker in self.workers.iter_mut() {
@@ -181,12 +183,12 @@
         self.events.push(event);
     }
 
-    /// Takes the events since the last call, in order.
+    /// Returns the events since the last call, in order.
     pub fn take_events(&mut self) -> Vec<LeaderEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Takes a new instance catalog.
+    /// Replaces the instance catalog.
     pub fn set_instance_types(&mut self, instance_types: Rc<Vec<InstanceType>>) {
         self.instance_types = instance_types;
         self.scheduling.request();
@@ -197,7 +199,8 @@
         self.recovery.is_some()
     }
 
-    /// Seconds for which no worker has shown that it receives this leader's answers, although some should.
+    /// Returns the seconds for which no worker has shown that it receives this leader's responses; zero if no
+    /// worker is expected to, and during recovery.
     pub fn worker_contact_lost_s(&self, now: f64) -> f64 {
         if self.is_recovering() {
             return 0.0;
@@ -205,7 +208,7 @@
         self.leases.worker_contact_lost_s(&self.workers, now)
     }
 
-    /// Does all that is due and that `freshness` allows.
+    /// Does the work that is due, as far as `freshness` allows it.
     pub fn poll(&mut self, freshness: &ViewFreshness, effects: &mut Effects, now: f64) {
         self.leases.on_poll(now);
         if self.is_recovering() {
@@ -223,7 +226,8 @@
         self.decisions.poll(now);
     }
 
-    /// Follows whether start commands are allowed; once they are, those that had to wait are due.
+    /// Updates whether start commands are allowed. Once they are, all workers are due, since start commands may
+    /// have been held back.
     fn update_start_permission(&mut self, freshness: &ViewFreshness) {
         let starts = freshness.may_start();
         self.decisions.count(PermitKind::StartTasks, starts);
--- a/src/coordination/leader/scaling/pool.rs
+++ b/src/coordination/leader/scaling/pool.rs
@@ -30,7 +30,7 @@
 
     /// Whether an instance first seen at some time has not booted in the usual time.
     pub(super) fn is_overdue(&self, first_seen_at: f64, now: f64) -> bool {
-        now - first_seen_at > fleet::BOOT_USUAL * self.instance_type.boot_time_s
+        now - first_seen_at > fleet::BOOT_OVERDUE_FACTOR * self.instance_type.boot_time_s
     }
 }
 
