--- a/src/coordination/leader/scaling/demand.rs
+++ b/src/coordination/leader/scaling/demand.rs
@@ -1,4 +1,4 @@
-//! Demand: fits the waiting tasks onto instances, by bin packing.
+//! Demand: fits the pending tasks onto instances by bin packing, to find how many instances each pool needs.
 
 use super::pool::PoolOffer;
 use crate::bookkeeping::jobs::Job;
@@ -8,28 +8,29 @@
 use crate::protocol::job::{JobSpec, PriorityClass};
 use std::collections::HashMap;
 
-/// Margin on the time until a waiting task gets capacity on workers that are in use.
-const TURN_MARGIN: f64 = 1.2;
-/// How much less certain that time is with a single running task.
-const TURN_UNCERTAINTY: f64 = 4.0;
-/// Waiting tasks that are fitted one by one, several times what a thousand instances run; it bounds
-/// the work of a round, and the rest waits for the next.
+/// Factor on the estimated time until workers in use have capacity for a pending task.
+const QUEUE_WAIT_MARGIN: f64 = 1.2;
+/// Share that is added to that factor if a single task is running; it falls with the square root of the number
+/// of running tasks.
+const QUEUE_WAIT_UNCERTAINTY: f64 = 4.0;
+/// Maximum number of pending tasks that are fitted in a round, several times what a thousand instances run. It
+/// bounds the work of a round; further tasks are left for the next round.
 const MAX_FITTED: u32 = 50_000;
-/// Least rate of freed CPUs that is divided by.
+/// Lower bound on the rate of released CPUs, to avoid a division by zero.
 const MIN_CPUS_FREED_PER_S: f64 = 1e-6;
 
-/// Waiting tasks that a pool is to take.
+/// The pending tasks that are fitted onto instances of a pool.
 #[derive(Debug, Default, Clone)]
 pub(super) struct Demand {
-    /// The priority of the most urgent.
+    /// The highest priority among them.
     pub(super) priority: Option<PriorityClass>,
     /// Number of tasks.
     pub(super) pending: u32,
-    /// Seconds for which the oldest has waited.
+    /// Seconds for which the oldest of them has been pending.
     pub(super) oldest_s: f64,
     /// Sum of their expected run times in seconds.
     pub(super) expected_runtime_s: f64,
-    /// Sum of the shares of an instance that they request.
+    /// Sum of the shares of an instance that the tasks request.
     pub(super) machine_share: f64,
 }
 
@@ -46,7 +47,7 @@
     }
 }
 
-/// An instance that is coming or would be created, with the capacity left on it.
+/// An instance that is expected or would be created, with the capacity left on it.
 struct Bin {
     /// Index of its pool among the offers.
     pool: usize,
@@ -64,7 +65,7 @@
     }
 }
 
-/// The waiting tasks fitted onto instances that are coming or would be created.
+/// The pending tasks, fitted onto instances that are expected or would be created.
 pub(super) struct DemandFit {
     /// The demand on each pool.
     pub(super) demand: Vec<Demand>,
@@ -72,12 +73,12 @@
 }
 
 impl DemandFit {
-    /// Instances of a pool that the waiting tasks would fill.
+    /// Returns the number of instances of a pool that pending tasks were fitted onto.
     pub(super) fn machines_to_fill(&self, pool: usize) -> u32 {
         self.count_bins(pool, true)
     }
 
-    /// Instances of a pool that are coming and that no waiting task needs.
+    /// Returns the number of expected instances of a pool that no pending task was fitted onto.
     pub(super) fn unused_bins(&self, pool: usize) -> u32 {
         self.count_bins(pool, false)
     }
@@ -88,7 +89,8 @@
             .count() as u32
     }
 
-    /// A bin for one more task: one that is there, from `first` on, or a new one from the best offer.
+    /// Returns the index of a bin for one more task: an existing bin, searched from index `first` on, or a new one
+    /// from the best offer.
     fn find_bin(
         &mut self,
         offers: &mut [PoolOffer],
@@ -99,8 +101,8 @@
             self.bins.iter().skip(first).position(|bin| {
                 bin.free.fits(&request.resources) && request.allows(&offers[bin.pool])
             });
-        if let Some(i) = existing {
-            return Some(first + i);
+        if let Some(offset) = existing {
+            return Some(first + offset);
         }
         let pool = request.best_offer(offers)?;
         self.bins.push(Bin::new(pool, &offers[pool]));
@@ -109,11 +111,11 @@
     }
 }
 
-/// What a job's tasks need of a bin.
+/// What a task of a job requires of a bin.
 struct BinRequest<'a> {
     job: &'a Job,
     resources: Resources,
-    /// The job's tasks in each zone, with those fitted so far.
+    /// Number of the job's tasks in each zone: the bound ones, and those fitted so far.
     tasks_per_zone: HashMap<String, u32>,
     /// Estimated run time of a task in seconds, with its margin.
     task_s: f64,
@@ -121,8 +123,8 @@
 }
 
 impl BinRequest<'_> {
-    /// Tasks that may use spot instances wait for these as long as they can still be on time with an
-    /// on-demand instance created later.
+    /// Whether a task waits for a spot instance. A task that may use spot instances does so as long as it could
+    /// still meet its deadline on an on-demand instance that is created later.
     fn waits_for_spot(&self, offer: &PoolOffer) -> bool {
         let boot_time_s = offer.instance_type.boot_time_s;
         self.job.spec.spot
@@ -148,8 +150,8 @@
             && self.tasks_in_zone(zone) < spec.zone_limit()
     }
 
-    /// The offer for a new instance: the zone with the fewest replicas if they are to be spread, then
-    /// the lowest price for each task.
+    /// Returns the index of the offer to create an instance from. It prefers the zone with the fewest replicas if
+    /// the job spreads them, then the lowest price per task.
     fn best_offer(&self, offers: &[PoolOffer]) -> Option<usize> {
         let replicas = |offer: &PoolOffer| {
             if self.job.spec.spread {
@@ -180,39 +182,39 @@
     }
 }
 
-/// Capacity that running tasks release, and the waiting tasks ahead for it.
+/// The rate at which running tasks release capacity, and the pending tasks that claim it first.
 struct ReleaseForecast {
     /// CPUs released each second.
     cpus_freed_per_s: f64,
-    /// Factor on the time until a task has its turn.
+    /// Factor on the estimated time until a task gets capacity.
     margin: f64,
-    /// The quickest boot of all pools.
+    /// The shortest usual boot time of all pools, in seconds.
     quickest_boot_s: f64,
-    /// CPUs that the tasks fitted so far request.
+    /// CPUs that the tasks considered so far request.
     cpus_ahead: f64,
 }
 
 impl ReleaseForecast {
-    /// Whether the next task needs no new instance: it will have its turn in time on the workers that
-    /// are there, or sooner than a new instance is up.
+    /// Whether the next task needs no new instance: the workers in use will have capacity for it in time for its
+    /// deadline, or sooner than a new instance would be up.
     fn serves(&self, request: &BinRequest) -> bool {
         let job = request.job;
-        let turn_s =
+        let queue_wait_s =
             self.margin * self.cpus_ahead / self.cpus_freed_per_s.max(MIN_CPUS_FREED_PER_S);
-        let on_time = job
+        let meets_deadline = job
             .deadline
-            .is_some_and(|deadline| request.now + turn_s + request.task_s <= deadline);
-        let before_boot = turn_s <= self.quickest_boot_s;
-        self.cpus_freed_per_s > 0.0 && !job.is_service() && (on_time || before_boot)
+            .is_some_and(|deadline| request.now + queue_wait_s + request.task_s <= deadline);
+        let before_boot = queue_wait_s <= self.quickest_boot_s;
+        self.cpus_freed_per_s > 0.0 && !job.is_service() && (meets_deadline || before_boot)
     }
 }
 
 impl Leader {
-    /// Fits the waiting tasks onto instances that are coming, then onto instances yet to be created.
+    /// Fits the pending tasks onto instances that are expected, then onto instances that would be created.
     pub(super) fn fit_demand(&self, offers: &mut [PoolOffer], now: f64) -> DemandFit {
         let mut fit = DemandFit {
             demand: vec![Demand::default(); offers.len()],
-            bins: self.provisioning_bins(offers, now),
+            bins: self.expected_bins(offers, now),
         };
         let mut forecast = self.release_forecast(offers);
         let mut remaining = MAX_FITTED;
@@ -229,8 +231,8 @@
         fit
     }
 
-    /// Instances that are booting, within the usual time, or being provisioned: empty.
-    fn provisioning_bins(&self, offers: &[PoolOffer], now: f64) -> Vec<Bin> {
+    /// Returns an empty bin for each instance that is being provisioned, or is booting and not overdue.
+    fn expected_bins(&self, offers: &[PoolOffer], now: f64) -> Vec<Bin> {
         let mut bins = Vec::new();
         for (pool, offer) in offers.iter().enumerate() {
             let booting = self
@@ -256,7 +258,7 @@
         }
     }
 
-    /// The capacity that the running tasks of arrays release by finishing.
+    /// Forecasts the capacity that bound tasks release by completing. Replicas never complete and don't count.
     fn release_forecast(&self, offers: &[PoolOffer]) -> ReleaseForecast {
         let mut cpus_freed_per_s = 0.0;
         let mut running = 0_u32;
@@ -266,17 +268,17 @@
                     && !job.is_service()
                 {
                     let task_s = self.fleet.runtime_bias * job.spec.expected_runtime_s;
-                    let least_s = self.fleet.heartbeat_interval_s / 2.0;
-                    cpus_freed_per_s += binding.request.cpus / task_s.max(least_s);
+                    let min_task_s = self.fleet.heartbeat_interval_s / 2.0;
+                    cpus_freed_per_s += binding.request.cpus / task_s.max(min_task_s);
                     running += 1;
                 }
             }
         }
-        // The fewer tasks run, the less certain it is when they finish.
-        let uncertainty = TURN_UNCERTAINTY / f64::from(running.max(1)).sqrt();
+        // The fewer tasks run, the less certain is the time at which they complete.
+        let uncertainty = QUEUE_WAIT_UNCERTAINTY / f64::from(running.max(1)).sqrt();
         ReleaseForecast {
             cpus_freed_per_s,
-            margin: TURN_MARGIN * (1.0 + uncertainty),
+            margin: QUEUE_WAIT_MARGIN * (1.0 + uncertainty),
             quickest_boot_s: offers
                 .iter()
                 .map(|offer| offer.instance_type.boot_time_s)
@@ -286,7 +288,7 @@
     }
 }
 
-/// Fits up to `limit` waiting tasks of one job. Returns how many were considered.
+/// Fits up to `limit` pending tasks of one job. Returns how many were considered.
 fn fit_job(
     mut request: BinRequest,
     pending: &PendingDemand,
@@ -296,7 +298,7 @@
     fit: &mut DemandFit,
 ) -> u32 {
     let spec = &request.job.spec;
-    // Bins without capacity for one task have none for the next.
+    // Bins that have no capacity for one task of the job have none for the next one.
     let mut first = 0;
     for considered in 0..limit {
         forecast.cpus_ahead += spec.cpus;
--- a/src/coordination/leader/scaling/headroom.rs
+++ b/src/coordination/leader/scaling/headroom.rs
@@ -1,4 +1,4 @@
-//! Headroom: capacity that is kept in each zone for replicas to come.
+//! Headroom: spare capacity that is kept in each zone for future replicas.
 
 use super::demand::DemandFit;
 use super::pool::{PoolInventory, PoolOffer};
@@ -9,7 +9,7 @@
 
 /// The headroom of a zone.
 pub(super) struct Headroom {
-    /// Replicas for which capacity is kept.
+    /// Number of replicas for which capacity is kept.
     pub(super) replicas: u32,
     /// What a replica requests on average.
     pub(super) request: Resources,
@@ -17,14 +17,14 @@
 
 /// The replicas of a zone.
 struct ZoneReplicas {
-    /// Replicas bound in the zone, and its even part of those that wait.
+    /// Replicas bound in the zone, plus the zone's equal share of the replicas that may be placed now.
     count: f64,
-    /// What one requests on average.
+    /// What a replica requests on average.
     request: Resources,
 }
 
 impl Leader {
-    /// The headroom of a zone; none if it has no replicas.
+    /// Returns the headroom of a zone; `None` if the zone has no replicas, bound or pending.
     pub(super) fn headroom(
         &self,
         offers: &[PoolOffer],
@@ -60,8 +60,8 @@
         })
     }
 
-    /// Instances of each pool that are kept for replicas to come, whichever of a zone's pools still
-    /// has them.
+    /// Returns the number of instances in each pool that are kept as headroom, beyond the workers in use. A zone's
+    /// headroom may be kept in any of its on-demand pools.
     pub(super) fn headroom_machines(
         &self,
         offers: &[PoolOffer],
@@ -79,7 +79,7 @@
             let pools: Vec<usize> = (0..offers.len())
                 .filter(|i| !offers[*i].key.spot && offers[*i].key.zone == *zone)
                 .collect();
-            // First the instances that are there without tasks.
+            // Idle and expected instances are kept first.
             for i in &pools {
                 let fitting = offers[*i].resources().count_fitting(request);
                 let unused = inventories[*i].idle + fit.unused_bins(*i);
@@ -88,11 +88,12 @@
                     missing -= fitting;
                 }
             }
-            // Then new ones, of the cheapest pool that may have some.
+            // The rest is requested from the cheapest pool that is not blocked.
             for i in &pools {
                 let fitting = offers[*i].resources().count_fitting(request);
                 if fitting > 0 && !offers[*i].blocked {
-                    // Less than an instance's worth is none: in a small zone it would be expensive.
+                    // The number is rounded down: in a small zone, an instance for the remainder would be
+                    // expensive.
                     kept[*i] += missing / fitting;
                     missing = 0;
                 }
@@ -101,8 +102,8 @@
         kept
     }
 
-    /// How many of the headroom's replicas don't fit onto the on-demand workers in use. Capacity that
-    /// arrays have taken counts as free, since they can be preempted.
+    /// Returns how many of the headroom's replicas don't fit onto the on-demand workers in use. Capacity that
+    /// tasks other than replicas use counts as free, since these can be preempted.
     fn replicas_beyond_workers(
         &self,
         offers: &[PoolOffer],
--- a/src/coordination/leader/scaling/mod.rs
+++ b/src/coordination/leader/scaling/mod.rs
@@ -1,8 +1,8 @@
-//! A round of the autoscaler: how many instances each pool should have.
+//! A round of the autoscaler: sets the number of instances that each pool should have, and acts on it.
 //!
-//! The waiting tasks are fitted onto instances that are coming or would be created ([`demand`]);
-//! capacity for replicas to come is set aside ([`headroom`]); and each pool gets its target from the
-//! autoscaler, with the scale-out or scale-in that follows ([`target`]).
+//! First the pending tasks are fitted onto instances that are expected or would be created ([`demand`]), and
+//! headroom for future replicas is set aside ([`headroom`]). Then the autoscaler sets the target of each pool,
+//! and the pool is scaled out or in ([`target`]).
 
 mod demand;
 mod headroom;
@@ -16,7 +16,7 @@
 use pool::{PoolInventory, PoolOffer};
 
 impl Leader {
-    /// One round of the autoscaler.
+    /// Runs one round of the autoscaler.
     pub(super) fn run_autoscaler(&mut self, now: f64) {
         let instance_types = self.instance_types.clone();
         let mut offers = self.pool_offers(&instance_types, now);
@@ -42,7 +42,7 @@
         self.consolidate_zones(&offers, &parameters, now);
     }
 
-    /// The policy's figures for each pool.
+    /// Returns the policy's figures for each pool.
     fn policy_parameters(
         &self,
         offers: &[PoolOffer],
@@ -65,7 +65,7 @@
             .collect()
     }
 
-    /// Moves replicas together in each zone, unless some wait for capacity.
+    /// Consolidates the replicas of each zone, unless replicas wait for capacity.
     fn consolidate_zones(
         &mut self,
         offers: &[PoolOffer],
@@ -76,7 +76,8 @@
             let job = self.jobs.get(&pending_demand.job);
             job.is_some_and(|job| job.is_service())
         });
-        // A new leader first hears from all workers.
+        // After its election, a leader does not consolidate before all workers have had time to send
+        // heartbeats.
         let settings = self.settings.clone();
         if replicas_wait || now - self.elected_at < settings.deployment.workers.lease_s {
             return;
--- a/src/coordination/leader/scaling/pool.rs
+++ b/src/coordination/leader/scaling/pool.rs
@@ -1,25 +1,26 @@
-//! The pools of a round: what each offers, and what is there.
+//! The pools in a round of the autoscaler: what can be requested from each, and the instances that it has.
 
 use crate::bookkeeping::workers::{Resources, Worker};
 use crate::coordination::leader::Leader;
 use crate::coordination::leader::fleet::{self, PoolKey};
 use crate::protocol::cloud::InstanceType;
 
-/// What a pool offers in this round.
+/// What can be requested from a pool in this round.
 pub(super) struct PoolOffer<'a> {
     pub(super) key: PoolKey,
     pub(super) instance_type: &'a InstanceType,
     /// Price per hour.
     pub(super) price: f64,
-    /// Nothing is requested of it now.
+    /// No instances are requested from the pool in this round.
     pub(super) blocked: bool,
-    /// Instances that may still be requested in this round; few after a rejection, so that not all
-    /// demand waits for another one.
+    /// Number of instances that may still be requested in this round. It is low after the cloud could not create
+    /// all requested instances, so that most of the demand goes to other pools and does not wait for a second
+    /// rejection.
     pub(super) remaining: u32,
 }
 
 impl PoolOffer<'_> {
-    /// The resources of one instance.
+    /// Returns the resources of one instance.
     pub(super) fn resources(&self) -> Resources {
         Resources::from(self.instance_type)
     }
@@ -28,35 +29,35 @@
         self.price / self.instance_type.cpus.max(1.0)
     }
 
-    /// Whether an instance first seen at some time has not booted in the usual time.
+    /// Whether an instance that was first seen at this time and is not up yet is overdue.
     pub(super) fn is_overdue(&self, first_seen_at: f64, now: f64) -> bool {
         now - first_seen_at > fleet::BOOT_OVERDUE_FACTOR * self.instance_type.boot_time_s
     }
 }
 
-/// What a pool has, and what it needs beyond the instances in use.
+/// The instances that a pool has, and the number that it needs beyond those in use.
 #[derive(Default)]
 pub(super) struct PoolInventory {
-    /// Instances that are up, booting within the usual time, or being provisioned.
+    /// Instances that are up, booting and not overdue, or being provisioned.
     pub(super) machines: u32,
     /// Instances being provisioned.
     pub(super) provisioning: u32,
-    /// Instances with tasks.
+    /// Instances with bound tasks.
     pub(super) busy: u32,
-    /// Instances that are up and have no tasks.
+    /// Instances that have no bound tasks, and onto which tasks may be placed.
     pub(super) idle: u32,
-    /// What tasks take.
+    /// Resources that all bound tasks request.
     pub(super) allocated: Resources,
-    /// What replicas take of that.
+    /// Resources that bound replicas request.
     pub(super) service_usage: Resources,
-    /// Instances beyond the busy ones that the waiting tasks would fill.
+    /// Instances beyond the busy ones that pending tasks were fitted onto.
     pub(super) machines_to_fill: u32,
-    /// Instances beyond the busy ones that are kept for replicas to come.
+    /// Instances beyond the busy ones that are kept as headroom.
     pub(super) headroom_machines: u32,
 }
 
 impl Leader {
-    /// All pools, by price for each CPU.
+    /// Returns the offers of all pools, in the order of their price per CPU.
     pub(super) fn pool_offers<'a>(
         &self,
         instance_types: &'a [InstanceType],
@@ -96,7 +97,7 @@
         };
         PoolOffer {
             remaining: self.fleet.request_limit(&key),
-            // Instances that come up in a partitioned zone could not be reached.
+            // This controller could not reach new instances in a partitioned zone.
             blocked: self.fleet.is_blocked(&key, now) || self.fleet.is_partitioned(zone, now),
             price,
             key,
@@ -104,7 +105,7 @@
         }
     }
 
-    /// What a pool has.
+    /// Returns the instances that a pool has.
     pub(super) fn pool_inventory(&self, offer: &PoolOffer, now: f64) -> PoolInventory {
         let mut inventory = PoolInventory::default();
         for worker in self.workers.iter() {
@@ -126,7 +127,7 @@
         inventory
     }
 
-    /// What replicas take of a worker.
+    /// Returns the resources that replicas on a worker request.
     pub(super) fn service_usage(&self, worker: &Worker) -> Resources {
         worker
             .bindings
--- a/src/coordination/leader/scaling/target.rs
+++ b/src/coordination/leader/scaling/target.rs
@@ -1,4 +1,4 @@
-//! A pool's target, and the scale-out or scale-in that follows from it.
+//! Sets a pool's target number of instances, and decides on the scale-out or scale-in that follows.
 
 use super::demand::Demand;
 use super::pool::{PoolInventory, PoolOffer};
@@ -8,7 +8,8 @@
 use crate::policy::ScalingParameters;
 
 impl Leader {
-    /// Measures a pool's load, and sets its target.
+    /// Measures a pool's load and returns the autoscaler's decision on its target. A decision that differs from the
+    /// last one is logged.
     pub(super) fn set_target(
         &mut self,
         offer: &PoolOffer,
@@ -56,7 +57,7 @@
         now: f64,
     ) -> PoolLoad {
         let since = self.elected_at;
-        let least_task_s = self.fleet.heartbeat_interval_s / 5.0;
+        let min_task_s = self.fleet.heartbeat_interval_s / 5.0;
         let pool = self.fleet.pools.entry(offer.key.clone()).or_default();
         pool.starts.trim(parameters.window_s, now);
         pool.finishes.trim(parameters.window_s, now);
@@ -71,7 +72,7 @@
         let task_s = pool
             .task_s
             .unwrap_or(demand.expected_runtime_s / pending)
-            .max(least_task_s);
+            .max(min_task_s);
         let events_per_s = pool.starts.rate(parameters.window_s, since, now)
             + pool.finishes.rate(parameters.window_s, since, now);
         let rate = if events_per_s > 0.0 && inventory.busy > 0 {
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Requests the instances that a pool lacks, unless an earlier request is not complete.
+    /// Requests the instances that a pool lacks, unless the pool is blocked or an earlier request is pending.
     pub(super) fn scale_out_pool(
         &mut self,
         offer: &PoolOffer,
@@ -107,8 +108,8 @@
         }
     }
 
-    /// The workers of a pool beyond its target that have been idle for the cooldown, those that have
-    /// been idle for longest first.
+    /// Returns the workers that a pool has beyond its target, of those that have been idle for the cooldown. The
+    /// ones that have been idle for longest come first.
     pub(super) fn surplus_workers(
         &self,
         offer: &PoolOffer,
@@ -118,7 +119,7 @@
         now: f64,
     ) -> Vec<String> {
         let surplus = inventory.machines.saturating_sub(decision.target) as usize;
-        // Workers of a partitioned zone are idle only because the leader can't reach them.
+        // Workers of a partitioned zone may be idle only because the leader can't reach them.
         let partitioned = self.fleet.was_partitioned(&offer.key.zone);
         let mut idle: Vec<&Worker> = self
             .workers
