--- a/tests/permits.rs
+++ b/tests/permits.rs
@@ -1,4 +1,4 @@
-//! What may be done on knowledge of which age, and the reason of each denial.
+//! Permits: which actions the age of the view allows, the reason of each denial, and the check of invariants.
 
 mod common;
 
@@ -6,8 +6,8 @@
 use cedarladder::bookkeeping::permits::{Denial, ViewFreshness};
 use common::freshness;
 
-/// Each: what differs from a leader that has just been confirmed, whether it may start tasks, and whether
-/// it may renew leases. Views allow starts for 4 s, the lease grace period lasts 10 s.
+/// A view allows starts for 4 s and lease renewals for the lease grace period of 10 s. Each case: what differs
+/// from a leader whose lease and view have just been confirmed, the denial of starts, and the denial of renewals.
 #[test]
 fn starts_and_renewals_are_permitted_by_the_freshness_of_the_view() {
     type Case = (
@@ -19,40 +19,40 @@
     let cases: [Case; 7] = [
         ("all is fresh", |_| {}, None, None),
         (
-            "does not lead",
-            |k| k.is_leader = false,
+            "the controller does not lead",
+            |freshness| freshness.is_leader = false,
             Some(Denial::NotLeader),
             Some(Denial::NotLeader),
         ),
         (
-            "the lease may have expired",
-            |k| k.lease_held = false,
+            "the leader's lease may have expired",
+            |freshness| freshness.lease_held = false,
             Some(Denial::LeaseNotHeld),
             None,
         ),
         (
-            "the state service has refused a call since the view was current",
-            |k| k.state_failure_age_s = 0.05,
+            "the state service has refused a request since the view was current",
+            |freshness| freshness.state_failure_age_s = 0.05,
             Some(Denial::StateServiceUncertain),
             None,
         ),
         (
             "the view is too old for starts",
-            |k| k.view_age_s = 4.0,
+            |freshness| freshness.view_age_s = 4.0,
             Some(Denial::ViewStale),
             None,
         ),
         (
             "the view is too old for anything",
-            |k| k.view_age_s = 10.1,
+            |freshness| freshness.view_age_s = 10.1,
             Some(Denial::ViewStale),
             Some(Denial::LeaseGraceExpired),
         ),
         (
-            "the lease was renewed too long ago",
-            |k| {
-                k.lease_held = false;
-                k.lease_age_s = 10.1;
+            "the leader's lease was renewed too long ago",
+            |freshness| {
+                freshness.lease_held = false;
+                freshness.lease_age_s = 10.1;
             },
             Some(Denial::LeaseNotHeld),
             Some(Denial::LeaseGraceExpired),
@@ -66,13 +66,14 @@
     }
 }
 
-/// What holds may go on; a violation is refused, and ends builds with debug assertions, such as this one.
+/// An action is allowed if its invariant holds, and refused otherwise. Builds with debug assertions, such as this
+/// one, panic on a violation.
 #[test]
 #[cfg_attr(
     debug_assertions,
     should_panic(expected = "NoStartOfEndedJob: worker h")
 )]
-fn violations_are_refused_and_end_debug_builds() {
+fn violations_are_refused_and_panic_in_debug_builds() {
     let invariant = Invariant::NoStartOfEndedJob;
     assert!(check(invariant, true, format_args!("worker h")));
     assert!(!check(invariant, false, format_args!("worker h")));
--- a/tests/worker_heartbeats.rs
+++ b/tests/worker_heartbeats.rs
@@ -1,4 +1,5 @@
-//! What a heartbeat tells a leader, and what an old one does not.
+//! How a leader handles heartbeats of workers: which of them show contact, which renew a lease, and what it
+//! responds.
 
 mod common;
 
@@ -70,23 +71,24 @@
     }
 }
 
-/// 200 with these commands, under the leader's token.
-fn answer(orders: Vec<Command>) -> HeartbeatOutcome {
+/// The outcome 200 with these commands and the leader's token.
+fn ok_with(commands: Vec<Command>) -> HeartbeatOutcome {
     HeartbeatOutcome::Commands(CommandBatch {
         token: FencingToken::new(EPOCH, 0),
         incarnation: None,
-        commands: orders,
+        commands,
     })
 }
 
-/// For how long no worker has shown that it receives the leader's answers, at second 30.
+/// Copies and late heartbeats must not hide that the leader's responses no longer reach any worker. Checked at
+/// second 30.
 #[test]
-fn only_new_heartbeats_of_this_epoch_show_that_answers_arrive() {
-    // Each: heartbeats with the time they come, and the silence.
+fn only_new_heartbeats_of_this_epoch_show_that_responses_arrive() {
+    // Each case: heartbeats with the times at which they arrive, and the seconds without contact.
     type Case = (&'static str, Vec<(f64, WorkerHeartbeat)>, f64);
     let cases: Vec<Case> = vec![
         (
-            "a heartbeat with our epoch",
+            "a heartbeat with the leader's epoch",
             vec![
                 (5.0, heartbeat(1, 1, EPOCH)),
                 (29.0, heartbeat(1, 2, EPOCH)),
@@ -118,12 +120,12 @@
             25.0,
         ),
         (
-            "a worker's first heartbeat: it has not had our answer yet",
+            "a worker's first heartbeat: it has not received a response yet",
             vec![(29.0, heartbeat(1, 1, 0))],
             1.0,
         ),
         (
-            "heartbeats with an earlier epoch: they do not show that our answers arrive",
+            "heartbeats with an earlier epoch: they do not show that the leader's responses arrive",
             vec![
                 (5.0, heartbeat(1, 90, EPOCH - 1)),
                 (29.0, heartbeat(1, 91, EPOCH - 1)),
@@ -131,36 +133,37 @@
             25.0,
         ),
     ];
-    for (name, heartbeats, silence) in cases {
+    for (name, heartbeats, lost_s) in cases {
         let mut leader = recovered_leader();
         for (at, heartbeat) in heartbeats {
             let got = leader.on_heartbeat(&heartbeat, &freshness(), |_| true, at);
-            assert_eq!(got, answer(Vec::new()), "{name}");
+            assert_eq!(got, ok_with(Vec::new()), "{name}");
         }
-        assert_eq!(leader.worker_contact_lost_s(30.0), silence, "{name}");
+        assert_eq!(leader.worker_contact_lost_s(30.0), lost_s, "{name}");
     }
 }
 
-/// Who has seen a higher epoch is sent away at once, by a late copy too.
+/// A worker that has seen a higher epoch is redirected to the newer leader, even if its heartbeat is a late copy.
 #[test]
 fn a_worker_that_knows_a_higher_epoch_is_redirected() {
     for (name, epoch, expected) in [
         ("an earlier epoch", EPOCH - 1, false),
-        ("ours", EPOCH, false),
-        ("a higher one", EPOCH + 1, true),
+        ("the leader's epoch", EPOCH, false),
+        ("a higher epoch", EPOCH + 1, true),
     ] {
-        let answer =
+        let outcome =
             recovered_leader().on_heartbeat(&heartbeat(1, 1, epoch), &freshness(), |_| true, 1.0);
         assert_eq!(
-            answer == HeartbeatOutcome::NewerLeaderExists,
+            outcome == HeartbeatOutcome::NewerLeaderExists,
             expected,
             "{name}"
         );
     }
 }
 
-/// An answer with 200 renews the worker's lease: only a leader that knows of every cancellation that
-/// could be due gives one. During recovery it can't stop anything yet, however long that takes.
+/// A response with status 200 renews the worker's lease, so only a leader that knows of every cancellation that
+/// workers must carry out by then may send it. During recovery, however long it takes, the leader can't stop any
+/// task, so it renews no lease of a worker that runs tasks of ended jobs.
 #[test]
 fn no_lease_is_renewed_while_a_cancellation_may_be_unknown() {
     let task = |state| TaskStatus {
@@ -170,8 +173,8 @@
         exit_reason: None,
     };
     let running = || vec![task(TaskState::Running)];
-    // Each: whether the tables are loaded, the tasks, whether the node may renew, whether it knows the
-    // job as open, and whether the lease is renewed.
+    // Each case: whether recovery has completed, the tasks in the heartbeat, whether the view is fresh enough
+    // to renew leases, whether it shows the job as open, and whether the lease is renewed.
     let cases = [
         (
             "a view that is too old",
@@ -182,7 +185,7 @@
             false,
         ),
         (
-            "too old, during recovery",
+            "a view that is too old, during recovery",
             false,
             vec![],
             false,
@@ -190,7 +193,7 @@
             false,
         ),
         (
-            "recovery, and the job is open",
+            "during recovery, the job is open",
             false,
             running(),
             true,
@@ -198,7 +201,7 @@
             true,
         ),
         (
-            "recovery, and the job has ended",
+            "during recovery, the job has ended",
             false,
             running(),
             true,
@@ -206,7 +209,7 @@
             false,
         ),
         (
-            "recovery, and the task has exited",
+            "during recovery, the job has ended and the task has exited",
             false,
             vec![task(TaskState::Exited)],
             true,
@@ -229,13 +232,14 @@
         };
         let got = leader.on_heartbeat(&heartbeat, &freshness, |_| open, 1.0);
         let expected = if renewed {
-            answer(Vec::new())
+            ok_with(Vec::new())
         } else {
             HeartbeatOutcome::LeaseNotRenewed
         };
         assert_eq!(got, expected, "{name}");
     }
-    // Once recovered, what belongs to no open job is stopped with the same answer.
+    // After recovery, tasks of jobs that are not open are stopped by a command in the response that renews
+    // the lease.
     let mut heartbeat = heartbeat(1, 1, EPOCH);
     heartbeat.tasks = running();
     let got = recovered_leader().on_heartbeat(&heartbeat, &freshness_of_age(9.0), |_| false, 1.0);
@@ -245,11 +249,11 @@
         attempt: 7,
         grace_s: Some(0.0),
     };
-    assert_eq!(got, answer(vec![stop]));
+    assert_eq!(got, ok_with(vec![stop]));
 }
 
-/// A segment of the log whose leader came after this one can't be; what it says of bindings is kept all the
-/// same, so that no task is stopped or started twice for it.
+/// A log segment of a higher epoch than the leader's should not exist. If one does, its bindings are kept all the
+/// same, so that no task is stopped or started twice because of it.
 #[test]
 fn bindings_in_a_segment_of_a_later_epoch_are_kept() {
     let page = |key: &str, value: Value| {
@@ -295,5 +299,5 @@
         exit_reason: None,
     }];
     let got = leader.on_heartbeat(&heartbeat, &freshness(), |_| true, 1.0);
-    assert_eq!(got, answer(Vec::new()), "its task goes on");
+    assert_eq!(got, ok_with(Vec::new()), "the bound task is not stopped");
 }
