--- a/tests/bindings.rs
+++ b/tests/bindings.rs
@@ -1,4 +1,4 @@
-//! The commands for a worker, by what its heartbeat shows and what is bound to it, and the revocation of starts.
+//! The commands that follow from a worker's bindings and its latest heartbeat, and the revocation of starts.
 
 mod common;
 
@@ -12,17 +12,19 @@
 type Setup = fn(&mut Worker);
 type Steps = fn(&mut Worker, &[Command]);
 
-fn bound(worker: &mut Worker, change: impl Fn(&mut cedarladder::bookkeeping::workers::Binding)) {
-    let mut b = binding(&spec("j-1", 4), 7);
-    change(&mut b);
-    worker.bindings.insert(task("j-1", 0), b);
+/// Binds attempt 7 of a task to a worker, with a binding that `change` modifies.
+fn bind(worker: &mut Worker, change: impl Fn(&mut cedarladder::bookkeeping::workers::Binding)) {
+    let mut binding = binding(&spec("j-1", 4), 7);
+    change(&mut binding);
+    worker.bindings.insert(task("j-1", 0), binding);
 }
 
-fn shows(worker: &mut Worker, attempt: u64, status: TaskState) {
+/// Adds an attempt of the task to the worker's latest heartbeat; one that has exited is completed.
+fn observe(worker: &mut Worker, attempt: u64, state: TaskState) {
     let task = task("j-1", 0);
-    let cause = (status == TaskState::Exited).then_some(ExitReason::Completed);
-    let steps = worker.observed_tasks.entry(task.clone()).or_default();
-    steps.push(task_status(&task, attempt, status, cause));
+    let exit_reason = (state == TaskState::Exited).then_some(ExitReason::Completed);
+    let statuses = worker.observed_tasks.entry(task.clone()).or_default();
+    statuses.push(task_status(&task, attempt, state, exit_reason));
 }
 
 #[test]
@@ -30,165 +32,176 @@
     use TaskState::{Checkpointing, Exited, Running};
     type Case = (&'static str, Setup, bool, Vec<(CommandKind, u64)>);
     let cases: Vec<Case> = vec![
-        ("nothing bound, nothing shown", |_| {}, true, vec![]),
         (
-            "bound and not shown: start",
-            |h| bound(h, |_| {}),
+            "nothing bound, nothing in the heartbeat",
+            |_| {},
+            true,
+            vec![],
+        ),
+        (
+            "bound and not in the heartbeat: start",
+            |worker| bind(worker, |_| {}),
             true,
             vec![(CommandKind::Start, 7)],
         ),
         (
             "no starts on a view that is not fresh",
-            |h| bound(h, |_| {}),
+            |worker| bind(worker, |_| {}),
             false,
             vec![],
         ),
         (
             "not committed yet: no start",
-            |h| bound(h, |b| b.durable = false),
+            |worker| bind(worker, |binding| binding.durable = false),
             true,
             vec![],
         ),
         (
             "bound by an earlier leader: no start",
-            |h| bound(h, |b| b.inherited = true),
+            |worker| bind(worker, |binding| binding.inherited = true),
             true,
             vec![],
         ),
         (
             "bound for an earlier incarnation: no start",
-            |h| bound(h, |b| b.incarnation = 0),
+            |worker| bind(worker, |binding| binding.incarnation = 0),
             true,
             vec![],
         ),
         (
             "a worker that is being released starts nothing",
-            |h| {
-                bound(h, |_| {});
-                h.terminating = true;
+            |worker| {
+                bind(worker, |_| {});
+                worker.terminating = true;
             },
             true,
             vec![],
         ),
         (
-            "running as wanted",
-            |h| {
-                bound(h, |_| {});
-                shows(h, 7, Running);
+            "bound and running: no command",
+            |worker| {
+                bind(worker, |_| {});
+                observe(worker, 7, Running);
             },
             true,
             vec![],
         ),
         (
-            "running, to be stopped",
-            |h| {
-                bound(h, |b| {
-                    b.eviction = Some(Eviction {
+            "running and evicted: stop",
+            |worker| {
+                bind(worker, |binding| {
+                    binding.eviction = Some(Eviction {
                         grace_s: 3.0,
                         reason: EvictionReason::Drained,
                     });
                 });
-                shows(h, 7, Running);
+                observe(worker, 7, Running);
             },
             false,
             vec![(CommandKind::Stop, 7)],
         ),
         (
-            "writing a checkpoint within the grace period: no second stop",
-            |h| {
-                bound(h, |b| {
-                    b.eviction = Some(Eviction {
+            "evicted and writing its checkpoint with a grace period: no second stop",
+            |worker| {
+                bind(worker, |binding| {
+                    binding.eviction = Some(Eviction {
                         grace_s: 3.0,
                         reason: EvictionReason::Drained,
                     });
                 });
-                shows(h, 7, Checkpointing);
+                observe(worker, 7, Checkpointing);
             },
             true,
             vec![],
         ),
         (
-            "writing a checkpoint for a job that has ended: a second stop",
-            |h| {
-                bound(h, |b| b.eviction = Some(Eviction::JOB_ENDED));
-                shows(h, 7, Checkpointing);
+            "writing its checkpoint when its job ends: a second stop",
+            |worker| {
+                bind(worker, |binding| {
+                    binding.eviction = Some(Eviction::JOB_ENDED);
+                });
+                observe(worker, 7, Checkpointing);
             },
             true,
             vec![(CommandKind::Stop, 7)],
         ),
         (
-            "exited, but the end of the binding is not committed: no clear",
-            |h| {
-                bound(h, |b| b.unbinding = true);
-                shows(h, 7, Exited);
+            "exited, but the end of its binding is not committed: no clear",
+            |worker| {
+                bind(worker, |binding| binding.unbinding = true);
+                observe(worker, 7, Exited);
             },
             true,
             vec![],
         ),
         (
-            "exited and not bound any more: clear",
-            |h| shows(h, 7, Exited),
+            "exited and no longer bound: clear",
+            |worker| observe(worker, 7, Exited),
             true,
             vec![(CommandKind::Clear, 7)],
         ),
         (
-            "a start may still arrive: no clear",
-            |h| {
-                shows(h, 7, Exited);
-                h.pending_starts.record_direct_call(task("j-1", 0), 7);
-                h.pending_starts
-                    .record_call_outcome(&task("j-1", 0), 7, CallOutcome::Unanswered);
+            "exited, but a start may still arrive: no clear",
+            |worker| {
+                observe(worker, 7, Exited);
+                worker.pending_starts.record_direct_call(task("j-1", 0), 7);
+                worker.pending_starts.record_call_outcome(
+                    &task("j-1", 0),
+                    7,
+                    CallOutcome::Unanswered,
+                );
             },
             true,
             vec![],
         ),
         (
             "running and not bound: stop",
-            |h| shows(h, 7, Running),
+            |worker| observe(worker, 7, Running),
             true,
             vec![(CommandKind::Stop, 7)],
         ),
         (
-            "an old attempt is cleared before the new one starts",
-            |h| {
-                shows(h, 6, Exited);
-                bound(h, |_| {});
+            "an earlier attempt has exited: it is cleared before the new one starts",
+            |worker| {
+                observe(worker, 6, Exited);
+                bind(worker, |_| {});
             },
             true,
             vec![(CommandKind::Clear, 6), (CommandKind::Start, 7)],
         ),
     ];
-    for (name, setup, confirmed, expected) in cases {
+    for (name, setup, may_start, expected) in cases {
         let mut worker = worker("h", "a", false);
         setup(&mut worker);
-        let got: Vec<(CommandKind, u64)> = commands(&worker, confirmed, 100)
+        let got: Vec<(CommandKind, u64)> = commands(&worker, may_start, 100)
             .into_iter()
-            .map(|order| (order.kind, order.attempt))
+            .map(|command| (command.kind, command.attempt))
             .collect();
         assert_eq!(got, expected, "{name}");
     }
 }
 
-/// Commands that are sent in a direct call, and its outcome.
-fn sent_directly(worker: &mut Worker, sent: &[Command], fate: CallOutcome) {
+/// Sends commands to a worker in a direct call that has this outcome.
+fn send_directly(worker: &mut Worker, sent: &[Command], outcome: CallOutcome) {
     worker.record_sent(sent, DeliveryPath::DirectCall, freshness().view_age_s);
-    worker.record_call_outcome(sent, fate);
+    worker.record_call_outcome(sent, outcome);
 }
 
-/// A direct start may arrive once more, answered or not, until the worker shows a higher fence. An attempt
-/// that was stopped is kept till then: cleared, it would run beside its successor.
+/// A copy of a direct start may arrive until the worker shows a higher fence, whether the call was answered or not.
+/// A stopped attempt must not be cleared before that: the copy would start it again, beside its successor.
 #[test]
 fn a_stopped_attempt_is_cleared_only_after_its_starts_are_revoked() {
     use cedarladder::protocol::worker::TaskState::Exited;
-    let answered: Steps = |h, o| sent_directly(h, o, CallOutcome::Answered);
-    let unanswered: Steps = |h, o| sent_directly(h, o, CallOutcome::Unanswered);
-    let in_answer: Steps = |h, o| {
-        h.record_sent(
-            o,
+    let answered: Steps = |worker, commands| send_directly(worker, commands, CallOutcome::Answered);
+    let unanswered: Steps =
+        |worker, commands| send_directly(worker, commands, CallOutcome::Unanswered);
+    let in_response: Steps = |worker, commands| {
+        worker.record_sent(
+            commands,
             DeliveryPath::HeartbeatResponse(5),
             freshness().view_age_s,
         );
-        h.pending_starts.settle_responses(6);
+        worker.pending_starts.settle_responses(6);
     };
     for (name, steps, cause, cleared) in [
         (
@@ -205,20 +218,20 @@
         ),
         ("direct call, stopped", answered, ExitReason::Stopped, false),
         (
-            "direct call, refused",
+            "direct call, rejected for lack of resources",
             answered,
             ExitReason::InsufficientResources,
             false,
         ),
         (
             "in a heartbeat response, stopped",
-            in_answer,
+            in_response,
             ExitReason::Stopped,
             true,
         ),
     ] {
         let mut worker = worker("h", "a", false);
-        bound(&mut worker, |_| {});
+        bind(&mut worker, |_| {});
         let sent = commands(&worker, true, 10);
         steps(&mut worker, &sent);
         let task = task("j-1", 0);
@@ -230,137 +243,151 @@
         assert_eq!(!commands(&worker, true, 10).is_empty(), cleared, "{name}");
         let reason = (!cleared).then_some(RevocationReason::Clear);
         assert_eq!(pending_revocation(&worker), reason, "{name}");
-        // Once the worker shows a higher fence it may be cleared, and nothing is kept of it.
+        // Once the worker shows a higher fence, the attempt may be cleared and no pending start is kept.
         assert!(worker.revoke_starts(RevocationReason::Clear));
-        assert_eq!(pending_revocation(&worker), None, "{name}: revoked once");
+        assert_eq!(
+            pending_revocation(&worker),
+            None,
+            "{name}: not revoked a second time"
+        );
         assert_eq!(
             !commands(&worker, true, 10).is_empty(),
             cleared,
-            "{name}: not shown yet"
+            "{name}: the fence is not shown yet"
         );
         worker.observe_fence(worker.pending_starts.fence());
-        assert_eq!(commands(&worker, true, 10).len(), 1, "{name}: shown");
+        assert_eq!(
+            commands(&worker, true, 10).len(),
+            1,
+            "{name}: the fence is shown"
+        );
         assert!(worker.pending_starts.is_empty(), "{name}");
     }
 }
 
-/// What may still arrive of a start.
+/// Which messages with a start may still arrive at the worker.
 #[derive(Debug, PartialEq)]
-enum Arrival {
-    Nothing,
-    Copies,
+enum PendingMessages {
+    None,
+    /// Copies of commands that the worker has answered.
+    AnsweredCopies,
+    /// A command that the worker may not have executed yet.
     Start,
 }
 
-/// A start is pending until every copy of it is accounted for.
+/// A start is pending until no message that carries it can still arrive.
 #[test]
 fn a_start_is_pending_until_every_copy_is_accounted_for() {
-    let cases: [(&str, Steps, Arrival); 10] = [
+    let cases: [(&str, Steps, PendingMessages); 10] = [
         (
             "sent directly",
-            |h, o| h.record_sent(o, DeliveryPath::DirectCall, freshness().view_age_s),
-            Arrival::Start,
+            |worker, commands| {
+                worker.record_sent(commands, DeliveryPath::DirectCall, freshness().view_age_s);
+            },
+            PendingMessages::Start,
         ),
         (
             "sent directly and answered",
-            |h, o| sent_directly(h, o, CallOutcome::Answered),
-            Arrival::Copies,
+            |worker, commands| send_directly(worker, commands, CallOutcome::Answered),
+            PendingMessages::AnsweredCopies,
         ),
         (
             "never sent",
-            |h, o| sent_directly(h, o, CallOutcome::NotSent),
-            Arrival::Nothing,
+            |worker, commands| send_directly(worker, commands, CallOutcome::NotSent),
+            PendingMessages::None,
         ),
         (
-            "the first copy lost, the second answered: the first may still arrive",
-            |h, o| {
-                sent_directly(h, o, CallOutcome::Unanswered);
-                sent_directly(h, o, CallOutcome::Answered);
+            "the first call unanswered, the second answered: the first may still arrive",
+            |worker, commands| {
+                send_directly(worker, commands, CallOutcome::Unanswered);
+                send_directly(worker, commands, CallOutcome::Answered);
             },
-            Arrival::Start,
+            PendingMessages::Start,
         ),
         (
-            "the first copy lost, the second never sent",
-            |h, o| {
-                sent_directly(h, o, CallOutcome::Unanswered);
-                sent_directly(h, o, CallOutcome::NotSent);
+            "the first call unanswered, the second never sent",
+            |worker, commands| {
+                send_directly(worker, commands, CallOutcome::Unanswered);
+                send_directly(worker, commands, CallOutcome::NotSent);
             },
-            Arrival::Start,
+            PendingMessages::Start,
         ),
         (
-            "lost, and revoked, but that is not shown",
-            |h, o| {
-                sent_directly(h, o, CallOutcome::Unanswered);
-                assert!(h.revoke_starts(RevocationReason::Evicted));
-                h.observe_fence(0);
+            "unanswered and revoked, but the worker does not show the fence",
+            |worker, commands| {
+                send_directly(worker, commands, CallOutcome::Unanswered);
+                assert!(worker.revoke_starts(RevocationReason::Evicted));
+                worker.observe_fence(0);
             },
-            Arrival::Start,
+            PendingMessages::Start,
         ),
         (
-            "lost, revoked, and the fence is shown",
-            |h, o| {
-                sent_directly(h, o, CallOutcome::Unanswered);
-                assert!(h.revoke_starts(RevocationReason::Evicted));
-                h.observe_fence(1);
+            "unanswered and revoked, and the worker shows the fence",
+            |worker, commands| {
+                send_directly(worker, commands, CallOutcome::Unanswered);
+                assert!(worker.revoke_starts(RevocationReason::Evicted));
+                worker.observe_fence(1);
             },
-            Arrival::Nothing,
+            PendingMessages::None,
         ),
         (
             "in the response to heartbeat 5",
-            |h, o| {
-                h.record_sent(
-                    o,
+            |worker, commands| {
+                worker.record_sent(
+                    commands,
                     DeliveryPath::HeartbeatResponse(5),
                     freshness().view_age_s,
                 );
             },
-            Arrival::Start,
+            PendingMessages::Start,
         ),
         (
-            "a later heartbeat settles it",
-            |h, o| {
-                h.record_sent(
-                    o,
+            "in the response to heartbeat 5, and a later heartbeat has arrived",
+            |worker, commands| {
+                worker.record_sent(
+                    commands,
                     DeliveryPath::HeartbeatResponse(5),
                     freshness().view_age_s,
                 );
-                h.pending_starts.settle_responses(6);
+                worker.pending_starts.settle_responses(6);
             },
-            Arrival::Nothing,
+            PendingMessages::None,
         ),
         (
-            "the same heartbeat does not",
-            |h, o| {
-                h.record_sent(
-                    o,
+            "in the response to heartbeat 5, and a copy of that heartbeat has arrived",
+            |worker, commands| {
+                worker.record_sent(
+                    commands,
                     DeliveryPath::HeartbeatResponse(5),
                     freshness().view_age_s,
                 );
-                h.pending_starts.settle_responses(5);
+                worker.pending_starts.settle_responses(5);
             },
-            Arrival::Start,
+            PendingMessages::Start,
         ),
     ];
     for (name, steps, expected) in cases {
         let mut worker = worker("h", "a", false);
-        bound(&mut worker, |_| {});
+        bind(&mut worker, |_| {});
         let sent = commands(&worker, true, 10);
         steps(&mut worker, &sent);
         let task = task("j-1", 0);
-        let arrival = match worker.pending_starts.may_arrive(&task, 7) {
-            false => Arrival::Nothing,
-            true if worker.pending_starts.has_only_answered_duplicates(&task, 7) => Arrival::Copies,
-            true => Arrival::Start,
+        let pending = match worker.pending_starts.may_arrive(&task, 7) {
+            false => PendingMessages::None,
+            true if worker.pending_starts.has_only_answered_duplicates(&task, 7) => {
+                PendingMessages::AnsweredCopies
+            }
+            true => PendingMessages::Start,
         };
-        assert_eq!(arrival, expected, "{name}");
+        assert_eq!(pending, expected, "{name}");
     }
 }
 
-/// The answer to a stop says nothing of a start that is in flight.
+/// The answer to a stop does not show whether the start of the same attempt, still in flight, has arrived.
 #[test]
 fn an_answered_stop_settles_no_start() {
     let mut worker = worker("h", "a", false);
-    bound(&mut worker, |_| {});
+    bind(&mut worker, |_| {});
     let sent = commands(&worker, true, 10);
     worker.record_sent(&sent, DeliveryPath::DirectCall, freshness().view_age_s);
     let mut stop = sent.clone();
@@ -374,7 +401,8 @@
     );
 }
 
-/// When the starts that went out are revoked, and whether the worker is told at once.
+/// Pending starts are revoked when a task must not start any more. A revocation is urgent if it can't wait for the
+/// end of a direct call.
 #[test]
 fn starts_are_revoked_when_due_and_urgently_for_evictions() {
     use cedarladder::protocol::worker::TaskState::Running;
@@ -385,58 +413,59 @@
             reason,
         });
     }
-    // Each: what becomes of a start that was sent directly, and the reason with its urgency.
+    // Each case: what happens after a start was sent in an unanswered direct call, and the reason to revoke it
+    // with its urgency.
     type Case = (&'static str, Setup, Option<(RevocationReason, bool)>);
     let cases: [Case; 7] = [
-        ("wanted, and may still arrive", |_| {}, None),
+        ("its task is still bound", |_| {}, None),
         (
             "its job has ended",
-            |h| evict(h, EvictionReason::JobEnded),
+            |worker| evict(worker, EvictionReason::JobEnded),
             Some((RevocationReason::JobEnded, true)),
         ),
         (
-            "its job has ended, and it runs",
-            |h| {
-                evict(h, EvictionReason::JobEnded);
-                shows(h, 7, Running);
+            "its job has ended, and the task is running",
+            |worker| {
+                evict(worker, EvictionReason::JobEnded);
+                observe(worker, 7, Running);
             },
             Some((RevocationReason::JobEnded, true)),
         ),
         (
-            "preempted before it was seen",
-            |h| evict(h, EvictionReason::Preempted),
+            "its task was preempted before a heartbeat showed it",
+            |worker| evict(worker, EvictionReason::Preempted),
             Some((RevocationReason::Evicted, true)),
         ),
         (
-            "drained, and it runs: the stop is enough",
-            |h| {
-                evict(h, EvictionReason::Drained);
-                shows(h, 7, Running);
+            "its task is drained while running: a stop command suffices",
+            |worker| {
+                evict(worker, EvictionReason::Drained);
+                observe(worker, 7, Running);
             },
             None,
         ),
         (
-            "its job has ended and it completed here: copies may follow",
-            |h| {
-                h.bindings.clear();
-                h.revoke_starts_of_ended_jobs = true;
+            "its job has ended after the task completed here: copies may still arrive",
+            |worker| {
+                worker.bindings.clear();
+                worker.revoke_starts_of_ended_jobs = true;
             },
             Some((RevocationReason::JobEnded, true)),
         ),
         (
-            "its job has ended, and the incarnation as well",
-            |h| {
-                evict(h, EvictionReason::JobEnded);
-                h.pending_starts.clear_for_new_incarnation();
+            "its job has ended, and so has the worker's incarnation",
+            |worker| {
+                evict(worker, EvictionReason::JobEnded);
+                worker.pending_starts.clear_for_new_incarnation();
             },
             None,
         ),
     ];
     for (name, setup, expected) in cases {
         let mut worker = worker("h", "a", false);
-        bound(&mut worker, |_| {});
+        bind(&mut worker, |_| {});
         let sent = commands(&worker, true, 10);
-        sent_directly(&mut worker, &sent, CallOutcome::Unanswered);
+        send_directly(&mut worker, &sent, CallOutcome::Unanswered);
         setup(&mut worker);
         let revocation = pending_revocation(&worker);
         let got = revocation.map(|reason| (reason, reason.is_urgent()));
@@ -444,15 +473,17 @@
     }
 }
 
-/// Starts of tasks that are long done don't pile up.
+/// Starts of tasks that have long completed don't accumulate.
 #[test]
 fn pending_starts_are_bounded() {
     let mut worker = worker("h", "a", false);
-    for n in 0..300 {
-        worker.pending_starts.record_direct_call(task("j-1", n), 7);
+    for index in 0..300 {
+        worker
+            .pending_starts
+            .record_direct_call(task("j-1", index), 7);
         worker
             .pending_starts
-            .record_call_outcome(&task("j-1", n), 7, CallOutcome::Answered);
+            .record_call_outcome(&task("j-1", index), 7, CallOutcome::Answered);
     }
     assert_eq!(
         pending_revocation(&worker),
--- a/tests/worker_heartbeats.rs
+++ b/tests/worker_heartbeats.rs
@@ -162,8 +162,8 @@
 }
 
 /// A response with status 200 renews the worker's lease, so only a leader that knows of every cancellation that
-/// workers must carry out by then may send it. During recovery, however long it takes, the leader can't stop any
-/// task, so it renews no lease of a worker that runs tasks of ended jobs.
+/// workers must carry out by the end of that lease may send it. During recovery, however long it takes, the leader
+/// can't stop any task, so it renews no lease of a worker that runs tasks of ended jobs.
 #[test]
 fn no_lease_is_renewed_while_a_cancellation_may_be_unknown() {
     let task = |state| TaskStatus {
