--- a/tests/bindings.rs
+++ b/tests/bindings.rs
@@ -248,18 +248,18 @@
         assert_eq!(
             pending_revocation(&worker),
             None,
-            "{name}: not revoked a second time"
+            "{name}: after the revocation"
         );
         assert_eq!(
             !commands(&worker, true, 10).is_empty(),
             cleared,
-            "{name}: the fence is not shown yet"
+            "{name}: before the worker shows the fence"
         );
         worker.observe_fence(worker.pending_starts.fence());
         assert_eq!(
             commands(&worker, true, 10).len(),
             1,
-            "{name}: the fence is shown"
+            "{name}: after the worker shows the fence"
         );
         assert!(worker.pending_starts.is_empty(), "{name}");
     }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,4 +1,5 @@
-//! Tasks that fail: whether the machine is at fault or the job, and what follows for the others.
+//! Failing tasks: whether the failures are attributed to the worker or to the job, and how the scheduler and the
+//! fleet treat both.
 
 mod common;
 mod world;
@@ -13,12 +14,13 @@
 use rand::rngs::SmallRng;
 use world::World;
 
-/// For so long a job avoids a worker on which it has failed, in these tests.
+/// Seconds for which a job avoids a worker on which it has failed, in these tests.
 const AVOID_S: f64 = 10.0;
 
 #[test]
 fn a_job_that_fails_on_several_workers_is_crash_looping() {
-    // Failures as (worker, time), `None` for a success; whether the job is crash-looping at the end.
+    // Each case: failures as (worker, time), or `None` for a success; and whether the job is crash-looping
+    // afterwards.
     type Event = Option<(&'static str, f64)>;
     let cases: [(&str, &[Event], bool); 7] = [
         ("nothing has failed", &[], false),
@@ -53,7 +55,7 @@
             false,
         ),
         (
-            "the only worker, tried again after it was avoided",
+            "a second failure on the only worker, after it was avoided",
             &[Some(("a", 0.0)), Some(("a", AVOID_S))],
             true,
         ),
@@ -81,7 +83,7 @@
         Completed,
     }
     use Event::{AttributedToJob, Completed, Failed, WorksElsewhere};
-    /// Healthy, cordoned (no more tasks), or quarantined (released).
+    /// What follows for the worker: a cordoned one gets no more tasks, a quarantined one is released.
     #[derive(Debug, PartialEq)]
     enum Verdict {
         Healthy,
@@ -92,7 +94,7 @@
     let cases: [(&str, &[Event], Verdict); 10] = [
         ("nothing has failed", &[], Healthy),
         (
-            "one job that has succeeded nowhere, however often",
+            "many failures of one job that has succeeded nowhere",
             &[
                 Failed("j", false),
                 Failed("j", false),
@@ -122,7 +124,7 @@
             Cordoned,
         ),
         (
-            "three jobs of one task each, which succeed elsewhere then",
+            "three jobs of one task each, which succeed elsewhere afterwards",
             &[
                 Failed("j", false),
                 Failed("k", false),
@@ -139,7 +141,7 @@
             Cordoned,
         ),
         (
-            "one of them turns out to be at fault itself",
+            "two jobs that have succeeded nowhere, and one turns out to be faulty",
             &[
                 Failed("j", false),
                 Failed("j", false),
@@ -149,7 +151,7 @@
             Healthy,
         ),
         (
-            "a task completes in between",
+            "one job that has succeeded elsewhere, and a task completes in between",
             &[
                 Failed("j", true),
                 Failed("j", true),
@@ -159,7 +161,7 @@
             Healthy,
         ),
         (
-            "a proof for a job that has not failed here",
+            "a job succeeds elsewhere that has not failed here",
             &[
                 Failed("j", false),
                 Failed("j", false),
@@ -173,7 +175,9 @@
         let mut failures = WorkerFailures::default();
         for event in events {
             match event {
-                Failed(job, proven) => failures.record_failure(job, *proven),
+                Failed(job, job_works_elsewhere) => {
+                    failures.record_failure(job, *job_works_elsewhere);
+                }
                 WorksElsewhere(job) => failures.attribute_to_worker(job),
                 AttributedToJob(job) => failures.attribute_to_job(job),
                 Completed => failures.record_success(),
@@ -197,14 +201,15 @@
     assert_eq!(failures.next_backoff_s(2.0), 2.0);
 }
 
-/// One scheduling cycle for a job of six tasks, whose tasks failed on these workers, beside empty workers.
-fn pass(failed_on: &[&str], workers: &[&str], now: f64) -> Assignments {
+/// Runs a scheduling cycle with `workers` that are empty, for a job of six tasks that has failed on `failed_on` at
+/// second 100.
+fn run_cycle(failed_on: &[&str], workers: &[&str], now: f64) -> Assignments {
     let mut jobs = Jobs::default();
-    let mut broken = job(spec("j-000001", 6));
+    let mut failing = job(spec("j-000001", 6));
     for name in failed_on {
-        broken.failures.record_failure(name, AVOID_S, 100.0);
+        failing.failures.record_failure(name, AVOID_S, 100.0);
     }
-    jobs.insert(broken);
+    jobs.insert(failing);
     let mut table = Workers::default();
     for name in workers {
         table.get_or_insert_with(name, || worker(name, "a", false));
@@ -214,13 +219,14 @@
         starvation_after_s: 50.0,
         avoid_failed_worker_s: AVOID_S,
     };
-    let pass = SchedulingCycle::new(&jobs, &table, &[instance_type("f")], &quotas, limits, now);
-    pass.run(&mut SmallRng::seed_from_u64(1))
+    let cycle = SchedulingCycle::new(&jobs, &table, &[instance_type("f")], &quotas, limits, now);
+    cycle.run(&mut SmallRng::seed_from_u64(1))
 }
 
 #[test]
 fn tasks_avoid_workers_on_which_the_job_failed() {
-    // Failed on; workers; time; binds and missing tasks expected; workers that must get none.
+    // Each case: the workers on which the job has failed; all workers; the time; the expected numbers of
+    // bindings and of tasks that are not placed; and the workers that must get no task.
     type Case = (
         &'static str,
         &'static [&'static str],
@@ -230,9 +236,9 @@
         &'static [&'static str],
     );
     let cases: [Case; 6] = [
-        ("none failed", &[], &["a", "b"], 101.0, (6, 0), &[]),
+        ("no failures", &[], &["a", "b"], 101.0, (6, 0), &[]),
         (
-            "failed on one: to others",
+            "failed on one worker: placed on others",
             &["a"],
             &["a", "b", "c"],
             101.0,
@@ -240,7 +246,7 @@
             &["a"],
         ),
         (
-            "failed on the only one: waits",
+            "failed on the only worker: waits",
             &["a"],
             &["a"],
             101.0,
@@ -248,7 +254,7 @@
             &["a"],
         ),
         (
-            "later it is tried again",
+            "failed on the only worker, and the time to avoid it is over: placed there",
             &["a"],
             &["a"],
             111.0,
@@ -256,7 +262,7 @@
             &[],
         ),
         (
-            "crash-looping: one probe, where it has not failed",
+            "crash-looping: one probe, on a worker where it has not failed",
             &["a", "b", "c"],
             &["a", "b", "c", "d"],
             101.0,
@@ -264,7 +270,7 @@
             &["a", "b", "c"],
         ),
         (
-            "crash-looping: one probe, anywhere if need be",
+            "crash-looping, and it has failed on all workers: one probe on any of them",
             &["a", "b", "c"],
             &["a", "b"],
             101.0,
@@ -273,22 +279,22 @@
         ),
     ];
     for (name, failed_on, workers, now, expected, none_on) in cases {
-        let plan = pass(failed_on, workers, now);
-        let missing = plan
+        let assignments = run_cycle(failed_on, workers, now);
+        let unplaced = assignments
             .pending_demand
             .iter()
-            .map(|unplaced| unplaced.count)
+            .map(|demand| demand.count)
             .sum();
-        assert_eq!((plan.bindings.len(), missing), expected, "{name}");
-        for (_, worker) in &plan.bindings {
+        assert_eq!((assignments.bindings.len(), unplaced), expected, "{name}");
+        for (_, worker) in &assignments.bindings {
             assert!(!none_on.contains(&worker.as_str()), "{name}: {worker}");
         }
     }
 }
 
-/// Services and a stream of short arrays, on up to 48 machines.
-fn crowded(seed: u64, nodes: usize) -> World {
-    let mut world = World::with_size(seed, nodes, 12);
+/// Creates a world with services and a stream of short arrays, on up to 48 machines.
+fn busy_world(seed: u64, controllers: usize) -> World {
+    let mut world = World::with_size(seed, controllers, 12);
     for n in 0..4 {
         world.add_user(n, 0.5, (4, 0.0, true, false), None);
     }
@@ -304,59 +310,69 @@
     world.counts.failures_per_job.get(&id).copied().unwrap_or(0)
 }
 
-/// Probes that a broken job may have within a minute and a half, with those of a new leader.
+/// Maximum number of probes of a broken job within a minute and a half, including those of a new leader.
 const MAX_PROBES: u32 = 10;
 
-/// Crash-looping jobs get no machine released, are tried again one task at a time, stay known, and are
-/// cancelled at once.
+/// Failures of crash-looping jobs must not get machines with other tasks released. Such a job is probed with one
+/// task at a time, status requests for it are still answered, and it can be cancelled at once.
 #[test]
 fn crash_looping_jobs_get_no_busy_worker_released() {
-    type Trouble = fn(&mut World);
-    // Tasks, service, how often all of them may fail at once, and what else goes on.
-    let cases: [(&str, u32, bool, u32, Trouble); 5] = [
+    type Fault = fn(&mut World);
+    // Each case: the number of tasks, whether the job is a service, how often all its tasks may fail at once,
+    // and a fault of the leader.
+    let cases: [(&str, u32, bool, u32, Fault); 5] = [
         ("an array", 40, false, 1, |_| {}),
         ("an array of one task", 1, false, 3, |_| {}),
         ("a service", 6, true, 2, |_| {}),
-        // The new leader is told which jobs are crash-looping, and begins with probes.
-        ("an array, and the leader is replaced", 40, false, 1, |w| {
-            w.run_until(60.0);
-            assert!(w.restart_leader(5.0));
-        }),
-        ("an array, and the leader pauses", 40, false, 1, |w| {
-            w.run_until(60.0);
-            assert!(w.pause_leader(9.0));
+        // The new leader learns from its peers which jobs are crash-looping, and starts them with a probe.
+        (
+            "an array, and the leader is replaced",
+            40,
+            false,
+            1,
+            |world| {
+                world.run_until(60.0);
+                assert!(world.restart_leader(5.0));
+            },
+        ),
+        ("an array, and the leader pauses", 40, false, 1, |world| {
+            world.run_until(60.0);
+            assert!(world.pause_leader(9.0));
         }),
     ];
-    for (name, tasks, standing, times, trouble) in cases {
-        for nodes in [3, 5] {
-            let name = format!("{name}, {nodes} controllers");
-            let mut world = crowded(21, nodes);
+    for (name, tasks, is_service, full_failures, inject_fault) in cases {
+        for controllers in [3, 5] {
+            let name = format!("{name}, {controllers} controllers");
+            let mut world = busy_world(21, controllers);
             for n in 0..4 {
                 let at = 30.0 + 2.0 * f64::from(n);
-                world.add_failing_job(100 + n, at, (tasks, standing), 110.0 + f64::from(n));
+                world.add_failing_job(100 + n, at, (tasks, is_service), 110.0 + f64::from(n));
             }
-            trouble(&mut world);
+            inject_fault(&mut world);
             world.run_until(108.0);
             assert_eq!(
                 world.unanswered_jobs(10.0),
                 Vec::<&str>::new(),
-                "{name}: known"
+                "{name}: users without an answer"
             );
             for n in 100..104 {
                 let failures = failures_of(&world, n);
-                assert!(failures >= 3, "{name}: it did fail: {failures}");
-                let most = tasks * times + MAX_PROBES;
-                assert!(failures <= most, "{name}: {failures} failures");
+                assert!(failures >= 3, "{name}: only {failures} failures");
+                let most = tasks * full_failures + MAX_PROBES;
+                assert!(
+                    failures <= most,
+                    "{name}: {failures} failures, at most {most} expected"
+                );
             }
             assert_eq!(
                 world.deleted_while_busy,
                 Vec::<String>::new(),
-                "{name}: machines with work"
+                "{name}: machines deleted while they ran tasks"
             );
             world.run_until(120.0);
             assert!(
                 world.cancellations_confirmed(108.0, 120.0) >= 4,
-                "{name}: cancelled"
+                "{name}: broken jobs not cancelled in time"
             );
             world.run_until(260.0);
             world.check(&name);
@@ -364,13 +380,14 @@
     }
 }
 
-/// Faulty machines are released soon, also beside jobs that fail everywhere; sound ones stay.
+/// Faulty machines are released soon, even while other jobs fail on all machines; machines without a fault are
+/// kept.
 #[test]
 fn faulty_workers_are_quarantined() {
     for broken in [false, true] {
-        for nodes in [3, 5] {
-            let name = format!("broken jobs: {broken}, {nodes} controllers");
-            let mut world = crowded(22, nodes);
+        for controllers in [3, 5] {
+            let name = format!("broken jobs: {broken}, {controllers} controllers");
+            let mut world = busy_world(22, controllers);
             world.run_until(30.0);
             let faulty: Vec<String> = (0..4)
                 .filter_map(|n| world.make_worker_faulty(2 * n))
@@ -382,19 +399,31 @@
                 }
             }
             world.run_until(75.0);
-            // Four tasks fit on a machine, and each broken job may fill it once.
+            // Four tasks fit on a machine, and each of the three broken jobs may fill it once.
             let most = if broken { 12 + 3 * 4 } else { 12 };
             let mut failed = 0;
             for machine in &faulty {
                 let failures = world.failures_on(machine);
                 failed += u32::from(failures >= 3);
-                assert!(failures <= most, "{name}: {failures} failures on {machine}");
+                assert!(
+                    failures <= most,
+                    "{name}: {failures} failures on {machine}, at most {most} expected"
+                );
                 let gone = !world.has_instance(machine);
-                assert!(gone || failures < 3, "{name}: {machine} is given back");
+                assert!(
+                    gone || failures < 3,
+                    "{name}: {machine} is not deleted after {failures} failures"
+                );
             }
-            assert!(failed >= 2, "{name}: tasks failed on them");
-            let sound = world.deleted_while_busy_except(&faulty);
-            assert_eq!(sound, 0, "{name}: sound machines with work");
+            assert!(
+                failed >= 2,
+                "{name}: tasks failed on only {failed} of the faulty machines"
+            );
+            let healthy = world.deleted_while_busy_except(&faulty);
+            assert_eq!(
+                healthy, 0,
+                "{name}: healthy machines deleted while they ran tasks"
+            );
             world.run_until(260.0);
             world.check(&name);
         }
--- a/tests/late_commands.rs
+++ b/tests/late_commands.rs
@@ -1,53 +1,55 @@
-//! Direct commands that arrive long after their sender gave up. A start among them is carried out as long
-//! as the worker's token and incarnation match, which may be past the cancellation of its job.
+//! Direct commands that arrive long after the leader has stopped waiting for a response. A worker still executes a
+//! start among them if its token and incarnation match, which may be after the cancellation of the job.
 
 mod world;
 
 use std::collections::BTreeMap;
 use world::{CANCEL_S, DelayedCommands, LEASE_S, World};
 
-/// When the troubles begin: the machines are up and work that must survive runs.
-const BEGIN: f64 = 30.0;
-/// When all jobs have come to their end.
+/// When commands begin to be delayed, in seconds: by then the machines are up and run the steady jobs.
+const DELAYS_BEGIN_AT: f64 = 30.0;
+/// When all jobs must have ended, in seconds.
 const END: f64 = 240.0;
-/// For how long starts are held in the shorter and the longer variant.
-const HELD_S: [f64; 2] = [CANCEL_S + 8.0, 2.0 * CANCEL_S];
-/// A service and a long array that run all the while.
+/// For how long starts are delayed, in the shorter and in the longer variant.
+const DELAYS_S: [f64; 2] = [CANCEL_S + 8.0, 2.0 * CANCEL_S];
+/// A service and a long array, which run throughout the delays.
 const SERVICE: u32 = 1;
 const LONG_ARRAY: u32 = 2;
+/// A short array, which ends before the delays begin.
 const SHORT_ARRAY: u32 = 3;
-/// Jobs that are cancelled while their starts are held.
+/// Jobs that are cancelled while their starts are delayed.
 const CANCELLED: std::ops::Range<u32> = 10..18;
 
-/// Work that must survive, beside short work that has just left room for the jobs to come: no task is
-/// preempted for them.
-fn steady_work(world: &mut World) {
+/// Submits the jobs whose tasks must not be disturbed, and a short array. The short array ends in time to leave
+/// room for the jobs that are cancelled later, so that no task is preempted for them.
+fn submit_steady_jobs(world: &mut World) {
     world.add_user(SHORT_ARRAY, 0.5, (12, 24.0, false, false), None);
     world.add_user(SERVICE, 0.5, (4, 0.0, true, false), None);
     world.add_user(LONG_ARRAY, 1.0, (4, 110.0, false, false), None);
 }
 
-/// Arrays and services that come while starts are held, and are cancelled within two seconds.
-fn cancelled_jobs(world: &mut World, held_s: f64, copies_only: bool) {
+/// Begins to delay starts by `delay_s`, or only copies of them, for three seconds; submits arrays and services
+/// meanwhile, and cancels each of them within two seconds.
+fn submit_cancelled_jobs(world: &mut World, delay_s: f64, copies_only: bool) {
     world.delayed_commands = DelayedCommands {
-        until: BEGIN + 3.0,
-        delay_s: held_s,
+        until: DELAYS_BEGIN_AT + 3.0,
+        delay_s,
         copies_only,
     };
     for n in CANCELLED {
-        let at = BEGIN + 0.1 * f64::from(n - CANCELLED.start);
+        let at = DELAYS_BEGIN_AT + 0.1 * f64::from(n - CANCELLED.start);
         let cancel_at = at + 0.4 + 0.2 * f64::from(n - CANCELLED.start);
         world.add_user(n, at, (1, 200.0, n % 2 == 0, false), None);
         world.cancel_job_at(n, cancel_at);
     }
 }
 
-/// A world in which starts begin to be held for the shorter time.
-fn with_held_starts(seed: u64, copies_only: bool) -> World {
+/// Creates a world in which starts, or only copies of them, begin to be delayed by the shorter time.
+fn with_delayed_starts(seed: u64, copies_only: bool) -> World {
     let mut world = World::new(seed);
-    steady_work(&mut world);
-    world.run_until(BEGIN);
-    cancelled_jobs(&mut world, HELD_S[0], copies_only);
+    submit_steady_jobs(&mut world);
+    world.run_until(DELAYS_BEGIN_AT);
+    submit_cancelled_jobs(&mut world, DELAYS_S[0], copies_only);
     world
 }
 
@@ -58,30 +60,31 @@
     )
 }
 
-/// Starts that were held longer than `cancel_s` arrive at workers whose reports were answered all the
-/// while: nothing of a cancelled job may run, and what else runs there must not be disturbed.
+/// Starts that were delayed for longer than `cancel_s` arrive at workers that have received responses to their
+/// heartbeats all the time, so that no lease has expired. No task of a cancelled job may run then, and other tasks
+/// must not be disturbed.
 #[test]
-fn starts_held_past_the_cancellation() {
-    for (seed, held_s) in [(1, 0), (2, 1), (3, 0), (4, 1), (5, 0), (6, 1)] {
-        let name = format!("seed {seed}, held for {} s", HELD_S[held_s]);
+fn starts_delayed_beyond_the_cancellation() {
+    for (seed, variant) in [(1, 0), (2, 1), (3, 0), (4, 1), (5, 0), (6, 1)] {
+        let name = format!("seed {seed}, delayed by {} s", DELAYS_S[variant]);
         let mut world = World::new(seed);
-        steady_work(&mut world);
-        world.run_until(BEGIN);
+        submit_steady_jobs(&mut world);
+        world.run_until(DELAYS_BEGIN_AT);
         let before = surviving_attempts(&world);
         assert_eq!((before.0.len(), before.1.len()), (4, 4), "{name}");
-        cancelled_jobs(&mut world, HELD_S[held_s], false);
-        world.run_until(BEGIN + HELD_S[held_s] + 10.0);
+        submit_cancelled_jobs(&mut world, DELAYS_S[variant], false);
+        world.run_until(DELAYS_BEGIN_AT + DELAYS_S[variant] + 10.0);
         assert!(
             world.counts.delayed_commands > 0,
-            "{name}: starts were held"
+            "{name}: no start was delayed"
         );
         assert!(
             world.counts.starts_past_cancellation_in_incarnation > 0,
-            "{name}: held starts arrived past the cancellation, in the same session"
+            "{name}: no delayed start arrived after the cancellation in the same incarnation"
         );
         assert_eq!(
             world.counts.tasks_begun_past_cancellation, 0,
-            "{name}: tasks began when they had to be gone"
+            "{name}: tasks of cancelled jobs started after they had to be stopped"
         );
         assert_eq!(world.violations, Vec::<String>::new(), "{name}");
         assert_eq!(surviving_attempts(&world), before, "{name}");
@@ -89,53 +92,56 @@
     }
 }
 
-/// The leader ends while the starts are held: its commands meet a higher token.
+/// The leader restarts while starts are delayed: its commands arrive when the workers have seen a higher token.
 #[test]
-fn starts_held_past_a_change_of_leader() {
+fn starts_delayed_beyond_a_change_of_leader() {
     for seed in 1..5 {
         let name = format!("seed {seed}");
-        let mut world = with_held_starts(seed, false);
-        world.run_until(BEGIN + 3.0);
-        let reigns = world.leader_changes();
+        let mut world = with_delayed_starts(seed, false);
+        world.run_until(DELAYS_BEGIN_AT + 3.0);
+        let leader_changes = world.leader_changes();
         assert!(world.restart_leader(LEASE_S), "{name}");
         world.run_until(END);
-        assert!(world.leader_changes() > reigns, "{name}: another leads");
+        assert!(
+            world.leader_changes() > leader_changes,
+            "{name}: no other leader was elected"
+        );
         assert!(
             world.counts.delayed_commands > 0,
-            "{name}: starts were held"
+            "{name}: no start was delayed"
         );
         assert!(
             world.counts.starts_past_cancellation > 0,
-            "{name}: they arrived"
+            "{name}: no delayed start arrived after the cancellation"
         );
         world.check(&name);
     }
 }
 
-/// Starts are carried out at once, and copies of them arrive past the cancellation: an attempt that was
-/// cleared meanwhile would run again.
+/// Starts arrive in time, and copies of them arrive after the cancellation. A copy would run an attempt again that
+/// was cleared in the meantime.
 #[test]
-fn copies_of_starts_past_the_cancellation() {
+fn copies_of_starts_delayed_beyond_the_cancellation() {
     for seed in 1..5 {
         let name = format!("seed {seed}");
-        let mut world = with_held_starts(seed, true);
+        let mut world = with_delayed_starts(seed, true);
         world.run_until(END);
         assert!(
             world.counts.starts_past_cancellation_in_incarnation > 0,
-            "{name}: copies arrived past the cancellation, in the same session"
+            "{name}: no copy arrived after the cancellation in the same incarnation"
         );
         world.check(&name);
     }
 }
 
-/// Machines that reach no controller, and machines that no answer or command reaches, while their starts
-/// are held: the lease bounds what can't be told.
+/// Starts are delayed to workers that can't reach any controller, and to workers that no response or command
+/// reaches. The leader can't revoke these starts; the workers' leases bound for how long they can be executed.
 #[test]
-fn starts_held_at_machines_that_can_not_be_told() {
+fn starts_delayed_to_unreachable_workers() {
     for seed in 1..5 {
         let name = format!("seed {seed}");
-        let mut world = with_held_starts(seed, false);
-        world.run_until(BEGIN + 1.0);
+        let mut world = with_delayed_starts(seed, false);
+        world.run_until(DELAYS_BEGIN_AT + 1.0);
         for nth in 0..3 {
             world.block_traffic_from_worker(nth, LEASE_S + 4.0);
             world.block_traffic_to_worker(nth + 3, LEASE_S - 2.0);
@@ -143,11 +149,11 @@
         world.run_until(END);
         assert!(
             world.counts.delayed_commands > 0,
-            "{name}: starts were held"
+            "{name}: no start was delayed"
         );
         assert!(
             world.counts.starts_past_cancellation > 0,
-            "{name}: they arrived"
+            "{name}: no delayed start arrived after the cancellation"
         );
         world.check(&name);
     }
