--- a/src/coordination/leader/bindings.rs
+++ b/src/coordination/leader/bindings.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Removes all bindings of a worker whose instance is deleted from the tables.
+    /// Removes from the tables all bindings of a worker whose instance is deleted.
     pub(super) fn drop_all_bindings(&mut self, name: &str, now: f64) {
         let bound: Vec<(TaskId, u64)> = self
             .workers
--- a/src/coordination/leader/commit.rs
+++ b/src/coordination/leader/commit.rs
@@ -57,12 +57,13 @@
             max_writes: state.txn_ops,
             max_value_bytes: (state.value_kb * 1024.0) as usize,
         };
-        let share = |all: f64| TokenBucket::new(all * LEADER_STATE_SHARE, all * LEADER_STATE_SHARE);
+        let leader_budget =
+            |limit: f64| TokenBucket::new(limit * LEADER_STATE_SHARE, limit * LEADER_STATE_SHARE);
         CommitPipeline {
             epoch,
             log: WriteAheadLog::new(limits),
-            request_budget: share(state.rps),
-            write_budget: share(state.write_rps),
+            request_budget: leader_budget(state.rps),
+            write_budget: leader_budget(state.write_rps),
             heartbeat_interval_s: settings.deployment.workers.heartbeat_interval_s,
             commit_interval_s: WRITES_BETWEEN_COMMITS / (state.write_rps * LEADER_STATE_SHARE),
             in_flight: false,
@@ -81,17 +82,17 @@
         self.log.backlog()
     }
 
-    /// Drops the completed tasks of a job that has ended from the log.
+    /// Drops from the log the completed tasks of a job that has ended.
     pub(super) fn remove_job(&mut self, job: &str) {
         self.log.remove_job(job);
     }
 
-    /// Adds a segment that an earlier leader wrote to the log. Segments must be added in the log's order.
+    /// Adds to the log a segment that an earlier leader wrote. Segments must be added in the log's order.
     pub(super) fn replay_segment(&mut self, key: &str, mod_revision: u64, segment: &Segment) {
         self.log.replay_segment(key, mod_revision, segment);
     }
 
-    /// Charges a request that another component sends to the leader's request budget.
+    /// Charges to the leader's request budget a request that another component sends.
     pub(super) fn charge_request(&mut self, now: f64) {
         self.request_budget.take_with_debt(1.0, now);
     }
--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -11,7 +11,7 @@
 use crate::protocol::worker::{Command, CommandKind, WorkerRequest, WorkerResponse};
 use std::collections::{BTreeSet, HashMap};
 
-/// Heartbeat intervals without a heartbeat after which a worker is target directly. The interval between two
+/// Heartbeat intervals without a heartbeat after which a worker is called directly. The interval between two
 /// heartbeats varies by up to a quarter.
 const PROBE_AFTER_HEARTBEATS: f64 = 1.3;
 
--- a/src/coordination/leader/failure_attribution.rs
+++ b/src/coordination/leader/failure_attribution.rs
@@ -12,7 +12,7 @@
 /// The shortest back-off between two probes of a crash-looping job, in heartbeat intervals.
 const PROBE_HEARTBEATS: f64 = 1.0;
 /// Share by which the back-off varies at random, so that jobs that began to crash-loop at the same time are not
-/// is_probe at the same time.
+/// probed at the same time.
 const BACKOFF_JITTER: f64 = 0.25;
 /// Heartbeat intervals for which a replica must run to count as a success of its job.
 const STEADY_HEARTBEATS: f64 = 2.0;
--- a/src/coordination/leader/failure_detection.rs
+++ b/src/coordination/leader/failure_detection.rs
@@ -207,8 +207,8 @@
 
     /// Finds the zones in which so many workers are late at once that a partition explains it better than failed
     /// machines. Tasks there may continue to run, and their workers return with the zone; deleting the machines
-    /// would only cost their reboot. A partition is detected before the first of the workers counts as
-    /// unresponsive.
+    /// would only add the time to boot new ones. A partition is detected before the first of the workers counts
+    /// as unresponsive.
     fn detect_partitions(&self, now: f64) -> ZonePartitions {
         let late_s = LATE_HEARTBEATS * self.settings.deployment.workers.heartbeat_interval_s;
         let mut zones: BTreeMap<&str, ZoneContact> = BTreeMap::new();
--- a/src/coordination/leader/fleet/inventory.rs
+++ b/src/coordination/leader/fleet/inventory.rs
@@ -67,7 +67,7 @@
         if self.fleet.is_deleted(&instance.name) {
             return;
         }
-        let lease_from = self.leases.previous_leader_deadline();
+        let previous_leader_deadline = self.leases.previous_leader_deadline();
         let worker = self.workers.get_or_insert_with(&instance.name, || {
             let mut worker = Worker::new(
                 &instance.name,
@@ -76,7 +76,7 @@
                 instance.spot,
                 now - instance.age_s,
             );
-            worker.lease_renewed_at = lease_from;
+            worker.lease_renewed_at = previous_leader_deadline;
             worker
         });
         if worker.endpoint.is_empty() {
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -26,8 +26,8 @@
 pub enum HeartbeatOutcome {
     /// Status 200 with these commands; renews the worker's lease.
     Commands(CommandBatch),
-    /// A response that does not renew the worker's lease, because a job whose tasks run there may have been
-    /// cancelled.
+    /// A response that does not renew the worker's lease, because jobs whose tasks run there may have been
+    /// cancelled, or recovery can't buffer the heartbeat.
     LeaseNotRenewed,
     /// Status 421: the worker has seen a higher epoch than this leader's.
     NewerLeaderExists,
@@ -120,10 +120,10 @@
         if !is_known {
             tracing::info!(worker = name, "unknown worker registered");
         }
-        let lease_from = self.leases.previous_leader_deadline();
-        let worker = self
-            .workers
-            .get_or_insert_with(name, || registered_worker(heartbeat, lease_from, now));
+        let previous_leader_deadline = self.leases.previous_leader_deadline();
+        let worker = self.workers.get_or_insert_with(name, || {
+            registered_worker(heartbeat, previous_leader_deadline, now)
+        });
         if !worker.is_newer(heartbeat) {
             renew_by_late_heartbeat(worker, path);
             return false;
@@ -146,7 +146,7 @@
         record_heartbeat(worker, heartbeat, tasks, now);
         self.acknowledge_token(heartbeat, now);
         if is_new_incarnation {
-            // A new incarnation has killed and forgotten all tasks of the earlier ones.
+            // When a worker begins a new incarnation, it kills and forgets all tasks of the earlier ones.
             self.end_lost_bindings(name, |binding| binding.incarnation < heartbeat.incarnation);
             self.scheduling.request();
         }
@@ -177,9 +177,13 @@
     }
 }
 
-/// Creates the entry of a worker that was not known before this heartbeat. Its lease counts from
-/// `lease_from`, because an earlier leader may have renewed it until then.
-fn registered_worker(heartbeat: &WorkerHeartbeat, lease_from: f64, now: f64) -> Worker {
+/// Creates the entry of a worker that was not known before this heartbeat. An earlier leader may have renewed its
+/// lease until `previous_leader_deadline`.
+fn registered_worker(
+    heartbeat: &WorkerHeartbeat,
+    previous_leader_deadline: f64,
+    now: f64,
+) -> Worker {
     let mut worker = Worker::new(
         &heartbeat.worker,
         &heartbeat.instance_type,
@@ -187,7 +191,7 @@
         heartbeat.spot,
         now,
     );
-    worker.lease_renewed_at = lease_from;
+    worker.lease_renewed_at = previous_leader_deadline;
     worker
 }
 
--- a/src/coordination/leader/leases.rs
+++ b/src/coordination/leader/leases.rs
@@ -68,8 +68,8 @@
         self.previous_leader_deadline
     }
 
-    /// Records that a peer knows this epoch or a higher one. Returns true when this was the last peer that did
-    /// not: no earlier leader renews leases from now on.
+    /// Records that a peer knows this epoch or a higher one. Returns true if all peers do as a result, so that no
+    /// earlier leader renews leases from now on.
     pub(super) fn on_epoch_acknowledged(&mut self, label: &str, now: f64) -> bool {
         if !self.acknowledged_by.insert(label.to_owned())
             || !self
@@ -127,9 +127,9 @@
             return 0.0;
         };
         // After a failover, workers need some time to find the new leader.
-        let from = self.elected_at + FAILOVER_HEARTBEATS * self.heartbeat_interval_s;
-        let last = self.last_heartbeat_at.unwrap_or(from);
-        now - last.max(from).max(first_contact)
+        let reachable_from = self.elected_at + FAILOVER_HEARTBEATS * self.heartbeat_interval_s;
+        let last = self.last_heartbeat_at.unwrap_or(reachable_from);
+        now - last.max(reachable_from).max(first_contact)
     }
 
     /// Returns the time at which a worker's incarnation has ended for certain if it receives no further response:
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -97,7 +97,7 @@
     pub policy: Rc<Policy>,
     /// The cloud's instance types; empty if they are not known yet.
     pub instance_types: Rc<Vec<InstanceType>>,
-    /// Seconds from its election for which an earlier leader may still renew worker leases.
+    /// Seconds after this leader's election for which an earlier leader may still renew worker leases.
     pub lease_grace_s: f64,
 }
 
--- a/src/coordination/leader/replay.rs
+++ b/src/coordination/leader/replay.rs
@@ -25,7 +25,7 @@
     /// Replays a segment's entries of workers.
     fn replay_workers(&mut self, segment: &Segment, now: f64) {
         // An earlier leader may have renewed worker leases until its lease grace period ended.
-        let lease_from = self.leases.previous_leader_deadline();
+        let previous_leader_deadline = self.leases.previous_leader_deadline();
         for entry in &segment.workers {
             let Some(name) = segment.worker_name(entry.worker) else {
                 continue;
@@ -33,7 +33,7 @@
             let worker = self.workers.get_or_insert_with(name, || {
                 let mut worker =
                     Worker::new(name, &entry.instance_type, &entry.zone, entry.spot, now);
-                worker.lease_renewed_at = lease_from;
+                worker.lease_renewed_at = previous_leader_deadline;
                 worker
             });
             worker.endpoint.clone_from(&entry.endpoint);
--- a/src/coordination/leader/scheduling.rs
+++ b/src/coordination/leader/scheduling.rs
@@ -152,8 +152,8 @@
 }
 
 /// Returns the share of a machine that a task requests, for its pool's forecast; `None` if the task does not
-/// count in it. These don't count: replicas, which run until they are cancelled; tasks that run on demand
-/// only because no spot instance was available; and probes of a crash-looping job.
+/// count in it. These don't count: replicas, which run until they are cancelled; tasks that may use spot
+/// instances but spilled over to an on-demand one; and probes of a crash-looping job.
 fn forecast_share(
     job: &Job,
     worker: &Worker,
--- a/tests/late_commands.rs
+++ b/tests/late_commands.rs
@@ -135,7 +135,7 @@
 }
 
 /// Starts are delayed to workers that can't reach any controller, and to workers that no response or command
-/// reaches. The leader can't revoke these starts; the workers' leases bound for how long they can be executed.
+/// reaches. The leader can't revoke these starts there; the workers' leases limit for how long they can be executed.
 #[test]
 fn starts_delayed_to_unreachable_workers() {
     for seed in 1..5 {
