--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -195,7 +195,7 @@
     worker
 }
 
-/// Handles a heartbeat that is older than the newest one: a copy, or a request that the response to a direct
+/// Handles a heartbeat that is older than the newest one: a duplicate, or a request that the response to a direct
 /// call has overtaken. If the worker still waits for the response to it, that response renews its lease from
 /// the time at which the worker sent this heartbeat, which is before the newest one arrived.
 fn renew_by_late_heartbeat(worker: &mut Worker, path: HeartbeatPath) {
--- a/src/coordination/leader/jobs.rs
+++ b/src/coordination/leader/jobs.rs
@@ -58,13 +58,13 @@
             );
             self.commits.remove_job(id);
             self.evict_tasks_of(&job);
-            self.revoke_start_copies(&job);
+            self.revoke_duplicate_starts(&job);
         }
     }
 
     /// Revokes start commands that may still arrive for completed tasks of a job that has ended. The job may have
     /// been cancelled, and then none of its tasks may be started again, even if it would exit at once.
-    fn revoke_start_copies(&mut self, job: &Job) {
+    fn revoke_duplicate_starts(&mut self, job: &Job) {
         for name in &job.workers_with_duplicate_starts {
             if let Some(worker) = self.workers.get_mut(name) {
                 worker.revoke_starts_of_ended_jobs = true;
--- a/src/coordination/leader/scaling/mod.rs
+++ b/src/coordination/leader/scaling/mod.rs
@@ -42,7 +42,7 @@
         self.consolidate_zones(&offers, &parameters, now);
     }
 
-    /// Returns the policy's figures for each pool.
+    /// Returns the policy's scaling parameters for each pool.
     fn policy_parameters(
         &self,
         offers: &[PoolOffer],
--- a/tests/bindings.rs
+++ b/tests/bindings.rs
@@ -187,8 +187,9 @@
     worker.record_call_outcome(sent, outcome);
 }
 
-/// A copy of a direct start may arrive until the worker shows a higher fence, whether the call was answered or not.
-/// A stopped attempt must not be cleared before that: the copy would start it again, beside its successor.
+/// A duplicate of a direct start may arrive until the worker shows a higher fence, whether or not the call was
+/// answered. A stopped attempt must not be cleared before that: the duplicate would start it again, beside its
+/// successor.
 #[test]
 fn a_stopped_attempt_is_cleared_only_after_its_starts_are_revoked() {
     use cedarladder::protocol::worker::TaskState::Exited;
@@ -269,15 +270,15 @@
 #[derive(Debug, PartialEq)]
 enum PendingMessages {
     None,
-    /// Copies of commands that the worker has answered.
-    AnsweredCopies,
+    /// Duplicates of commands that the worker has answered.
+    AnsweredDuplicates,
     /// A command that the worker may not have executed yet.
     Start,
 }
 
 /// A start is pending until no message that carries it can still arrive.
 #[test]
-fn a_start_is_pending_until_every_copy_is_accounted_for() {
+fn a_start_is_pending_until_no_message_with_it_may_arrive() {
     let cases: [(&str, Steps, PendingMessages); 10] = [
         (
             "sent directly",
@@ -289,7 +290,7 @@
         (
             "sent directly and answered",
             |worker, commands| send_directly(worker, commands, CallOutcome::Answered),
-            PendingMessages::AnsweredCopies,
+            PendingMessages::AnsweredDuplicates,
         ),
         (
             "never sent",
@@ -354,7 +355,7 @@
             PendingMessages::None,
         ),
         (
-            "in the response to heartbeat 5, and a copy of that heartbeat has arrived",
+            "in the response to heartbeat 5, and a duplicate of that heartbeat has arrived",
             |worker, commands| {
                 worker.record_sent(
                     commands,
@@ -375,7 +376,7 @@
         let pending = match worker.pending_starts.may_arrive(&task, 7) {
             false => PendingMessages::None,
             true if worker.pending_starts.has_only_answered_duplicates(&task, 7) => {
-                PendingMessages::AnsweredCopies
+                PendingMessages::AnsweredDuplicates
             }
             true => PendingMessages::Start,
         };
@@ -445,7 +446,7 @@
             None,
         ),
         (
-            "its job has ended after the task completed here: copies may still arrive",
+            "its job has ended after the task completed here: duplicates may still arrive",
             |worker| {
                 worker.bindings.clear();
                 worker.revoke_starts_of_ended_jobs = true;
--- a/tests/late_commands.rs
+++ b/tests/late_commands.rs
@@ -28,7 +28,7 @@
     world.add_user(LONG_ARRAY, 1.0, (4, 110.0, false, false), None);
 }
 
-/// Begins to delay starts by `delay_s`, or only copies of them, for three seconds; submits arrays and services
+/// Begins to delay starts by `delay_s`, or only duplicates of them, for three seconds; submits arrays and services
 /// meanwhile, and cancels each of them within two seconds.
 fn submit_cancelled_jobs(world: &mut World, delay_s: f64, copies_only: bool) {
     world.delayed_commands = DelayedCommands {
@@ -44,7 +44,7 @@
     }
 }
 
-/// Creates a world in which starts, or only copies of them, begin to be delayed by the shorter time.
+/// Creates a world in which starts, or only duplicates of them, begin to be delayed by the shorter time.
 fn with_delayed_starts(seed: u64, copies_only: bool) -> World {
     let mut world = World::new(seed);
     submit_steady_jobs(&mut world);
@@ -118,17 +118,17 @@
     }
 }
 
-/// Starts arrive in time, and copies of them arrive after the cancellation. A copy would run an attempt again that
-/// was cleared in the meantime.
+/// Starts arrive in time, and duplicates of them arrive after the cancellation. A duplicate would run an attempt
+/// again that was cleared in the meantime.
 #[test]
-fn copies_of_starts_delayed_beyond_the_cancellation() {
+fn duplicate_starts_delayed_beyond_the_cancellation() {
     for seed in 1..5 {
         let name = format!("seed {seed}");
         let mut world = with_delayed_starts(seed, true);
         world.run_until(END);
         assert!(
             world.counts.starts_past_cancellation_in_incarnation > 0,
-            "{name}: no copy arrived after the cancellation in the same incarnation"
+            "{name}: no duplicate arrived after the cancellation in the same incarnation"
         );
         world.check(&name);
     }
--- a/tests/worker_heartbeats.rs
+++ b/tests/worker_heartbeats.rs
@@ -80,7 +80,7 @@
     })
 }
 
-/// Copies and late heartbeats must not hide that the leader's responses no longer reach any worker. Checked at
+/// Duplicates and late heartbeats must not hide that the leader's responses no longer reach any worker. Checked at
 /// second 30.
 #[test]
 fn only_new_heartbeats_of_this_epoch_show_that_responses_arrive() {
@@ -96,7 +96,7 @@
             1.0,
         ),
         (
-            "a copy of the latest heartbeat",
+            "a duplicate of the latest heartbeat",
             vec![
                 (5.0, heartbeat(1, 2, EPOCH)),
                 (29.0, heartbeat(1, 2, EPOCH)),
@@ -104,7 +104,7 @@
             25.0,
         ),
         (
-            "a copy of an earlier heartbeat",
+            "a duplicate of an earlier heartbeat",
             vec![
                 (5.0, heartbeat(1, 2, EPOCH)),
                 (29.0, heartbeat(1, 1, EPOCH)),
@@ -112,7 +112,7 @@
             25.0,
         ),
         (
-            "a copy from an earlier incarnation",
+            "a duplicate from an earlier incarnation",
             vec![
                 (5.0, heartbeat(2, 1, EPOCH)),
                 (29.0, heartbeat(1, 90, EPOCH)),
@@ -143,7 +143,7 @@
     }
 }
 
-/// A worker that has seen a higher epoch is redirected to the newer leader, even if its heartbeat is a late copy.
+/// A worker that has seen a higher epoch is redirected to the newer leader, even if its heartbeat is a late duplicate.
 #[test]
 fn a_worker_that_knows_a_higher_epoch_is_redirected() {
     for (name, epoch, expected) in [
