--- a/src/coordination/leader/decision_log.rs
+++ b/src/coordination/leader/decision_log.rs
@@ -1,6 +1,6 @@
 //! Counts permit decisions and revocations, and logs the counts at a fixed interval.
 
-use crate::bookkeeping::permits::{DecisionCounters, Denial, PermitKind};
+use crate::bookkeeping::permits::{DecisionCounters, Denial, GuardedAction};
 use crate::bookkeeping::reconciliation::RevocationCounters;
 use crate::bookkeeping::workers::RevocationReason;
 
@@ -29,7 +29,7 @@
     }
 
     /// Counts a decision on a permit.
-    pub(super) fn count(&mut self, permit: PermitKind, decision: Result<(), Denial>) {
+    pub(super) fn count(&mut self, permit: GuardedAction, decision: Result<(), Denial>) {
         self.permits.count(permit, decision);
     }
 
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Heartbeats of workers: updates the table of workers from them, and responds with commands.
 
 use super::{Leader, LeaderEvent};
-use crate::bookkeeping::permits::{PermitKind, ViewFreshness};
+use crate::bookkeeping::permits::{GuardedAction, ViewFreshness};
 use crate::bookkeeping::reconciliation;
 use crate::bookkeeping::workers::{DeliveryPath, Worker};
 use crate::protocol::worker::{
@@ -49,7 +49,7 @@
             return HeartbeatOutcome::NewerLeaderExists;
         }
         let renewal = freshness.may_renew();
-        self.decisions.count(PermitKind::RenewLease, renewal);
+        self.decisions.count(GuardedAction::RenewLease, renewal);
         if let Err(reason) = renewal {
             tracing::debug!(
                 worker = heartbeat.worker,
@@ -137,7 +137,9 @@
         if is_new_incarnation {
             begin_incarnation(worker, now);
         } else if path == HeartbeatPath::Request {
-            worker.pending_starts.settle_responses(heartbeat.sequence);
+            worker
+                .pending_starts
+                .drop_responses_before(heartbeat.sequence);
         }
         let tasks = observed_tasks(heartbeat);
         if !is_new_incarnation && worker.has_lost_bound_task(&tasks) {
--- a/tests/bindings.rs
+++ b/tests/bindings.rs
@@ -202,7 +202,7 @@
             DeliveryPath::HeartbeatResponse(5),
             freshness().view_age_s,
         );
-        worker.pending_starts.settle_responses(6);
+        worker.pending_starts.drop_responses_before(6);
     };
     for (name, steps, cause, cleared) in [
         (
@@ -350,7 +350,7 @@
                     DeliveryPath::HeartbeatResponse(5),
                     freshness().view_age_s,
                 );
-                worker.pending_starts.settle_responses(6);
+                worker.pending_starts.drop_responses_before(6);
             },
             PendingMessages::None,
         ),
@@ -362,7 +362,7 @@
                     DeliveryPath::HeartbeatResponse(5),
                     freshness().view_age_s,
                 );
-                worker.pending_starts.settle_responses(5);
+                worker.pending_starts.drop_responses_before(5);
             },
             PendingMessages::Start,
         ),
