--- a/src/coordination/leader/commit.rs
+++ b/src/coordination/leader/commit.rs
@@ -123,8 +123,8 @@
             self.write_budget
                 .take_with_debt(txn.writes.len() as f64, now);
             self.in_flight = true;
-            // The pause lets several entries share one transaction. While the write budget is used up,
-            // more entries queue up for the next one.
+            // The pause lets several entries share one transaction. When the write budget runs low,
+            // the next transaction waits for longer and carries more entries.
             self.next_commit_at = now + self.commit_interval_s;
             let context = KvRequestContext::LogAppend(self.epoch);
             effects.call_kv(context, KvRequest::Txn(txn), self.request_timeout_s(), now);
@@ -147,8 +147,8 @@
             }
             KvResponse::CompareFailed(failed) => self.on_compare_failed(failed, effects, now),
             KvResponse::RateLimited | KvResponse::Unavailable => {
-                // The transaction was not executed. If it repeats one of unknown outcome, the earlier copy
-                // may still be; otherwise all its entries are queued again.
+                // The transaction was not executed. If it repeats one of unknown outcome, the earlier
+                // message may still be executed; otherwise all its entries are queued again.
                 if !self.log.is_outcome_unknown() {
                     self.log.requeue_in_flight();
                 }
@@ -161,7 +161,7 @@
                 self.next_commit_at = now + self.heartbeat_interval_s;
                 CommitOutcome::Pending
             }
-            // The transaction may have been executed, or may still be.
+            // The transaction may have been executed, or may still be executed later.
             _ => {
                 tracing::info!("commit outcome unknown");
                 self.log.mark_outcome_unknown();
@@ -180,8 +180,8 @@
             return CommitOutcome::Deposed;
         }
         match self.log.read_back_key() {
-            // An earlier copy of this transaction may have been executed, which makes its own compares
-            // fail now. Reading the segment back tells whether it was.
+            // This transaction was sent before, and may have been executed then, which makes its compares
+            // fail now. Reading the segment back shows whether it was.
             Some(key) if self.log.is_outcome_unknown() => {
                 self.failed_compares = failed;
                 self.read_back(key, effects, now);
--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -204,7 +204,7 @@
         worker.unreachable_since.is_some() || worker.last_heartbeat_at.is_some_and(late)
     }
 
-    /// Marks the workers as due whose heartbeat is late or that could not be reached.
+    /// Marks as due the workers whose heartbeat is late or that count as unreachable.
     fn probe_late_workers(&mut self, now: f64) {
         let late: Vec<&Worker> = self
             .workers
--- a/src/coordination/leader/failure_detection.rs
+++ b/src/coordination/leader/failure_detection.rs
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Whether the time at which the cloud reclaims the machine has passed, or will come and nothing is bound to
-    /// the machine.
+    /// Whether the time has passed at which the cloud announced to reclaim the machine. A machine without bound tasks
+    /// counts as reclaimed from the announcement on.
     fn is_reclaimed(&self, worker: &Worker, now: f64) -> bool {
         worker.reclaim_at.is_some_and(|at| {
             now > at + self.fleet.heartbeat_interval_s || worker.bindings.is_empty()
