--- a/src/coordination/leader/commit.rs
+++ b/src/coordination/leader/commit.rs
@@ -12,7 +12,8 @@
 use crate::protocol::kv::{KvRequest, KvResponse};
 use crate::settings::Settings;
 
-/// The least time between two transactions is the time in which the leader's budget refills by this many writes.
+/// Determines the least time between two transactions: the time in which the leader's write budget refills by this
+/// many writes.
 const WRITES_BETWEEN_COMMITS: f64 = 2.0;
 
 /// The outcome of a transaction, from the response to it or to the read-back of its segment. The read-back
@@ -230,8 +231,8 @@
         }
     }
 
-    /// Gives up the transaction in flight: these keys have changed, so that it was not executed and never will
-    /// be.
+    /// Handles the rejection of the transaction in flight because the compares of the `failed` keys failed: it was
+    /// not executed and never will be. Its entries are queued again, unless this controller is deposed.
     fn reject_in_flight(&mut self, failed: &[String]) -> CommitOutcome {
         tracing::info!(?failed, "commit rejected: compare failed");
         if failed
--- a/src/coordination/leader/decision_log.rs
+++ b/src/coordination/leader/decision_log.rs
@@ -4,7 +4,7 @@
 use crate::bookkeeping::reconciliation::RevocationCounters;
 use crate::bookkeeping::workers::RevocationReason;
 
-/// Heartbeat intervals between two log outputs.
+/// Time between two log outputs, in heartbeat intervals.
 const HEARTBEATS_PER_LOG: f64 = 24.0;
 
 /// Counters of permit decisions and revocations, and when they are next logged.
--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -1,5 +1,5 @@
-//! Direct calls to workers: probes of workers whose heartbeat is late, and commands that cannot wait for the
-//! worker's next heartbeat.
+//! Direct calls: requests of the leader to a worker, as opposed to its responses to the worker's heartbeats. They
+//! carry commands that cannot wait for the worker's next heartbeat, and probe workers whose heartbeat is late.
 
 use super::fencing::target_incarnation;
 use super::heartbeats::{HeartbeatPath, MAX_COMMANDS};
@@ -11,14 +11,15 @@
 use crate::protocol::worker::{Command, CommandKind, WorkerRequest, WorkerResponse};
 use std::collections::{BTreeSet, HashMap};
 
-/// Heartbeat intervals without a heartbeat after which a worker is called directly. The interval between two
-/// heartbeats varies by up to a quarter.
+/// Time without a heartbeat after which a worker is called directly, in heartbeat intervals. The time between two
+/// heartbeats is up to a quarter longer than the interval.
 const PROBE_AFTER_HEARTBEATS: f64 = 1.3;
 
-/// Divides the limit of direct calls in flight; the quotient is the limit for workers that may not respond.
+/// Divides the limit of direct calls in flight; the quotient is the limit for workers whose response is
+/// uncertain.
 const UNCERTAIN_CALLS_DIVISOR: usize = 2;
 
-/// A direct call that a worker needs.
+/// A direct call that is to be made to a worker, with the commands for it.
 struct WorkerCall {
     worker: String,
     commands: Vec<Command>,
@@ -45,8 +46,8 @@
 }
 
 /// Keeps track of which workers may need a direct call, which calls are in flight, and what was last sent to
-/// each worker. The number of calls in flight is limited. Calls to workers that may not respond have a lower
-/// limit, so that a partitioned zone does not hold up commands to the other zones.
+/// each worker. The number of calls in flight is limited. Calls whose response is uncertain have a lower limit,
+/// so that a partitioned zone does not hold up commands to the other zones.
 #[derive(Debug)]
 pub(super) struct CommandDispatcher {
     max_in_flight: usize,
@@ -137,12 +138,12 @@
             .is_some_and(|last| last.commands == commands && now - last.sent_at < within_s)
     }
 
-    /// Whether one more call may be made to a worker that is expected to respond.
+    /// Whether the limit allows one more call to a worker that is expected to respond.
     fn has_capacity(&self) -> bool {
         self.in_flight.len() < self.max_in_flight
     }
 
-    /// Returns how many more calls may be made to workers that may not respond.
+    /// Returns how many more calls the limit allows to workers whose response is uncertain.
     fn uncertain_capacity(&self) -> usize {
         let uncertain = self
             .in_flight
--- a/src/coordination/leader/failure_attribution.rs
+++ b/src/coordination/leader/failure_attribution.rs
@@ -14,7 +14,7 @@
 /// Share by which the back-off varies at random, so that jobs that began to crash-loop at the same time are not
 /// probed at the same time.
 const BACKOFF_JITTER: f64 = 0.25;
-/// Heartbeat intervals for which a replica must run to count as a success of its job.
+/// Time for which a replica must run to count as a success of its job, in heartbeat intervals.
 const STEADY_HEARTBEATS: f64 = 2.0;
 
 impl Leader {
--- a/src/coordination/leader/failure_detection.rs
+++ b/src/coordination/leader/failure_detection.rs
@@ -6,29 +6,30 @@
 use crate::bookkeeping::workers::Worker;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A machine that is not up after this number of usual boot times is released.
+/// Time after which a machine that is not up is released, in units of its usual boot time.
 const BOOT_TIMEOUT_FACTOR: f64 = 2.5;
-/// List lags, in addition to the usual boot time, after which a machine that the cloud no longer lists counts as
-/// lost.
+/// Time after which a machine that the cloud no longer lists counts as lost, in units of the list lag (the time by
+/// which the cloud's list may be out of date). The usual boot time is added to it.
 const LIST_LAGS_UNTIL_LOST: f64 = 4.0;
-/// Heartbeat intervals without a heartbeat after which a worker has missed one; varying intervals alone don't
-/// explain so long a gap.
+/// Time without a heartbeat after which a worker has missed one, in heartbeat intervals. The usual variation of the
+/// intervals does not explain so long a gap.
 const MISSED_HEARTBEATS: f64 = 1.5;
-/// Heartbeat intervals without a heartbeat from any worker after which this controller counts as isolated;
-/// varying intervals alone don't explain so long a gap.
+/// Time without a heartbeat from any worker after which this controller counts as isolated, in heartbeat intervals.
+/// The usual variation of the intervals does not explain so long a gap.
 const SILENCE_HEARTBEATS: f64 = 1.25;
 /// Least number of workers in a zone for detecting a partition; the workers of a smaller zone may fall silent at
 /// the same time by chance.
 const MIN_ZONE_WORKERS: usize = 6;
-/// Heartbeat intervals after which a heartbeat is late. The interval varies by up to a quarter, so at most three
-/// in ten workers are late without a fault, even if all send their heartbeats at the same moment.
+/// Time without a heartbeat after which a worker is late, in heartbeat intervals. The time between two heartbeats is
+/// up to a quarter longer than the interval, so at most three in ten workers are late without a fault, even if all
+/// send their heartbeats at the same moment.
 const LATE_HEARTBEATS: f64 = 1.1;
 /// A zone counts as partitioned while at least this share of its workers is late.
 const MIN_LATE_SHARE: f64 = 0.35;
-/// Worker leases for which the silent workers of a partitioned zone are kept.
+/// Time for which the silent workers of a partitioned zone are kept, in units of the worker lease.
 const PARTITION_LEASES: f64 = 3.0;
-/// Heartbeat intervals that workers need to reconnect: one heartbeat without a response, and one to another
-/// controller.
+/// Time that workers need to reconnect, in heartbeat intervals: one heartbeat gets no response, and the next goes to
+/// another controller.
 const RECONNECT_HEARTBEATS: f64 = 2.5;
 
 /// Number of a zone's workers that should send heartbeats, and how many of them are late.
--- a/src/coordination/leader/fleet/mod.rs
+++ b/src/coordination/leader/fleet/mod.rs
@@ -25,8 +25,8 @@
 const CLOUD_BURST_S: f64 = 1.5;
 /// Timeout of calls to the cloud, in heartbeat intervals.
 const CALL_TIMEOUT_HEARTBEATS: f64 = 2.0;
-/// An instance that is not up after this number of usual boot times is overdue, and no longer counts as
-/// capacity to come. Most instances are up by then.
+/// Time after which an instance that is not up is overdue and no longer counts as future capacity, in units of its
+/// usual boot time. Most instances are up by then.
 pub(super) const BOOT_OVERDUE_FACTOR: f64 = 1.5;
 /// Checks for failed workers in a heartbeat interval.
 const CHECKS_PER_HEARTBEAT: f64 = 8.0;
@@ -34,7 +34,7 @@
 const ROUNDS_PER_BOOT: f64 = 5.0;
 /// Upper bound on the boot time that determines the interval between rounds of the autoscaler.
 const MAX_BOOT_TIME_S: f64 = 60.0;
-/// Heartbeat intervals after which a new leader has received a heartbeat of every worker that is up.
+/// Time after which a new leader has received a heartbeat of every worker that is up, in heartbeat intervals.
 const FIRST_HEARTBEATS: f64 = 1.5;
 
 /// When calls of one kind may be made to the cloud: one at a time, and none before `not_before`.
--- a/src/coordination/leader/fleet/scale_in.rs
+++ b/src/coordination/leader/fleet/scale_in.rs
@@ -8,8 +8,9 @@
 use crate::protocol::cloud::{CloudRequest, CloudResponse, MAX_INSTANCES_PER_DELETE};
 use std::collections::HashMap;
 
-/// Time for which confirmed deletions are remembered, in list lags or heartbeat intervals, whichever are longer.
-/// Until then, a late list or heartbeat may still show the deleted instance.
+/// Time for which confirmed deletions are remembered, in units of the list lag (the time by which the cloud's list
+/// may be out of date) or the heartbeat interval, whichever is longer. Until then, a late list or heartbeat may
+/// still show the deleted instance.
 const DELETION_RETENTION_FACTOR: f64 = 60.0;
 
 /// Why an instance is deleted.
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -233,7 +233,8 @@
     worker.lease_renewed_at = if worker.token_acknowledged {
         now
     } else {
-        // An earlier leader may have renewed the lease for longer.
+        // The worker may still accept renewals by an earlier leader. `lease_renewed_at` may lie in the
+        // future then: it is the time until which that leader may renew leases.
         worker.lease_renewed_at.max(now)
     };
 }
@@ -247,14 +248,14 @@
     }
     worker.pending_starts.clear_for_new_incarnation();
     worker.idle_since = now;
-    // The lease of an incarnation counts from its beginning. The response to a direct call, which does
-    // not renew leases, may be the first message that shows it.
+    // The lease runs from the beginning of the incarnation, which is not later than now. A response to a
+    // direct call does not renew the lease, but it may be the first message that shows the incarnation.
     worker.lease_renewed_at = worker.lease_renewed_at.max(now);
 }
 
 /// Counts the lease from now after the machine has restarted, lost its stored incarnation, and begun the same
-/// incarnation again. The lease counts from that second beginning, which is later than the heartbeats that this
-/// leader has responded to.
+/// incarnation again. The lease runs from that second beginning, which is not later than now, but later than the
+/// heartbeats that this leader has responded to.
 fn restart_lease(worker: &mut Worker, now: f64) {
     tracing::warn!(
         worker = worker.name,
--- a/src/coordination/leader/leases.rs
+++ b/src/coordination/leader/leases.rs
@@ -11,9 +11,9 @@
 const DRIFT_MARGIN: f64 = 4.0;
 /// Divides the heartbeat interval; the quotient is added to a worker's lease as a safety margin.
 const EXPIRY_MARGIN_DIVISOR: f64 = 5.0;
-/// Heartbeat intervals that workers need to find a new leader.
+/// Time that workers need to find a new leader, in heartbeat intervals.
 const FAILOVER_HEARTBEATS: f64 = 2.0;
-/// Heartbeat intervals without a poll after which the event loop counts as stalled.
+/// Time without a poll after which the event loop counts as stalled, in heartbeat intervals.
 const STALL_HEARTBEATS: f64 = 0.25;
 
 /// Tracks which controllers and workers know this leader's epoch, and the worker leases that it and earlier
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -63,7 +63,7 @@
 pub const LEADER_STATE_SHARE: f64 = 0.5;
 /// Factor on a task's estimated run time that allows for wrong estimates, which are often off by half.
 const RUNTIME_ESTIMATE_MARGIN: f64 = 1.5;
-/// Time for which a job's tasks avoid a worker on which one of them has failed, in worker leases.
+/// Time for which a job's tasks avoid a worker on which one of them has failed, in units of the worker lease.
 const AVOID_LEASES: f64 = 1.0;
 
 /// An event that the leader reports to the rest of the controller.
@@ -71,14 +71,14 @@
 pub enum LeaderEvent {
     /// All tasks of a job have completed, and the end of the job is committed.
     JobFinished {
-        /// The job.
+        /// Id of the job.
         job: String,
         /// The record of its end.
         record: FinishedRecord,
     },
     /// A transaction failed because another writer had closed a job.
     JobClosed {
-        /// The job.
+        /// Id of the job.
         job: String,
     },
     /// A worker has shown the epoch of a later leader.
--- a/src/coordination/leader/recovery.rs
+++ b/src/coordination/leader/recovery.rs
@@ -32,7 +32,8 @@
     buffered_heartbeats: BTreeMap<String, WorkerHeartbeat>,
     /// Jobs that were closed during recovery; the records that were read may still show them as open.
     closed_jobs: ClosedJobs,
-    /// The latest listing of the open jobs, made by the watch.
+    /// The latest complete listing of the open jobs, with which the watch on them begins or begins anew. After
+    /// recovery, jobs that are missing from it are closed.
     listing: Option<OpenJobsListing>,
     /// Jobs that were crash-looping under an earlier leader.
     crash_looping: BTreeSet<String>,
@@ -49,7 +50,7 @@
 #[derive(Debug, Default)]
 struct RecoveredRecords {
     jobs: Vec<RecoveredJob>,
-    /// In the log's order.
+    /// The segments of the write-ahead log, in the order in which they were written.
     segments: Vec<RecoveredSegment>,
     provisioning: Vec<RecoveredProvisioning>,
 }
--- a/src/coordination/leader/scaling/demand.rs
+++ b/src/coordination/leader/scaling/demand.rs
@@ -8,10 +8,10 @@
 use crate::protocol::job::{JobSpec, PriorityClass};
 use std::collections::HashMap;
 
-/// Factor on the estimated time until workers in use have capacity for a pending task.
+/// Factor on the estimated time until workers in use have capacity for a pending task, for many running tasks.
 const QUEUE_WAIT_MARGIN: f64 = 1.2;
-/// Share that is added to that factor if a single task is running; it falls with the square root of the number
-/// of running tasks.
+/// Relative increase of [`QUEUE_WAIT_MARGIN`] when a single task is running. With more running tasks it is divided
+/// by the square root of their number.
 const QUEUE_WAIT_UNCERTAINTY: f64 = 4.0;
 /// Maximum number of pending tasks that are fitted in a round, several times what a thousand instances run. It
 /// bounds the work of a round; further tasks are left for the next round.
@@ -47,7 +47,7 @@
     }
 }
 
-/// An instance that is expected or would be created, with the capacity left on it.
+/// An instance that is being provisioned, is booting, or would be created, with the capacity left on it.
 struct Bin {
     /// Index of its pool among the offers.
     pool: usize,
@@ -65,7 +65,7 @@
     }
 }
 
-/// The pending tasks, fitted onto instances that are expected or would be created.
+/// The pending tasks, fitted onto instances that are being provisioned, are booting, or would be created.
 pub(super) struct DemandFit {
     /// The demand on each pool.
     pub(super) demand: Vec<Demand>,
@@ -78,7 +78,8 @@
         self.count_bins(pool, true)
     }
 
-    /// Returns the number of expected instances of a pool that no pending task was fitted onto.
+    /// Returns the number of instances of a pool that are being provisioned or booting and that no pending task was
+    /// fitted onto.
     pub(super) fn unused_bins(&self, pool: usize) -> u32 {
         self.count_bins(pool, false)
     }
@@ -210,7 +211,8 @@
 }
 
 impl Leader {
-    /// Fits the pending tasks onto instances that are expected, then onto instances that would be created.
+    /// Fits the pending tasks onto instances that are being provisioned or booting, then onto instances that would
+    /// be created.
     pub(super) fn fit_demand(&self, offers: &mut [PoolOffer], now: f64) -> DemandFit {
         let mut fit = DemandFit {
             demand: vec![Demand::default(); offers.len()],
--- a/src/coordination/leader/scaling/headroom.rs
+++ b/src/coordination/leader/scaling/headroom.rs
@@ -79,7 +79,7 @@
             let pools: Vec<usize> = (0..offers.len())
                 .filter(|i| !offers[*i].key.spot && offers[*i].key.zone == *zone)
                 .collect();
-            // Idle and expected instances are kept first.
+            // Idle instances are kept first, and those being provisioned or booting that no task needs.
             for i in &pools {
                 let fitting = offers[*i].resources().count_fitting(request);
                 let unused = inventories[*i].idle + fit.unused_bins(*i);
--- a/src/coordination/leader/scaling/mod.rs
+++ b/src/coordination/leader/scaling/mod.rs
@@ -1,8 +1,8 @@
 //! A round of the autoscaler: sets the number of instances that each pool should have, and acts on it.
 //!
-//! First the pending tasks are fitted onto instances that are expected or would be created ([`demand`]), and
-//! headroom for future replicas is set aside ([`headroom`]). Then the autoscaler sets the target of each pool,
-//! and the pool is scaled out or in ([`target`]).
+//! First the pending tasks are fitted onto instances that are being provisioned, are booting, or would be created
+//! ([`demand`]), and headroom for future replicas is set aside ([`headroom`]). Then the autoscaler sets the target
+//! of each pool, and the pool is scaled out or in ([`target`]).
 
 mod demand;
 mod headroom;
--- a/src/coordination/leader/scaling/pool.rs
+++ b/src/coordination/leader/scaling/pool.rs
@@ -35,7 +35,8 @@
     }
 }
 
-/// The instances that a pool has, and the number that it needs beyond those in use.
+/// Counts of a pool's instances, the resources in use on them, and the numbers of instances that it needs beyond
+/// the busy ones.
 #[derive(Default)]
 pub(super) struct PoolInventory {
     /// Instances that are up, booting and not overdue, or being provisioned.
@@ -105,7 +106,8 @@
         }
     }
 
-    /// Returns the instances that a pool has.
+    /// Counts a pool's instances and the resources in use on them. Instances that are terminating, announced to be
+    /// reclaimed, or overdue are left out. The needs are left at zero.
     pub(super) fn pool_inventory(&self, offer: &PoolOffer, now: f64) -> PoolInventory {
         let mut inventory = PoolInventory::default();
         for worker in self.workers.iter() {
--- a/src/coordination/leader/scaling/target.rs
+++ b/src/coordination/leader/scaling/target.rs
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Returns the workers that a pool has beyond its target, of those that have been idle for the cooldown. The
-    /// ones that have been idle for longest come first.
+    /// Returns the workers to release from a pool that has more instances than its target. Only workers that have been
+    /// idle for the cooldown are among them, those idle for longest first.
     pub(super) fn surplus_workers(
         &self,
         offer: &PoolOffer,
--- a/src/coordination/leader/scheduling.rs
+++ b/src/coordination/leader/scheduling.rs
@@ -13,8 +13,8 @@
 const ATTEMPT_COUNTER_BITS: u32 = 24;
 /// No scheduling cycle runs while more log entries than this are not durable.
 const MAX_BACKLOG: usize = 600;
-/// A job that has waited for this number of worker leases without a start goes ahead of the other jobs of the
-/// same priority and quota status.
+/// Time without a start after which a job goes ahead of the other jobs of the same priority and quota status, in
+/// units of the worker lease.
 const AGEING_LEASES: f64 = 6.0;
 /// Maximum number of scheduling cycles in a heartbeat interval.
 const CYCLES_PER_HEARTBEAT: f64 = 25.0;
@@ -144,8 +144,9 @@
     }
 }
 
-/// Returns the attempt that the tasks of a gang share, by which they find one another; `None` for other jobs
-/// and while no task of the gang is bound.
+/// Returns the attempt number that the bound tasks of a gang share, so that further tasks are bound with the same
+/// number. A gang's tasks can tell by it which of them run together. `None` for other jobs; `None` while no
+/// task of the gang is bound, since the next one then begins a new attempt.
 fn gang_attempt(job: &Job) -> Option<u64> {
     let is_bound_gang = job.spec.kind == JobKind::Gang && !job.bound_workers().is_empty();
     job.gang_attempt.filter(|_| is_bound_gang)
--- a/tests/bindings.rs
+++ b/tests/bindings.rs
@@ -181,10 +181,10 @@
     }
 }
 
-/// Sends commands to a worker in a direct call that has this outcome.
-fn send_directly(worker: &mut Worker, sent: &[Command], outcome: CallOutcome) {
-    worker.record_sent(sent, DeliveryPath::DirectCall, freshness().view_age_s);
-    worker.record_call_outcome(sent, outcome);
+/// Records a direct call with these commands to a worker, and the outcome of the call.
+fn record_call(worker: &mut Worker, commands: &[Command], outcome: CallOutcome) {
+    worker.record_sent(commands, DeliveryPath::DirectCall, freshness().view_age_s);
+    worker.record_call_outcome(commands, outcome);
 }
 
 /// A duplicate of a direct start may arrive until the worker shows a higher fence, whether or not the call was
@@ -193,9 +193,9 @@
 #[test]
 fn a_stopped_attempt_is_cleared_only_after_its_starts_are_revoked() {
     use cedarladder::protocol::worker::TaskState::Exited;
-    let answered: Steps = |worker, commands| send_directly(worker, commands, CallOutcome::Answered);
+    let answered: Steps = |worker, commands| record_call(worker, commands, CallOutcome::Answered);
     let unanswered: Steps =
-        |worker, commands| send_directly(worker, commands, CallOutcome::Unanswered);
+        |worker, commands| record_call(worker, commands, CallOutcome::Unanswered);
     let in_response: Steps = |worker, commands| {
         worker.record_sent(
             commands,
@@ -249,18 +249,18 @@
         assert_eq!(
             pending_revocation(&worker),
             None,
-            "{name}: after the revocation"
+            "{name}: revocation still pending after the fence was raised"
         );
         assert_eq!(
             !commands(&worker, true, 10).is_empty(),
             cleared,
-            "{name}: before the worker shows the fence"
+            "{name}: commands before the worker shows the raised fence"
         );
         worker.observe_fence(worker.pending_starts.fence());
         assert_eq!(
             commands(&worker, true, 10).len(),
             1,
-            "{name}: after the worker shows the fence"
+            "{name}: number of commands after the worker shows the raised fence"
         );
         assert!(worker.pending_starts.is_empty(), "{name}");
     }
@@ -270,9 +270,9 @@
 #[derive(Debug, PartialEq)]
 enum PendingMessages {
     None,
-    /// Duplicates of commands that the worker has answered.
+    /// Only duplicates of direct calls that the worker has answered, so that it has processed the start already.
     AnsweredDuplicates,
-    /// A command that the worker may not have executed yet.
+    /// A start command that the worker may not have processed yet.
     Start,
 }
 
@@ -289,34 +289,34 @@
         ),
         (
             "sent directly and answered",
-            |worker, commands| send_directly(worker, commands, CallOutcome::Answered),
+            |worker, commands| record_call(worker, commands, CallOutcome::Answered),
             PendingMessages::AnsweredDuplicates,
         ),
         (
             "never sent",
-            |worker, commands| send_directly(worker, commands, CallOutcome::NotSent),
+            |worker, commands| record_call(worker, commands, CallOutcome::NotSent),
             PendingMessages::None,
         ),
         (
             "the first call unanswered, the second answered: the first may still arrive",
             |worker, commands| {
-                send_directly(worker, commands, CallOutcome::Unanswered);
-                send_directly(worker, commands, CallOutcome::Answered);
+                record_call(worker, commands, CallOutcome::Unanswered);
+                record_call(worker, commands, CallOutcome::Answered);
             },
             PendingMessages::Start,
         ),
         (
             "the first call unanswered, the second never sent",
             |worker, commands| {
-                send_directly(worker, commands, CallOutcome::Unanswered);
-                send_directly(worker, commands, CallOutcome::NotSent);
+                record_call(worker, commands, CallOutcome::Unanswered);
+                record_call(worker, commands, CallOutcome::NotSent);
             },
             PendingMessages::Start,
         ),
         (
             "unanswered and revoked, but the worker does not show the fence",
             |worker, commands| {
-                send_directly(worker, commands, CallOutcome::Unanswered);
+                record_call(worker, commands, CallOutcome::Unanswered);
                 assert!(worker.revoke_starts(RevocationReason::Evicted));
                 worker.observe_fence(0);
             },
@@ -325,7 +325,7 @@
         (
             "unanswered and revoked, and the worker shows the fence",
             |worker, commands| {
-                send_directly(worker, commands, CallOutcome::Unanswered);
+                record_call(worker, commands, CallOutcome::Unanswered);
                 assert!(worker.revoke_starts(RevocationReason::Evicted));
                 worker.observe_fence(1);
             },
@@ -466,7 +466,7 @@
         let mut worker = worker("h", "a", false);
         bind(&mut worker, |_| {});
         let sent = commands(&worker, true, 10);
-        send_directly(&mut worker, &sent, CallOutcome::Unanswered);
+        record_call(&mut worker, &sent, CallOutcome::Unanswered);
         setup(&mut worker);
         let revocation = pending_revocation(&worker);
         let got = revocation.map(|reason| (reason, reason.is_urgent()));
@@ -474,7 +474,8 @@
     }
 }
 
-/// Starts of tasks that have long completed don't accumulate.
+/// Pending starts of answered direct calls are kept until the worker shows a higher fence. If too many are kept, they
+/// are revoked, so that they don't accumulate without bound.
 #[test]
 fn pending_starts_are_bounded() {
     let mut worker = worker("h", "a", false);
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -287,7 +287,10 @@
             .sum();
         assert_eq!((assignments.bindings.len(), unplaced), expected, "{name}");
         for (_, worker) in &assignments.bindings {
-            assert!(!none_on.contains(&worker.as_str()), "{name}: {worker}");
+            assert!(
+                !none_on.contains(&worker.as_str()),
+                "{name}: task placed on {worker}, which must get none"
+            );
         }
     }
 }
@@ -318,8 +321,8 @@
 #[test]
 fn crash_looping_jobs_get_no_busy_worker_released() {
     type Fault = fn(&mut World);
-    // Each case: the number of tasks, whether the job is a service, how often all its tasks may fail at once,
-    // and a fault of the leader.
+    // Each case: the number of tasks, whether the job is a service, how often all its tasks may fail before the
+    // job is found to be crash-looping, and a fault of the leader.
     let cases: [(&str, u32, bool, u32, Fault); 5] = [
         ("an array", 40, false, 1, |_| {}),
         ("an array of one task", 1, false, 3, |_| {}),
@@ -357,11 +360,14 @@
             );
             for n in 100..104 {
                 let failures = failures_of(&world, n);
-                assert!(failures >= 3, "{name}: only {failures} failures");
+                assert!(
+                    failures >= 3,
+                    "{name}: {failures} failures of job {n}, at least 3 expected"
+                );
                 let most = tasks * full_failures + MAX_PROBES;
                 assert!(
                     failures <= most,
-                    "{name}: {failures} failures, at most {most} expected"
+                    "{name}: {failures} failures of job {n}, at most {most} expected"
                 );
             }
             assert_eq!(
--- a/tests/late_commands.rs
+++ b/tests/late_commands.rs
@@ -1,5 +1,5 @@
-//! Direct commands that arrive long after the leader has stopped waiting for a response. A worker still executes a
-//! start among them if its token and incarnation match, which may be after the cancellation of the job.
+//! Direct calls that arrive long after the leader has stopped waiting for a response. A worker still executes a start
+//! command in them if its token and incarnation match, which may be after the cancellation of the job.
 
 mod world;
 
@@ -118,8 +118,8 @@
     }
 }
 
-/// Starts arrive in time, and duplicates of them arrive after the cancellation. A duplicate would run an attempt
-/// again that was cleared in the meantime.
+/// Starts arrive in time, and duplicates of them arrive after the cancellation. If the worker was told meanwhile to
+/// forget the exited attempt (command `Clear`), a duplicate would run the attempt again.
 #[test]
 fn duplicate_starts_delayed_beyond_the_cancellation() {
     for seed in 1..5 {
