--- a/src/coordination/election/mod.rs
+++ b/src/coordination/election/mod.rs
@@ -1,9 +1,11 @@
-//! The election of the leader: it holds the `leader` key of the state service, attached to a lease. The
-//! key's mod revision is the leader's epoch.
+//! Leader election among the controllers.
 //!
-//! A controller campaigns in two calls: it asks for a lease, and then takes the key in a transaction that
-//! fails if another controller has taken it. A leader renews its lease; when it can't, it goes on for the
-//! lease grace period (see [`ElectionTimeouts::new`]).
+//! The leader owns the `leader` key in the state service, which is attached to the leader's lease. The mod
+//! revision of the key is the leader's epoch.
+//!
+//! A controller campaigns in two calls. It first requests a lease, and then puts the key in a transaction that
+//! fails if another controller has put the key in the meantime. The elected leader keeps renewing its lease.
+//! If renewals fail, it stays leader for the lease grace period (see [`ElectionTimeouts::new`]).
 
 mod state;
 mod timeouts;
@@ -19,23 +21,23 @@
 use crate::protocol::token::MAX_EPOCH;
 use state::{Campaign, ElectionState, Leadership};
 
-/// This controller's part in the election.
+/// Election state of this controller.
 #[derive(Debug)]
 pub struct Election {
     own_record: LeaderRecord,
     timeouts: ElectionTimeouts,
     state: ElectionState,
-    /// The `leader` key, as the watch or the own campaign has shown it.
+    /// Latest known content of the `leader` key, from the watch or from this controller's own campaign.
     observed_leader: Option<ObservedLeader>,
-    /// Highest epoch known from anywhere.
+    /// Highest epoch seen from any source: the `leader` key, workers or peers.
     highest_epoch: u64,
-    /// No campaign starts before this time.
-    campaign_at: f64,
+    /// Earliest time of the next campaign.
+    campaign_not_before: f64,
 }
 
 impl Election {
-    /// A follower that knows of no leader. `process_incarnation` tells this process from earlier ones of
-    /// the same controller.
+    /// Creates a follower that has not observed a leader. `process_incarnation` distinguishes this process
+    /// from earlier processes of the same controller.
     pub fn new(label: &str, process_incarnation: u64, timeouts: ElectionTimeouts) -> Election {
         Election {
             own_record: LeaderRecord {
@@ -46,13 +48,13 @@
             state: ElectionState::Follower,
             observed_leader: None,
             highest_epoch: 0,
-            campaign_at: 0.0,
+            campaign_not_before: 0.0,
         }
     }
 
-    // ---- what is known
+    // ---- current state
 
-    /// Mod revision of the `leader` key that is known; 0 if none is.
+    /// Mod revision of the observed `leader` key, or 0 if none has been observed.
     fn observed_revision(&self) -> u64 {
         let observed = self.observed_leader.as_ref();
         observed.map_or(0, |leader| leader.mod_revision)
@@ -65,20 +67,25 @@
         }
     }
 
-    /// The epoch with which this controller leads, confirmed or within the lease grace period.
+    /// This controller's epoch while it leads, including during the lease grace period.
     pub fn epoch(&self) -> Option<u64> {
         self.leadership().map(|leadership| leadership.epoch)
     }
 
-    /// Whether this controller leads and certainly holds the lease.
+    /// Whether this controller leads and its lease cannot have expired yet.
     pub fn holds_lease(&self, now: f64) -> bool {
         self.leadership()
             .is_some_and(|leadership| leadership.holds_lease(&self.timeouts, now))
     }
 
-    /// What this controller knows, with a view of the open jobs that was current at `view_at` and a state
-    /// service that last refused a call, or left one unanswered, at `failed_at`.
-    pub fn view_freshness(&self, view_at: f64, failed_at: f64, now: f64) -> ViewFreshness {
+    /// Returns the freshness of this controller's state. The view of the open jobs is current as of
+    /// `view_current_as_of`; the state service last rejected a call, or left one unanswered, at `failed_at`.
+    pub fn view_freshness(
+        &self,
+        view_current_as_of: f64,
+        failed_at: f64,
+        now: f64,
+    ) -> ViewFreshness {
         let renewed_at = self
             .leadership()
             .map_or(f64::NEG_INFINITY, |leadership| leadership.renewed_at);
@@ -86,7 +93,7 @@
             is_leader: self.epoch().is_some(),
             lease_held: self.holds_lease(now),
             lease_age_s: now - renewed_at,
-            view_age_s: now - view_at,
+            view_age_s: now - view_current_as_of,
             state_failure_age_s: now - failed_at,
             limits: FreshnessLimits {
                 lease_grace_s: self.timeouts.lease_grace_s,
@@ -95,12 +102,12 @@
         }
     }
 
-    /// Highest epoch known from anywhere.
+    /// Highest epoch seen from any source.
     pub fn highest_epoch(&self) -> u64 {
         self.highest_epoch
     }
 
-    /// The leader's label, as far as known.
+    /// Label of the leader, if this controller knows one.
     pub fn leader(&self) -> Option<&str> {
         if self.leadership().is_some() {
             return Some(&self.own_record.label);
@@ -109,18 +116,19 @@
         Some(&leader.record.label)
     }
 
-    // ---- what others show
+    // ---- observations
 
-    /// Takes the content of the `leader` key that the watch shows. The watch may be late: an earlier leader
-    /// than is known changes nothing, and none does not depose. `jitter` in 0..1 spreads the campaigns that
-    /// follow a deletion.
+    /// Processes the content of the `leader` key as reported by the watch, or `None` if the key is absent.
+    ///
+    /// The watch may lag behind, so an older leader record than the known one is ignored, and an absent key
+    /// does not end this controller's leadership. `jitter` in 0..1 spreads the campaigns that follow.
     pub fn observe_leader(
         &mut self,
-        known: Option<ObservedLeader>,
+        observed: Option<ObservedLeader>,
         jitter: f64,
         now: f64,
     ) -> LeadershipChange {
-        let Some(leader) = known else {
+        let Some(leader) = observed else {
             self.forget_leader(jitter, now);
             return LeadershipChange::None;
         };
@@ -131,7 +139,7 @@
         self.observe_epoch(epoch)
     }
 
-    /// Takes that there is no `leader` key at a revision.
+    /// Processes the observation that the `leader` key does not exist at `revision`.
     pub fn observe_no_leader(&mut self, revision: u64, jitter: f64, now: f64) -> LeadershipChange {
         if self.observed_revision() <= revision {
             self.forget_leader(jitter, now);
@@ -142,13 +150,13 @@
     fn forget_leader(&mut self, jitter: f64, now: f64) {
         if self.observed_leader.take().is_some() {
             let delay_s = self.timeouts.campaign_delay_s(jitter);
-            self.campaign_at = self.campaign_at.max(now + delay_s);
+            self.campaign_not_before = self.campaign_not_before.max(now + delay_s);
         }
     }
 
-    /// Takes the deletion of the `leader` key at a revision, which deposes if the key that was deleted is our
-    /// own: the lease has expired. The watch may be late: the deletion of an earlier key than is known changes
-    /// nothing.
+    /// Processes the deletion of the `leader` key at `revision`. If the deleted key was this controller's own,
+    /// its lease has expired and it steps down. The watch may lag behind, so the deletion of an older key than
+    /// the known one is ignored.
     pub fn on_leader_deleted(&mut self, revision: u64, jitter: f64, now: f64) -> LeadershipChange {
         let observed = self.observed_leader.as_ref();
         let observed_epoch = observed.map(|leader| leader.mod_revision);
@@ -162,8 +170,8 @@
         }
     }
 
-    /// Takes an epoch that a worker, a peer or the `leader` key has shown; a higher one than the own
-    /// deposes.
+    /// Processes an epoch seen in a message of a worker or peer, or in the `leader` key. A leader steps down
+    /// if the epoch is higher than its own.
     pub fn observe_epoch(&mut self, epoch: u64) -> LeadershipChange {
         self.highest_epoch = self.highest_epoch.max(epoch);
         match self.epoch() {
@@ -172,7 +180,7 @@
         }
     }
 
-    /// Takes that a transaction has found the `leader` key to be another's.
+    /// Steps down after a transaction has failed because the `leader` key is no longer this controller's.
     pub fn on_deposed(&mut self) -> LeadershipChange {
         match self.state {
             ElectionState::Leader(_) => self.step_down(),
@@ -180,23 +188,26 @@
         }
     }
 
-    // ---- the passing of time
+    // ---- periodic work
 
-    /// Renews the lease, campaigns or resigns, as is due. `watching`: the watch knows the `leader` key;
-    /// `current_at`: the time at which the view of the open jobs was last current.
+    /// Renews the lease, campaigns or resigns if that is due. `leader_key_known` tells whether the watch has
+    /// read the `leader` key; the view of the open jobs is current as of `view_current_as_of`.
     pub fn poll(
         &mut self,
-        watching: bool,
-        current_at: f64,
+        leader_key_known: bool,
+        view_current_as_of: f64,
         effects: &mut Effects,
         now: f64,
     ) -> LeadershipChange {
         match self.state {
             ElectionState::Leader(leadership) => {
-                self.poll_leadership(leadership, current_at, effects, now)
+                self.poll_leadership(leadership, view_current_as_of, effects, now)
             }
             ElectionState::Follower => {
-                if watching && now >= self.campaign_at && self.replaceable_revision().is_some() {
+                if leader_key_known
+                    && now >= self.campaign_not_before
+                    && self.replaceable_revision().is_some()
+                {
                     self.start_campaign(effects, now);
                 }
                 LeadershipChange::None
@@ -208,15 +219,16 @@
     fn poll_leadership(
         &mut self,
         leadership: Leadership,
-        current_at: f64,
+        view_current_as_of: f64,
         effects: &mut Effects,
         now: f64,
     ) -> LeadershipChange {
         if leadership.is_lease_grace_over(&self.timeouts, now) {
             return self.step_down();
         }
-        // It holds the lease and is of no use: another may have a view that is current.
-        if leadership.is_view_too_old(current_at, &self.timeouts, now) {
+        // With so old a view this leader can neither start tasks nor renew workers' leases, although it still
+        // holds its own lease. Resigning lets a controller with a current view take over.
+        if leadership.is_view_too_old(view_current_as_of, &self.timeouts, now) {
             tracing::info!("leadership resigned: the open jobs cannot be watched");
             return self.resign(effects, now);
         }
@@ -231,13 +243,14 @@
         LeadershipChange::None
     }
 
-    /// Gives up the lease, so that a controller that workers can reach may lead.
+    /// Gives up leadership: revokes the lease and stays out of elections for a while, so that another
+    /// controller can take over.
     pub fn resign(&mut self, effects: &mut Effects, now: f64) -> LeadershipChange {
         let ElectionState::Leader(leadership) = self.state else {
             return LeadershipChange::None;
         };
         self.revoke_lease(leadership.lease_id, effects, now);
-        self.campaign_at = now + self.timeouts.campaign_backoff_s;
+        self.campaign_not_before = now + self.timeouts.campaign_backoff_s;
         self.step_down()
     }
 
@@ -246,11 +259,14 @@
         LeadershipChange::Deposed
     }
 
-    // ---- the campaign
+    // ---- campaign
 
-    /// The mod revision of the `leader` key that this controller may replace, if it may: that of no key,
-    /// or of a key with its own label. The latter is from an earlier process of this controller, or from
-    /// a campaign whose response was lost. Nobody else acts by it, so it can be replaced at once.
+    /// Returns the mod revision that the `leader` key must have for this controller to replace it, or `None`
+    /// if another controller leads.
+    ///
+    /// An absent key (revision 0) may be replaced, and so may a key with this controller's own label. The
+    /// latter was put by an earlier process of this controller, or by a campaign whose response was lost. No
+    /// other controller leads with that key, so there is no need to wait until its lease expires.
     fn replaceable_revision(&self) -> Option<u64> {
         match &self.observed_leader {
             None => Some(0),
@@ -268,7 +284,8 @@
         self.call(KvRequestContext::GrantLease, request, effects, now);
     }
 
-    /// The transaction that takes the `leader` key, if its mod revision is still `replaced_revision`.
+    /// Builds the transaction that puts the `leader` key, provided that the key's mod revision is still
+    /// `replaced_revision`.
     fn campaign_txn(&self, replaced_revision: u64, lease_id: u64) -> Txn {
         Txn {
             compares: vec![Compare::new(records::LEADER_KEY, replaced_revision)],
@@ -282,10 +299,10 @@
 
     fn back_off(&mut self, now: f64) {
         self.state = ElectionState::Follower;
-        self.campaign_at = now + self.timeouts.campaign_retry_s();
+        self.campaign_not_before = now + self.timeouts.campaign_retry_s();
     }
 
-    // ---- calls and responses
+    // ---- requests and responses
 
     fn call(&self, context: KvRequestContext, request: KvRequest, effects: &mut Effects, now: f64) {
         effects.call_kv(context, request, self.timeouts.request_timeout_s(), now);
@@ -296,19 +313,19 @@
         self.call(KvRequestContext::RevokeLease, request, effects, now);
     }
 
-    /// Takes the response to a call of the election that was made at `sent`. One that comes in another
-    /// state than that of the call is dropped.
+    /// Processes the response to an election request that was sent at `sent_at`. Responses that arrive after
+    /// the election state has changed are ignored.
     pub fn on_response(
         &mut self,
         context: &KvRequestContext,
         response: &KvResponse,
-        sent: f64,
+        sent_at: f64,
         effects: &mut Effects,
         now: f64,
     ) -> LeadershipChange {
         match (context, &self.state) {
             (KvRequestContext::GrantLease, ElectionState::AcquiringLease) => {
-                self.on_lease_response(response, sent, effects, now);
+                self.on_lease_response(response, sent_at, effects, now);
                 LeadershipChange::None
             }
             (KvRequestContext::Campaign, ElectionState::Campaigning(campaign)) => {
@@ -317,7 +334,7 @@
             }
             (KvRequestContext::KeepAlive, ElectionState::Leader(leadership)) => {
                 let leadership = *leadership;
-                self.on_keep_alive_response(leadership, response, sent, now)
+                self.on_keep_alive_response(leadership, response, sent_at, now)
             }
             _ => LeadershipChange::None,
         }
@@ -326,7 +343,7 @@
     fn on_lease_response(
         &mut self,
         response: &KvResponse,
-        sent: f64,
+        sent_at: f64,
         effects: &mut Effects,
         now: f64,
     ) {
@@ -334,7 +351,7 @@
             self.back_off(now);
             return;
         };
-        // Another controller may have taken the key while the lease was being granted.
+        // Another controller may have been elected while the lease was being granted.
         let Some(replaced_revision) = self.replaceable_revision() else {
             self.revoke_lease(lease_id, effects, now);
             self.state = ElectionState::Follower;
@@ -342,7 +359,7 @@
         };
         self.state = ElectionState::Campaigning(Campaign {
             lease_id,
-            lease_requested_at: sent,
+            lease_requested_at: sent_at,
         });
         let request = KvRequest::Txn(self.campaign_txn(replaced_revision, lease_id));
         self.call(KvRequestContext::Campaign, request, effects, now);
@@ -356,7 +373,7 @@
         now: f64,
     ) -> LeadershipChange {
         match *response {
-            KvResponse::Committed(epoch) if is_usable(epoch) => {
+            KvResponse::Committed(epoch) if is_usable_epoch(epoch) => {
                 let leadership = Leadership::new(epoch, campaign, &self.timeouts, now);
                 self.state = ElectionState::Leader(leadership);
                 self.observed_leader = Some(ObservedLeader {
@@ -367,7 +384,8 @@
                 LeadershipChange::Elected(epoch)
             }
             _ => {
-                // An unanswered transaction may still be applied; without its lease it cannot.
+                // If there was no response, the transaction may still be applied later. Once its lease is
+                // revoked, it cannot be.
                 self.revoke_lease(campaign.lease_id, effects, now);
                 self.back_off(now);
                 LeadershipChange::None
@@ -379,16 +397,16 @@
         &mut self,
         mut leadership: Leadership,
         response: &KvResponse,
-        sent: f64,
+        sent_at: f64,
         now: f64,
     ) -> LeadershipChange {
-        // Asked for the lease of an earlier leadership, it says nothing of this one's.
-        if sent < leadership.elected_at {
+        // This response is about the lease of an earlier term of this controller.
+        if sent_at < leadership.elected_at {
             return LeadershipChange::None;
         }
         leadership.keep_alive_in_flight = false;
         match response {
-            KvResponse::LeaseOk => leadership.renewed(sent, &self.timeouts),
+            KvResponse::LeaseOk => leadership.renewed(sent_at, &self.timeouts),
             KvResponse::LeaseExpired => {
                 self.observed_leader = None;
                 return self.step_down();
@@ -400,13 +418,14 @@
     }
 }
 
-/// Whether fencing tokens can be made of an epoch.
-fn is_usable(epoch: u64) -> bool {
+/// Whether the epoch fits into a fencing token. Logs an error if it does not.
+fn is_usable_epoch(epoch: u64) -> bool {
     let usable = epoch <= MAX_EPOCH;
     if !usable {
         tracing::error!(
             epoch,
-            "leader: its mod revision is too high for fencing tokens; move to a new state service"
+            "campaign failed: the mod revision of the leader key is too high for fencing tokens; \
+             migrate to a new state service"
         );
     }
     usable
--- a/src/coordination/election/state.rs
+++ b/src/coordination/election/state.rs
@@ -1,38 +1,38 @@
-//! The states of a controller in the election.
+//! Election states of a controller.
 
 use super::timeouts::ElectionTimeouts;
 use crate::bookkeeping::records::LeaderRecord;
 
-/// The content of the `leader` key.
+/// The `leader` key as it was read from the state service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ObservedLeader {
-    /// Who leads.
+    /// Content of the key, which names the leader.
     pub record: LeaderRecord,
-    /// The key's mod revision, which is the leader's epoch.
+    /// Mod revision of the key, which is the leader's epoch.
     pub mod_revision: u64,
 }
 
-/// What the election has just decided.
+/// Result of an election step for this controller's leadership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeadershipChange {
-    /// Nothing new.
+    /// Leadership has not changed.
     None,
-    /// This controller leads, with this epoch.
+    /// This controller has become the leader with this epoch.
     Elected(u64),
-    /// This controller no longer leads.
+    /// This controller has stopped being the leader.
     Deposed,
 }
 
-/// A controller's state in the election.
+/// Role of a controller in the election.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum ElectionState {
-    /// It neither leads nor tries to.
+    /// Neither leads nor campaigns.
     Follower,
-    /// It has asked for a lease, to campaign with.
+    /// Has requested the lease for a campaign.
     AcquiringLease,
-    /// It has sent the transaction that takes the `leader` key.
+    /// Has sent the transaction that puts the `leader` key.
     Campaigning(Campaign),
-    /// It leads, confirmed or within the lease grace period.
+    /// Leads, with a lease that was last renewed at most one lease grace period ago.
     Leader(Leadership),
 }
 
@@ -40,17 +40,18 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Campaign {
     pub(super) lease_id: u64,
-    /// When the lease was asked for: it may have been granted as early as that.
+    /// When the lease was requested. Its lifetime is counted from then, because the state service may have
+    /// granted it at any time since.
     pub(super) lease_requested_at: f64,
 }
 
-/// Leadership that this controller has won.
+/// This controller's current term as leader.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Leadership {
     pub(super) epoch: u64,
     pub(super) lease_id: u64,
     pub(super) elected_at: f64,
-    /// When the renewal was sent that was confirmed last.
+    /// When the latest successful renewal was sent.
     pub(super) renewed_at: f64,
     /// When the next renewal is due.
     pub(super) keep_alive_at: f64,
@@ -58,7 +59,7 @@
 }
 
 impl Leadership {
-    /// Leadership won by a campaign at `now`.
+    /// Starts the term that `campaign` has won at `now`.
     pub(super) fn new(
         epoch: u64,
         campaign: Campaign,
@@ -77,20 +78,20 @@
         leadership
     }
 
-    /// Records that the lease was renewed by a call that was sent at `sent`.
-    pub(super) fn renewed(&mut self, sent: f64, timeouts: &ElectionTimeouts) {
-        self.renewed_at = sent;
-        self.keep_alive_at = sent + timeouts.keep_alive_interval_s();
+    /// Records that a renewal of the lease, sent at `sent_at`, has succeeded.
+    pub(super) fn renewed(&mut self, sent_at: f64, timeouts: &ElectionTimeouts) {
+        self.renewed_at = sent_at;
+        self.keep_alive_at = sent_at + timeouts.keep_alive_interval_s();
     }
 
-    /// Whether the next renewal is due.
+    /// Whether the next renewal is to be sent now.
     pub(super) fn is_keep_alive_due(&self, now: f64) -> bool {
         !self.keep_alive_in_flight && now >= self.keep_alive_at
     }
 
-    /// Whether the lease is certainly held.
+    /// Whether the lease cannot have expired yet.
     pub(super) fn holds_lease(&self, timeouts: &ElectionTimeouts, now: f64) -> bool {
-        now < self.renewed_at + timeouts.certain_lease_s()
+        now < self.renewed_at + timeouts.guaranteed_lease_s()
     }
 
     /// Whether the lease was last renewed longer ago than the lease grace period.
@@ -98,14 +99,14 @@
         now > self.renewed_at + timeouts.lease_grace_s
     }
 
-    /// Whether the view of the open jobs, current at `current_at`, is older than the lease grace period.
-    /// A leader just elected has that long to catch up.
+    /// Whether the view of the open jobs, which is current as of `view_current_as_of`, is older than the lease
+    /// grace period. After its election a leader has one grace period to bring its view up to date.
     pub(super) fn is_view_too_old(
         &self,
-        current_at: f64,
+        view_current_as_of: f64,
         timeouts: &ElectionTimeouts,
         now: f64,
     ) -> bool {
-        now > self.elected_at.max(current_at) + timeouts.lease_grace_s
+        now > self.elected_at.max(view_current_as_of) + timeouts.lease_grace_s
     }
 }
