--- a/src/coordination/controller/leader_key.rs
+++ b/src/coordination/controller/leader_key.rs
@@ -1,4 +1,4 @@
-//! Passes the updates of the watch on the `leader` key to the election.
+//! Passes updates of the `leader` key from the watch to the election.
 
 use crate::bookkeeping::records::{self, LeaderRecord};
 use crate::coordination::election::{Election, LeadershipChange, ObservedLeader};
@@ -6,12 +6,12 @@
 use crate::protocol::cbor::{self, CborError};
 use crate::protocol::kv::KeyValue;
 
-/// Why the `leader` key can't be used.
+/// Why the record under the `leader` key cannot be read.
 #[derive(Debug, thiserror::Error)]
 #[error("not a leader record: {0}")]
 struct LeaderRecordError(#[from] CborError);
 
-/// Takes one update of the watch. `jitter` in 0..1 spreads the campaigns that follow a deletion.
+/// Applies one watch update. `jitter` in 0..1 spreads the campaigns that follow a deletion of the key.
 pub(super) fn apply(
     update: WatchUpdate,
     election: &mut Election,
@@ -26,13 +26,13 @@
         } => {
             let item = items.iter().find(|item| item.key == records::LEADER_KEY);
             match item.and_then(read_or_log) {
-                Some(known) => election.observe_leader(Some(known), jitter, now),
+                Some(observed) => election.observe_leader(Some(observed), jitter, now),
                 None if is_complete => election.observe_no_leader(revision, jitter, now),
                 None => LeadershipChange::None,
             }
         }
         WatchUpdate::Put(item) if item.key == records::LEADER_KEY => match read_or_log(&item) {
-            Some(known) => election.observe_leader(Some(known), jitter, now),
+            Some(observed) => election.observe_leader(Some(observed), jitter, now),
             None => LeadershipChange::None,
         },
         WatchUpdate::Deleted { key, mod_revision } if key == records::LEADER_KEY => {
@@ -42,7 +42,7 @@
     }
 }
 
-/// The leader that the key names. A key that can't be read counts as none.
+/// Reads the record under the `leader` key. Logs an error and returns `None` if it cannot be decoded.
 fn read_or_log(item: &KeyValue) -> Option<ObservedLeader> {
     match read_leader(item) {
         Ok(record) => Some(ObservedLeader {
--- a/src/coordination/controller/leadership.rs
+++ b/src/coordination/controller/leadership.rs
@@ -1,4 +1,4 @@
-//! Starting and ending leadership, and what the leader tells the rest of the controller.
+//! Start and end of leadership, and the exchange of events between the leader and the other components.
 
 use super::Controller;
 use crate::bookkeeping::permits::ViewFreshness;
@@ -7,7 +7,8 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// Heartbeat intervals of silence from all workers that are more than chance.
+/// Silence of all workers after which they count as unable to reach this leader, in heartbeat intervals.
+/// A shorter silence can occur by chance.
 const UNREACHABLE_HEARTBEATS: f64 = 1.6;
 
 impl Controller {
@@ -42,21 +43,22 @@
         leader
     }
 
-    /// The leader, if it leads with this epoch: responses to an earlier one are dropped.
+    /// Returns the leader if its epoch is `epoch`. Responses to requests of an earlier term are ignored.
     pub(super) fn leader_with_epoch(&mut self, epoch: u64) -> Option<&mut Leader> {
         self.leader
             .as_mut()
             .filter(|leader| leader.epoch() == epoch)
     }
 
-    /// What this controller knows, and how old that is.
+    /// Freshness of this controller's view of the cluster.
     pub(super) fn view_freshness(&self, now: f64) -> ViewFreshness {
-        let view_at = self.jobs_watch.current_at();
+        let view_current_as_of = self.jobs_watch.current_as_of();
         self.election
-            .view_freshness(view_at, self.state_service.failed_at(), now)
+            .view_freshness(view_current_as_of, self.state_service.failed_at(), now)
     }
 
-    /// Does the leader's work that is due, and takes what it tells the rest of the controller.
+    /// Performs the leader's work that is due, and applies the events that it emits. Does nothing on a controller
+    /// that does not lead, except for polling the watches.
     pub(super) fn poll_leader(&mut self, now: f64) {
         self.jobs_watch.poll(&mut self.effects, now);
         self.leader_watch.poll(&mut self.effects, now);
@@ -82,18 +84,18 @@
         }
     }
 
-    /// Tells the leader of the jobs that the job API has learnt to have finished: from its own
-    /// transactions, from a lookup, or from a peer, long before the watch may show it.
-    pub(super) fn tell_leader_of_finished_jobs(&mut self) {
-        for id in self.job_api.take_finished() {
+    /// Notifies the leader of finished jobs that the job API has discovered through its own transactions, a
+    /// lookup or a peer. The watch may report them much later.
+    pub(super) fn notify_leader_of_finished_jobs(&mut self) {
+        for id in self.job_api.take_newly_finished() {
             if let Some(leader) = &mut self.leader {
                 leader.on_job_closed(&id);
             }
         }
     }
 
-    /// Makes a leader that workers can't reach give up its lease, when they come to its peers or when
-    /// the peers are silent too.
+    /// Resigns if workers cannot reach this leader. It concludes this if all workers are silent and a peer has
+    /// redirected workers or, after half a worker's lease of silence, if all peers are silent too.
     pub(super) fn resign_if_partitioned(&mut self, now: f64) {
         let Some(leader) = &self.leader else { return };
         let silent_s = leader.worker_contact_lost_s(now);
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -1,7 +1,7 @@
-//! One controller: takes requests, responses and the passing of time, and says what is to be done.
+//! The controller: a state machine that processes requests, responses and clock ticks, and queues effects.
 //!
-//! The controller routes each input to the component that it concerns, and passes on what that changes
-//! for the others: leadership, and jobs that were opened or closed.
+//! The controller dispatches each input to the component that handles it. It then notifies the other components
+//! of the changes that concern them: changes of leadership, and jobs that were opened or closed.
 
 mod health;
 mod leader_key;
@@ -39,24 +39,24 @@
 use std::rc::Rc;
 use write_budget::WriteBudget;
 
-/// Waits of the watch on the open jobs in a heartbeat interval: the longest time by which the view of
-/// them is less current than it could be.
+/// Number of watch requests on the open jobs per heartbeat interval. A request that returns no changes ends
+/// after this part of the interval, and the view of the open jobs may be out of date by as much.
 const WATCHES_PER_HEARTBEAT: f64 = 4.0;
-/// Heartbeat intervals of workers in which a call to the state service must be answered.
+/// Timeout of requests to the state service, in heartbeat intervals of workers.
 const REQUEST_TIMEOUT_HEARTBEATS: f64 = 0.5;
-/// Heartbeat intervals of workers for which what a peer has told counts.
+/// Age up to which a peer's heartbeat is used, in heartbeat intervals of workers.
 const PEER_FRESHNESS_HEARTBEATS: f64 = 2.0;
 
-/// The times of an input.
+/// The current time of an input, by two clocks.
 #[derive(Debug, Clone, Copy)]
 pub struct Now {
-    /// Steady clock, in seconds since the controller started.
+    /// Monotonic clock, in seconds since the controller started.
     pub monotonic: f64,
-    /// Time of day, in seconds.
+    /// Wall clock, in seconds since the Unix epoch.
     pub wall: f64,
 }
 
-/// A controller.
+/// A controller of the cluster. One of the controllers is the leader.
 pub struct Controller {
     settings: Rc<Settings>,
     policy: Rc<Policy>,
@@ -65,7 +65,7 @@
     jobs_watch: Watch,
     leader_watch: Watch,
     election: Election,
-    /// Present while this controller leads.
+    /// The leader's state, present while this controller leads.
     leader: Option<Leader>,
     catalog: InstanceCatalog,
     quotas: Quotas,
@@ -81,8 +81,8 @@
 }
 
 impl Controller {
-    /// A controller that has just started; `seed` tells this process from earlier ones of the same
-    /// controller.
+    /// Creates a controller that has just started. `seed` initializes the random number generator and
+    /// distinguishes this process from earlier processes of the same controller.
     pub fn new(settings: Rc<Settings>, policy: Rc<Policy>, seed: u64) -> Controller {
         let deployment = &settings.deployment;
         let workers = &deployment.workers;
@@ -121,12 +121,12 @@
         }
     }
 
-    /// Takes the actions that have come together.
+    /// Removes and returns the queued effects.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects.queue)
     }
 
-    /// Whether this controller leads, confirmed or within the lease grace period.
+    /// Whether this controller leads, including during the lease grace period.
     pub fn is_leader(&self) -> bool {
         self.leader.is_some()
     }
@@ -135,14 +135,14 @@
         self.settings.deployment.workers.heartbeat_interval_s
     }
 
-    /// Seconds for which what a peer has told counts.
+    /// Age up to which a peer's heartbeat is used.
     fn peer_freshness_s(&self) -> f64 {
         self.heartbeat_interval_s() * PEER_FRESHNESS_HEARTBEATS
     }
 
     // ---- requests of users and workers
 
-    /// Takes a request.
+    /// Processes a request of a user, a worker or the load balancer.
     pub fn on_request(&mut self, request: u64, method: &str, path: &str, body: &[u8], now: Now) {
         let route = match Route::parse(method, path) {
             Ok(route) => route,
@@ -194,8 +194,8 @@
             }
         };
         let Some(instance_types) = self.catalog.instance_types() else {
-            let why = "the machine types are not known yet";
-            self.effects.respond_error(request, 503, why, Some(1));
+            let reason = "the machine types are not known yet";
+            self.effects.respond_error(request, 503, reason, Some(1));
             return;
         };
         let satisfiable = job_api::check_satisfiable(&spec, &self.quotas, instance_types);
@@ -205,7 +205,7 @@
 
     // ---- responses
 
-    /// Takes a response of the state service.
+    /// Processes a response of the state service.
     pub fn on_kv_response(
         &mut self,
         correlation_id: CorrelationId,
@@ -217,29 +217,26 @@
         };
         self.state_service
             .observe_response(&response, now.monotonic);
-        let leader_may_act = pending.context.may_concern_leader();
+        let needs_leader_poll = pending.context.needs_leader_poll();
         self.dispatch_kv_response(pending, response, now);
-        self.tell_leader_of_finished_jobs();
-        if leader_may_act {
+        self.notify_leader_of_finished_jobs();
+        if needs_leader_poll {
             self.poll_leader(now.monotonic);
         }
     }
 
     /// Passes a response to the component that sent the request.
     fn dispatch_kv_response(&mut self, request: PendingKvRequest, response: KvResponse, now: Now) {
-        let PendingKvRequest {
-            context,
-            sent_at: sent,
-        } = request;
+        let PendingKvRequest { context, sent_at } = request;
         let t = now.monotonic;
         let effects = &mut self.effects;
         match context {
             KvRequestContext::OpenJobsWatch => {
-                let updates = self.jobs_watch.on_response(response, sent, t);
+                let updates = self.jobs_watch.on_response(response, sent_at, t);
                 self.apply_open_jobs_updates(updates, now);
             }
             KvRequestContext::LeaderWatch => {
-                let updates = self.leader_watch.on_response(response, sent, t);
+                let updates = self.leader_watch.on_response(response, sent_at, t);
                 self.apply_leader_key_updates(updates, t);
             }
             KvRequestContext::GrantLease
@@ -248,7 +245,7 @@
             | KvRequestContext::RevokeLease => {
                 let change = self
                     .election
-                    .on_response(&context, &response, sent, effects, t);
+                    .on_response(&context, &response, sent_at, effects, t);
                 self.apply_leadership_change(change, t);
             }
             KvRequestContext::RevisionCheck(check) => {
@@ -268,7 +265,7 @@
             }
             KvRequestContext::InstanceCatalog => {
                 let changed = self.catalog.on_kv_response(&response);
-                self.set_instance_types_if(changed);
+                self.update_leader_instance_types(changed);
             }
         }
     }
@@ -284,7 +281,7 @@
         }
     }
 
-    /// Passes a response to the leader, if it still leads with the epoch of the call.
+    /// Passes a response to the leader, unless its epoch has changed since the request.
     fn on_leader_kv_response(
         &mut self,
         context: &KvRequestContext,
@@ -324,8 +321,8 @@
         }
     }
 
-    /// Passes the instance types to the leader, if they have changed.
-    fn set_instance_types_if(&mut self, changed: bool) {
+    /// Passes the instance types to the leader if they have changed.
+    fn update_leader_instance_types(&mut self, changed: bool) {
         if changed
             && let Some(leader) = &mut self.leader
             && let Some(instance_types) = self.catalog.instance_types()
@@ -334,7 +331,7 @@
         }
     }
 
-    /// Takes a response of the cloud.
+    /// Processes a response of the cloud.
     pub fn on_cloud_response(
         &mut self,
         correlation_id: CorrelationId,
@@ -348,7 +345,7 @@
         match context {
             CloudRequestContext::ListInstanceTypes => {
                 let changed = self.catalog.on_cloud_response(response, t);
-                self.set_instance_types_if(changed);
+                self.update_leader_instance_types(changed);
             }
             CloudRequestContext::ListInstances(epoch) => {
                 if let Some(leader) = self.leader_with_epoch(epoch) {
@@ -369,7 +366,7 @@
         self.poll_leader(t);
     }
 
-    /// Takes the outcome of a direct call to a worker.
+    /// Processes the outcome of a direct call to a worker.
     pub fn on_worker_response(
         &mut self,
         correlation_id: CorrelationId,
@@ -384,18 +381,18 @@
         }
     }
 
-    // ---- the passing of time
+    // ---- periodic work
 
-    /// Does all that is due.
+    /// Performs all work that is due. The event loop calls this at regular intervals.
     pub fn tick(&mut self, now: Now) {
         let t = now.monotonic;
         self.jobs_watch.poll(&mut self.effects, t);
         self.leader_watch.poll(&mut self.effects, t);
-        let watching = self.leader_watch.is_complete();
-        let current_at = self.jobs_watch.current_at();
+        let leader_key_known = self.leader_watch.is_complete();
+        let view_current_as_of = self.jobs_watch.current_as_of();
         let change = self
             .election
-            .poll(watching, current_at, &mut self.effects, t);
+            .poll(leader_key_known, view_current_as_of, &mut self.effects, t);
         self.apply_leadership_change(change, t);
         let epoch = self.leader.as_ref().map(Leader::epoch);
         self.catalog.poll(epoch, &mut self.effects, t);
--- a/src/coordination/controller/open_jobs.rs
+++ b/src/coordination/controller/open_jobs.rs
@@ -1,4 +1,4 @@
-//! Passes the updates of the watch on open jobs to the job API and the leader.
+//! Passes updates of the open jobs from the watch to the job API and the leader.
 
 use super::Now;
 use crate::bookkeeping::records;
@@ -10,39 +10,39 @@
 use crate::protocol::kv::KeyValue;
 use std::collections::BTreeMap;
 
-/// Those who need to know which jobs are open.
+/// The components that track the open jobs.
 pub(super) struct OpenJobsObservers<'a> {
     pub(super) job_api: &'a mut JobApi,
     pub(super) leader: Option<&'a mut Leader>,
 }
 
 impl OpenJobsObservers<'_> {
-    /// Takes one update of the watch on `open/`.
+    /// Applies one update of the watch on `open/`.
     pub(super) fn apply(&mut self, update: WatchUpdate, now: Now) {
         match update {
             WatchUpdate::Reset {
                 items,
                 revision,
                 is_complete,
-            } => self.reset(items, revision, is_complete, now),
+            } => self.on_listed(items, revision, is_complete, now),
             WatchUpdate::Put(item) => {
                 if let Some(id) = item.key.strip_prefix(records::OPEN_PREFIX) {
-                    self.opened(id, &item, now);
+                    self.on_opened(id, &item, now);
                 }
             }
             WatchUpdate::Deleted { key, mod_revision } => {
                 if let Some(id) = key.strip_prefix(records::OPEN_PREFIX) {
                     tracing::debug!(job = id, mod_revision, "job deletion watched");
                     self.job_api.on_job_closed_at(id, mod_revision);
-                    self.tell_leader_of_closed(id);
+                    self.notify_leader_of_closed(id);
                 }
             }
         }
     }
 
-    /// Takes the open jobs, as they are at a revision: if these are all, a job that was opened at that
-    /// revision or before and is not listed has been closed.
-    fn reset(&mut self, items: Vec<KeyValue>, revision: u64, is_complete: bool, now: Now) {
+    /// Applies a listing of the open jobs at `revision`. If the listing is complete, every job that was opened
+    /// at or before this revision and is not listed has been closed.
+    fn on_listed(&mut self, items: Vec<KeyValue>, revision: u64, is_complete: bool, now: Now) {
         let listed: BTreeMap<String, KeyValue> = items
             .into_iter()
             .filter_map(|item| {
@@ -60,7 +60,7 @@
             self.close_unlisted(&listed, revision);
         }
         for (id, item) in listed {
-            self.opened(&id, &item, now);
+            self.on_opened(&id, &item, now);
         }
     }
 
@@ -74,7 +74,7 @@
             .collect();
         for id in closed {
             self.job_api.on_job_closed(&id);
-            self.tell_leader_of_closed(&id);
+            self.notify_leader_of_closed(&id);
         }
         self.job_api
             .on_open_jobs_listed(|id| listed.contains_key(id));
@@ -83,7 +83,7 @@
         }
     }
 
-    fn opened(&mut self, id: &str, item: &KeyValue, now: Now) {
+    fn on_opened(&mut self, id: &str, item: &KeyValue, now: Now) {
         let spec = match cbor::from_value::<JobSpec>(&item.value) {
             Ok(spec) => spec,
             Err(error) => {
@@ -91,7 +91,7 @@
                 return;
             }
         };
-        // The record may be older than the job's end: the job API knows of every end.
+        // The job may have been closed after this record was written. The job API rejects such records.
         if self.job_api.on_job_opened(item.mod_revision, spec)
             && let Some(leader) = &mut self.leader
             && let Some(job) = self.job_api.open_jobs().get(id)
@@ -100,7 +100,7 @@
         }
     }
 
-    fn tell_leader_of_closed(&mut self, id: &str) {
+    fn notify_leader_of_closed(&mut self, id: &str) {
         if let Some(leader) = &mut self.leader {
             leader.on_job_closed(id);
         }
--- a/src/coordination/controller/peer_heartbeats.rs
+++ b/src/coordination/controller/peer_heartbeats.rs
@@ -1,15 +1,15 @@
-//! Heartbeats between controllers: building this controller's, and taking those of its peers.
+//! Heartbeats between controllers: sending this controller's own and processing those of its peers.
 
 use super::{Controller, Now};
 use crate::coordination::effects::Effect;
 use crate::protocol::peer::PeerHeartbeat;
 use crate::protocol::token::MAX_EPOCH;
 
-/// Heartbeats to the peers in a worker's heartbeat interval.
+/// Number of heartbeats to the peers per heartbeat interval of workers.
 const PEER_HEARTBEATS_PER_INTERVAL: f64 = 2.5;
 
 impl Controller {
-    /// Takes a peer's heartbeat.
+    /// Processes a heartbeat of a peer.
     pub fn on_peer_heartbeat(&mut self, heartbeat: PeerHeartbeat, now: Now) {
         if !self.accepts_heartbeat(&heartbeat) {
             return;
@@ -21,12 +21,12 @@
             .on_message(&heartbeat.label, &heartbeat.terminations);
         self.job_api
             .on_peer_terminations(&heartbeat.terminations.entries);
-        self.tell_leader_of_finished_jobs();
+        self.notify_leader_of_finished_jobs();
         match &mut self.leader {
             Some(leader) if heartbeat.epoch >= leader.epoch() => {
                 leader.on_epoch_acknowledged(&heartbeat.label, now);
             }
-            // A leader that does not know yet that it is deposed tells old counts.
+            // A former leader that has not noticed its successor yet still sends job counts, which are out of date.
             None if heartbeat.epoch >= self.election.highest_epoch() => {
                 self.job_api.on_job_counts(&heartbeat.counts);
             }
@@ -35,8 +35,7 @@
         self.peers.record(heartbeat, now);
     }
 
-    /// Whether a heartbeat comes from a configured peer, with an epoch that the state service can have
-    /// given.
+    /// Whether a heartbeat comes from a configured peer and has a valid epoch.
     fn accepts_heartbeat(&self, heartbeat: &PeerHeartbeat) -> bool {
         let peers = &self.settings.peers;
         if !peers.iter().any(|peer| peer.label == heartbeat.label) {
@@ -46,20 +45,20 @@
             tracing::warn!(
                 label = heartbeat.label,
                 epoch = heartbeat.epoch,
-                "peer heartbeat rejected: epoch above what the state service can count; restart that controller"
+                "peer heartbeat rejected: epoch too high for fencing tokens; restart that controller"
             );
             return false;
         }
         true
     }
 
-    /// Sends this controller's heartbeat to its peers, if it is due.
+    /// Sends a heartbeat to the peers if one is due.
     pub(super) fn poll_heartbeats(&mut self, now: f64) {
         if now < self.heartbeat_at {
             return;
         }
         self.heartbeat_at = now + self.heartbeat_interval_s() / PEER_HEARTBEATS_PER_INTERVAL;
-        self.effects.log_refusals();
+        self.effects.log_rejections();
         let window_s = self.peer_freshness_s();
         self.redirected.expire(window_s, now);
         let heartbeat = self.next_heartbeat(now);
@@ -74,7 +73,8 @@
         self.job_api.on_job_counts(&counts);
         let peer_rates = self.peer_write_rates(now);
         let user_writes_per_s = self.write_budget.share(&peer_rates, &mut self.job_api, now);
-        self.terminations.push(self.job_api.take_updates(), now);
+        self.terminations
+            .push(self.job_api.take_unannounced_terminations(), now);
         let window_s = self.heartbeat_interval_s();
         PeerHeartbeat {
             label: self.settings.label.clone(),
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Write operations a second that each peer makes for its users, none for a peer that was not heard
-    /// of lately.
+    /// Write operations per second of each peer on behalf of its users, or `None` for a peer without a recent
+    /// heartbeat.
     fn peer_write_rates(&self, now: f64) -> Vec<Option<f64>> {
         let window_s = self.peer_freshness_s();
         let peers = self.settings.peers.iter();
--- a/src/coordination/controller/redirected_workers.rs
+++ b/src/coordination/controller/redirected_workers.rs
@@ -1,11 +1,11 @@
-//! Workers that sent their heartbeats to this controller while another one led.
+//! Workers whose heartbeats this controller has redirected because it does not lead.
 
 use std::collections::BTreeMap;
 
-/// Workers that are remembered; more are not counted.
+/// Maximum number of workers tracked; further workers are not counted.
 const MAX_REDIRECTED: usize = 4096;
 
-/// Workers that were redirected lately, with the time of their last heartbeat here.
+/// Recently redirected workers, with the time of their last heartbeat to this controller.
 #[derive(Debug, Default)]
 pub(super) struct RedirectedWorkers {
     redirected_at: BTreeMap<String, f64>,
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Forgets the workers that were redirected `window_s` seconds ago or earlier.
+    /// Removes the workers whose last heartbeat here is `window_s` seconds old or older.
     pub(super) fn expire(&mut self, window_s: f64, now: f64) {
         self.redirected_at.retain(|_, at| now - *at < window_s);
     }
--- a/src/coordination/controller/worker_heartbeats.rs
+++ b/src/coordination/controller/worker_heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of workers: answered by the leader, redirected to it by the other controllers.
+//! Worker heartbeats: the leader answers them, the other controllers redirect them to the leader.
 
 use super::Controller;
 use crate::bookkeeping::invariants::{self, Invariant};
@@ -8,7 +8,7 @@
 use crate::protocol::token::InvalidFencingToken;
 use crate::protocol::worker::{NotLeader, WorkerHeartbeat};
 
-/// Why a heartbeat is refused.
+/// Why a heartbeat is rejected.
 #[derive(Debug, thiserror::Error)]
 enum HeartbeatError {
     #[error("not a report: {0}")]
@@ -30,13 +30,13 @@
         };
         let change = self.election.observe_epoch(heartbeat.token.epoch());
         self.apply_leadership_change(change, now);
-        let outcome = self.leader_outcome(&heartbeat, now);
+        let outcome = self.process_as_leader(&heartbeat, now);
         match outcome {
-            // What else follows from it waits for the next tick: heartbeats are many.
+            // The leader is not polled here but at the next tick, because heartbeats are frequent.
             Some(HeartbeatOutcome::Commands(commands)) => {
                 self.effects.respond(request, 200, &commands);
             }
-            // A response that renews no lease: the worker comes again.
+            // An error response does not renew the lease. The worker will send another heartbeat.
             Some(HeartbeatOutcome::LeaseNotRenewed) => {
                 self.effects
                     .respond_error(request, 503, "the open jobs aren't known", None);
@@ -50,8 +50,8 @@
         }
     }
 
-    /// What the leader makes of a heartbeat; none: this controller does not lead.
-    fn leader_outcome(
+    /// Passes a heartbeat to the leader and returns the outcome, or `None` if this controller does not lead.
+    fn process_as_leader(
         &mut self,
         heartbeat: &WorkerHeartbeat,
         now: f64,
@@ -69,8 +69,8 @@
         Some(outcome)
     }
 
-    /// The controller to which workers are sent: the leader, unless that is this controller, which is
-    /// then not certain that it still leads.
+    /// Label of the controller to which workers are redirected: the leader, as far as known. There is no hint if
+    /// the latest known leader is this controller, which can no longer be sure that it leads.
     fn leader_hint(&self, now: f64) -> Option<String> {
         let known = match self.peers.latest_leader(self.heartbeat_interval_s(), now) {
             Some(latest) if latest.epoch >= self.election.highest_epoch() => latest.label,
@@ -87,8 +87,8 @@
     Ok(heartbeat)
 }
 
-/// Whether a response that renews a worker's lease may be sent. This is worked out in another way than
-/// the permit that has allowed it.
+/// Whether a response that renews a worker's lease may be sent. This checks the decision of the permit
+/// independently of the code that made it.
 fn is_within_lease_grace(freshness: &ViewFreshness, heartbeat: &WorkerHeartbeat) -> bool {
     let age_s = freshness.lease_age_s.max(freshness.view_age_s);
     let within = age_s <= freshness.limits.lease_grace_s;
--- a/src/coordination/effects.rs
+++ b/src/coordination/effects.rs
@@ -1,7 +1,8 @@
-//! Effects: what a controller wants done, for the event loop to carry out, and what each response is for.
+//! The queue of I/O operations that a controller requests from the event loop, and the requests in flight.
 //!
-//! A controller performs no I/O. Its components queue [`Effect`]s in [`Effects`]; requests get a correlation
-//! id, by which the response finds the component that asked.
+//! A controller performs no I/O itself. Its components queue [`Effect`]s in [`Effects`], and the event loop
+//! executes them. Each outgoing request has a correlation id, by which its response is passed to the component
+//! that sent the request.
 
 use crate::protocol::cloud::CloudRequest;
 use crate::protocol::job::ErrorBody;
@@ -11,91 +12,92 @@
 use crate::protocol::{cbor, http_status, job};
 use std::collections::{BTreeMap, HashMap};
 
-/// Identifies a request until its response has come.
+/// Identifies an outgoing request until its response has arrived.
 pub type CorrelationId = u64;
 
-/// One thing for the event loop to do.
+/// One I/O operation for the event loop to execute.
 #[derive(Debug, Clone)]
 pub enum Effect {
     /// Respond to a request of a user, a worker or the load balancer.
     Respond {
-        /// The request, by the id that the event loop gave it.
+        /// Id that the event loop has assigned to the request.
         request_id: u64,
         /// HTTP status.
         status: u16,
-        /// Body, encoded.
+        /// Encoded body.
         body: Vec<u8>,
         /// Seconds for the `Retry-After` header.
         retry_after_s: Option<u32>,
     },
     /// Call the state service.
     CallKv {
-        /// Identifies the response.
+        /// Correlation id for the response.
         correlation_id: CorrelationId,
         /// The request.
         request: KvRequest,
-        /// Seconds after which the outcome counts as unknown.
+        /// Seconds without a response after which the outcome is treated as unknown.
         timeout_s: f64,
     },
     /// Call the cloud.
     CallCloud {
-        /// Identifies the response.
+        /// Correlation id for the response.
         correlation_id: CorrelationId,
         /// The request.
         request: CloudRequest,
-        /// Seconds after which the outcome counts as unknown.
+        /// Seconds without a response after which the outcome is treated as unknown.
         timeout_s: f64,
     },
     /// Call a worker.
     CallWorker {
-        /// Identifies the response.
+        /// Correlation id for the response.
         correlation_id: CorrelationId,
-        /// Its address.
+        /// Address of the worker.
         endpoint: String,
         /// The request.
         request: WorkerRequest,
-        /// Seconds after which the outcome counts as unknown.
+        /// Seconds without a response after which the outcome is treated as unknown.
         timeout_s: f64,
     },
     /// Send a heartbeat to every peer.
     BroadcastHeartbeat(PeerHeartbeat),
 }
 
-/// Which component asked the state service, and for what.
+/// What a request to the state service is for, which tells where its response goes.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KvRequestContext {
-    /// Listing or watch of `open/`.
+    /// A listing or watch of the open jobs, under `open/`.
     OpenJobsWatch,
-    /// Listing or watch of `leader`.
+    /// A listing or watch of the `leader` key.
     LeaderWatch,
-    /// A new lease for the election.
+    /// The grant of a lease for a campaign.
     GrantLease,
-    /// The election's transaction that puts `leader`.
+    /// The transaction of a campaign, which puts the `leader` key.
     Campaign,
     /// The renewal of the leader's lease.
     KeepAlive,
     /// The revocation of a lease.
     RevokeLease,
-    /// A batch of revision checks for status requests, by its number.
+    /// A batch of revision checks for polls, with the id of the batch.
     RevisionCheck(u64),
-    /// A batch of submissions and cancellations, by its number.
+    /// A batch of submissions and cancellations, with the id of the batch.
     JobWrites(u64),
-    /// The lookup of one job, by its id.
+    /// A read for the lookup of a job, with the id of the job.
     JobLookup(String),
-    /// A page of the records that a new leader reads, with its epoch.
+    /// A page of the records that a new leader reads to recover its state, with the leader's epoch.
     RecoveryRead(u64),
-    /// A transaction of the leader's write-ahead log, with its epoch.
+    /// A transaction that appends to the write-ahead log, with the leader's epoch.
     LogAppend(u64),
-    /// The leader's read of a log segment that tells the outcome of a transaction, with its epoch.
+    /// A read of a log segment, which shows whether a transaction of unknown outcome was applied, with the
+    /// leader's epoch.
     LogReadBack(u64),
-    /// A read or a put of the stored instance types.
+    /// A read or put of the stored instance types.
     InstanceCatalog,
 }
 
 impl KvRequestContext {
-    /// Whether the response may give the leader something to do. Those to users' requests and to the
-    /// renewal of the lease do not, and are many.
-    pub(super) fn may_concern_leader(&self) -> bool {
+    /// Whether the leader is polled right after the response. Responses to lease renewals and to requests on
+    /// behalf of users are frequent, and give the leader no work that cannot wait for the next tick.
+    pub(super) fn needs_leader_poll(&self) -> bool {
         !matches!(
             self,
             KvRequestContext::RevisionCheck(_)
@@ -106,40 +108,41 @@
     }
 }
 
-/// Which component asked the cloud, and for what.
+/// What a request to the cloud is for, which tells where its response goes.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudRequestContext {
-    /// The instance types.
+    /// The list of instance types.
     ListInstanceTypes,
-    /// A page of the instance list, with the leader's epoch.
+    /// A page of the list of instances, with the leader's epoch.
     ListInstances(u64),
-    /// A provisioning request: the leader's epoch and the idempotency key.
+    /// A provisioning request, with the leader's epoch and the idempotency key.
     CreateInstances(u64, String),
-    /// A deletion: the leader's epoch and the names of the instances.
+    /// A deletion of instances, with the leader's epoch and the names of the instances.
     DeleteInstances(u64, Vec<String>),
 }
 
-/// What a direct call to a worker was for.
+/// What a direct call to a worker is for.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WorkerRequestContext {
     /// The leader's epoch.
     pub epoch: u64,
-    /// The worker.
+    /// Name of the worker.
     pub worker: String,
-    /// The commands that were sent.
+    /// The commands in the call.
     pub commands: Vec<Command>,
 }
 
-/// What was refused, counted by status and reason.
+/// Counts of rejected requests, by HTTP status and reason.
 #[derive(Debug, Default)]
-struct RefusalCounters {
+struct RejectionCounters {
     counts: BTreeMap<(u16, String), u32>,
 }
 
-impl RefusalCounters {
-    /// Reasons told apart between two logs; those of malformed requests are many.
+impl RejectionCounters {
+    /// Number of reasons that are counted separately between two log lines. Malformed requests may give any
+    /// number of different reasons.
     const MAX_REASONS: usize = 16;
-    /// Stands for the reasons beyond these.
+    /// Reason under which all further ones are counted.
     const OTHER_REASONS: &str = "others";
 
     fn count(&mut self, status: u16, reason: &str) {
@@ -160,13 +163,13 @@
 /// A request to the state service that has no response yet.
 #[derive(Debug)]
 pub struct PendingKvRequest {
-    /// Which component asked, and for what.
+    /// What the request is for.
     pub context: KvRequestContext,
     /// When it was sent, in monotonic seconds.
     pub sent_at: f64,
 }
 
-/// The requests that have no response yet.
+/// Outgoing requests that have no response yet.
 #[derive(Debug, Default)]
 struct PendingRequests {
     last_id: CorrelationId,
@@ -182,17 +185,17 @@
     }
 }
 
-/// The queue of effects, and the requests among them that wait for a response.
+/// The queue of effects, and the outgoing requests that have no response yet.
 #[derive(Debug, Default)]
 pub struct Effects {
-    /// Effects in order.
+    /// Effects that the event loop has not taken yet, oldest first.
     pub queue: Vec<Effect>,
     pending: PendingRequests,
-    refusals: RefusalCounters,
+    rejections: RejectionCounters,
 }
 
 impl Effects {
-    /// Sends a request to the state service.
+    /// Queues a request to the state service.
     pub fn call_kv(
         &mut self,
         context: KvRequestContext,
@@ -213,7 +216,7 @@
         });
     }
 
-    /// Sends a request to the cloud.
+    /// Queues a request to the cloud.
     pub fn call_cloud(
         &mut self,
         context: CloudRequestContext,
@@ -229,7 +232,7 @@
         });
     }
 
-    /// Calls a worker directly.
+    /// Queues a direct call to a worker.
     pub fn call_worker(
         &mut self,
         context: WorkerRequestContext,
@@ -247,12 +250,14 @@
         });
     }
 
-    /// The request to the state service that a response belongs to. None: it has had its response.
+    /// Removes and returns the pending state service request with this id. Returns `None` if it has already
+    /// been answered.
     pub fn take_kv_request(&mut self, correlation_id: CorrelationId) -> Option<PendingKvRequest> {
         self.pending.kv.remove(&correlation_id)
     }
 
-    /// The request to the cloud that a response belongs to. None: it has had its response.
+    /// Removes and returns the pending cloud request with this id. Returns `None` if it has already been
+    /// answered.
     pub fn take_cloud_request(
         &mut self,
         correlation_id: CorrelationId,
@@ -260,7 +265,8 @@
         self.pending.cloud.remove(&correlation_id)
     }
 
-    /// The direct call that a response belongs to. None: it has had its response.
+    /// Removes and returns the pending direct call with this id. Returns `None` if it has already been
+    /// answered.
     pub fn take_worker_request(
         &mut self,
         correlation_id: CorrelationId,
@@ -268,7 +274,7 @@
         self.pending.worker.remove(&correlation_id)
     }
 
-    /// Responds with a message.
+    /// Queues a response with `message` as its body.
     pub fn respond<T: serde::Serialize>(&mut self, request_id: u64, status: u16, message: &T) {
         self.queue.push(Effect::Respond {
             request_id,
@@ -278,7 +284,7 @@
         });
     }
 
-    /// Responds with a job's status.
+    /// Queues a response with the status of a job.
     pub fn respond_job_status(
         &mut self,
         request_id: u64,
@@ -293,7 +299,7 @@
         self.respond(request_id, status, &accepted);
     }
 
-    /// Responds with an error; `retry_after_s` tells when to try again.
+    /// Queues an error response. `retry_after_s` tells the client when to retry.
     pub fn respond_error(
         &mut self,
         request_id: u64,
@@ -301,9 +307,9 @@
         reason: &str,
         retry_after_s: Option<u32>,
     ) {
-        // That there is no such job is an ordinary answer.
+        // A request for an unknown job or path is not counted: it is a normal occurrence.
         if status != http_status::NOT_FOUND {
-            self.refusals.count(status, reason);
+            self.rejections.count(status, reason);
         }
         let error = ErrorBody {
             error: reason.to_owned(),
@@ -316,8 +322,8 @@
         });
     }
 
-    /// Logs what was refused since the previous call.
-    pub fn log_refusals(&mut self) {
-        self.refusals.log();
+    /// Logs the counts of requests rejected since the previous call.
+    pub fn log_rejections(&mut self) {
+        self.rejections.log();
     }
 }
--- a/src/coordination/job_api/mod.rs
+++ b/src/coordination/job_api/mod.rs
@@ -123,12 +123,12 @@
     }
 
     /// Jobs learnt to have finished since this was last called.
-    pub fn take_finished(&mut self) -> Vec<String> {
+    pub fn take_newly_finished(&mut self) -> Vec<String> {
         self.terminal_states.take_newly_finished()
     }
 
     /// Terminations that the peers have not been told yet.
-    pub fn take_updates(&mut self) -> Vec<Termination> {
+    pub fn take_unannounced_terminations(&mut self) -> Vec<Termination> {
         self.terminal_states.take_unannounced()
     }
 
@@ -170,7 +170,7 @@
     // ---- the budget of writes
 
     /// Write operations sent to the state service since this was last called.
-    pub fn take_writes_made(&mut self) -> f64 {
+    pub fn take_writes_sent(&mut self) -> f64 {
         self.writes.take_operations_sent()
     }
 
--- a/src/coordination/watch.rs
+++ b/src/coordination/watch.rs
@@ -41,7 +41,7 @@
     /// The last call had no usable answer.
     failed: bool,
     retry_at: f64,
-    current_at: f64,
+    current_as_of: f64,
 }
 
 /// How often a watch that waits asks anew before it is no longer thought to be in step.
@@ -75,7 +75,7 @@
             complete: false,
             failed: false,
             retry_at: 0.0,
-            current_at: f64::NEG_INFINITY,
+            current_as_of: f64::NEG_INFINITY,
         }
     }
 
@@ -86,8 +86,8 @@
 
     /// Up to when the content is certainly current: every change that was made before is known. That
     /// is when the last call was sent whose answer told all changes.
-    pub fn current_at(&self) -> f64 {
-        self.current_at
+    pub fn current_as_of(&self) -> f64 {
+        self.current_as_of
     }
 
     /// Makes the next call if it is time.
@@ -99,8 +99,8 @@
         let (call, within_s) = match self.revision {
             Some(from) => {
                 // After an interruption it catches up first, and waits for news then.
-                let in_step =
-                    now - self.current_at < CAUGHT_UP_FACTOR * self.wait_s + self.request_timeout_s;
+                let in_step = now - self.current_as_of
+                    < CAUGHT_UP_FACTOR * self.wait_s + self.request_timeout_s;
                 let wait_s = if in_step { self.wait_s } else { 0.0 };
                 let call = KvRequest::Watch {
                     prefix: self.prefix.to_owned(),
@@ -223,7 +223,7 @@
             return Vec::new();
         }
         self.revision = Some(revision);
-        self.current_at = sent;
+        self.current_as_of = sent;
         let updates = events.into_iter().map(WatchUpdate::from);
         updates
             .filter(|update| update.is_between(known, revision))
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -149,12 +149,12 @@
             1.1,
         ),
     ];
-    for (name, replies, current_at) in cases {
+    for (name, replies, expected) in cases {
         let mut watch = Watch::new("open/", KvRequestContext::OpenJobsWatch, 1.0, 0.5);
         for (reply, sent, at) in replies {
             watch.on_response(reply, sent, at);
         }
-        assert_eq!(watch.current_at(), current_at, "{name}");
+        assert_eq!(watch.current_as_of(), expected, "{name}");
     }
 }
 
