--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -143,31 +143,31 @@
     // ---- requests of users and workers
 
     /// Processes a request of a user, a worker or the load balancer.
-    pub fn on_request(&mut self, request: u64, method: &str, path: &str, body: &[u8], now: Now) {
+    pub fn on_request(&mut self, request_id: u64, method: &str, path: &str, body: &[u8], now: Now) {
         let route = match Route::parse(method, path) {
             Ok(route) => route,
             Err(error) => {
                 self.effects
-                    .respond_error(request, error.status(), &error.to_string(), None);
+                    .respond_error(request_id, error.status(), &error.to_string(), None);
                 return;
             }
         };
         match route {
-            Route::Health => self.on_health_check(request, now.monotonic),
-            Route::Report => self.on_worker_heartbeat(request, body, now.monotonic),
-            Route::Submit => self.on_submit(request, body, now),
+            Route::Health => self.on_health_check(request_id, now.monotonic),
+            Route::Report => self.on_worker_heartbeat(request_id, body, now.monotonic),
+            Route::Submit => self.on_submit(request_id, body, now),
             Route::Poll(id) => {
                 self.job_api
-                    .on_status_request(request, id, &mut self.effects, now.monotonic);
+                    .on_status_request(request_id, id, &mut self.effects, now.monotonic);
             }
             Route::Cancel(id) => {
                 self.job_api
-                    .on_cancel(request, id, &mut self.effects, now.monotonic);
+                    .on_cancel(request_id, id, &mut self.effects, now.monotonic);
             }
         }
     }
 
-    fn on_health_check(&mut self, request: u64, now: f64) {
+    fn on_health_check(&mut self, request_id: u64, now: f64) {
         let window_s = self.heartbeat_interval_s();
         let readiness = Readiness {
             instance_types_known: self.catalog.instance_types().is_some(),
@@ -176,31 +176,36 @@
             peer_state_service_ok: self.peers.any_served(window_s, now),
         };
         if readiness.is_ready() {
-            self.effects.respond(request, 200, &"ok");
+            self.effects.respond(request_id, 200, &"ok");
         } else {
             self.effects
-                .respond_error(request, 503, "not ready", Some(1));
+                .respond_error(request_id, 503, "not ready", Some(1));
         }
     }
 
-    fn on_submit(&mut self, request: u64, body: &[u8], now: Now) {
+    fn on_submit(&mut self, request_id: u64, body: &[u8], now: Now) {
         let spec = match job::parse_submission(body, now.wall) {
             Ok(spec) => spec,
             Err(error) => {
                 tracing::debug!(%error, "submission rejected");
                 self.effects
-                    .respond_error(request, 400, &error.to_string(), None);
+                    .respond_error(request_id, 400, &error.to_string(), None);
                 return;
             }
         };
         let Some(instance_types) = self.catalog.instance_types() else {
             let reason = "the machine types are not known yet";
-            self.effects.respond_error(request, 503, reason, Some(1));
+            self.effects.respond_error(request_id, 503, reason, Some(1));
             return;
         };
         let satisfiable = job_api::check_satisfiable(&spec, &self.quotas, instance_types);
-        self.job_api
-            .on_submit(request, spec, satisfiable, &mut self.effects, now.monotonic);
+        self.job_api.on_submit(
+            request_id,
+            spec,
+            satisfiable,
+            &mut self.effects,
+            now.monotonic,
+        );
     }
 
     // ---- responses
--- a/src/coordination/controller/open_jobs.rs
+++ b/src/coordination/controller/open_jobs.rs
@@ -68,7 +68,7 @@
         let closed: Vec<String> = self
             .job_api
             .open_jobs()
-            .ids_up_to(revision)
+            .ids_opened_up_to(revision)
             .filter(|id| !listed.contains_key(*id))
             .map(str::to_owned)
             .collect();
--- a/src/coordination/controller/peer_heartbeats.rs
+++ b/src/coordination/controller/peer_heartbeats.rs
@@ -35,7 +35,8 @@
         self.peers.record(heartbeat, now);
     }
 
-    /// Whether a heartbeat comes from a configured peer and has a valid epoch.
+    /// Whether a heartbeat comes from a configured peer, and its epoch is at most the highest that fits into a
+    /// fencing token.
     fn accepts_heartbeat(&self, heartbeat: &PeerHeartbeat) -> bool {
         let peers = &self.settings.peers;
         if !peers.iter().any(|peer| peer.label == heartbeat.label) {
--- a/src/coordination/controller/worker_heartbeats.rs
+++ b/src/coordination/controller/worker_heartbeats.rs
@@ -18,13 +18,13 @@
 }
 
 impl Controller {
-    pub(super) fn on_worker_heartbeat(&mut self, request: u64, body: &[u8], now: f64) {
+    pub(super) fn on_worker_heartbeat(&mut self, request_id: u64, body: &[u8], now: f64) {
         let heartbeat = match read_worker_heartbeat(body) {
             Ok(heartbeat) => heartbeat,
             Err(error) => {
                 tracing::warn!(%error, "worker heartbeat rejected");
                 self.effects
-                    .respond_error(request, 400, &error.to_string(), None);
+                    .respond_error(request_id, 400, &error.to_string(), None);
                 return;
             }
         };
@@ -34,18 +34,18 @@
         match outcome {
             // The leader is not polled here but at the next tick, because heartbeats are frequent.
             Some(HeartbeatOutcome::Commands(commands)) => {
-                self.effects.respond(request, 200, &commands);
+                self.effects.respond(request_id, 200, &commands);
             }
             // An error response does not renew the lease. The worker will send another heartbeat.
             Some(HeartbeatOutcome::LeaseNotRenewed) => {
                 self.effects
-                    .respond_error(request, 503, "the open jobs aren't known", None);
+                    .respond_error(request_id, 503, "the open jobs aren't known", None);
             }
             Some(HeartbeatOutcome::NewerLeaderExists) | None => {
                 self.redirected.record(heartbeat.worker, now);
                 let leader_hint = self.leader_hint(now);
                 self.effects
-                    .respond(request, 421, &NotLeader { leader_hint });
+                    .respond(request_id, 421, &NotLeader { leader_hint });
             }
         }
     }
--- a/src/coordination/instance_catalog.rs
+++ b/src/coordination/instance_catalog.rs
@@ -1,5 +1,5 @@
-//! The instance types, as the cloud tells them and as the state service keeps them for controllers that start while
-//! the cloud is out.
+//! The available instance types. They are read from the cloud, and a copy is stored in the state service for
+//! controllers that start while the cloud is unavailable.
 
 use super::effects::{CloudRequestContext, Effects, KvRequestContext};
 use crate::bookkeeping::records;
@@ -9,28 +9,28 @@
 use crate::settings::WorkerSettings;
 use std::rc::Rc;
 
-/// Leases between two questions to the cloud that was answered.
+/// Interval after a successful read from the cloud until the next one, as a multiple of the workers' lease.
 const LEASES_PER_CATALOG_REFRESH: f64 = 2.0;
-/// Heartbeat intervals in which a call must be answered.
+/// Timeout of requests, in heartbeat intervals.
 const REQUEST_TIMEOUT_HEARTBEATS: f64 = 2.0;
 
-/// What is known of the instance types.
+/// The known instance types, and the state of their stored copy.
 #[derive(Debug)]
 pub struct InstanceCatalog {
     lease_s: f64,
     heartbeat_interval_s: f64,
     instance_types: Option<Rc<Vec<InstanceType>>>,
-    /// What the state service keeps, as far as known.
+    /// The copy in the state service, as far as known.
     stored: Option<Rc<Vec<InstanceType>>>,
-    /// What a put in flight writes.
+    /// The copy that a put in flight writes.
     being_stored: Option<Rc<Vec<InstanceType>>>,
     refresh_at: f64,
-    /// What the state service keeps has been read, or is certainly missing.
+    /// The stored copy has been read, or there is none.
     stored_read: bool,
 }
 
 impl InstanceCatalog {
-    /// Nothing is known yet.
+    /// Creates an empty catalog.
     pub fn new(worker_settings: &WorkerSettings) -> InstanceCatalog {
         InstanceCatalog {
             lease_s: worker_settings.lease_s,
@@ -43,40 +43,40 @@
         }
     }
 
-    /// The instance types, once they are known.
+    /// The instance types, or `None` before they have been read.
     pub fn instance_types(&self) -> Option<&Rc<Vec<InstanceType>>> {
         self.instance_types.as_ref()
     }
 
-    /// Asks the cloud if it is time, and reads the types in the state service, or keeps them there if this
-    /// controller leads with an epoch.
+    /// Refreshes the catalog if that is due: lists the types of the cloud, and reads the stored copy if that has not
+    /// been done yet. Otherwise the leader, whose epoch is `epoch`, updates the stored copy.
     pub fn poll(&mut self, epoch: Option<u64>, effects: &mut Effects, now: f64) {
         if now < self.refresh_at {
             return;
         }
         self.refresh_at = now + self.lease_s;
-        let within_s = self.heartbeat_interval_s * REQUEST_TIMEOUT_HEARTBEATS;
+        let timeout_s = self.heartbeat_interval_s * REQUEST_TIMEOUT_HEARTBEATS;
         effects.call_cloud(
             CloudRequestContext::ListInstanceTypes,
             CloudRequest::ListInstanceTypes,
-            within_s,
+            timeout_s,
         );
         if !self.stored_read {
-            let call = KvRequest::Get(records::INSTANCE_CATALOG_KEY.to_owned());
-            effects.call_kv(KvRequestContext::InstanceCatalog, call, within_s, now);
+            let request = KvRequest::Get(records::INSTANCE_CATALOG_KEY.to_owned());
+            effects.call_kv(KvRequestContext::InstanceCatalog, request, timeout_s, now);
         } else if let Some(epoch) = epoch {
-            self.store_types(epoch, within_s, effects, now);
+            self.store_types(epoch, timeout_s, effects, now);
         }
     }
 
-    /// Keeps the types in the state service, unless that has the same. The put may arrive late: it compares
-    /// the leader's key, so that it replaces nothing that a successor has put.
-    fn store_types(&mut self, epoch: u64, within_s: f64, effects: &mut Effects, now: f64) {
+    /// Stores the types in the state service unless it already has the same ones. The put may be applied late, so it
+    /// is conditional on the `leader` key: it must not overwrite what a later leader has stored.
+    fn store_types(&mut self, epoch: u64, timeout_s: f64, effects: &mut Effects, now: f64) {
         let Some(instance_types) = &self.instance_types else {
             return;
         };
-        let kept = self.stored.as_ref();
-        if kept.is_some_and(|kept| same_types(kept, instance_types)) {
+        let stored = self.stored.as_ref();
+        if stored.is_some_and(|stored| equal_except_spot_prices(stored, instance_types)) {
             return;
         }
         let txn = Txn {
@@ -88,10 +88,10 @@
         };
         self.being_stored = Some(instance_types.clone());
         let context = KvRequestContext::InstanceCatalog;
-        effects.call_kv(context, KvRequest::Txn(txn), within_s, now);
+        effects.call_kv(context, KvRequest::Txn(txn), timeout_s, now);
     }
 
-    /// Takes the cloud's answer. True: the types are new.
+    /// Processes the response of the cloud. Returns true if the types may have changed.
     pub fn on_cloud_response(&mut self, response: CloudResponse, now: f64) -> bool {
         let CloudResponse::InstanceTypes(instance_types) = response else {
             self.refresh_at = now + self.heartbeat_interval_s;
@@ -102,13 +102,14 @@
         true
     }
 
-    /// Takes the state service's response to a read or a put of the types. True: the types are new.
+    /// Processes the response of the state service to a read or put of the stored copy. Returns true if the types
+    /// were unknown before.
     pub fn on_kv_response(&mut self, response: &KvResponse) -> bool {
         match response {
             KvResponse::Value(item) => return self.on_stored_types(item),
             KvResponse::NotFound => self.stored_read = true,
             KvResponse::Committed(_) => self.stored = self.being_stored.take(),
-            // Read or put again at the next refresh.
+            // The next refresh retries the read or the put.
             _ => self.being_stored = None,
         }
         false
@@ -125,15 +126,15 @@
         };
         let instance_types = Rc::new(instance_types);
         self.stored = Some(instance_types.clone());
-        let new = self.instance_types.is_none();
+        let was_unknown = self.instance_types.is_none();
         self.instance_types.get_or_insert(instance_types);
-        new
+        was_unknown
     }
 }
 
-/// Whether two instance catalogs differ in their prices at most.
-fn same_types(a: &[InstanceType], b: &[InstanceType]) -> bool {
-    let plain = |instance_types: &[InstanceType]| {
+/// Whether two lists of instance types are equal apart from their spot prices.
+fn equal_except_spot_prices(a: &[InstanceType], b: &[InstanceType]) -> bool {
+    let without_spot_prices = |instance_types: &[InstanceType]| {
         instance_types
             .iter()
             .map(|instance_type| InstanceType {
@@ -142,5 +143,5 @@
             })
             .collect::<Vec<_>>()
     };
-    plain(a) == plain(b)
+    without_spot_prices(a) == without_spot_prices(b)
 }
--- a/src/coordination/job_api/admission.rs
+++ b/src/coordination/job_api/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of user requests: which are refused at once, and how long the others may wait.
+//! Admission control for user requests: which requests are rejected at once, and the deadlines of the others.
 
 use super::pending_request::RequestKind;
 use super::responses::RequestError;
@@ -9,31 +9,31 @@
 use crate::protocol::job::JobSpec;
 use crate::protocol::kv::KvResponse;
 
-/// Requests that may wait; more are refused at once.
+/// Maximum number of waiting requests; further requests are rejected.
 const MAX_WAITING: usize = 2_000;
-/// Seconds that users wait for the answer to a poll; a later answer is of no use to them.
+/// Seconds after which a poll is given up, because users do not wait longer for an answer.
 const POLL_TIMEOUT_S: f64 = 2.0;
-/// Time that a request may wait, in timeouts of the calls to the state service.
+/// Maximum time that a request waits, as a multiple of the timeout of requests to the state service.
 const REQUEST_TIMEOUTS: f64 = 1.5;
-/// Time for which requests are refused after the state service was unavailable, in timeouts of the
-/// calls to it.
-const REFUSAL_TIMEOUTS: f64 = 0.5;
+/// How long requests are rejected after the state service was unavailable, as a multiple of the timeout of requests
+/// to it.
+const REJECTION_TIMEOUTS: f64 = 0.5;
 
-/// Why a job can never run.
+/// Why a job can never be scheduled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum UnsatisfiableJob {
-    /// The platform has no such team.
+    /// The team is not configured.
     #[error("unknown team")]
     UnknownTeam,
-    /// The job asks for more than its team may ever use.
+    /// The job requests more resources than the quota of its team.
     #[error("more than the team's limit")]
     ExceedsTeamLimit,
-    /// A task of the job fits no instance type that the job allows.
+    /// A task of the job does not fit on any instance type that the job allows.
     #[error("fits no allowed machine type")]
     FitsNoInstanceType,
 }
 
-/// Checks that a job could run if the fleet were empty and of any size.
+/// Checks that a job could run on an empty cluster with any number of instances.
 pub fn check_satisfiable(
     spec: &JobSpec,
     quotas: &Quotas,
@@ -55,7 +55,7 @@
     Ok(())
 }
 
-/// Whether the job may run on this type in some zone, as an on-demand or a spot instance.
+/// Whether the job may run on this instance type in at least one zone, as an on-demand or a spot instance.
 fn allows_instance_type(spec: &JobSpec, instance_type: &InstanceType) -> bool {
     instance_type.zones.iter().any(|zone| {
         spec.allows(&instance_type.name, zone, false)
@@ -63,12 +63,12 @@
     })
 }
 
-/// Decides whether a request may wait for the state service.
+/// Admission control for requests that need the state service.
 #[derive(Debug)]
 pub(super) struct Admission {
-    /// Timeout of the calls to the state service, in seconds.
+    /// Timeout of requests to the state service, in seconds.
     request_timeout_s: f64,
-    /// When the state service was unavailable, if that is what its latest response said.
+    /// Time of the latest response, if it said that the state service is unavailable.
     unavailable_at: Option<f64>,
 }
 
@@ -80,25 +80,25 @@
         }
     }
 
-    /// Learns from any response of the state service whether it is available.
+    /// Updates the availability of the state service from any response.
     pub(super) fn observe_response(&mut self, response: &KvResponse, now: f64) {
         self.unavailable_at = matches!(response, KvResponse::Unavailable).then_some(now);
     }
 
-    /// Refuses a request when too many are waiting, or when the state service can't confirm it now: it
-    /// is then better refused at once than held back.
+    /// Rejects a request if too many are waiting, or if the state service was unavailable a moment ago: the user
+    /// is better served by an immediate rejection than by a request that waits and then times out.
     pub(super) fn check(&self, waiting: usize, now: f64) -> Result<(), RequestError> {
         if waiting >= MAX_WAITING {
             return Err(RequestError::TooManyWaiting);
         }
-        let refusal_s = self.request_timeout_s * REFUSAL_TIMEOUTS;
-        if self.unavailable_at.is_some_and(|at| now - at < refusal_s) {
+        let rejection_s = self.request_timeout_s * REJECTION_TIMEOUTS;
+        if self.unavailable_at.is_some_and(|at| now - at < rejection_s) {
             return Err(RequestError::StateServiceUnavailable);
         }
         Ok(())
     }
 
-    /// When a request that arrives now is given up.
+    /// Deadline of a request that arrives at `now`.
     pub(super) fn deadline(&self, kind: &RequestKind, now: f64) -> f64 {
         let timeout_s = REQUEST_TIMEOUTS * self.request_timeout_s;
         match kind {
--- a/src/coordination/job_api/batches.rs
+++ b/src/coordination/job_api/batches.rs
@@ -1,17 +1,17 @@
-//! Transactions of the job API that are in flight, each on behalf of many requests.
+//! Batches of the job API: transactions in flight that each serve many user requests.
 
 use super::pending_request::PendingRequest;
 use crate::bookkeeping::records;
 use crate::protocol::kv::KvResponse;
 use std::collections::HashMap;
 
-/// Transactions of one kind that may be in flight at a time.
+/// Maximum number of transactions of one kind in flight.
 const MAX_BATCHES_IN_FLIGHT: usize = 6;
-/// Share of the request timeout after which the next transaction no longer waits for the one before,
-/// which a slow state service takes long to answer.
+/// Fraction of the request timeout after which the next transaction is sent although the previous one has not been
+/// answered. This keeps requests moving while the state service is slow.
 const SLOW_RESPONSE_SHARE: f64 = 1.0 / 50.0;
 
-/// Transactions of one kind that are in flight, with the requests that wait for them.
+/// Transactions of one kind in flight, with the user requests that each of them serves.
 #[derive(Debug, Default)]
 pub(super) struct InFlightBatches {
     last_id: u64,
@@ -20,15 +20,15 @@
 }
 
 impl InFlightBatches {
-    /// Whether another transaction may be sent. Usually there is one at a time, so that many requests
-    /// go into it.
+    /// Whether another transaction may be sent. Unless the state service is slow, only one is in flight at a time,
+    /// so that many requests gather for the next one.
     pub(super) fn may_send(&self, request_timeout_s: f64, now: f64) -> bool {
         let count = self.batches.len();
         let slow = now - self.last_sent_at > SLOW_RESPONSE_SHARE * request_timeout_s;
         count == 0 || (count < MAX_BATCHES_IN_FLIGHT && slow)
     }
 
-    /// Adds a transaction that is being sent, and returns its id.
+    /// Records that a transaction is sent for `requests`, and returns the id of the batch.
     pub(super) fn add(&mut self, requests: Vec<PendingRequest>, now: f64) -> u64 {
         self.last_id += 1;
         self.last_sent_at = now;
@@ -36,34 +36,34 @@
         self.last_id
     }
 
-    /// Removes a transaction that was answered, and returns the requests that waited for it.
+    /// Removes a batch whose transaction was answered, and returns its requests.
     pub(super) fn complete(&mut self, id: u64) -> Vec<PendingRequest> {
         self.batches.remove(&id).unwrap_or_default()
     }
 }
 
-/// What the response to a transaction means for one of its requests.
+/// Outcome of a transaction for one of its requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum BatchOutcome {
-    /// The transaction was applied, at this revision.
+    /// The transaction was committed at this revision.
     Committed { mod_revision: u64 },
-    /// The job's keys are not as they were taken to be.
+    /// A comparison failed, and it may have been one of this job's keys.
     Conflict,
-    /// The transaction was not applied, for reasons that lie in other jobs or in the rate of requests.
+    /// The transaction was not applied because of another job's keys or because of rate limiting.
     NotApplied,
     /// The transaction may have been applied.
     Unknown,
-    /// The state service did not serve the transaction.
+    /// The state service did not process the transaction.
     Unavailable,
 }
 
 impl BatchOutcome {
-    pub(super) fn of(pending: &PendingRequest, response: &KvResponse) -> BatchOutcome {
+    pub(super) fn for_request(pending: &PendingRequest, response: &KvResponse) -> BatchOutcome {
         match response {
             KvResponse::Committed(mod_revision) => BatchOutcome::Committed {
                 mod_revision: *mod_revision,
             },
-            KvResponse::CompareFailed(keys) if concerns(pending, keys) => BatchOutcome::Conflict,
+            KvResponse::CompareFailed(keys) if may_concern(pending, keys) => BatchOutcome::Conflict,
             KvResponse::CompareFailed(_) | KvResponse::RateLimited => BatchOutcome::NotApplied,
             KvResponse::OutcomeUnknown => BatchOutcome::Unknown,
             _ => BatchOutcome::Unavailable,
@@ -71,8 +71,9 @@
     }
 }
 
-/// Whether a failed comparison may be about the job of this request; no keys: about any job.
-fn concerns(pending: &PendingRequest, failed_keys: &[String]) -> bool {
+/// Whether a failed comparison may be about a key of this request's job. If the state service does not name the
+/// failed keys, any job may be affected.
+fn may_concern(pending: &PendingRequest, failed_keys: &[String]) -> bool {
     failed_keys.is_empty()
         || failed_keys.contains(&records::open_key(&pending.job))
         || failed_keys.contains(&records::finished_key(&pending.job))
--- a/src/coordination/job_api/lookups.rs
+++ b/src/coordination/job_api/lookups.rs
@@ -1,4 +1,4 @@
-//! Lookups: reads of the keys of one job, on behalf of the requests that a comparison can't answer.
+//! Lookups: reads of the keys of a single job, for requests that a comparison of mod revisions cannot answer.
 
 use super::open_jobs::OpenJob;
 use super::pending_request::PendingRequest;
@@ -11,24 +11,27 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-/// Jobs looked up at a time.
+/// Maximum number of lookups in flight.
 const MAX_LOOKUPS: usize = 8;
-/// Requests to the state service that one lookup may take.
+/// Maximum number of requests to the state service per lookup.
 const REQUESTS_PER_LOOKUP: f64 = 2.0;
 
-/// A lookup of one job.
+/// The lookup of one job.
 #[derive(Debug, Default)]
 struct JobLookup {
+    /// Requests that this lookup will answer.
     waiting: Vec<PendingRequest>,
-    /// Requests that arrived while the lookup was in flight: what it finds may be older than they are.
+    /// Requests that arrived while the lookup was in flight. Its result may be older than these requests, so they
+    /// wait for another lookup.
     arrived_later: Vec<PendingRequest>,
     phase: LookupPhase,
-    /// The watch has meanwhile shown that the job is closed: an open key that the lookup finds is old.
+    /// The job was closed, or may have been, while the lookup was queued or in flight. If the lookup then finds an
+    /// `open/` key, that result is out of date.
     closed_meanwhile: bool,
 }
 
-/// How far a lookup is. The `open/` key is read first, so that a job that moves from `open/` to `over/`
-/// in between is not missed.
+/// Progress of a lookup. The `open/` key is read before the `over/` key, so that a job that finishes between
+/// the two reads is still found.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 enum LookupPhase {
     #[default]
@@ -37,33 +40,33 @@
     ReadingFinished,
 }
 
-/// What a lookup has found.
+/// Result of a lookup.
 #[derive(Debug, Clone)]
 pub(super) enum JobRecordState {
     Open(OpenJob),
     Finished(FinishedRecord),
-    /// The job has no key.
+    /// The job has neither an `open/` nor an `over/` key.
     NotFound,
-    /// The state service gave no usable response.
+    /// The state service gave no usable response, or the record cannot be decoded.
     Undetermined,
 }
 
-/// What the response to a lookup's read has led to.
+/// State of a lookup after the response to one of its reads.
 #[derive(Debug)]
 pub(super) enum LookupProgress {
-    /// The next key is being read, or nobody waits any more.
+    /// The next key is being read, or there is no such lookup.
     Pending,
-    /// What was found is older than what the watch has shown; the requests wait for another lookup.
+    /// The result is older than an update received meanwhile. The requests wait for another lookup.
     Requeued,
     /// The lookup is complete.
     Completed {
         state: JobRecordState,
-        /// The requests to be answered by it.
+        /// The requests to answer with this result.
         requests: Vec<PendingRequest>,
     },
 }
 
-/// Lookups that are queued or in flight.
+/// The queued lookups and those in flight.
 #[derive(Debug, Default)]
 pub(super) struct JobLookups {
     lookups: HashMap<String, JobLookup>,
@@ -72,15 +75,16 @@
 }
 
 impl JobLookups {
-    /// Requests that wait for a lookup.
-    pub(super) fn waiting(&self) -> usize {
+    /// Number of requests that wait for a lookup.
+    pub(super) fn waiting_requests(&self) -> usize {
         self.lookups
             .values()
             .map(|lookup| lookup.waiting.len() + lookup.arrived_later.len())
             .sum()
     }
 
-    /// Adds a request to the queued lookup of its job, or to the one that follows the lookup in flight.
+    /// Adds a request to the queued lookup of its job. If that lookup is in flight, the request waits for the
+    /// following one.
     pub(super) fn enqueue(&mut self, pending: PendingRequest) {
         let job = pending.job.clone();
         let lookup = self.lookups.entry(job.clone()).or_default();
@@ -94,21 +98,22 @@
         lookup.waiting.push(pending);
     }
 
-    /// Notes that the watch has shown a job to be closed.
+    /// Records that a job has been closed.
     pub(super) fn on_job_closed(&mut self, job: &str) {
         if let Some(lookup) = self.lookups.get_mut(job) {
             lookup.closed_meanwhile = true;
         }
     }
 
-    /// Notes that the open jobs were listed: one that was read before and is not listed may be closed.
+    /// Processes a complete listing of the open jobs. A job that is not listed may have been closed after a lookup
+    /// has read its key.
     pub(super) fn on_open_jobs_listed(&mut self, is_listed: impl Fn(&str) -> bool) {
         for (job, lookup) in &mut self.lookups {
             lookup.closed_meanwhile |= !is_listed(job);
         }
     }
 
-    /// Starts queued lookups, as far as the budget of requests allows.
+    /// Starts queued lookups as the request budget permits.
     pub(super) fn send_due(
         &mut self,
         request_budget: &mut TokenBucket,
@@ -148,7 +153,7 @@
         effects.call_kv(context, KvRequest::Get(key), request_timeout_s / 2.0, now);
     }
 
-    /// Takes the response to the read of one of the job's keys.
+    /// Processes the response to the read of one of the job's keys.
     pub(super) fn on_response(
         &mut self,
         job: &str,
@@ -176,7 +181,7 @@
             .map_or(LookupPhase::Queued, |lookup| lookup.phase)
     }
 
-    /// Ends a lookup; the requests that it can't answer wait for the next one.
+    /// Ends a lookup. The requests that its result cannot answer are enqueued for another one.
     fn complete(&mut self, job: &str, state: JobRecordState) -> LookupProgress {
         self.in_flight = self.in_flight.saturating_sub(1);
         let Some(lookup) = self.lookups.remove(job) else {
@@ -198,7 +203,7 @@
     }
 }
 
-/// Reads the record under a job's `open/` or `over/` key.
+/// Decodes the record under a job's `open/` or `over/` key.
 fn read_record(job: &str, item: &KeyValue) -> JobRecordState {
     let state = if item.key == records::open_key(job) {
         cbor::from_value::<JobSpec>(&item.value).map(|spec| {
--- a/src/coordination/job_api/mod.rs
+++ b/src/coordination/job_api/mod.rs
@@ -1,11 +1,13 @@
-//! The user API: submits, polls and cancels jobs, the same on every controller.
+//! The user API, served by every controller: users submit, poll and cancel jobs.
 //!
-//! A terminal state never changes and is answered from memory. Any other answer is confirmed by the
-//! state service, many at a time: the key of an open job never changes, so a comparison of mod revisions
-//! shows that the job is still open. So no controller can give an older answer than another has given.
+//! The terminal state of a job never changes and is served from memory. Every other answer is first confirmed by
+//! the state service, in a batch with others. The key of an open job is never rewritten, so an unchanged mod
+//! revision proves that the job is still open. Therefore no controller can return an older state of a job than
+//! another controller has already returned.
 //!
-//! `Admission` refuses requests at once, the others wait in `RevisionChecks` (polls), `JobWrites`
-//! (submissions and cancellations) or `JobLookups` (whatever a comparison has failed to confirm).
+//! `Admission` rejects requests that cannot be served in time. The others wait in `RevisionChecks` (polls),
+//! `JobWrites` (submissions and cancellations) or `JobLookups` (requests that a comparison of mod revisions
+//! cannot answer).
 
 mod admission;
 mod batches;
@@ -38,10 +40,10 @@
 use terminal_states::TerminalStateCache;
 use writes::JobWrites;
 
-/// Least burst of a budget, in requests or write operations.
+/// Minimum burst of a rate limit, in requests or write operations.
 const MIN_BURST: f64 = 4.0;
 
-/// A controller's job API.
+/// The job API of a controller.
 #[derive(Debug)]
 pub struct JobApi {
     open: OpenJobs,
@@ -50,18 +52,18 @@
     revision_checks: RevisionChecks,
     lookups: JobLookups,
     writes: JobWrites,
-    /// Requests that this controller may make to the state service on behalf of users.
+    /// Rate limit of this controller's requests to the state service on behalf of users.
     request_budget: TokenBucket,
-    /// Timeout of the calls to the state service, in seconds.
+    /// Timeout of requests to the state service, in seconds.
     request_timeout_s: f64,
 }
 
 impl JobApi {
-    /// A job API that may use this share of the state service's limits.
+    /// Creates a job API that may use the fraction `share` of the state service's rate limits.
     pub fn new(limits: &StateServiceLimits, share: f64, request_timeout_s: f64) -> JobApi {
         let budget = |limit_per_s: f64| {
             let rate = limit_per_s * share;
-            TokenBucket::new(rate, burst_of(rate))
+            TokenBucket::new(rate, burst_size(rate))
         };
         JobApi {
             open: OpenJobs::default(),
@@ -75,37 +77,38 @@
         }
     }
 
-    // ---- what is known of jobs
+    // ---- state of jobs
 
-    /// The open jobs, as far as known.
+    /// The open jobs that this controller knows of.
     pub fn open_jobs(&self) -> &OpenJobs {
         &self.open
     }
 
-    /// Records an open job. Returns false if the record is older than what is known of the job: then it
-    /// is no news for the leader either.
+    /// Records an open job. Returns false if the record is older than the known state of the job. Such a record
+    /// must not be passed to the leader.
     pub fn on_job_opened(&mut self, mod_revision: u64, spec: JobSpec) -> bool {
         let id = spec.id.clone();
         let spec = Rc::new(spec);
         self.open.insert(&id, OpenJob { mod_revision, spec })
     }
 
-    /// Records that a job is no longer open; how it finished is looked up when a user asks.
+    /// Records that a job is no longer open. Its terminal state is looked up when a user asks for it.
     pub fn on_job_closed(&mut self, id: &str) {
         self.close(id, None);
     }
 
-    /// Records that a job's `open/` key was deleted at a revision.
+    /// Records that a job's `open/` key was deleted at `revision`.
     pub fn on_job_closed_at(&mut self, id: &str, revision: u64) {
         self.close(id, Some(revision));
     }
 
-    /// The open jobs were listed: what a lookup in flight has read of one that is not listed may be older.
+    /// Processes a complete listing of the open jobs. A lookup in flight of a job that is not listed may have read
+    /// an `open/` key that has been deleted since.
     pub fn on_open_jobs_listed(&mut self, is_listed: impl Fn(&str) -> bool) {
         self.lookups.on_open_jobs_listed(is_listed);
     }
 
-    /// Records how a job finished.
+    /// Records the terminal state of a job.
     pub fn on_job_finished(&mut self, id: &str, record: FinishedRecord) {
         self.close(id, None);
         self.terminal_states.insert(id, record);
@@ -116,23 +119,24 @@
         self.lookups.on_job_closed(id);
     }
 
-    /// Records how a job finished that this controller has finished or aborted in the state service.
+    /// Records the terminal state of a job that this controller has finished or aborted in the state service, and
+    /// queues it for the peers.
     pub fn announce_finished(&mut self, id: &str, record: FinishedRecord) {
         self.terminal_states.announce(id, record);
         self.on_job_finished(id, record);
     }
 
-    /// Jobs learnt to have finished since this was last called.
+    /// Returns the jobs whose terminal states were recorded since the previous call.
     pub fn take_newly_finished(&mut self) -> Vec<String> {
         self.terminal_states.take_newly_finished()
     }
 
-    /// Terminations that the peers have not been told yet.
+    /// Removes and returns the terminations that have not been sent to the peers yet.
     pub fn take_unannounced_terminations(&mut self) -> Vec<Termination> {
         self.terminal_states.take_unannounced()
     }
 
-    /// Takes the terminations that a peer announces.
+    /// Records the terminations that a peer has sent.
     pub fn on_peer_terminations(&mut self, terminations: &[Termination]) {
         for termination in terminations {
             let is_known = self.terminal_states.get(&termination.job).is_some();
@@ -156,7 +160,7 @@
         }
     }
 
-    /// Takes the progress of jobs that the leader reports.
+    /// Records the progress of jobs as reported by the leader.
     pub fn on_job_counts(&mut self, counts: &[JobCounts]) {
         for job in counts {
             let progress = JobProgress {
@@ -167,30 +171,36 @@
         }
     }
 
-    // ---- the budget of writes
+    // ---- write rate
 
-    /// Write operations sent to the state service since this was last called.
+    /// Returns the number of write operations sent to the state service since the previous call.
     pub fn take_writes_sent(&mut self) -> f64 {
         self.writes.take_operations_sent()
     }
 
-    /// Sets the write operations a second that this controller may make for its users.
+    /// Sets the rate limit of write operations on behalf of users.
     pub fn set_write_rate(&mut self, per_s: f64, now: f64) {
         self.writes.set_rate(per_s, now);
     }
 
-    // ---- requests of users
+    // ---- user requests
 
-    /// A user polls a job.
-    pub fn on_status_request(&mut self, request: u64, id: &str, effects: &mut Effects, now: f64) {
-        self.admit(request, id, RequestKind::Poll, effects, now);
+    /// Processes a user's poll of a job.
+    pub fn on_status_request(
+        &mut self,
+        request_id: u64,
+        id: &str,
+        effects: &mut Effects,
+        now: f64,
+    ) {
+        self.admit(request_id, id, RequestKind::Poll, effects, now);
     }
 
-    /// A user submits a job, which is satisfiable or not (see [`check_satisfiable`]). One that can never
-    /// run is refused, unless it was accepted before.
+    /// Processes the submission of a job. `satisfiable` is the result of [`check_satisfiable`]. A job that can
+    /// never run is rejected, unless it has been accepted earlier.
     pub fn on_submit(
         &mut self,
-        request: u64,
+        request_id: u64,
         spec: JobSpec,
         satisfiable: Result<(), UnsatisfiableJob>,
         effects: &mut Effects,
@@ -201,34 +211,34 @@
             Ok(()) => RequestKind::Submit(Rc::new(spec)),
             Err(error) => RequestKind::SubmitUnsatisfiable(error),
         };
-        self.admit(request, &id, kind, effects, now);
+        self.admit(request_id, &id, kind, effects, now);
     }
 
-    /// A user cancels a job.
-    pub fn on_cancel(&mut self, request: u64, id: &str, effects: &mut Effects, now: f64) {
-        self.admit(request, id, RequestKind::Cancel, effects, now);
+    /// Processes the cancellation of a job.
+    pub fn on_cancel(&mut self, request_id: u64, id: &str, effects: &mut Effects, now: f64) {
+        self.admit(request_id, id, RequestKind::Cancel, effects, now);
     }
 
-    /// Answers a request for a finished job from memory; any other one waits for the state service, or
-    /// is refused.
+    /// Answers a request from memory if the job is known to have finished. Otherwise enqueues the request for the
+    /// state service, or rejects it.
     fn admit(
         &mut self,
-        request: u64,
+        request_id: u64,
         id: &str,
         kind: RequestKind,
         effects: &mut Effects,
         now: f64,
     ) {
         if let Some(record) = self.terminal_states.get(id) {
-            self.respond_finished(request, id, &kind, record, effects);
+            self.respond_finished(request_id, id, &kind, record, effects);
             return;
         }
-        if let Err(error) = self.admission.check(self.waiting(), now) {
-            respond_error(request, error, effects);
+        if let Err(error) = self.admission.check(self.waiting_requests(), now) {
+            respond_error(request_id, error, effects);
             return;
         }
         self.enqueue(PendingRequest {
-            request_id: request,
+            request_id,
             job: id.to_owned(),
             deadline: self.admission.deadline(&kind, now),
             kind,
@@ -238,9 +248,9 @@
         self.send_due_requests(effects, now);
     }
 
-    /// Requests that wait to be sent, or for a lookup.
-    fn waiting(&self) -> usize {
-        self.revision_checks.polls.len() + self.writes.queue.len() + self.lookups.waiting()
+    /// Number of requests that have not been sent yet or wait for a lookup.
+    fn waiting_requests(&self) -> usize {
+        self.revision_checks.polls.len() + self.writes.queue.len() + self.lookups.waiting_requests()
     }
 
     fn enqueue(&mut self, pending: PendingRequest) {
@@ -256,12 +266,13 @@
         }
     }
 
-    // ---- calls to the state service
+    // ---- requests to the state service
 
-    /// Gives up the requests that have waited too long, and makes the calls that are due.
+    /// Rejects the requests whose deadline has passed, and sends the calls to the state service that are due.
     ///
-    /// Lookups go first: revision checks take as many polls as there are, and can wait for more. The
-    /// other way round, a controller that many users ask would never get to a lookup.
+    /// Lookups have priority over revision checks in the use of the request budget. A delayed revision check
+    /// loses nothing, because it then answers more polls at once. If revision checks came first, a controller with
+    /// many polls would never have budget left for a lookup.
     pub fn send_due_requests(&mut self, effects: &mut Effects, now: f64) {
         self.expire_requests(effects, now);
         let timeout_s = self.request_timeout_s;
@@ -285,7 +296,7 @@
         }
     }
 
-    /// Takes the response to a revision check.
+    /// Processes the response to a revision check.
     pub fn on_revision_check_completed(
         &mut self,
         check: u64,
@@ -295,7 +306,7 @@
     ) {
         self.admission.observe_response(&response, now);
         for poll in self.revision_checks.complete(check) {
-            match BatchOutcome::of(&poll, &response) {
+            match BatchOutcome::for_request(&poll, &response) {
                 BatchOutcome::Committed { .. } => self.respond_to_poll(poll, effects),
                 BatchOutcome::Conflict => self.lookups.enqueue(poll),
                 BatchOutcome::NotApplied => self.revision_checks.polls.enqueue(poll),
@@ -308,8 +319,8 @@
         self.send_due_requests(effects, now);
     }
 
-    /// Takes the response to a transaction of submissions and cancellations. Returns the jobs that it
-    /// has opened.
+    /// Processes the response to a transaction of submissions and cancellations. Returns the jobs that the
+    /// transaction has opened.
     pub fn on_writes_completed(
         &mut self,
         batch: u64,
@@ -320,12 +331,12 @@
         self.admission.observe_response(&response, now);
         let mut opened = Vec::new();
         for pending in self.writes.complete(batch) {
-            match BatchOutcome::of(&pending, &response) {
+            match BatchOutcome::for_request(&pending, &response) {
                 BatchOutcome::Committed { mod_revision } => {
                     opened.extend(self.on_write_committed(pending, mod_revision, effects));
                 }
                 BatchOutcome::NotApplied => self.writes.queue.enqueue(pending),
-                // A write of unknown outcome may have been applied: the answer is what is there.
+                // A write of unknown outcome may have been applied, so the user gets the state that is stored.
                 BatchOutcome::Conflict | BatchOutcome::Unknown => self.lookups.enqueue(pending),
                 BatchOutcome::Unavailable => {
                     let error = RequestError::StateServiceUnavailable;
@@ -337,8 +348,8 @@
         opened
     }
 
-    /// Records a submission or cancellation that was written, and responds. Returns the job, if one was
-    /// opened.
+    /// Records a committed submission or cancellation and responds to the user. Returns the job if it was opened
+    /// and has not been closed since.
     fn on_write_committed(
         &mut self,
         pending: PendingRequest,
@@ -369,7 +380,7 @@
             "job accepted"
         );
         match self.terminal_states.get(id) {
-            // The response was late: the job has been opened and has ended since.
+            // The job has finished before this response to its submission arrived.
             Some(record) => {
                 self.respond_finished(pending.request_id, id, &pending.kind, record, effects);
             }
@@ -378,7 +389,7 @@
         is_open.then_some(job)
     }
 
-    /// Takes the response to a read of a lookup.
+    /// Processes the response to a read of a lookup.
     pub fn on_lookup_completed(
         &mut self,
         id: &str,
@@ -416,22 +427,23 @@
 
     // ---- responses
 
-    /// Answers a poll by a comparison that held. What has become known since then is newer and goes
-    /// first; a job that was open and has been closed since is looked up, never denied.
+    /// Answers a poll after its revision check has succeeded. Updates that arrived after the check was sent are
+    /// newer and take precedence. A job that was open in the check and has been closed since is looked up, so that
+    /// the user is never told that it does not exist.
     fn respond_to_poll(&mut self, poll: PendingRequest, effects: &mut Effects) {
-        let request = poll.request_id;
+        let request_id = poll.request_id;
         if let Some(record) = self.terminal_states.get(&poll.job) {
-            self.respond_finished(request, &poll.job, &poll.kind, record, effects);
+            self.respond_finished(request_id, &poll.job, &poll.kind, record, effects);
         } else if self.open.contains(&poll.job) {
-            effects.respond(request, 200, &self.open.view(&poll.job));
+            effects.respond(request_id, 200, &self.open.view(&poll.job));
         } else if poll.checked_as_open {
             self.lookups.enqueue(poll);
         } else {
-            respond_error(request, RequestError::NoSuchJob, effects);
+            respond_error(request_id, RequestError::NoSuchJob, effects);
         }
     }
 
-    /// Answers a request by what a lookup has found, or passes it on to be written.
+    /// Answers a request with the result of a lookup, or enqueues it for a write.
     fn respond_after_lookup(
         &mut self,
         pending: PendingRequest,
@@ -439,58 +451,58 @@
         effects: &mut Effects,
         now: f64,
     ) {
-        let request = pending.request_id;
+        let request_id = pending.request_id;
         let id = &pending.job;
-        // A terminal state is answered however late it is.
+        // A terminal state is returned even after the deadline, because it cannot be out of date.
         if let JobRecordState::Finished(record) = state {
-            self.respond_finished(request, id, &pending.kind, *record, effects);
+            self.respond_finished(request_id, id, &pending.kind, *record, effects);
             return;
         }
         if now >= pending.deadline {
-            respond_error(request, RequestError::TimedOut, effects);
+            respond_error(request_id, RequestError::TimedOut, effects);
             return;
         }
         match (state, &pending.kind) {
             (JobRecordState::Open(_), RequestKind::Poll) => {
-                effects.respond(request, 200, &self.open.view(id));
+                effects.respond(request_id, 200, &self.open.view(id));
             }
             (
                 JobRecordState::Open(_),
                 RequestKind::Submit(_) | RequestKind::SubmitUnsatisfiable(_),
             ) => {
                 let status = self.open.view(id).status;
-                effects.respond_job_status(request, 200, id, status);
+                effects.respond_job_status(request_id, 200, id, status);
             }
             (JobRecordState::Open(_), RequestKind::Cancel)
             | (JobRecordState::NotFound, RequestKind::Submit(_)) => {
                 self.writes.queue.enqueue(pending);
             }
             (JobRecordState::NotFound, RequestKind::SubmitUnsatisfiable(error)) => {
-                respond_error(request, RequestError::from(*error), effects);
+                respond_error(request_id, RequestError::from(*error), effects);
             }
             (JobRecordState::NotFound, RequestKind::Poll | RequestKind::Cancel) => {
-                respond_error(request, RequestError::NoSuchJob, effects);
+                respond_error(request_id, RequestError::NoSuchJob, effects);
             }
             (JobRecordState::Undetermined | JobRecordState::Finished(_), _) => {
-                respond_error(request, RequestError::TimedOut, effects);
+                respond_error(request_id, RequestError::TimedOut, effects);
             }
         }
     }
 
     fn respond_finished(
         &self,
-        request: u64,
+        request_id: u64,
         id: &str,
         kind: &RequestKind,
         record: FinishedRecord,
         effects: &mut Effects,
     ) {
-        let recorded = &self.terminal_states;
-        responses::respond_finished(request, id, kind, record, recorded, effects);
+        let terminal_states = &self.terminal_states;
+        responses::respond_finished(request_id, id, kind, record, terminal_states, effects);
     }
 }
 
-/// The burst of a budget: one second's worth, as the state service allows, and some at any rate.
-fn burst_of(per_s: f64) -> f64 {
+/// Burst of a rate limit: the volume of one second, as the state service allows, but at least [`MIN_BURST`].
+fn burst_size(per_s: f64) -> f64 {
     per_s.max(MIN_BURST)
 }
--- a/src/coordination/job_api/open_jobs.rs
+++ b/src/coordination/job_api/open_jobs.rs
@@ -1,16 +1,16 @@
-//! The open jobs as this controller knows them, with the progress that the leader reports of them.
+//! This controller's view of the open jobs, with the progress reported by the leader.
 
 use crate::bookkeeping::jobs::ClosedJobs;
 use crate::protocol::job::{JobSpec, JobStatus, JobView};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A job whose `open/` key is in the state service.
+/// A job that has an `open/` key in the state service.
 #[derive(Debug, Clone)]
 pub struct OpenJob {
     /// Mod revision of the `open/` key, which never changes while the job is open.
     pub mod_revision: u64,
-    /// The accepted job.
+    /// The job as it was accepted.
     pub spec: Rc<JobSpec>,
 }
 
@@ -23,15 +23,15 @@
     pub(super) running_tasks: u32,
 }
 
-/// Open jobs by id, as the watch, lookups and this controller's own writes have shown them. The view
-/// may be late, but it never goes back: what is older than what is known of a job changes nothing.
+/// Open jobs by id, learned from the watch, lookups and this controller's own writes. The view may lag behind the
+/// state service, but it never reverts: records older than the known state of a job are ignored.
 #[derive(Debug, Default)]
 pub struct OpenJobs {
     jobs: BTreeMap<String, TrackedJob>,
     closed: ClosedJobs,
 }
 
-/// An open job with the progress last reported of it.
+/// An open job and its last reported progress.
 #[derive(Debug)]
 struct TrackedJob {
     job: OpenJob,
@@ -49,25 +49,25 @@
         self.jobs.get(id).map(|tracked| &tracked.job)
     }
 
-    /// Number of jobs of which progress is kept.
+    /// Number of jobs whose progress is stored.
     pub fn jobs_with_progress(&self) -> usize {
         let tracked = self.jobs.values();
         tracked.filter(|tracked| tracked.progress.is_some()).count()
     }
 
-    /// Ids of the jobs that were written at `revision` or before, in the order of the ids. A listing of
-    /// that revision has all of them that are still open.
-    pub fn ids_up_to(&self, revision: u64) -> impl Iterator<Item = &str> {
+    /// Ids of the jobs that were opened at or before `revision`, in order. A complete listing at that revision
+    /// contains all of them that are still open.
+    pub fn ids_opened_up_to(&self, revision: u64) -> impl Iterator<Item = &str> {
         self.jobs
             .iter()
             .filter(move |(_, tracked)| tracked.job.mod_revision <= revision)
             .map(|(id, _)| id.as_str())
     }
 
-    /// Takes the record of an open job. Returns false if it is older than what is known of the job.
+    /// Records an open job. Returns false if the record is older than the known state of the job.
     ///
-    /// Records come in any order: pages of a listing that began before a job's end, and responses to
-    /// submissions and lookups, may arrive after it.
+    /// Records may arrive in any order. A page of a listing that began before the job was closed, or a response to a
+    /// submission or lookup, may arrive after the job was closed.
     pub(super) fn insert(&mut self, id: &str, job: OpenJob) -> bool {
         if !self.closed.accepts_open_record(id, job.mod_revision) {
             return false;
@@ -82,8 +82,9 @@
         true
     }
 
-    /// Removes a job that is closed, at a revision if that is known, with its progress. Nothing else
-    /// removes one: a lookup that finds no key has read it before the job was opened.
+    /// Removes a closed job and its progress. `revision` is the revision at which the job was closed, if known.
+    ///
+    /// A lookup that finds no key must not remove a job: it may have read the keys before the job was opened.
     pub(super) fn close(&mut self, id: &str, revision: Option<u64>) {
         self.closed.insert(id, revision);
         self.jobs.remove(id);
@@ -96,7 +97,7 @@
         }
     }
 
-    /// The progress last reported of a job; none reported counts as zero.
+    /// The last reported progress of a job, or zero if none has been reported.
     pub(super) fn progress(&self, id: &str) -> JobProgress {
         let tracked = self.jobs.get(id);
         tracked
@@ -104,7 +105,7 @@
             .unwrap_or_default()
     }
 
-    /// What a user is shown of an open job.
+    /// The view of an open job that is returned to users.
     pub(super) fn view(&self, id: &str) -> JobView {
         let progress = self.progress(id);
         let status = if progress.running_tasks > 0 {
--- a/src/coordination/job_api/pending_request.rs
+++ b/src/coordination/job_api/pending_request.rs
@@ -1,4 +1,4 @@
-//! User requests that wait for the state service.
+//! User requests that wait for the state service, and the queue that holds them.
 
 use super::admission::UnsatisfiableJob;
 use crate::bookkeeping::records::FinishedRecord;
@@ -6,13 +6,13 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// What a user asks for.
+/// The operation that a user requests.
 #[derive(Debug, Clone)]
 pub(super) enum RequestKind {
     Poll,
     Submit(Rc<JobSpec>),
-    /// A submission of a job that can never run: refused for this reason, unless the job was accepted
-    /// before.
+    /// The submission of a job that can never run. It is rejected for this reason unless the job has been accepted
+    /// earlier.
     SubmitUnsatisfiable(UnsatisfiableJob),
     Cancel,
 }
@@ -20,20 +20,20 @@
 /// A user request that waits for the state service.
 #[derive(Debug, Clone)]
 pub(super) struct PendingRequest {
-    /// Names the request to the event loop.
+    /// Id that the event loop has assigned to the request.
     pub(super) request_id: u64,
     /// Id of the job.
     pub(super) job: String,
     pub(super) kind: RequestKind,
-    /// When the request is given up.
+    /// When the request times out.
     pub(super) deadline: f64,
-    /// Whether the revision check that is in flight compares the job as open.
+    /// Whether the revision check in flight compares the job as open.
     pub(super) checked_as_open: bool,
-    /// The final state that the cancellation in flight writes.
+    /// The terminal state that the cancellation in flight writes.
     pub(super) written_state: Option<FinishedRecord>,
 }
 
-/// Requests that wait to be sent to the state service, in order.
+/// Requests that wait to be sent to the state service, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct RequestQueue {
     requests: VecDeque<PendingRequest>,
@@ -49,30 +49,30 @@
         self.requests.is_empty()
     }
 
-    /// Adds a request behind all others.
+    /// Adds a request at the end of the queue.
     pub(super) fn enqueue(&mut self, pending: PendingRequest) {
         self.requests.push_back(pending);
     }
 
-    /// Removes the first request.
+    /// Removes and returns the first request.
     pub(super) fn pop(&mut self) -> Option<PendingRequest> {
         self.requests.pop_front()
     }
 
-    /// Removes the first requests, as many as there are up to a number.
+    /// Removes and returns up to `max` requests from the front of the queue.
     pub(super) fn take_first(&mut self, max: usize) -> Vec<PendingRequest> {
         let count = self.requests.len().min(max);
         self.requests.drain(..count).collect()
     }
 
-    /// Puts requests back before all others, in their order.
+    /// Puts requests back at the front of the queue, keeping their order.
     pub(super) fn put_back(&mut self, requests: Vec<PendingRequest>) {
         for pending in requests.into_iter().rev() {
             self.requests.push_front(pending);
         }
     }
 
-    /// Removes the requests whose deadline has passed, and returns them in order.
+    /// Removes and returns the requests whose deadline has passed, in order.
     pub(super) fn take_expired(&mut self, now: f64) -> Vec<PendingRequest> {
         let expired = |pending: &PendingRequest| now >= pending.deadline;
         if !self.requests.iter().any(expired) {
--- a/src/coordination/job_api/responses.rs
+++ b/src/coordination/job_api/responses.rs
@@ -1,4 +1,4 @@
-//! Responses to users.
+//! Responses to user requests.
 
 use super::admission::UnsatisfiableJob;
 use super::pending_request::RequestKind;
@@ -8,10 +8,10 @@
 use crate::coordination::effects::Effects;
 use crate::protocol::job::{JobStatus, JobView};
 
-/// Seconds after which users are told to come back.
+/// Value of the `Retry-After` header, in seconds.
 const RETRY_AFTER_S: u32 = 1;
 
-/// Why a request is refused.
+/// Why a request is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(super) enum RequestError {
     #[error("too much at once")]
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Seconds after which the same request may succeed.
+    /// Seconds after which the user should retry, or `None` if a retry is not expected to succeed.
     fn retry_after_s(self) -> Option<u32> {
         match self {
             RequestError::TooManyWaiting
@@ -48,7 +48,7 @@
     }
 }
 
-/// Refuses a request.
+/// Responds with an error.
 pub(super) fn respond_error(request_id: u64, error: RequestError, effects: &mut Effects) {
     let status = error.status();
     effects.respond_error(
@@ -59,17 +59,17 @@
     );
 }
 
-/// Responds for a job that has finished, as the state service has recorded it: no user is told of an
-/// outcome before it is recorded.
+/// Responds with the terminal state of a job. Checks that the state service has recorded this outcome: users must
+/// not see an outcome before it is recorded.
 pub(super) fn respond_finished(
     request_id: u64,
     job: &str,
     kind: &RequestKind,
     record: FinishedRecord,
-    recorded: &TerminalStateCache,
+    terminal_states: &TerminalStateCache,
     effects: &mut Effects,
 ) {
-    let is_recorded = recorded.get(job).map(|known| known.outcome) == Some(record.outcome);
+    let is_recorded = terminal_states.get(job).map(|known| known.outcome) == Some(record.outcome);
     let details = format_args!("job {job}, {:?}", record.outcome);
     if !invariants::check(Invariant::NoAbortedWithoutCommit, is_recorded, details) {
         respond_error(request_id, RequestError::TimedOut, effects);
--- a/src/coordination/job_api/revision_checks.rs
+++ b/src/coordination/job_api/revision_checks.rs
@@ -1,4 +1,4 @@
-//! Polls, answered many at a time by a transaction that only compares mod revisions.
+//! Revision checks: transactions without writes that compare mod revisions and so answer many polls at once.
 
 use super::batches::InFlightBatches;
 use super::open_jobs::OpenJobs;
@@ -10,38 +10,38 @@
 use crate::settings::StateServiceLimits;
 use std::collections::HashSet;
 
-/// Share of a controller's requests for revision checks, which answer many polls each; the rest is for
-/// lookups.
+/// Fraction of a controller's request rate that revision checks may use. Each of them answers many polls. The rest
+/// is left for lookups.
 const CHECK_SHARE: f64 = 0.5;
 
-/// Polls that wait for a revision check or for the response to one.
+/// Polls that wait for the next revision check, and the checks in flight.
 #[derive(Debug)]
 pub(super) struct RevisionChecks {
     /// Polls that wait for the next check.
     pub(super) polls: RequestQueue,
     in_flight: InFlightBatches,
-    /// Polls that one check may answer.
+    /// Maximum number of polls per check.
     max_polls: usize,
-    /// No check is sent before this time.
+    /// Earliest time of the next check.
     next_check_at: f64,
-    /// Least seconds between two checks.
+    /// Minimum interval between two checks, in seconds.
     check_interval_s: f64,
 }
 
 impl RevisionChecks {
-    /// No polls yet; `share` is this controller's share of the state service's limits.
+    /// Creates an empty queue. `share` is the fraction of the state service's limits that this controller may use.
     pub(super) fn new(limits: &StateServiceLimits, share: f64) -> RevisionChecks {
         RevisionChecks {
             polls: RequestQueue::default(),
             in_flight: InFlightBatches::default(),
-            // A job that is not known to be open takes two comparisons.
+            // Half the allowed comparisons, because a job that is not known to be open takes two.
             max_polls: COMPARES_PER_WRITE * limits.txn_ops / 2,
             next_check_at: 0.0,
             check_interval_s: 1.0 / (CHECK_SHARE * share * limits.rps),
         }
     }
 
-    /// Sends the next check, if one is due and the budget of requests allows it.
+    /// Sends the next check if one is due and the request budget permits it.
     pub(super) fn send_due(
         &mut self,
         open: &OpenJobs,
@@ -76,8 +76,8 @@
     }
 }
 
-/// Comparisons that hold if each job is as this controller knows it: open at its mod revision, or
-/// neither open nor finished.
+/// Builds the comparisons that hold if every job is in the state that this controller knows: open with its mod
+/// revision, or neither open nor finished.
 fn compares(batch: &[PendingRequest], open: &OpenJobs) -> Vec<Compare> {
     let mut seen = HashSet::new();
     let mut compares = Vec::new();
--- a/src/coordination/job_api/terminal_states.rs
+++ b/src/coordination/job_api/terminal_states.rs
@@ -1,36 +1,41 @@
-//! How jobs have finished, as far as this controller knows. A terminal state never changes.
+//! Cache of the terminal states of jobs. A terminal state never changes.
 
 use crate::bookkeeping::records::{FinishedRecord, JobOutcome};
 use crate::protocol::peer::{MAX_TERMINATIONS, Termination};
 use std::collections::{HashMap, VecDeque};
 
-/// Terminal states kept in memory; others are looked up again.
+/// Maximum number of cached terminal states. Evicted ones are looked up when a user asks for them.
 const MAX_TERMINAL_STATES: usize = 20_000;
 
-/// The terminal states that were learnt last.
+/// The most recently recorded terminal states.
 #[derive(Debug, Default)]
 pub(super) struct TerminalStateCache {
     records: HashMap<String, FinishedRecord>,
-    /// Ids of the jobs, the one learnt first in front.
+    /// Ids of the jobs in the order in which their states were recorded, oldest first.
     order: VecDeque<String>,
-    /// Jobs that this controller has finished or aborted, for its next heartbeat to the peers.
+    /// Jobs that this controller has finished or aborted, to be announced to the peers.
     unannounced: Vec<Termination>,
-    /// Jobs learnt to have finished, for this controller's leader.
+    /// Jobs whose states were recorded recently, for the leader if it runs on this controller.
     newly_finished: Vec<String>,
 }
 
 impl TerminalStateCache {
-    /// How a job has finished, if that is known.
+    /// The terminal state of a job, if it is cached.
     pub(super) fn get(&self, id: &str) -> Option<FinishedRecord> {
         self.records.get(id).copied()
     }
 
-    /// Records how a job has finished, unless that is known, and drops the oldest state if there are too
-    /// many.
+    /// Records the terminal state of a job, unless one is cached already. Evicts the oldest state if the cache
+    /// is full.
     pub(super) fn insert(&mut self, id: &str, record: FinishedRecord) {
         if let Some(known) = self.records.get(id) {
             if known.outcome != record.outcome {
-                tracing::error!(job = id, ?known, ?record, "second final state ignored");
+                tracing::error!(
+                    job = id,
+                    ?known,
+                    ?record,
+                    "terminal state ignored: the job already has a different one"
+                );
             }
             return;
         }
@@ -44,7 +49,7 @@
         }
     }
 
-    /// Records for the peers that this controller has finished or aborted a job.
+    /// Queues a job that this controller has finished or aborted for announcement to the peers.
     pub(super) fn announce(&mut self, id: &str, record: FinishedRecord) {
         if self.unannounced.len() < MAX_TERMINATIONS {
             self.unannounced.push(Termination {
@@ -55,12 +60,12 @@
         }
     }
 
-    /// Jobs learnt to have finished since this was last called.
+    /// Returns the jobs whose states were recorded since the previous call.
     pub(super) fn take_newly_finished(&mut self) -> Vec<String> {
         std::mem::take(&mut self.newly_finished)
     }
 
-    /// Terminations recorded for the peers since this was last called.
+    /// Returns the terminations queued for the peers since the previous call.
     pub(super) fn take_unannounced(&mut self) -> Vec<Termination> {
         std::mem::take(&mut self.unannounced)
     }
--- a/src/coordination/job_api/writes.rs
+++ b/src/coordination/job_api/writes.rs
@@ -1,7 +1,7 @@
-//! Submissions and cancellations, written to the state service many at a time.
+//! Submissions and cancellations, written to the state service in batches.
 
 use super::batches::InFlightBatches;
-use super::burst_of;
+use super::burst_size;
 use super::open_jobs::OpenJobs;
 use super::pending_request::{PendingRequest, RequestKind, RequestQueue};
 use crate::bookkeeping::rate_limit::TokenBucket;
@@ -9,33 +9,33 @@
 use crate::coordination::effects::{Effects, KvRequestContext};
 use crate::protocol::kv::{Compare, KvRequest, MAX_TXN_BYTES, Txn, WriteOp};
 
-/// Bytes of writes in one transaction, unless its only request needs more.
+/// Maximum size of the writes in one transaction, in bytes. A transaction with a single request may be larger.
 const MAX_BATCH_BYTES: usize = MAX_TXN_BYTES / 2;
 
-/// Requests that wait to be written, or for the response to the transaction that writes them.
+/// Requests that wait to be written, and the transactions in flight.
 #[derive(Debug)]
 pub(super) struct JobWrites {
     /// Requests that wait to be written.
     pub(super) queue: RequestQueue,
     in_flight: InFlightBatches,
-    /// Write operations that this controller may make.
+    /// Rate limit of this controller's write operations on behalf of users.
     budget: TokenBucket,
     max_txn_ops: usize,
-    /// Write operations sent since `take_operations_sent` was last called.
+    /// Write operations sent since the last call of `take_operations_sent`.
     operations_sent: f64,
 }
 
-/// The writes of one request, and the revision of the job's `open/` key on which they depend.
+/// The writes of one request, and the mod revision of the job's `open/` key that they require.
 struct RequestedWrites {
     open_mod_revision: u64,
     operations: Vec<WriteOp>,
-    /// The job's final state, if they end it.
+    /// The terminal state of the job, if these writes finish it.
     finished: Option<FinishedRecord>,
     /// Size of the operations in bytes.
     bytes: usize,
 }
 
-/// A transaction that is being filled.
+/// A transaction under construction.
 #[derive(Default)]
 struct BatchDraft {
     txn: Txn,
@@ -44,7 +44,7 @@
 }
 
 impl JobWrites {
-    /// Nothing to write yet; `budget` holds the write operations that this controller may make.
+    /// Creates an empty queue. `budget` limits the rate of write operations.
     pub(super) fn new(budget: TokenBucket, max_txn_ops: usize) -> JobWrites {
         JobWrites {
             queue: RequestQueue::default(),
@@ -55,18 +55,18 @@
         }
     }
 
-    /// Sets the write operations a second that this controller may make.
+    /// Sets the rate limit of write operations.
     pub(super) fn set_rate(&mut self, per_s: f64, now: f64) {
-        self.budget.set_rate(per_s, burst_of(per_s), now);
+        self.budget.set_rate(per_s, burst_size(per_s), now);
     }
 
-    /// Write operations sent since this was last called.
+    /// Returns the number of write operations sent since the previous call.
     pub(super) fn take_operations_sent(&mut self) -> f64 {
         std::mem::take(&mut self.operations_sent)
     }
 
-    /// Sends the next transaction, if one is due. Returns the cancellations of jobs that are no longer
-    /// known to be open, which are to be looked up.
+    /// Sends the next transaction if one is due. Returns the cancellations of jobs that are no longer known to be
+    /// open; the caller must look these jobs up.
     pub(super) fn send_due(
         &mut self,
         open: &OpenJobs,
@@ -92,7 +92,7 @@
         not_open
     }
 
-    /// Moves requests from the queue into a transaction of at most `max_operations` writes.
+    /// Moves requests from the queue into a transaction with at most `max_operations` writes.
     fn fill_batch(
         &mut self,
         open: &OpenJobs,
@@ -120,19 +120,20 @@
         draft
     }
 
-    /// Removes a transaction that was answered, and returns its requests.
+    /// Removes a batch whose transaction was answered, and returns its requests.
     pub(super) fn complete(&mut self, batch: u64) -> Vec<PendingRequest> {
         self.in_flight.complete(batch)
     }
 }
 
 impl BatchDraft {
-    /// Whether the transaction already has a request for this job. Two don't go into one transaction.
+    /// Whether the transaction already contains a request for this job. Two requests for the same job must not share
+    /// a transaction.
     fn contains_job(&self, job: &str) -> bool {
         self.requests.iter().any(|other| other.job == job)
     }
 
-    /// Whether these writes may be added. The first ones may have any size.
+    /// Whether these writes fit. The size in bytes is not limited for the first request.
     fn has_capacity(&self, writes: &RequestedWrites, max_operations: usize) -> bool {
         let operations = self.txn.writes.len() + writes.operations.len();
         let bytes = self.bytes + writes.bytes;
@@ -168,8 +169,8 @@
     }
 }
 
-/// The writes that carry out a submission or a cancellation; none for the cancellation of a job that is
-/// not known to be open.
+/// Builds the writes of a submission or cancellation. Returns `None` for the cancellation of a job that is not known
+/// to be open.
 fn requested_writes(pending: &PendingRequest, open: &OpenJobs) -> Option<RequestedWrites> {
     let open_key = records::open_key(&pending.job);
     if let RequestKind::Submit(spec) = &pending.kind {
@@ -190,7 +191,7 @@
     ))
 }
 
-/// The record of a job that is cancelled now.
+/// Builds the record of a job that is being cancelled.
 fn aborted_record(job: &str, open: &OpenJobs) -> FinishedRecord {
     FinishedRecord {
         outcome: JobOutcome::Aborted,
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,5 +1,5 @@
-//! The decisions: election, the users' API, scheduling, scaling and the loops that reconcile what
-//! is with what is wanted. Pure: inputs and the time come in, actions go out.
+//! Control logic: leader election, the job API, scheduling, autoscaling and the reconciliation of the actual with
+//! the desired state. The modules perform no I/O: they take inputs and the current time, and return or queue effects.
 
 pub mod autoscaler;
 pub mod controller;
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -1,32 +1,33 @@
-//! The latest heartbeat of each peer, and what this controller concludes from those that are fresh.
+//! The latest heartbeat of each peer, and queries over the recent ones.
 
 use crate::protocol::peer::PeerHeartbeat;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A heartbeat and when it was received, in monotonic seconds.
+/// A heartbeat with the monotonic time of its receipt, in seconds.
 #[derive(Debug)]
 struct ReceivedHeartbeat {
     heartbeat: PeerHeartbeat,
     received_at: f64,
 }
 
-/// The newest epoch that a peer has told.
+/// The highest epoch that the peers have reported, and its leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LatestLeader<'a> {
     /// The epoch.
     pub epoch: u64,
-    /// Label of the controller that leads with it, if the peer knows.
+    /// Label of the leader with this epoch, if the peer knows it.
     pub label: Option<&'a str>,
 }
 
-/// The latest heartbeat of each peer. A heartbeat is fresh if it was received within `window_s`.
+/// The latest heartbeat of each peer. A heartbeat is fresh if it was received within the last `window_s` seconds.
+/// The queries consider fresh heartbeats only.
 #[derive(Debug, Default)]
 pub struct Peers {
     latest: BTreeMap<String, ReceivedHeartbeat>,
 }
 
 impl Peers {
-    /// Records a heartbeat.
+    /// Records a heartbeat, which replaces the previous one of the same peer.
     pub fn record(&mut self, heartbeat: PeerHeartbeat, now: f64) {
         let label = heartbeat.label.clone();
         let received = ReceivedHeartbeat {
@@ -36,24 +37,25 @@
         self.latest.insert(label, received);
     }
 
-    /// Whether no heartbeat is fresh.
+    /// Whether there is no fresh heartbeat of any peer.
     pub fn none_fresh(&self, window_s: f64, now: f64) -> bool {
         self.fresh(window_s, now).next().is_none()
     }
 
-    /// Whether the state service has answered some peer.
+    /// Whether the state service serves at least one peer.
     pub fn any_served(&self, window_s: f64, now: f64) -> bool {
         self.fresh(window_s, now)
             .any(|heartbeat| heartbeat.state_service_ok)
     }
 
-    /// Whether some peer has redirected workers, which could not reach this controller while it leads.
+    /// Whether at least one peer has redirected workers to the leader. If this controller leads, these workers could
+    /// not reach it.
     pub fn any_redirected(&self, window_s: f64, now: f64) -> bool {
         self.fresh(window_s, now)
             .any(|heartbeat| heartbeat.redirected_workers > 0)
     }
 
-    /// The highest epoch that peers have told, and who leads with it. None: they know of no leader.
+    /// The highest epoch that the peers have reported, with its leader. Returns `None` if no peer knows of a leader.
     pub fn latest_leader(&self, window_s: f64, now: f64) -> Option<LatestLeader<'_>> {
         let with_leader = self
             .fresh(window_s, now)
@@ -65,14 +67,14 @@
         })
     }
 
-    /// Jobs that leaders have told to be crash-looping.
+    /// Jobs that a leader among the peers has reported as crash-looping.
     pub fn crash_looping_jobs(&self, window_s: f64, now: f64) -> BTreeSet<String> {
         self.fresh(window_s, now)
             .flat_map(|heartbeat| heartbeat.crash_looping_jobs.iter().cloned())
             .collect()
     }
 
-    /// Writes per second that a peer makes for its users. None: its latest heartbeat is not fresh.
+    /// Write operations per second of a peer on behalf of its users. Returns `None` if there is no fresh heartbeat.
     pub fn user_writes_per_s(&self, label: &str, window_s: f64, now: f64) -> Option<f64> {
         let peer = self.latest.get(label)?;
         let is_fresh = now - peer.received_at < window_s;
--- a/src/coordination/routes.rs
+++ b/src/coordination/routes.rs
@@ -1,38 +1,38 @@
-//! The paths that users, workers and the load balancer ask for.
+//! Routing of HTTP requests of users, workers and the load balancer.
 
 use crate::protocol::job;
 
-/// What a request is for.
+/// The operation that a request asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Route<'a> {
-    /// The load balancer's probe.
+    /// Health check of the load balancer.
     Health,
-    /// A worker's report.
+    /// Heartbeat of a worker.
     Report,
-    /// A user submits a job.
+    /// Submission of a job.
     Submit,
-    /// A user asks about a job.
+    /// Poll of a job, with the id of the job.
     Poll(&'a str),
-    /// A user cancels a job.
+    /// Cancellation of a job, with the id of the job.
     Cancel(&'a str),
 }
 
-/// Why a request is for nothing that there is.
+/// Why a request matches no route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum RouteError {
-    /// No such path.
+    /// The path is unknown.
     #[error("no such path")]
     NoSuchPath,
-    /// The path is there, for another method.
+    /// The path does not support this method.
     #[error("wrong method")]
     WrongMethod,
-    /// No job can have this id.
+    /// The path contains an invalid job id.
     #[error("no such job")]
     NoSuchJob,
 }
 
 impl RouteError {
-    /// The status to answer with.
+    /// HTTP status of the response.
     pub fn status(self) -> u16 {
         match self {
             RouteError::NoSuchPath | RouteError::NoSuchJob => 404,
@@ -42,10 +42,10 @@
 }
 
 impl Route<'_> {
-    /// Reads a method and a path.
+    /// Parses the method and path of a request.
     pub fn parse<'a>(method: &str, path: &'a str) -> Result<Route<'a>, RouteError> {
-        let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
-        let (wanted, route) = match parts.as_slice() {
+        let segments: Vec<&str> = path.trim_start_matches('/').split('/').collect();
+        let (expected_method, route) = match segments.as_slice() {
             ["healthz"] => ("GET", Route::Health),
             ["v1", "report"] => ("POST", Route::Report),
             ["work"] => ("POST", Route::Submit),
@@ -53,7 +53,7 @@
             ["work", id, "cancel"] if !id.is_empty() => ("POST", Route::Cancel(id)),
             _ => return Err(RouteError::NoSuchPath),
         };
-        if method != wanted {
+        if method != expected_method {
             return Err(RouteError::WrongMethod);
         }
         match route {
--- a/src/coordination/terminations.rs
+++ b/src/coordination/terminations.rs
@@ -1,46 +1,46 @@
-//! Terminations of jobs, sent to the peers with every heartbeat until each has acknowledged them.
+//! Terminations of jobs. They are sent to the peers with every heartbeat until all peers have acknowledged them.
 //!
-//! A leader that the state service refuses learns of cancellations in this way only. Nothing relies on it: what
-//! a peer has not received, it bounds by time (see
-//! [`ElectionTimeouts::lease_grace_s`](super::election::ElectionTimeouts::lease_grace_s)). So the queue may drop what
-//! is older than a cancelled task can be, and the oldest when there are too many.
+//! A leader that the state service does not serve learns of cancellations only in this way. Correctness does not depend
+//! on it: a leader that misses a cancellation stops renewing workers' leases in time (see
+//! [`ElectionTimeouts::lease_grace_s`](super::election::ElectionTimeouts::lease_grace_s)). Therefore the queue may drop
+//! terminations that are older than any task of a cancelled job can be, and the oldest ones if there are too many.
 
 use crate::protocol::peer::{MAX_TERMINATIONS, Termination, TerminationAck, TerminationLog};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A termination that some peer has not acknowledged.
+/// A termination that at least one peer has not acknowledged.
 #[derive(Debug)]
 struct QueuedTermination {
     queued_at: f64,
     termination: Termination,
 }
 
-/// What has been received of a peer.
+/// The terminations that have been received from a peer.
 #[derive(Debug)]
 struct ReceivedTerminations {
     process_incarnation: u64,
-    /// All terminations before this number have been received.
+    /// All terminations with a sequence number below this one have been received.
     up_to: u64,
 }
 
-/// Terminations to send, and what has been received of the peers'.
+/// Terminations to send to the peers, and the acknowledgements to send for theirs.
 #[derive(Debug)]
 pub struct TerminationQueue {
     label: String,
-    /// Tells this process from earlier ones of the same controller, which numbered theirs otherwise.
+    /// Distinguishes this process from earlier processes of the same controller, whose sequence numbers are unrelated.
     process_incarnation: u64,
-    /// Number of the first termination in the queue.
+    /// Sequence number of the first termination in the queue.
     first_sequence: u64,
     queue: VecDeque<QueuedTermination>,
-    /// Seconds for which a termination is of use to a peer.
+    /// Seconds after which a termination is of no more use to the peers.
     retention_s: f64,
-    /// For each peer the number before which it has acknowledged all terminations.
+    /// For each peer, the sequence number below which it has acknowledged all terminations.
     acknowledged: BTreeMap<String, u64>,
     received: BTreeMap<String, ReceivedTerminations>,
 }
 
 impl TerminationQueue {
-    /// An empty queue for these peers.
+    /// Creates an empty queue. `peers` holds the labels of the peers.
     pub fn new(
         label: &str,
         process_incarnation: u64,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Queues terminations for the peers.
+    /// Queues terminations for the peers, and drops the oldest ones beyond the limit.
     pub fn push(&mut self, terminations: Vec<Termination>, now: f64) {
         for termination in terminations {
             self.queue.push_back(QueuedTermination {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The part of the next heartbeat to the peers that is about terminations.
+    /// Builds the terminations and acknowledgements for the next heartbeat to the peers.
     pub fn next_message(&mut self, now: f64) -> TerminationLog {
         self.drop_expired(now);
         let acks = self
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Takes a peer's message: what all peers have acknowledged is dropped, and what the peer sends is
-    /// acknowledged with the next heartbeat. Messages of unknown peers are ignored.
+    /// Processes the message of a peer. Drops the terminations that all peers have acknowledged, and records which
+    /// terminations of the peer to acknowledge with the next heartbeat. Messages of unknown peers are ignored.
     pub fn on_message(&mut self, peer: &str, message: &TerminationLog) {
         let Some(acknowledged) = self.acknowledged.get_mut(peer) else {
             return;
--- a/src/coordination/watch.rs
+++ b/src/coordination/watch.rs
@@ -1,62 +1,68 @@
-//! Follows a prefix of the state service: one listing, then changes.
+//! Watch on a key prefix of the state service: lists the keys once, and then follows the changes.
 
 use super::effects::{Effects, KvRequestContext};
 use crate::protocol::kv::{KeyValue, KvRequest, KvResponse, WatchEvent};
 
-/// What a watch has learned.
+/// An update from a watch.
 #[derive(Debug)]
 pub enum WatchUpdate {
-    /// The whole content was listed anew.
+    /// A listing has replaced the known content.
     Reset {
-        /// All keys under the prefix.
+        /// The listed keys under the prefix.
         items: Vec<KeyValue>,
-        /// The revision of the listing's first page: changes up to it are in the items.
+        /// Revision of the listing's first page. The items include all changes up to this revision.
         revision: u64,
-        /// Whether these are all keys: if not, one that is missing may exist.
+        /// Whether these are all keys. If not, a key that is not listed may still exist.
         is_complete: bool,
     },
     /// A key was put.
     Put(KeyValue),
     /// A key was deleted.
     Deleted {
-        /// The key.
+        /// The deleted key.
         key: String,
         /// Revision of the deletion.
         mod_revision: u64,
     },
 }
 
-/// A watch on a prefix.
+/// A watch on a key prefix.
 #[derive(Debug)]
 pub struct Watch {
     prefix: &'static str,
     context: KvRequestContext,
+    /// How long a watch request waits for changes.
     wait_s: f64,
     request_timeout_s: f64,
+    /// Revision up to which all changes are known; `None` while the keys are being listed.
     revision: Option<u64>,
+    /// Items of the unfinished listing.
     partial: Vec<KeyValue>,
+    /// Revision of the first page of the unfinished listing.
     listing_revision: Option<u64>,
     in_flight: bool,
+    /// A listing has been completed.
     complete: bool,
-    /// The last call had no usable answer.
-    failed: bool,
+    /// A recent request had an unknown outcome, and no events have been received since.
+    outcome_unknown: bool,
     retry_at: f64,
     current_as_of: f64,
 }
 
-/// How often a watch that waits asks anew before it is no longer thought to be in step.
-const CAUGHT_UP_FACTOR: f64 = 2.0;
+/// A watch is caught up if it was current at most this many waits and one request timeout ago.
+const CAUGHT_UP_WAITS: f64 = 2.0;
 
-/// Retries in the timeout of a request, after a response that is of no use.
+/// After an unusable response, the watch retries after the request timeout divided by this.
 const RETRIES_PER_TIMEOUT: f64 = 4.0;
 
-/// Keys that a watch keeps of an unfinished listing; more are not held.
+/// Maximum number of keys in a listing. A listing with more keys ends here as incomplete, to bound memory.
 const MAX_ITEMS: usize = 50_000;
 
 impl Watch {
-    /// A watch whose waits last `wait_s`; other calls may take `patience_s`.
+    /// Creates a watch whose requests wait up to `wait_s` for changes. Requests that do not wait have the timeout
+    /// `request_timeout_s`.
     ///
-    /// The shorter the waits, the better it is known up to when the content is current.
+    /// Shorter waits confirm more often that the content is current, at the cost of more requests.
     pub fn new(
         prefix: &'static str,
         context: KvRequestContext,
@@ -73,41 +79,42 @@
             listing_revision: None,
             in_flight: false,
             complete: false,
-            failed: false,
+            outcome_unknown: false,
             retry_at: 0.0,
             current_as_of: f64::NEG_INFINITY,
         }
     }
 
-    /// Whether the content is known, though perhaps late.
+    /// Whether the content has been listed. It may be out of date.
     pub fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// Up to when the content is certainly current: every change that was made before is known. That
-    /// is when the last call was sent whose answer told all changes.
+    /// The time as of which the content is known to be current: every earlier change is known. This is the time
+    /// when the latest successful watch request was sent.
     pub fn current_as_of(&self) -> f64 {
         self.current_as_of
     }
 
-    /// Makes the next call if it is time.
+    /// Sends the next request if it is due.
     pub fn poll(&mut self, effects: &mut Effects, now: f64) {
         if self.in_flight || now < self.retry_at {
             return;
         }
         self.in_flight = true;
-        let (call, within_s) = match self.revision {
-            Some(from) => {
-                // After an interruption it catches up first, and waits for news then.
-                let in_step = now - self.current_as_of
-                    < CAUGHT_UP_FACTOR * self.wait_s + self.request_timeout_s;
-                let wait_s = if in_step { self.wait_s } else { 0.0 };
-                let call = KvRequest::Watch {
+        let (request, timeout_s) = match self.revision {
+            Some(known) => {
+                // After an interruption the first request does not wait, so that it confirms sooner that the
+                // content is current.
+                let caught_up = now - self.current_as_of
+                    < CAUGHT_UP_WAITS * self.wait_s + self.request_timeout_s;
+                let wait_s = if caught_up { self.wait_s } else { 0.0 };
+                let request = KvRequest::Watch {
                     prefix: self.prefix.to_owned(),
-                    after: from,
+                    after: known,
                     wait_ms: (wait_s * 1000.0) as u64,
                 };
-                (call, wait_s + self.request_timeout_s)
+                (request, wait_s + self.request_timeout_s)
             }
             None => (
                 KvRequest::List {
@@ -117,11 +124,16 @@
                 self.request_timeout_s,
             ),
         };
-        effects.call_kv(self.context.clone(), call, within_s, now);
+        effects.call_kv(self.context.clone(), request, timeout_s, now);
     }
 
-    /// Takes the answer to the call that was made at `sent`.
-    pub fn on_response(&mut self, response: KvResponse, sent: f64, now: f64) -> Vec<WatchUpdate> {
+    /// Processes the response to the request that was sent at `sent_at`.
+    pub fn on_response(
+        &mut self,
+        response: KvResponse,
+        sent_at: f64,
+        now: f64,
+    ) -> Vec<WatchUpdate> {
         self.in_flight = false;
         match response {
             KvResponse::Page {
@@ -129,20 +141,22 @@
                 more,
                 revision,
             } => self.on_page(items, more, revision, now),
-            KvResponse::Events { events, revision } => self.on_events(events, revision, sent, now),
+            KvResponse::Events { events, revision } => {
+                self.on_events(events, revision, sent_at, now)
+            }
             KvResponse::Compacted => {
                 self.revision = None;
                 Vec::new()
             }
-            // A watch without a usable answer may have brought more than we take: once more, then the
-            // keys are read anew, in pages.
-            KvResponse::OutcomeUnknown if self.revision.is_some() && self.failed => {
-                self.failed = false;
+            // The response may have been too large to accept. The first failure is retried; after the second in a
+            // row the keys are listed again, which splits them into pages.
+            KvResponse::OutcomeUnknown if self.revision.is_some() && self.outcome_unknown => {
+                self.outcome_unknown = false;
                 self.revision = None;
                 Vec::new()
             }
             other => {
-                self.failed = matches!(other, KvResponse::OutcomeUnknown);
+                self.outcome_unknown = matches!(other, KvResponse::OutcomeUnknown);
                 self.retry_later(now);
                 Vec::new()
             }
@@ -153,7 +167,7 @@
         self.retry_at = now + self.request_timeout_s / RETRIES_PER_TIMEOUT;
     }
 
-    /// Takes a page of the listing. The last one completes it.
+    /// Processes a page of the listing. The last page completes the listing.
     fn on_page(
         &mut self,
         items: Vec<KeyValue>,
@@ -161,100 +175,99 @@
         revision: u64,
         now: f64,
     ) -> Vec<WatchUpdate> {
-        let at = *self.listing_revision.get_or_insert(revision);
-        if revision < at {
-            // Pages of different states make no listing.
+        let first_revision = *self.listing_revision.get_or_insert(revision);
+        if revision < first_revision {
+            // This page is older than the first one, so together they are not a consistent listing.
             tracing::error!(
                 prefix = self.prefix,
                 revision,
-                first_page = at,
-                "listing begun anew: a page is of an earlier revision than the first"
+                first_page = first_revision,
+                "listing restarted: a page has a lower revision than the first page"
             );
             self.listing_revision = None;
             self.partial.clear();
             self.retry_later(now);
             return Vec::new();
         }
-        let progress = !items.is_empty();
+        let made_progress = !items.is_empty();
         self.partial.extend(items);
         let is_full = self.partial.len() >= MAX_ITEMS;
-        if more && progress && !is_full {
+        if more && made_progress && !is_full {
             return Vec::new();
         }
         if more {
             tracing::error!(
                 prefix = self.prefix,
                 keys = self.partial.len(),
-                "listing cut short: keys that it does not show are kept"
+                "listing incomplete: keys missing from it are not treated as deleted"
             );
         }
         let mut items = std::mem::take(&mut self.partial);
         let keys_listed = items.len();
-        // Each page shows a revision of its own, and the last one the latest.
-        items.retain(|item| is_possible(&item.key, item.mod_revision, 0, revision));
+        // Each page has its own revision, and the last page has the highest. No item can be newer than that.
+        items.retain(|item| is_in_range(&item.key, item.mod_revision, 0, revision));
         self.listing_revision = None;
-        self.revision = Some(at);
+        self.revision = Some(first_revision);
         self.complete = true;
         vec![WatchUpdate::Reset {
-            revision: at,
+            revision: first_revision,
             is_complete: !more && items.len() == keys_listed,
             items,
         }]
     }
 
-    /// Takes the changes up to a revision, which the call that was made at `sent` has brought.
+    /// Processes the events up to `revision`, from the response to the request that was sent at `sent_at`.
     fn on_events(
         &mut self,
         events: Vec<WatchEvent>,
         revision: u64,
-        sent: f64,
+        sent_at: f64,
         now: f64,
     ) -> Vec<WatchUpdate> {
-        self.failed = false;
+        self.outcome_unknown = false;
         let known = self.revision.unwrap_or(0);
         if revision < known {
             tracing::error!(
                 prefix = self.prefix,
                 revision,
                 known,
-                "changes ignored: they lead to an earlier revision than is known"
+                "watch events ignored: their revision is lower than the known revision"
             );
             self.retry_later(now);
             return Vec::new();
         }
         self.revision = Some(revision);
-        self.current_as_of = sent;
+        self.current_as_of = sent_at;
         let updates = events.into_iter().map(WatchUpdate::from);
         updates
-            .filter(|update| update.is_between(known, revision))
+            .filter(|update| update.is_in_range(known, revision))
             .collect()
     }
 }
 
-/// Whether a key can have been changed last at a revision: later than `after`, and at `latest` at the latest. If
-/// not, that is logged.
-fn is_possible(key: &str, mod_revision: u64, after: u64, latest: u64) -> bool {
-    let possible = mod_revision > after && mod_revision <= latest;
-    if !possible {
+/// Whether a mod revision is in the possible range: above `after`, and at most `latest`. Logs an error if it is not.
+fn is_in_range(key: &str, mod_revision: u64, after: u64, latest: u64) -> bool {
+    let in_range = mod_revision > after && mod_revision <= latest;
+    if !in_range {
         tracing::error!(
             key,
             mod_revision,
             after,
             latest,
-            "record ignored: impossible revision"
+            "record ignored: mod revision out of range"
         );
     }
-    possible
+    in_range
 }
 
 impl WatchUpdate {
-    /// Whether a change was made after a revision, and not after the latest.
-    fn is_between(&self, after: u64, latest: u64) -> bool {
+    /// Whether the mod revision of a change is above `after` and at most `latest`.
+    fn is_in_range(&self, after: u64, latest: u64) -> bool {
         match self {
             WatchUpdate::Reset { .. } => true,
-            WatchUpdate::Put(item) => is_possible(&item.key, item.mod_revision, after, latest),
+            WatchUpdate::Put(item) => is_in_range(&item.key, item.mod_revision, after, latest),
             WatchUpdate::Deleted { key, mod_revision } => {
-                is_possible(key, *mod_revision, after, latest)
+                is_in_range(key, *mod_revision, after, latest)
             }
         }
     }
--- a/tests/older_knowledge.rs
+++ b/tests/older_knowledge.rs
@@ -73,14 +73,14 @@
     // A listing of the open jobs shows none.
     let known: Vec<String> = job_api
         .open_jobs()
-        .ids_up_to(u64::MAX)
+        .ids_opened_up_to(u64::MAX)
         .map(str::to_owned)
         .collect();
     for id in known {
         job_api.on_job_closed(&id);
     }
     let open = job_api.open_jobs();
-    assert_eq!(open.ids_up_to(u64::MAX).count(), 0);
+    assert_eq!(open.ids_opened_up_to(u64::MAX).count(), 0);
     assert_eq!(open.jobs_with_progress(), 0);
 }
 
