--- a/tests/election.rs
+++ b/tests/election.rs
@@ -1,4 +1,4 @@
-//! The election: what each call, response and observation does to a controller's state.
+//! State transitions of the leader election: requests, responses and observations.
 
 use cedarladder::bookkeeping::permits::Denial;
 use cedarladder::bookkeeping::records::LeaderRecord;
@@ -10,7 +10,7 @@
 use cedarladder::settings::WorkerSettings;
 
 const LEASE_S: f64 = 10.0;
-/// What a worker's lease, by the slower of two clocks, and half a heartbeat interval leave of `cancel_s`.
+/// `cancel_s` minus a worker's lease, measured by the slower of two clocks, and minus half a heartbeat interval.
 const LEASE_GRACE_S: f64 = 18.98;
 
 fn workers() -> WorkerSettings {
@@ -33,7 +33,7 @@
             effects: Effects::default(),
         }
     }
-    fn calls(&mut self) -> Vec<KvRequest> {
+    fn take_requests(&mut self) -> Vec<KvRequest> {
         std::mem::take(&mut self.effects.queue)
             .into_iter()
             .filter_map(|effect| match effect {
@@ -46,13 +46,13 @@
         &mut self,
         context: KvRequestContext,
         response: KvResponse,
-        sent: f64,
+        sent_at: f64,
         now: f64,
     ) -> LeadershipChange {
         self.election
-            .on_response(&context, &response, sent, &mut self.effects, now)
+            .on_response(&context, &response, sent_at, &mut self.effects, now)
     }
-    /// Elected with epoch 42 at time 0.1; the lease was asked for at time 0.
+    /// Wins the election at time 0.1 with epoch 42. The lease was requested at time 0.
     fn elected(mut self) -> Harness {
         self.election.poll(true, 0.0, &mut self.effects, 0.0);
         self.respond(
@@ -61,26 +61,26 @@
             0.0,
             0.05,
         );
-        let outcome = self.respond(
+        let change = self.respond(
             KvRequestContext::Campaign,
             KvResponse::Committed(42),
             0.05,
             0.1,
         );
-        assert_eq!(outcome, LeadershipChange::Elected(42));
-        self.calls();
+        assert_eq!(change, LeadershipChange::Elected(42));
+        self.take_requests();
         self
     }
 }
 
-/// A tick of a controller whose view of the open jobs was current at `current_at`.
-fn poll(harness: &mut Harness, current_at: f64, now: f64) -> LeadershipChange {
+/// Polls the election of a controller whose view of the open jobs is current as of `view_current_as_of`.
+fn poll(harness: &mut Harness, view_current_as_of: f64, now: f64) -> LeadershipChange {
     harness
         .election
-        .poll(true, current_at, &mut harness.effects, now)
+        .poll(true, view_current_as_of, &mut harness.effects, now)
 }
 
-fn observed(label: &str, process_incarnation: u64, mod_revision: u64) -> ObservedLeader {
+fn observed_leader(label: &str, process_incarnation: u64, mod_revision: u64) -> ObservedLeader {
     ObservedLeader {
         record: LeaderRecord {
             label: label.into(),
@@ -91,56 +91,62 @@
 }
 
 #[test]
-fn a_controller_campaigns_if_nobody_else_leads() {
+fn a_controller_campaigns_unless_another_one_leads() {
+    // (name, observed leader, whether the watch has read the key, mod revision to replace if it campaigns)
     let cases: [(&str, Option<ObservedLeader>, bool, Option<u64>); 5] = [
-        ("nobody leads", None, true, Some(0)),
-        ("the key is not known yet", None, false, None),
-        ("another leads", Some(observed("n1", 5, 7)), true, None),
+        ("there is no leader", None, true, Some(0)),
+        ("the key has not been read yet", None, false, None),
         (
-            "an earlier process of this controller",
-            Some(observed("n0", 5, 7)),
+            "another controller leads",
+            Some(observed_leader("n1", 5, 7)),
+            true,
+            None,
+        ),
+        (
+            "the key is of an earlier process of this controller",
+            Some(observed_leader("n0", 5, 7)),
             true,
             Some(7),
         ),
         (
-            "this process, after a lost response",
-            Some(observed("n0", 1, 7)),
+            "the key is of this process, after a lost response",
+            Some(observed_leader("n0", 1, 7)),
             true,
             Some(7),
         ),
     ];
-    for (name, known, watching, replaces) in cases {
+    for (name, observed, leader_key_known, replaces) in cases {
         let mut harness = Harness::new();
-        harness.election.observe_leader(known, 0.0, 0.0);
+        harness.election.observe_leader(observed, 0.0, 0.0);
         harness
             .election
-            .poll(watching, 1.0, &mut harness.effects, 1.0);
-        let granted = harness.calls();
+            .poll(leader_key_known, 1.0, &mut harness.effects, 1.0);
+        let requests = harness.take_requests();
         let Some(mod_revision) = replaces else {
-            assert_eq!(granted, vec![], "{name}");
+            assert_eq!(requests, vec![], "{name}");
             continue;
         };
-        assert_eq!(granted, vec![KvRequest::GrantLease(2000)], "{name}");
+        assert_eq!(requests, vec![KvRequest::GrantLease(2000)], "{name}");
         harness.respond(
             KvRequestContext::GrantLease,
             KvResponse::LeaseGranted(9),
             1.0,
             1.1,
         );
-        let [KvRequest::Txn(txn)] = &harness.calls()[..] else {
-            panic!("{name}: a transaction");
+        let [KvRequest::Txn(txn)] = &harness.take_requests()[..] else {
+            panic!("{name}: expected one transaction");
         };
         assert_eq!(txn.compares[0].mod_revision, mod_revision, "{name}");
     }
 }
 
 #[test]
-fn what_ends_leadership() {
+fn events_that_end_leadership() {
     type Steps = fn(&mut Harness) -> LeadershipChange;
-    // (name, steps, change by the last step, still leading)
+    // (name, steps, leadership change of the last step, whether it still leads afterwards)
     let cases: [(&str, Steps, LeadershipChange, bool); 12] = [
         (
-            "a renewal",
+            "the lease is renewed",
             |harness| harness.respond(KvRequestContext::KeepAlive, KvResponse::LeaseOk, 1.0, 1.1),
             LeadershipChange::None,
             true,
@@ -159,7 +165,7 @@
             false,
         ),
         (
-            "a refused renewal: the lease grace period",
+            "a renewal fails: the lease grace period has begun",
             |harness| {
                 harness.respond(
                     KvRequestContext::KeepAlive,
@@ -184,11 +190,11 @@
             false,
         ),
         (
-            "the watch is late and shows an earlier leader",
+            "the watch lags behind and shows an earlier leader",
             |harness| {
                 harness
                     .election
-                    .observe_leader(Some(observed("n1", 5, 30)), 0.0, 1.0)
+                    .observe_leader(Some(observed_leader("n1", 5, 30)), 0.0, 1.0)
             },
             LeadershipChange::None,
             true,
@@ -198,25 +204,25 @@
             |harness| {
                 harness
                     .election
-                    .observe_leader(Some(observed("n1", 5, 50)), 0.0, 1.0)
+                    .observe_leader(Some(observed_leader("n1", 5, 50)), 0.0, 1.0)
             },
             LeadershipChange::Deposed,
             false,
         ),
         (
-            "no renewal until the lease grace period ends",
+            "not renewed until just before the end of the lease grace period",
             |harness| poll(harness, LEASE_GRACE_S - 0.1, LEASE_GRACE_S - 0.1),
             LeadershipChange::None,
             true,
         ),
         (
-            "no renewal beyond the lease grace period",
+            "not renewed until after the end of the lease grace period",
             |harness| poll(harness, LEASE_GRACE_S + 0.1, LEASE_GRACE_S + 0.1),
             LeadershipChange::Deposed,
             false,
         ),
         (
-            "renewed, with a view of the open jobs as old as the lease grace period",
+            "renewed, but the view of the open jobs is nearly as old as the lease grace period",
             |harness| {
                 harness.respond(KvRequestContext::KeepAlive, KvResponse::LeaseOk, 25.0, 25.1);
                 poll(harness, 9.0, 9.0 + LEASE_GRACE_S - 0.1)
@@ -225,7 +231,7 @@
             true,
         ),
         (
-            "renewed, with a view of the open jobs that is older than that",
+            "renewed, but the view of the open jobs is older than the lease grace period",
             |harness| {
                 harness.respond(KvRequestContext::KeepAlive, KvResponse::LeaseOk, 25.0, 25.1);
                 poll(harness, 9.0, 9.0 + LEASE_GRACE_S + 0.1)
@@ -234,22 +240,22 @@
             false,
         ),
         (
-            "just elected, with an old view: it has time to catch up",
+            "just elected, with an old view: it has one lease grace period to bring the view up to date",
             |harness| poll(harness, -100.0, 1.0),
             LeadershipChange::None,
             true,
         ),
     ];
-    for (name, steps, outcome, leads) in cases {
+    for (name, steps, change, leads) in cases {
         let mut harness = Harness::new().elected();
-        assert_eq!(steps(&mut harness), outcome, "{name}");
+        assert_eq!(steps(&mut harness), change, "{name}");
         assert_eq!(harness.election.epoch().is_some(), leads, "{name}");
     }
 }
 
-/// The lease is certainly held only for its lifetime, counted from when the renewal was sent.
+/// A leader may rely on its lease for the lease duration, counted from the sending of the renewal.
 #[test]
-fn the_lease_is_held_from_when_its_renewal_was_sent() {
+fn the_lease_duration_counts_from_the_sending_of_the_renewal() {
     let mut harness = Harness::new().elected();
     for (now, held) in [(0.1, true), (1.9, true), (2.0, false), (5.0, false)] {
         assert_eq!(harness.election.holds_lease(now), held, "at {now}");
@@ -260,56 +266,56 @@
     }
 }
 
-/// Workers' leases are renewed while both the lease and the view of the open jobs are new enough: the
-/// one shows that no successor has acted, the other that no cancellation is unknown.
+/// Workers' leases are renewed only while both the leader's lease and its view of the open jobs are recent enough.
+/// A recent lease guarantees that no successor has acted, a recent view that no cancellation has been missed.
 #[test]
 fn worker_leases_are_renewed_within_the_lease_grace_period() {
-    // Each: when the view was current, now, and whether leases may be renewed; the lease itself was
-    // last renewed at second 10.
+    // (name, time as of which the view is current, now, whether leases may be renewed)
+    // The leader's own lease was last renewed at second 10.
     let end = 10.0 + LEASE_GRACE_S;
     let cases = [
-        ("both are new", 10.0, 10.5, true),
-        ("both are old, but not too old", 10.0, end - 0.1, true),
+        ("both are recent", 10.0, 10.5, true),
+        ("both are just within the limit", 10.0, end - 0.1, true),
         ("the lease is too old", 20.0, end + 0.1, false),
         ("the view is too old", 5.0, 5.0 + LEASE_GRACE_S + 0.1, false),
         ("no view yet", f64::NEG_INFINITY, 10.5, false),
     ];
-    for (name, current_at, now, expected) in cases {
+    for (name, view_current_as_of, now, expected) in cases {
         let mut harness = Harness::new().elected();
         harness.respond(KvRequestContext::KeepAlive, KvResponse::LeaseOk, 10.0, 10.1);
         let freshness = harness
             .election
-            .view_freshness(current_at, f64::NEG_INFINITY, now);
+            .view_freshness(view_current_as_of, f64::NEG_INFINITY, now);
         let may_renew = freshness.may_renew().is_ok();
         assert_eq!(may_renew, expected, "{name}");
     }
-    let not_elected = Harness::new().election.view_freshness(10.0, 10.0, 10.0);
-    assert_eq!(not_elected.may_renew(), Err(Denial::NotLeader));
+    let follower = Harness::new().election.view_freshness(10.0, 10.0, 10.0);
+    assert_eq!(follower.may_renew(), Err(Denial::NotLeader));
 }
 
-/// Another controller is elected while this one's lease is being granted: its key is left alone.
-/// Replacing the mod revision just seen, as if the key were one's own, deposed a leader of a few
-/// milliseconds.
+/// If another controller is elected while this one's lease is being granted, this one must not replace the key.
+/// Using the latest observed mod revision in the transaction, whoever owned the key, replaced a leader that had been
+/// elected a few milliseconds earlier.
 #[test]
-fn a_key_taken_while_the_lease_is_granted_is_left_alone() {
+fn a_leader_elected_during_the_lease_grant_is_not_replaced() {
     let mut harness = Harness::new();
     harness.election.poll(true, 0.0, &mut harness.effects, 0.0);
     harness
         .election
-        .observe_leader(Some(observed("n1", 5, 7)), 0.0, 0.05);
-    harness.calls();
+        .observe_leader(Some(observed_leader("n1", 5, 7)), 0.0, 0.05);
+    harness.take_requests();
     harness.respond(
         KvRequestContext::GrantLease,
         KvResponse::LeaseGranted(9),
         0.0,
         0.1,
     );
-    assert_eq!(harness.calls(), vec![KvRequest::RevokeLease(9)]);
+    assert_eq!(harness.take_requests(), vec![KvRequest::RevokeLease(9)]);
     assert_eq!(harness.election.leader(), Some("n1"));
 }
 
-/// A campaign's transaction without a response may be applied late; its lease is revoked so that it
-/// can't be.
+/// The transaction of a campaign may still be applied after its response was lost. The lease is revoked to prevent
+/// that.
 #[test]
 fn an_unanswered_campaign_revokes_its_lease() {
     let mut harness = Harness::new();
@@ -320,13 +326,13 @@
         0.0,
         0.1,
     );
-    harness.calls();
+    harness.take_requests();
     harness.respond(
         KvRequestContext::Campaign,
         KvResponse::OutcomeUnknown,
         0.1,
         0.8,
     );
-    assert_eq!(harness.calls(), vec![KvRequest::RevokeLease(9)]);
+    assert_eq!(harness.take_requests(), vec![KvRequest::RevokeLease(9)]);
     assert_eq!(harness.election.epoch(), None);
 }
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -1,9 +1,9 @@
-//! Which requests there are, and what is answered to others.
+//! Parsing of request methods and paths, and the statuses for unknown ones.
 
 use cedarladder::coordination::routes::{Route, RouteError};
 
 #[test]
-fn routes() {
+fn requests_are_routed_by_method_and_path() {
     let cases = [
         ("GET", "/healthz", Ok(Route::Health)),
         ("POST", "/v1/report", Ok(Route::Report)),
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -1,8 +1,9 @@
-//! What a watch makes of responses that cannot be: nothing, but a line in the log.
+//! A watch must ignore inconsistent responses of the state service and log an error.
 //!
-//! A listing that was cut short (more than 50,000 keys, or a page without keys that says that more follow) counted as
-//! complete: all jobs that it did not show were closed, and their tasks evicted. Revisions were not looked at, so that a
-//! state service that was set back, or a proxy that answers from an older state, could reopen what had ended.
+//! Two failures are guarded against. An incomplete listing (of more than 50,000 keys, or with an empty page that
+//! announces more) counted as complete, so all jobs missing from it were closed and their tasks evicted. And revisions
+//! were not checked, so a state service that was restored from an older state, or a proxy that served one, could reopen
+//! jobs that had ended.
 
 use cedarladder::coordination::effects::KvRequestContext;
 use cedarladder::coordination::watch::{Watch, WatchUpdate};
@@ -46,7 +47,7 @@
     }
 }
 
-/// Keys of the updates, each with its mod revision.
+/// The keys in the updates, with their mod revisions.
 fn keys(updates: &[WatchUpdate]) -> Vec<(String, u64)> {
     let mut keys = Vec::new();
     for update in updates {
@@ -65,7 +66,8 @@
     keys
 }
 
-fn numbers(updates: &[WatchUpdate]) -> Vec<u64> {
+/// The job numbers in the updates.
+fn job_numbers(updates: &[WatchUpdate]) -> Vec<u64> {
     let keys = keys(updates);
     keys.iter()
         .map(|(key, _)| key["open/j-".len()..].parse().expect("a number"))
@@ -73,7 +75,7 @@
 }
 
 #[test]
-fn events_of_impossible_revisions_are_ignored() {
+fn events_with_revisions_out_of_range_are_ignored() {
     let mut watch = watch();
     watch.on_response(page(vec![item(1, 5)], false, 9), 0.0, 0.1);
     let events = vec![
@@ -89,8 +91,12 @@
         revision: 12,
     };
     let updates = watch.on_response(response, 0.2, 0.3);
-    assert_eq!(numbers(&updates), [2, 2], "those of revisions 10 to 12");
-    // A response that leads to an earlier revision than is known tells nothing.
+    assert_eq!(
+        job_numbers(&updates),
+        [2, 2],
+        "only the events of revisions 10 to 12"
+    );
+    // A response with a lower revision than the known one is ignored as a whole.
     let response = KvResponse::Events {
         events: vec![put(6, 8)],
         revision: 8,
@@ -99,17 +105,20 @@
 }
 
 #[test]
-fn items_of_impossible_revisions_are_ignored() {
+fn items_with_revisions_out_of_range_are_ignored() {
     let mut watch = watch();
     let items = vec![item(1, 5), item(2, 0), item(3, 10), item(4, 9)];
     let updates = watch.on_response(page(items, false, 9), 0.0, 0.1);
-    assert_eq!(numbers(&updates), [1, 4]);
-    assert!(!is_complete(&updates), "the others have not been deleted");
+    assert_eq!(job_numbers(&updates), [1, 4]);
+    assert!(
+        !is_complete(&updates),
+        "the ignored items must not count as deleted"
+    );
 }
 
-/// A later page shows an earlier state than the first: the keys are listed anew.
+/// If a later page has a lower revision than the first page, the listing starts again.
 #[test]
-fn a_listing_that_goes_back_begins_anew() {
+fn a_listing_with_decreasing_revisions_is_restarted() {
     let mut watch = watch();
     assert!(
         watch
@@ -123,10 +132,10 @@
     );
     assert!(!watch.is_complete());
     let updates = watch.on_response(page(vec![item(3, 5)], false, 9), 1.0, 1.1);
-    assert_eq!(numbers(&updates), [3]);
+    assert_eq!(job_numbers(&updates), [3]);
 }
 
-/// Whether a listing shows all keys.
+/// Whether the updates are a single listing that contains all keys.
 fn is_complete(updates: &[WatchUpdate]) -> bool {
     matches!(
         updates,
@@ -138,7 +147,7 @@
 }
 
 #[test]
-fn a_listing_that_was_cut_short_is_not_complete() {
+fn a_listing_that_ends_early_is_not_complete() {
     let mut watch = watch();
     let updates = watch.on_response(page(vec![item(1, 5)], false, 9), 0.0, 0.1);
     assert!(is_complete(&updates));
@@ -149,8 +158,8 @@
             .is_empty()
     );
     let updates = watch.on_response(page(Vec::new(), true, 9), 0.6, 0.7);
-    assert_eq!(numbers(&updates), [1]);
-    assert!(!is_complete(&updates), "an empty page, and more to come");
+    assert_eq!(job_numbers(&updates), [1]);
+    assert!(!is_complete(&updates), "an empty page that announces more");
     watch.on_response(KvResponse::Compacted, 0.8, 0.9);
     let mut updates = Vec::new();
     for n in 0..60 {
@@ -160,6 +169,6 @@
             break;
         }
     }
-    assert_eq!(numbers(&updates).len(), 50_000);
+    assert_eq!(job_numbers(&updates).len(), 50_000);
     assert!(!is_complete(&updates), "too many keys");
 }
