--- a/tests/job_api.rs
+++ b/tests/job_api.rs
@@ -1,4 +1,4 @@
-//! The job API: every kind of request against every state of the job's keys.
+//! The job API: every request for every stored state of a job.
 
 mod common;
 
@@ -12,9 +12,10 @@
 
 const ID: &str = "j-1";
 
+/// State of the job in the state service.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum StoredState {
-    Never,
+    Unknown,
     Open,
     Done,
     Aborted,
@@ -40,11 +41,15 @@
     }
 }
 
-/// Answers the job API's calls as a state service in this state would, until the user is answered.
-fn serve(job_api: &mut JobApi, effects: &mut Effects, stored: StoredState) -> (u16, String) {
+/// Plays the state service, which stores the job in the given state, until the job API responds to the user.
+fn serve_until_response(
+    job_api: &mut JobApi,
+    effects: &mut Effects,
+    stored: StoredState,
+) -> (u16, String) {
     for _ in 0..10 {
-        for action in std::mem::take(&mut effects.queue) {
-            match action {
+        for effect in std::mem::take(&mut effects.queue) {
+            match effect {
                 Effect::Respond { status, body, .. } => {
                     let body: ciborium::Value = cbor::decode(&body).unwrap();
                     return (status, format!("{body:?}"));
@@ -55,7 +60,7 @@
                     ..
                 } => {
                     let context = effects.take_kv_request(correlation_id).unwrap().context;
-                    let response = state_service(&request, stored);
+                    let response = kv_response(&request, stored);
                     match context {
                         KvRequestContext::RevisionCheck(check) => {
                             job_api.on_revision_check_completed(check, response, effects, 0.1);
@@ -73,10 +78,10 @@
             }
         }
     }
-    panic!("no answer");
+    panic!("no response to the user");
 }
 
-fn state_service(request: &KvRequest, stored: StoredState) -> KvResponse {
+fn kv_response(request: &KvRequest, stored: StoredState) -> KvResponse {
     let mod_revision = |key: &str| {
         let open = key == records::open_key(ID) && stored == StoredState::Open;
         let finished = key == records::finished_key(ID)
@@ -114,29 +119,29 @@
 }
 
 #[test]
-fn every_request_is_answered_by_the_state_of_the_job() {
-    use StoredState::{Aborted, Done, Never, Open};
-    // (request, what the state service has, status, part of the answer)
+fn responses_reflect_the_stored_state() {
+    use StoredState::{Aborted, Done, Open, Unknown};
+    // (request, stored state, HTTP status, expected text in the response)
     let cases = [
-        ("submit", Never, 201, "queued"),
+        ("submit", Unknown, 201, "queued"),
         ("submit", Open, 200, "queued"),
         ("submit", Done, 200, "done"),
         ("submit", Aborted, 200, "aborted"),
-        ("unsatisfiable", Never, 422, "unknown team"),
+        ("unsatisfiable", Unknown, 422, "unknown team"),
         ("unsatisfiable", Open, 200, "queued"),
         ("unsatisfiable", Done, 200, "done"),
-        ("poll", Never, 404, "no such job"),
+        ("poll", Unknown, 404, "no such job"),
         ("poll", Open, 200, "queued"),
         ("poll", Done, 200, "done"),
         ("poll", Aborted, 200, "aborted"),
-        ("cancel", Never, 404, "no such job"),
+        ("cancel", Unknown, 404, "no such job"),
         ("cancel", Open, 200, "aborted"),
         ("cancel", Done, 200, "done"),
         ("cancel", Aborted, 200, "aborted"),
     ];
-    for (request, stored, status, part) in cases {
-        // The controller's view may be late in either way.
-        for view in [Never, Open] {
+    for (request, stored, expected_status, expected_text) in cases {
+        // The controller's view may be out of date: it may lack an open job or show a closed one.
+        for view in [Unknown, Open] {
             let mut job_api = JobApi::new(&limits(), 1.0, 1.0);
             let mut effects = Effects::default();
             if view == Open {
@@ -154,17 +159,17 @@
                 "poll" => job_api.on_status_request(1, ID, &mut effects, 0.0),
                 _ => job_api.on_cancel(1, ID, &mut effects, 0.0),
             }
-            let (got, body) = serve(&mut job_api, &mut effects, stored);
-            let name = format!("{request}, job {stored:?}, viewed as {view:?}");
-            assert_eq!(got, status, "{name}: {body}");
-            assert!(body.contains(part), "{name}: {body}");
+            let (status, body) = serve_until_response(&mut job_api, &mut effects, stored);
+            let name = format!("{request}, job {stored:?}, controller's view {view:?}");
+            assert_eq!(status, expected_status, "{name}: {body}");
+            assert!(body.contains(expected_text), "{name}: {body}");
         }
     }
 }
 
-/// A job that was compared as open and has been closed before the answer came is not denied.
+/// A poll of a job that is closed while its revision check is in flight must not be answered with "no such job".
 #[test]
-fn a_job_closed_while_it_was_compared_is_looked_up() {
+fn a_job_closed_during_a_revision_check_is_looked_up() {
     let mut job_api = JobApi::new(&limits(), 1.0, 1.0);
     let mut effects = Effects::default();
     job_api.on_job_opened(5, spec(ID, 1));
@@ -172,11 +177,14 @@
     effects.queue.clear();
     job_api.on_job_closed(ID);
     job_api.on_revision_check_completed(1, KvResponse::Committed(9), &mut effects, 0.1);
-    assert_eq!(serve(&mut job_api, &mut effects, StoredState::Done).0, 200);
+    assert_eq!(
+        serve_until_response(&mut job_api, &mut effects, StoredState::Done).0,
+        200
+    );
 }
 
-/// A request that arrives while a lookup is in flight gets a lookup of its own: what the first one
-/// found may be older than the request.
+/// A request that arrives while a lookup is in flight gets a lookup of its own, because the result of the first one
+/// may be older than the request.
 #[test]
 fn a_request_during_a_lookup_waits_for_the_next_one() {
     let mut job_api = JobApi::new(&limits(), 1.0, 1.0);
@@ -187,32 +195,35 @@
     job_api.on_lookup_completed(ID, KvResponse::NotFound, &mut effects, 0.1);
     effects.queue.clear();
     job_api.on_lookup_completed(ID, KvResponse::NotFound, &mut effects, 0.1);
-    let first: Vec<u64> = effects
+    let answered: Vec<u64> = effects
         .queue
         .iter()
-        .filter_map(|a| match a {
+        .filter_map(|effect| match effect {
             Effect::Respond {
-                request_id: to,
+                request_id,
                 status: 404,
                 ..
-            } => Some(*to),
+            } => Some(*request_id),
             _ => None,
         })
         .collect();
-    assert_eq!(first, vec![1]);
+    assert_eq!(answered, vec![1]);
     effects
         .queue
-        .retain(|a| !matches!(a, Effect::Respond { .. }));
-    assert_eq!(serve(&mut job_api, &mut effects, StoredState::Open).0, 200);
+        .retain(|effect| !matches!(effect, Effect::Respond { .. }));
+    assert_eq!(
+        serve_until_response(&mut job_api, &mut effects, StoredState::Open).0,
+        200
+    );
 }
 
-/// A request that can't be served is refused at once, with a time to come back.
+/// A request that cannot be served is rejected at once, with a `Retry-After` header.
 #[test]
-fn requests_that_cannot_be_served_are_refused_at_once() {
+fn requests_that_cannot_be_served_are_rejected_at_once() {
     type Steps = fn(&mut JobApi, &mut Effects);
     let cases: [(&str, Steps, u16); 3] = [
         (
-            "the state service refuses",
+            "the state service is unavailable",
             |job_api, effects| {
                 job_api.on_submit(1, spec(ID, 1), Ok(()), effects, 0.0);
                 effects.queue.clear();
@@ -221,7 +232,7 @@
             503,
         ),
         (
-            "it has just refused another",
+            "the state service was unavailable for the previous request",
             |job_api, effects| {
                 job_api.on_status_request(1, "j-2", effects, 0.0);
                 job_api.on_revision_check_completed(1, KvResponse::Unavailable, effects, 0.0);
@@ -231,14 +242,14 @@
             503,
         ),
         (
-            "too many wait",
+            "too many requests are waiting",
             |job_api, effects| {
                 for i in 0..3000 {
                     job_api.on_status_request(i, &format!("j-{i}"), effects, 0.0);
                 }
                 effects
                     .queue
-                    .retain(|a| matches!(a, Effect::Respond { .. }));
+                    .retain(|effect| matches!(effect, Effect::Respond { .. }));
                 effects.queue.truncate(1);
             },
             429,
@@ -256,7 +267,7 @@
             },
         ] = &effects.queue[..]
         else {
-            panic!("{name}: one answer");
+            panic!("{name}: expected one response");
         };
         assert_eq!(*status, expected, "{name}");
         assert_eq!(*retry_after_s, Some(1), "{name}");
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -1,4 +1,4 @@
-//! What peers tell one another of ended jobs, and how a watch knows that it is current.
+//! The exchange of terminations between peers, and the time as of which a watch is current.
 
 use cedarladder::coordination::effects::{Effect, Effects, KvRequestContext};
 use cedarladder::coordination::terminations::TerminationQueue;
@@ -6,14 +6,19 @@
 use cedarladder::protocol::kv::{KvRequest, KvResponse};
 use cedarladder::protocol::peer::{MAX_TERMINATIONS, Termination, TerminationLog};
 
-const KEEP_S: f64 = 30.0;
+const RETENTION_S: f64 = 30.0;
 
-fn queue(label: &str, life: u64) -> TerminationQueue {
+fn queue(label: &str, process_incarnation: u64) -> TerminationQueue {
     let peers = ["a", "b", "c"].into_iter().filter(|peer| *peer != label);
-    TerminationQueue::new(label, life, peers.map(str::to_owned), KEEP_S)
+    TerminationQueue::new(
+        label,
+        process_incarnation,
+        peers.map(str::to_owned),
+        RETENTION_S,
+    )
 }
 
-fn ended(n: usize) -> Termination {
+fn termination(n: usize) -> Termination {
     Termination {
         job: format!("j-{n:06}"),
         aborted: true,
@@ -21,86 +26,90 @@
     }
 }
 
-fn jobs(ends: &TerminationLog) -> Vec<&str> {
-    ends.entries.iter().map(|e| e.job.as_str()).collect()
+fn jobs(message: &TerminationLog) -> Vec<&str> {
+    message
+        .entries
+        .iter()
+        .map(|entry| entry.job.as_str())
+        .collect()
 }
 
-/// An end is told again until each peer has acknowledged it, whatever is lost in between.
+/// A termination is sent again until every peer has acknowledged it, whichever messages are lost.
 #[test]
-fn ends_are_acknowledged() {
+fn terminations_are_resent_until_all_peers_acknowledge() {
     let (mut a, mut b, mut c) = (queue("a", 1), queue("b", 2), queue("c", 3));
-    a.push(vec![ended(1), ended(2)], 0.0);
-    // The first word reaches only one of the peers, and its acknowledgement is lost.
-    let word = a.next_message(1.0);
-    assert_eq!(jobs(&word), ["j-000001", "j-000002"]);
-    b.on_message("a", &word);
+    a.push(vec![termination(1), termination(2)], 0.0);
+    // The first message reaches only peer b, whose acknowledgement is lost.
+    let message = a.next_message(1.0);
+    assert_eq!(jobs(&message), ["j-000001", "j-000002"]);
+    b.on_message("a", &message);
     assert_eq!(
         jobs(&a.next_message(2.0)),
         ["j-000001", "j-000002"],
-        "nobody has acknowledged"
+        "no peer has acknowledged"
     );
     a.on_message("b", &b.next_message(2.0));
     assert_eq!(
         jobs(&a.next_message(3.0)),
         ["j-000001", "j-000002"],
-        "one has not"
+        "one peer has not acknowledged"
     );
-    a.push(vec![ended(3)], 3.0);
-    c.on_message("a", &word);
+    a.push(vec![termination(3)], 3.0);
+    c.on_message("a", &message);
     a.on_message("c", &c.next_message(4.0));
     assert_eq!(
         jobs(&a.next_message(5.0)),
         ["j-000003"],
-        "what both have heard is done with"
+        "terminations that both peers have acknowledged are dropped"
     );
-    // A peer's process that ended and came back is told what its former life had not acknowledged.
-    let word = a.next_message(6.0);
+    // A restarted peer receives what its previous process has not acknowledged.
+    let message = a.next_message(6.0);
     let mut b = queue("b", 20);
-    b.on_message("a", &word);
-    c.on_message("a", &word);
+    b.on_message("a", &message);
+    c.on_message("a", &message);
     a.on_message("b", &b.next_message(7.0));
     a.on_message("c", &c.next_message(7.0));
     assert_eq!(jobs(&a.next_message(8.0)), Vec::<&str>::new());
-    // An acknowledgement for an earlier life of this controller says nothing about its ends now.
+    // Acknowledgements for the previous process of this controller do not apply to the terminations of this one.
     let mut a = queue("a", 10);
-    a.push(vec![ended(4)], 9.0);
+    a.push(vec![termination(4)], 9.0);
     a.on_message("b", &b.next_message(9.0));
     a.on_message("c", &c.next_message(9.0));
     assert_eq!(jobs(&a.next_message(10.0)), ["j-000004"]);
 }
 
-/// What nobody acknowledges is bounded by number and by time; acknowledgements stay right beyond both.
+/// Unacknowledged terminations are dropped beyond a maximum number and age. Acknowledgements still match afterwards.
 #[test]
-fn ends_are_bounded() {
+fn unacknowledged_terminations_are_bounded() {
     let (mut a, mut b, mut c) = (queue("a", 1), queue("b", 2), queue("c", 3));
-    a.push((0..MAX_TERMINATIONS + 5).map(ended).collect(), 0.0);
-    let word = a.next_message(1.0);
-    assert_eq!(word.entries.len(), MAX_TERMINATIONS);
+    a.push((0..MAX_TERMINATIONS + 5).map(termination).collect(), 0.0);
+    let message = a.next_message(1.0);
+    assert_eq!(message.entries.len(), MAX_TERMINATIONS);
     assert_eq!(
-        (word.first_sequence, word.entries[0].clone()),
-        (5, ended(5))
+        (message.first_sequence, message.entries[0].clone()),
+        (5, termination(5))
     );
-    a.push(vec![ended(9_999)], 20.0);
-    let word = a.next_message(KEEP_S + 1.0);
+    a.push(vec![termination(9_999)], 20.0);
+    let message = a.next_message(RETENTION_S + 1.0);
     assert_eq!(
-        jobs(&word),
+        jobs(&message),
         ["j-009999"],
-        "the others are too old to matter"
+        "the others have exceeded the retention period"
     );
-    b.on_message("a", &word);
-    c.on_message("a", &word);
+    b.on_message("a", &message);
+    c.on_message("a", &message);
     a.on_message("b", &b.next_message(32.0));
     a.on_message("c", &c.next_message(32.0));
     assert!(a.next_message(33.0).entries.is_empty());
-    a.on_message("a stranger", &word);
-    a.push(vec![ended(7)], 34.0);
+    a.on_message("an unknown peer", &message);
+    a.push(vec![termination(7)], 34.0);
     assert_eq!(jobs(&a.next_message(35.0)), ["j-000007"]);
 }
 
-/// A watch is current as of the sending of the last call that told all changes: not of its answer, nor
-/// of a call that was refused or not answered.
+/// A watch is current as of the sending of its latest successful request. Neither the arrival of the response counts,
+/// nor requests that were rejected or not answered.
 #[test]
-fn how_current_a_watch_is() {
+fn a_watch_is_current_as_of_its_latest_successful_request() {
     let page = || KvResponse::Page {
         items: Vec::new(),
         more: false,
@@ -110,26 +119,26 @@
         events: Vec::new(),
         revision: 9,
     };
-    // Each: answers with the time of their calls' sending and their own, and when it was current.
+    // (name, responses with the times of the request and of the response, time as of which the watch is current)
     type Case = (&'static str, Vec<(KvResponse, f64, f64)>, f64);
     let cases: Vec<Case> = vec![
         (
-            "a listing alone",
+            "only a listing",
             vec![(page(), 1.0, 1.1)],
             f64::NEG_INFINITY,
         ),
         (
-            "a wait that brought nothing",
+            "a request that returned no changes",
             vec![(page(), 1.0, 1.1), (events(), 1.1, 2.1)],
             1.1,
         ),
         (
-            "an answer long under way",
+            "a response that arrived late",
             vec![(page(), 1.0, 1.1), (events(), 1.1, 9.0)],
             1.1,
         ),
         (
-            "refused and unanswered since",
+            "later requests were rejected or not answered",
             vec![
                 (page(), 1.0, 1.1),
                 (events(), 1.1, 2.1),
@@ -139,7 +148,7 @@
             1.1,
         ),
         (
-            "too old, and to be read anew",
+            "the revision was compacted, and the keys were listed again",
             vec![
                 (page(), 1.0, 1.1),
                 (events(), 1.1, 1.2),
@@ -149,24 +158,24 @@
             1.1,
         ),
     ];
-    for (name, replies, expected) in cases {
+    for (name, responses, expected) in cases {
         let mut watch = Watch::new("open/", KvRequestContext::OpenJobsWatch, 1.0, 0.5);
-        for (reply, sent, at) in replies {
-            watch.on_response(reply, sent, at);
+        for (response, sent_at, now) in responses {
+            watch.on_response(response, sent_at, now);
         }
         assert_eq!(watch.current_as_of(), expected, "{name}");
     }
 }
 
-/// After an interruption a watch catches up with a call that doesn't wait, so that it soon knows that it
-/// is current.
+/// After an interruption the first request of a watch does not wait, so that it soon confirms that the content is
+/// current.
 #[test]
-fn a_watch_catches_up_first() {
+fn the_first_watch_request_after_an_interruption_does_not_wait() {
     let mut watch = Watch::new("open/", KvRequestContext::OpenJobsWatch, 1.0, 0.5);
     let wait_ms = |watch: &mut Watch, now: f64| {
-        let mut out = Effects::default();
-        watch.poll(&mut out, now);
-        out.queue.into_iter().find_map(|action| match action {
+        let mut effects = Effects::default();
+        watch.poll(&mut effects, now);
+        effects.queue.into_iter().find_map(|effect| match effect {
             Effect::CallKv {
                 request: KvRequest::Watch { wait_ms, .. },
                 ..
@@ -192,7 +201,7 @@
         1.2,
         1.3,
     );
-    assert_eq!(wait_ms(&mut watch, 1.3), Some(1_000), "in step");
+    assert_eq!(wait_ms(&mut watch, 1.3), Some(1_000), "caught up");
     watch.on_response(KvResponse::Unavailable, 1.3, 20.0);
     assert_eq!(wait_ms(&mut watch, 20.2), Some(0), "after an outage");
 }
