--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -1,4 +1,4 @@
-//! Several times the usual load: answers stay prompt, and every table bounded.
+//! Behaviour under overload: responses stay prompt, and memory and the use of shared limits stay bounded.
 
 mod common;
 
@@ -16,15 +16,15 @@
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 
-/// Submits, polls and cancels at many times what the state service lets a controller do: each gets a
-/// final answer soon, a refusal tells when to come back, and the limits are kept.
+/// Users submit, poll and cancel jobs at many times the rate that the limits of the state service allow. Every request
+/// gets a timely response, every rejection has a `Retry-After` header, and the limits are respected.
 #[test]
-fn prompt_answers() {
-    const PATIENCE_S: f64 = 1.0;
-    for (name, asks_per_step, write_rps) in [
-        ("the usual", 1, 60.0),
-        ("ten times as much", 10, 60.0),
-        ("a flood", 100, 20.0),
+fn overload_gets_prompt_responses_within_the_limits() {
+    const REQUEST_TIMEOUT_S: f64 = 1.0;
+    for (name, requests_per_step, write_rps) in [
+        ("normal load", 1, 60.0),
+        ("ten times the normal load", 10, 60.0),
+        ("a hundred times the normal load", 100, 20.0),
     ] {
         let limits = StateServiceLimits {
             rps: 150.0,
@@ -32,73 +32,81 @@
             value_kb: 8.0,
             txn_ops: 48,
         };
-        let mut frontend = JobApi::new(&limits, 1.0, PATIENCE_S);
-        let mut out = Effects::default();
-        let mut asked: BTreeMap<u64, f64> = BTreeMap::new();
-        let (mut next, mut calls, mut changes, mut accepted) = (1, 0, 0, 0);
+        let mut job_api = JobApi::new(&limits, 1.0, REQUEST_TIMEOUT_S);
+        let mut effects = Effects::default();
+        let mut unanswered: BTreeMap<u64, f64> = BTreeMap::new();
+        let (mut next_id, mut calls, mut writes, mut accepted) = (1, 0, 0, 0);
         for step in 0..100 {
             let now = f64::from(step) * 0.05;
             if step < 60 {
-                for _ in 0..asks_per_step {
-                    let id = format!("j-{next}");
-                    asked.insert(next, now);
-                    match next % 4 {
-                        0 => frontend.on_status_request(next, &id, &mut out, now),
-                        1 => frontend.on_cancel(next, "j-2", &mut out, now),
-                        _ => frontend.on_submit(next, spec(&id, 5), Ok(()), &mut out, now),
+                for _ in 0..requests_per_step {
+                    let id = format!("j-{next_id}");
+                    unanswered.insert(next_id, now);
+                    match next_id % 4 {
+                        0 => job_api.on_status_request(next_id, &id, &mut effects, now),
+                        1 => job_api.on_cancel(next_id, "j-2", &mut effects, now),
+                        _ => job_api.on_submit(next_id, spec(&id, 5), Ok(()), &mut effects, now),
                     }
-                    next += 1;
+                    next_id += 1;
                 }
             }
-            frontend.send_due_requests(&mut out, now);
+            job_api.send_due_requests(&mut effects, now);
             for _ in 0..10 {
-                for action in std::mem::take(&mut out.queue) {
-                    match action {
+                for effect in std::mem::take(&mut effects.queue) {
+                    match effect {
                         Effect::Respond {
-                            request_id: to,
+                            request_id,
                             status,
                             retry_after_s,
                             ..
                         } => {
-                            let since = asked.remove(&to).expect("asked once");
-                            assert!(now - since <= 2.0 * PATIENCE_S, "{name}: held back");
-                            let refused = status == 503 || status == 429;
-                            assert_eq!(retry_after_s.is_some(), refused, "{name}");
+                            let sent_at = unanswered
+                                .remove(&request_id)
+                                .expect("a request without a response yet");
+                            assert!(
+                                now - sent_at <= 2.0 * REQUEST_TIMEOUT_S,
+                                "{name}: response too late"
+                            );
+                            let rejected = status == 503 || status == 429;
+                            assert_eq!(retry_after_s.is_some(), rejected, "{name}");
                             accepted += u32::from(status == 201);
                         }
                         Effect::CallKv {
                             correlation_id,
-                            request: call,
+                            request,
                             ..
                         } => {
                             calls += 1;
-                            let ask = out.take_kv_request(correlation_id).expect("a call").context;
-                            if let KvRequest::Txn(txn) = &call {
+                            let context = effects
+                                .take_kv_request(correlation_id)
+                                .expect("a pending request")
+                                .context;
+                            if let KvRequest::Txn(txn) = &request {
                                 assert!(txn.writes.len() <= limits.txn_ops, "{name}");
-                                changes += txn.writes.len();
+                                writes += txn.writes.len();
                             }
-                            match ask {
-                                KvRequestContext::RevisionCheck(call) => {
-                                    frontend.on_revision_check_completed(
-                                        call,
+                            match context {
+                                KvRequestContext::RevisionCheck(check) => {
+                                    job_api.on_revision_check_completed(
+                                        check,
                                         KvResponse::Committed(9),
-                                        &mut out,
+                                        &mut effects,
                                         now,
                                     );
                                 }
-                                KvRequestContext::JobWrites(call) => {
-                                    frontend.on_writes_completed(
-                                        call,
+                                KvRequestContext::JobWrites(batch) => {
+                                    job_api.on_writes_completed(
+                                        batch,
                                         KvResponse::Committed(9),
-                                        &mut out,
+                                        &mut effects,
                                         now,
                                     );
                                 }
                                 KvRequestContext::JobLookup(id) => {
-                                    frontend.on_lookup_completed(
+                                    job_api.on_lookup_completed(
                                         &id,
                                         KvResponse::NotFound,
-                                        &mut out,
+                                        &mut effects,
                                         now,
                                     );
                                 }
@@ -110,86 +118,91 @@
                 }
             }
         }
-        assert!(asked.is_empty(), "{name}: {} without answer", asked.len());
+        assert!(
+            unanswered.is_empty(),
+            "{name}: {} requests without a response",
+            unanswered.len()
+        );
         assert!(accepted > 20, "{name}: {accepted} accepted");
-        // Five seconds and a burst, and a last transaction that may lead into debt.
+        // Five seconds, one second's worth of burst, and a last transaction that may exceed the available budget.
         assert!(
             f64::from(calls) <= 7.0 * limits.rps,
             "{name}: {calls} calls"
         );
-        assert!(
-            changes as f64 <= 7.0 * write_rps,
-            "{name}: {changes} changes"
-        );
+        assert!(writes as f64 <= 7.0 * write_rps, "{name}: {writes} writes");
     }
 }
 
-/// A controller that all users ask answers for jobs that have ended too: looks are not starved by the
-/// comparisons for those that are open. What a peer has told needs no look.
+/// One controller receives all polls. Polls of finished jobs, which need lookups, must not be starved by the revision
+/// checks for open jobs. Jobs whose termination a peer has announced need no lookup.
 #[test]
-fn ended_jobs_beside_many_polls() {
+fn lookups_are_not_starved_by_revision_checks() {
     let limits = StateServiceLimits {
         rps: 300.0,
         write_rps: 100.0,
         value_kb: 8.0,
         txn_ops: 40,
     };
-    for told in [false, true] {
-        let mut frontend = JobApi::new(&limits, 0.1, 2.5);
-        let mut out = Effects::default();
+    for announced_by_peer in [false, true] {
+        let mut job_api = JobApi::new(&limits, 0.1, 2.5);
+        let mut effects = Effects::default();
         for i in 0..600 {
-            frontend.on_job_opened(1, spec(&format!("j-{i}"), 5));
+            job_api.on_job_opened(1, spec(&format!("j-{i}"), 5));
         }
-        let over = |id: &str| id[2..].parse::<u32>().expect("a number") >= 600;
-        let mut asked: BTreeMap<u64, (f64, bool)> = BTreeMap::new();
-        let mut back: std::collections::VecDeque<(f64, u64, KvRequest)> = Default::default();
-        let (mut next, mut looks, mut ended) = (0u64, 0, 600);
+        let is_finished = |id: &str| id[2..].parse::<u32>().expect("a number") >= 600;
+        let mut unanswered: BTreeMap<u64, (f64, bool)> = BTreeMap::new();
+        let mut in_flight: std::collections::VecDeque<(f64, u64, KvRequest)> = Default::default();
+        let (mut next_id, mut lookups, mut next_finished) = (0u64, 0, 600);
         for step in 0..1_200u32 {
             let now = f64::from(step) * 0.01;
             if step < 1_000 {
-                // Some 150 polls a second for open jobs, and three for ended ones, new ones each time.
-                let mut ids = vec![format!("j-{}", (next * 7) % 600)];
+                // About 150 polls per second of open jobs, and three of finished jobs, each of another job.
+                let mut ids = vec![format!("j-{}", (next_id * 7) % 600)];
                 if step % 2 == 0 {
-                    ids.push(format!("j-{}", (next * 11) % 600));
+                    ids.push(format!("j-{}", (next_id * 11) % 600));
                 }
                 if step % 33 == 0 {
-                    ids.push(format!("j-{ended}"));
-                    if told {
-                        frontend.on_peer_terminations(&[Termination {
-                            job: format!("j-{ended}"),
+                    ids.push(format!("j-{next_finished}"));
+                    if announced_by_peer {
+                        job_api.on_peer_terminations(&[Termination {
+                            job: format!("j-{next_finished}"),
                             aborted: false,
                             done: 5,
                         }]);
                     }
-                    ended += 1;
+                    next_finished += 1;
                 }
                 for id in ids {
-                    next += 1;
-                    asked.insert(next, (now, over(&id)));
-                    frontend.on_status_request(next, &id, &mut out, now);
+                    next_id += 1;
+                    unanswered.insert(next_id, (now, is_finished(&id)));
+                    job_api.on_status_request(next_id, &id, &mut effects, now);
                 }
             }
-            while back.front().is_some_and(|(at, ..)| *at <= now) {
-                let (_, correlation_id, call) = back.pop_front().expect("a call");
-                let ask = out.take_kv_request(correlation_id).expect("a call").context;
-                match (ask, call) {
+            while in_flight.front().is_some_and(|(at, ..)| *at <= now) {
+                let (_, correlation_id, request) =
+                    in_flight.pop_front().expect("a pending request");
+                let context = effects
+                    .take_kv_request(correlation_id)
+                    .expect("a pending request")
+                    .context;
+                match (context, request) {
                     (KvRequestContext::RevisionCheck(check), KvRequest::Txn(txn)) => {
                         let failed: Vec<String> = txn
                             .compares
                             .iter()
-                            .filter(|c| c.key.strip_prefix("over/").is_some_and(over))
+                            .filter(|c| c.key.strip_prefix("over/").is_some_and(is_finished))
                             .map(|c| c.key.clone())
                             .collect();
-                        let reply = if failed.is_empty() {
+                        let response = if failed.is_empty() {
                             KvResponse::Committed(9)
                         } else {
                             KvResponse::CompareFailed(failed)
                         };
-                        frontend.on_revision_check_completed(check, reply, &mut out, now);
+                        job_api.on_revision_check_completed(check, response, &mut effects, now);
                     }
                     (KvRequestContext::JobLookup(id), KvRequest::Get(key)) => {
-                        looks += 1;
-                        let reply = if key.starts_with("over/") {
+                        lookups += 1;
+                        let response = if key.starts_with("over/") {
                             let record = FinishedRecord {
                                 outcome: JobOutcome::Done,
                                 completed_tasks: 5,
@@ -203,64 +216,72 @@
                         } else {
                             KvResponse::NotFound
                         };
-                        frontend.on_lookup_completed(&id, reply, &mut out, now);
+                        job_api.on_lookup_completed(&id, response, &mut effects, now);
                     }
                     other => panic!("{other:?}"),
                 }
             }
-            frontend.send_due_requests(&mut out, now);
-            for action in std::mem::take(&mut out.queue) {
-                match action {
+            job_api.send_due_requests(&mut effects, now);
+            for effect in std::mem::take(&mut effects.queue) {
+                match effect {
                     Effect::Respond {
-                        request_id: to,
-                        status,
-                        ..
+                        request_id, status, ..
                     } => {
-                        let (since, over) = asked.remove(&to).expect("asked once");
-                        assert_eq!(status, 200, "over: {over}, at {now}");
-                        assert!(now - since < 1.0, "{} s, over: {over}", now - since);
+                        let (sent_at, is_finished) = unanswered
+                            .remove(&request_id)
+                            .expect("a request without a response yet");
+                        assert_eq!(status, 200, "finished: {is_finished}, at {now} s");
+                        assert!(
+                            now - sent_at < 1.0,
+                            "{} s, finished: {is_finished}",
+                            now - sent_at
+                        );
                     }
                     Effect::CallKv {
                         correlation_id,
-                        request: call,
+                        request,
                         ..
-                    } => back.push_back((now + 0.02, correlation_id, call)),
+                    } => in_flight.push_back((now + 0.02, correlation_id, request)),
                     other => panic!("{other:?}"),
                 }
             }
         }
-        assert!(asked.is_empty(), "{} without answer", asked.len());
-        assert_eq!(looks == 0, told, "{looks} looks");
+        assert!(
+            unanswered.is_empty(),
+            "{} requests without a response",
+            unanswered.len()
+        );
+        assert_eq!(lookups == 0, announced_by_peer, "{lookups} lookups");
     }
 }
 
-/// Final states are kept in memory up to a bound; older ones are looked up again.
+/// The number of terminal states in memory is bounded. Evicted ones are looked up again.
 #[test]
-fn final_states_are_bounded() {
+fn the_terminal_state_cache_is_bounded() {
     let limits = StateServiceLimits {
         rps: 150.0,
         write_rps: 60.0,
         value_kb: 8.0,
         txn_ops: 48,
     };
-    let mut frontend = JobApi::new(&limits, 1.0, 1.0);
-    let mut out = Effects::default();
+    let mut job_api = JobApi::new(&limits, 1.0, 1.0);
+    let mut effects = Effects::default();
     let record = FinishedRecord {
         outcome: JobOutcome::Done,
         completed_tasks: 1,
     };
     for i in 0..30_000 {
-        frontend.on_job_finished(&format!("j-{i}"), record);
+        job_api.on_job_finished(&format!("j-{i}"), record);
     }
     for (id, from_memory) in [("j-29999", true), ("j-0", false)] {
-        out.queue.clear();
-        frontend.on_status_request(1, id, &mut out, 0.0);
-        let answered = matches!(&out.queue[..], [Effect::Respond { status: 200, .. }]);
+        effects.queue.clear();
+        job_api.on_status_request(1, id, &mut effects, 0.0);
+        let answered = matches!(&effects.queue[..], [Effect::Respond { status: 200, .. }]);
         assert_eq!(answered, from_memory, "{id}");
     }
 }
 
-/// More connections than allowed: idle ones go first, and one that waits for its answer is kept.
+/// At the connection limit an idle connection is evicted, but never one that waits for a response.
 #[test]
 fn connections_are_bounded() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -275,7 +296,10 @@
         let now = f64::from(i);
         let (id, evicted) = server.accept(stream, now);
         if let Some(old) = evicted {
-            assert_ne!(old, first, "it waits for its answer");
+            assert_ne!(
+                old, first,
+                "a connection that waits for a response must not be evicted"
+            );
             server.close(old);
         }
         if i == 0 {
@@ -297,37 +321,45 @@
         assert!(server.len() <= 3);
     }
     let (user, request) = &mut users[0];
-    let request = request.expect("it waits");
+    let request = request.expect("a request that waits");
     let (id, after, _) = server
         .answer(request, 200, b"", None, 8.0)
-        .expect("it is there");
+        .expect("an open connection");
     assert_eq!((id, after), (first, ConnectionAction::Keep));
     let mut bytes = [0; 15];
     user.read_exact(&mut bytes).expect("an answer");
     assert_eq!(&bytes, b"HTTP/1.1 200 OK");
     let mut overdue = server.timed_out(100.0);
     overdue.sort_unstable();
-    assert_eq!(overdue.len(), 3, "all are idle for too long");
+    assert_eq!(
+        overdue.len(),
+        3,
+        "all connections have been idle for too long"
+    );
 }
 
-/// What a controller may use of a budget that all share: what the others leave, and its equal part at least.
+/// A controller may use the part of a shared budget that the others leave unused, and at least an equal part.
 #[test]
-fn shares_of_a_budget() {
+fn fair_shares_of_a_budget() {
     let idle = Some(0.0);
     let cases: [(&str, &[Option<f64>], f64); 8] = [
-        ("alone", &[], 25.0),
+        ("no other controllers", &[], 25.0),
         ("all others are idle", &[idle; 4], 25.0),
-        ("none was heard", &[None; 4], 5.0),
+        ("the rates of all others are unknown", &[None; 4], 5.0),
         (
-            "two were heard, and are idle",
+            "two others are idle, the rates of two are unknown",
             &[idle, idle, None, None],
             15.0,
         ),
-        ("one is busy", &[Some(12.0), idle, idle, idle], 13.0),
-        ("one uses all", &[Some(25.0), idle, idle, idle], 5.0),
-        ("all use their part", &[Some(5.0); 4], 5.0),
+        ("one other is busy", &[Some(12.0), idle, idle, idle], 13.0),
+        (
+            "one other uses the whole budget",
+            &[Some(25.0), idle, idle, idle],
+            5.0,
+        ),
+        ("all others use their equal part", &[Some(5.0); 4], 5.0),
         (
-            "nonsense",
+            "invalid rates",
             &[Some(f64::NAN), Some(-3.0), Some(f64::INFINITY), Some(1e9)],
             5.0,
         ),
@@ -337,64 +369,66 @@
     }
 }
 
-/// Many small jobs submitted at one of five controllers are accepted at once while the other controllers are idle,
-/// and no faster than the controller's equal part while it hears nothing of them.
+/// All submissions arrive at one of five controllers. They are accepted at once while the other controllers are idle.
+/// While the rates of the others are unknown, the controller stays within its equal part of the budget.
 #[test]
-fn submissions_at_one_of_many_nodes() {
+fn submissions_at_one_of_five_controllers() {
     let limits = StateServiceLimits {
         rps: 150.0,
         write_rps: 50.0,
         value_kb: 8.0,
         txn_ops: 40,
     };
-    for (name, others, most_changes) in [
-        ("idle peers", [Some(0.0); 4], 130),
-        ("unheard peers", [None; 4], 56),
+    for (name, others, max_writes) in [
+        ("the peers are idle", [Some(0.0); 4], 130),
+        ("the rates of the peers are unknown", [None; 4], 56),
     ] {
-        let mut frontend = JobApi::new(&limits, 0.1, 1.25);
-        frontend.set_write_rate(fair_share_rate(25.0, &others), 0.0);
-        let mut out = Effects::default();
-        let mut asked: BTreeMap<u64, f64> = BTreeMap::new();
-        let (mut next, mut changes, mut slowest_s) = (0u64, 0, 0.0_f64);
-        // 12 submissions a second for ten seconds; the state service answers at once.
+        let mut job_api = JobApi::new(&limits, 0.1, 1.25);
+        job_api.set_write_rate(fair_share_rate(25.0, &others), 0.0);
+        let mut effects = Effects::default();
+        let mut unanswered: BTreeMap<u64, f64> = BTreeMap::new();
+        let (mut next_id, mut writes, mut slowest_s) = (0u64, 0, 0.0_f64);
+        // 12 submissions per second for ten seconds. The state service responds at once.
         for step in 0..500u32 {
             let now = f64::from(step) * 0.02;
             if step % 4 == 0 {
-                next += 1;
-                asked.insert(next, now);
-                let job = spec(&format!("j-{next}"), 1);
-                frontend.on_submit(next, job, Ok(()), &mut out, now);
+                next_id += 1;
+                unanswered.insert(next_id, now);
+                let job = spec(&format!("j-{next_id}"), 1);
+                job_api.on_submit(next_id, job, Ok(()), &mut effects, now);
             }
-            frontend.send_due_requests(&mut out, now);
-            for action in std::mem::take(&mut out.queue) {
-                match action {
+            job_api.send_due_requests(&mut effects, now);
+            for effect in std::mem::take(&mut effects.queue) {
+                match effect {
                     Effect::Respond {
-                        request_id: to,
+                        request_id,
                         status: 201,
                         ..
                     } => {
-                        let since = asked.remove(&to).expect("asked for");
-                        slowest_s = slowest_s.max(now - since);
+                        let sent_at = unanswered
+                            .remove(&request_id)
+                            .expect("a request without a response yet");
+                        slowest_s = slowest_s.max(now - sent_at);
                     }
                     Effect::CallKv {
                         correlation_id,
-                        request: call,
+                        request,
                         ..
                     } => {
-                        let pending = out.take_kv_request(correlation_id);
-                        let Some(KvRequestContext::JobWrites(number)) =
+                        let pending = effects.take_kv_request(correlation_id);
+                        let Some(KvRequestContext::JobWrites(batch)) =
                             pending.map(|pending| pending.context)
                         else {
                             continue;
                         };
-                        let KvRequest::Txn(txn) = &call else {
-                            panic!("{call:?}");
+                        let KvRequest::Txn(txn) = &request else {
+                            panic!("{request:?}");
                         };
-                        changes += txn.writes.len();
-                        frontend.on_writes_completed(
-                            number,
+                        writes += txn.writes.len();
+                        job_api.on_writes_completed(
+                            batch,
                             KvResponse::Committed(9),
-                            &mut out,
+                            &mut effects,
                             now,
                         );
                     }
@@ -402,9 +436,13 @@
                 }
             }
         }
-        assert!(changes <= most_changes, "{name}: {changes} changes");
+        assert!(writes <= max_writes, "{name}: {writes} writes");
         if others[0].is_some() {
-            assert!(asked.len() <= 1, "{name}: {} wait", asked.len());
+            assert!(
+                unanswered.len() <= 1,
+                "{name}: {} submissions without a response",
+                unanswered.len()
+            );
             assert!(slowest_s < 0.1, "{name}: {slowest_s} s");
         }
     }
