--- a/tests/older_knowledge.rs
+++ b/tests/stale_updates.rs
@@ -1,12 +1,14 @@
-//! Knowledge that is older than what is known changes nothing: the cases that are not about the end of a job (these
-//! are in `tests/stale_records.rs`) or the leader key (`tests/late_leader_records.rs`).
+//! Stale updates must not change newer state. This file has the cases that concern neither records of closed jobs (see
+//! `tests/stale_records.rs`) nor the `leader` key (see `tests/late_leader_records.rs`).
 //!
-//! - A lookup that read nothing took the job out of the table that the watch had put there meanwhile; its progress
-//!   stayed for ever.
-//! - A leader that had not learnt yet that it was deposed told its counts, and the controllers showed those.
-//! - The word of a peer replaced a final state that was known.
-//! - A cancellation was told with the count at its response, which the watch had dropped by then, in place of the count
-//!   that was written: controllers differed.
+//! The tests guard against these failures:
+//!
+//! - A lookup that found no keys removed a job that the watch had added in the meantime, and left its progress in
+//!   memory for ever.
+//! - A former leader that had not noticed its successor yet sent its job counts, and other controllers showed them.
+//! - A peer's message replaced a known terminal state.
+//! - The response to a cancellation reported the completed tasks known when the response arrived, instead of the number
+//!   that was written. The watch had already removed the progress by then, so controllers showed different numbers.
 
 mod common;
 mod harness;
@@ -33,22 +35,22 @@
     JobApi::new(&limits, 1.0, 1.0)
 }
 
-/// The lookup reads both keys before the job is opened; its response comes after the watch has shown the job.
+/// The lookup reads both keys before the job is opened, but its response arrives after the watch has reported the job.
 #[test]
-fn a_lookup_that_found_nothing_closes_no_job() {
+fn a_lookup_without_result_does_not_close_a_job() {
     let (mut job_api, mut effects) = (job_api(), Effects::default());
     job_api.on_cancel(1, ID, &mut effects, 0.0);
     job_api.on_lookup_completed(ID, KvResponse::NotFound, &mut effects, 0.1);
     job_api.on_job_opened(7, spec(ID, 1));
     job_api.on_lookup_completed(ID, KvResponse::NotFound, &mut effects, 0.2);
-    let known = job_api.open_jobs().get(ID).map(|job| job.mod_revision);
-    assert_eq!(known, Some(7));
+    let mod_revision = job_api.open_jobs().get(ID).map(|job| job.mod_revision);
+    assert_eq!(mod_revision, Some(7));
 }
 
-/// Ids that were looked up in vain, and jobs that were cancelled, leave nothing behind but the bounded memory of closed
+/// Lookups of unknown ids and cancelled jobs must not leave entries in memory, apart from the bounded list of closed
 /// jobs.
 #[test]
-fn nothing_is_kept_of_unknown_and_cancelled_jobs() {
+fn unknown_and_cancelled_jobs_leave_no_entries() {
     let (mut job_api, mut effects) = (job_api(), Effects::default());
     for n in 0..50_000_u64 {
         let id = format!("j-{n:06}");
@@ -70,13 +72,13 @@
         }
         effects = Effects::default();
     }
-    // A listing of the open jobs shows none.
-    let known: Vec<String> = job_api
+    // Close the remaining jobs, as a listing without any open job does.
+    let open_ids: Vec<String> = job_api
         .open_jobs()
         .ids_opened_up_to(u64::MAX)
         .map(str::to_owned)
         .collect();
-    for id in known {
+    for id in open_ids {
         job_api.on_job_closed(&id);
     }
     let open = job_api.open_jobs();
@@ -84,13 +86,13 @@
     assert_eq!(open.jobs_with_progress(), 0);
 }
 
-/// The memory of closed jobs forgets the ends that were learnt first.
+/// Beyond its capacity the list of closed jobs evicts the jobs that were added first.
 #[test]
-fn the_memory_of_closed_jobs_is_bounded() {
+fn the_list_of_closed_jobs_is_bounded() {
     let mut closed = ClosedJobs::default();
     for n in 0..20_001 {
         closed.insert(&format!("j-{n}"), Some(n));
-        // Again: it is not kept twice.
+        // A second insertion of the same id must not take another entry.
         closed.insert(&format!("j-{n}"), None);
     }
     assert!(!closed.contains("j-0"));
@@ -99,16 +101,16 @@
         assert!(closed.contains(id), "{id}");
         assert!(
             !closed.accepts_open_record(id, 1),
-            "{id}: older than its end"
+            "{id}: the record is older than the end of the job"
         );
         assert!(
             !closed.accepts_open_record(id, 50_000),
-            "{id}: an id is used once"
+            "{id}: a job id must not be used again"
         );
     }
 }
 
-/// A controller that follows another, with a job that was submitted to it.
+/// A controller that does not lead and has accepted the submission of a job.
 fn follower_with_job(tasks: u32) -> Harness {
     let mut harness = Harness::default();
     harness.elect_other_controller();
@@ -121,19 +123,19 @@
 }
 
 #[test]
-fn the_counts_of_a_deposed_leader_are_not_shown() {
+fn job_counts_of_a_former_leader_are_ignored() {
     let mut harness = follower_with_job(4);
     let counts = |done, running| JobCounts {
         job: ID.to_owned(),
         done,
         running,
     };
-    let mut of_leader = peer_heartbeat("n1", 30);
-    of_leader.counts.push(counts(2, 1));
-    let mut of_deposed = peer_heartbeat("n2", 20);
-    of_deposed.counts.push(counts(0, 0));
-    harness.receive_peer_heartbeat(of_leader);
-    harness.receive_peer_heartbeat(of_deposed);
+    let mut from_leader = peer_heartbeat("n1", 30);
+    from_leader.counts.push(counts(2, 1));
+    let mut from_former_leader = peer_heartbeat("n2", 20);
+    from_former_leader.counts.push(counts(0, 0));
+    harness.receive_peer_heartbeat(from_leader);
+    harness.receive_peer_heartbeat(from_former_leader);
     let view = harness.view(ID);
     assert_eq!(
         (view.status, view.done, view.running),
@@ -141,17 +143,17 @@
     );
 }
 
-/// The watch shows the end of the job before the response to its cancellation arrives.
+/// The watch reports the end of the job before the response to the cancellation arrives.
 #[test]
-fn a_cancelled_job_is_shown_with_the_count_that_was_written() {
+fn a_cancelled_job_is_shown_with_the_stored_count() {
     let mut harness = follower_with_job(4);
-    let mut of_leader = peer_heartbeat("n1", 30);
-    of_leader.counts.push(JobCounts {
+    let mut from_leader = peer_heartbeat("n1", 30);
+    from_leader.counts.push(JobCounts {
         job: ID.to_owned(),
         done: 3,
         running: 1,
     });
-    harness.receive_peer_heartbeat(of_leader);
+    harness.receive_peer_heartbeat(from_leader);
     harness.hold(HeldResponses::Cancellations);
     harness.cancel(ID);
     harness.run_for(0.2);
@@ -162,7 +164,7 @@
 }
 
 #[test]
-fn a_final_state_never_changes() {
+fn a_terminal_state_never_changes() {
     let mut harness = follower_with_job(1);
     let cancellation = harness.cancel(ID);
     harness.run_until("the cancellation", |harness| {
