--- a/src/coordination/election/mod.rs
+++ b/src/coordination/election/mod.rs
@@ -424,7 +424,7 @@
     if !usable {
         tracing::error!(
             epoch,
-            "campaign failed: the mod revision of the leader key is too high for fencing tokens; \
+            "campaign abandoned: the mod revision of the leader key is too high for fencing tokens; \
              migrate to a new state service"
         );
     }
--- a/src/coordination/job_api/mod.rs
+++ b/src/coordination/job_api/mod.rs
@@ -389,7 +389,7 @@
         is_open.then_some(job)
     }
 
-    /// Processes the response to a read of a lookup.
+    /// Processes the response to one of the reads of a lookup.
     pub fn on_lookup_completed(
         &mut self,
         id: &str,
