--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -306,14 +306,14 @@
             first = id;
             user.write_all(b"GET /healthz HTTP/1.1\r\n\r\n")
                 .expect("sent");
-            let mut after = ConnectionAction::Keep;
-            while after == ConnectionAction::Keep {
-                after = server.on_ready(id, now);
+            let mut action = ConnectionAction::Keep;
+            while action == ConnectionAction::Keep {
+                action = server.on_ready(id, now);
             }
-            let ConnectionAction::Serve(request, got) = after else {
-                panic!("a request");
+            let ConnectionAction::Serve(request, received) = action else {
+                panic!("expected a complete request");
             };
-            assert_eq!(got.path, "/healthz");
+            assert_eq!(received.path, "/healthz");
             users.push((user, Some(request)));
         } else {
             users.push((user, None));
@@ -322,17 +322,17 @@
     }
     let (user, request) = &mut users[0];
     let request = request.expect("a request that waits");
-    let (id, after, _) = server
+    let (id, action, _) = server
         .answer(request, 200, b"", None, 8.0)
         .expect("an open connection");
-    assert_eq!((id, after), (first, ConnectionAction::Keep));
+    assert_eq!((id, action), (first, ConnectionAction::Keep));
     let mut bytes = [0; 15];
-    user.read_exact(&mut bytes).expect("an answer");
+    user.read_exact(&mut bytes).expect("a response");
     assert_eq!(&bytes, b"HTTP/1.1 200 OK");
-    let mut overdue = server.timed_out(100.0);
-    overdue.sort_unstable();
+    let mut timed_out = server.timed_out(100.0);
+    timed_out.sort_unstable();
     assert_eq!(
-        overdue.len(),
+        timed_out.len(),
         3,
         "all connections have been idle for too long"
     );
