--- a/src/daemon/clients.rs
+++ b/src/daemon/clients.rs
@@ -99,8 +99,8 @@
                 correlation_id,
                 sent_at: (!matches!(request, KvRequest::Watch { .. })).then_some(sent_at),
                 response: match outcome {
-                    Outcome::Answer(http) => request.response(http.status, &http.body),
-                    Outcome::NotSent | Outcome::Unreached | Outcome::Silent => {
+                    Outcome::Response(http) => request.response(http.status, &http.body),
+                    Outcome::NotSent | Outcome::ConnectFailed | Outcome::NoResponse => {
                         KvResponse::OutcomeUnknown
                     }
                 },
@@ -111,8 +111,8 @@
             } => CallResponse::Cloud {
                 correlation_id,
                 response: match outcome {
-                    Outcome::Answer(http) => request.response(http.status, &http.body),
-                    Outcome::NotSent | Outcome::Unreached | Outcome::Silent => {
+                    Outcome::Response(http) => request.response(http.status, &http.body),
+                    Outcome::NotSent | Outcome::ConnectFailed | Outcome::NoResponse => {
                         CloudResponse::OutcomeUnknown
                     }
                 },
@@ -120,10 +120,10 @@
             PendingCall::Worker { correlation_id } => CallResponse::Worker {
                 correlation_id,
                 response: match outcome {
-                    Outcome::Answer(http) => WorkerRequest::response(http.status, &http.body),
+                    Outcome::Response(http) => WorkerRequest::response(http.status, &http.body),
                     Outcome::NotSent => WorkerResponse::NotSent,
-                    Outcome::Unreached => WorkerResponse::Unreachable,
-                    Outcome::Silent => WorkerResponse::OutcomeUnknown,
+                    Outcome::ConnectFailed => WorkerResponse::Unreachable,
+                    Outcome::NoResponse => WorkerResponse::OutcomeUnknown,
                 },
             },
         }
@@ -194,9 +194,9 @@
         self.pending.insert(id, pending);
         let call = Call {
             id,
-            to,
+            address: to,
             bytes: http::write_request(method, &to.to_string(), &path, &body),
-            until: now + timeout_s,
+            deadline: now + timeout_s,
         };
         let opened = self.pool_mut(destination).call(call, now);
         opened.map(|id| ClientConnection { destination, id })
@@ -230,7 +230,7 @@
     pub(super) fn take_responses(&mut self) -> Vec<CallResponse> {
         let mut responses = Vec::new();
         for destination in Destination::ALL {
-            for (id, outcome) in self.pool_mut(destination).take_done() {
+            for (id, outcome) in self.pool_mut(destination).take_completed() {
                 if let Some(pending) = self.pending.remove(&id) {
                     responses.push(pending.complete(outcome));
                 }
--- a/src/daemon/connections.rs
+++ b/src/daemon/connections.rs
@@ -189,7 +189,7 @@
             ConnectionAction::Serve(request_id, request) => {
                 // Workers keep their connections while there are enough; users can always connect.
                 if request.path == HEARTBEAT_PATH {
-                    self.server.close_if_crowded(request_id);
+                    self.server.close_after_response_if_crowded(request_id);
                 }
                 // A response that is there already goes out when the effects are carried out.
                 self.controller.on_request(
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -1,304 +1,328 @@
-//! Outgoing HTTP connections: a small pool for each destination, with a time limit for each call.
+//! Outgoing HTTP connections: a small connection pool for each destination, and a deadline for each call.
 
 use super::http::{self, Parsed, Response};
-use super::socket::{self, ReadEnd, Wire};
+use super::socket::{self, BufferedStream, ReadStatus};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// Names a call that waits for its answer.
+/// Identifies a call that has not completed.
 pub type CallId = u64;
 
-/// What came of a call.
+/// How a call completed.
 #[derive(Debug)]
 pub enum Outcome {
-    /// The answer.
-    Answer(Response),
-    /// It was certainly never sent: there was no connection to spare for it in time.
+    /// The destination responded.
+    Response(Response),
+    /// The call was certainly not sent: no connection became free before its deadline, or none could be opened.
     NotSent,
-    /// It was certainly never sent: no connection came about.
-    Unreached,
-    /// It was sent, or may have been; no answer.
-    Silent,
+    /// The call was certainly not sent: its connection was not established.
+    ConnectFailed,
+    /// The call was sent, or may have been, and no response was received.
+    NoResponse,
 }
 
-/// A request on its way out.
+/// A request to send.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Its name.
+    /// Identifies the call in its outcome.
     pub id: CallId,
-    /// Where to.
-    pub to: SocketAddr,
-    /// The bytes to send.
+    /// The destination.
+    pub address: SocketAddr,
+    /// The encoded request.
     pub bytes: Vec<u8>,
-    /// When to give up.
-    pub until: f64,
+    /// Time at which the call is given up, in seconds of the steady clock.
+    pub deadline: f64,
 }
 
-struct Conn {
-    to: SocketAddr,
-    wire: Wire,
+struct Connection {
+    address: SocketAddr,
+    buffered: BufferedStream,
     connected: bool,
     call: Option<Call>,
     idle_since: f64,
-    /// Its place among the connections without a call.
-    idle_turn: Option<u64>,
+    /// Its key in `Client::idle_connections` while it has no call.
+    idle_position: Option<u64>,
 }
 
-/// One destination: the calls that wait for a connection, and its connections.
+/// One destination: the calls that wait for a connection, and the ids of its connections.
 #[derive(Default)]
 struct Destination {
     queue: VecDeque<Call>,
-    conns: Vec<u64>,
+    connections: Vec<u64>,
 }
 
-/// The pools.
+/// The connection pools of all destinations.
 pub struct Client {
-    conns: HashMap<u64, Conn>,
+    connections: HashMap<u64, Connection>,
     destinations: HashMap<SocketAddr, Destination>,
-    /// Destinations with calls that wait.
-    waiting: BTreeSet<SocketAddr>,
-    /// Connections without a call, the longest unused first.
-    idle: BTreeMap<u64, u64>,
-    done: Vec<(CallId, Outcome)>,
-    next: u64,
-    per_destination: usize,
-    limit: usize,
+    /// Destinations with calls that wait for a connection.
+    destinations_with_queue: BTreeSet<SocketAddr>,
+    /// Ids of the connections without a call, the one that has been idle longest first.
+    idle_connections: BTreeMap<u64, u64>,
+    completed: Vec<(CallId, Outcome)>,
+    next_id: u64,
+    max_per_destination: usize,
+    max_connections: usize,
     max_body: usize,
-    idle_s: f64,
+    idle_timeout_s: f64,
 }
 
 impl Client {
-    /// Bounds: connections for each destination and in all, bytes of a response body, and the
-    /// seconds for which an unused connection is kept.
-    pub fn new(per_destination: usize, limit: usize, max_body: usize, idle_s: f64) -> Client {
+    /// A client with at most `max_per_destination` connections for each destination and `max_connections` in total,
+    /// which accepts response bodies of up to `max_body` bytes and closes connections that have been idle for
+    /// `idle_timeout_s`.
+    pub fn new(
+        max_per_destination: usize,
+        max_connections: usize,
+        max_body: usize,
+        idle_timeout_s: f64,
+    ) -> Client {
         Client {
-            conns: HashMap::new(),
+            connections: HashMap::new(),
             destinations: HashMap::new(),
-            waiting: BTreeSet::new(),
-            idle: BTreeMap::new(),
-            done: Vec::new(),
-            next: 1,
-            per_destination,
-            limit,
+            destinations_with_queue: BTreeSet::new(),
+            idle_connections: BTreeMap::new(),
+            completed: Vec::new(),
+            next_id: 1,
+            max_per_destination,
+            max_connections,
             max_body,
-            idle_s,
+            idle_timeout_s,
         }
     }
 
-    /// The stream of a connection.
+    /// The stream of a connection, to register it with the event loop; none once the connection is closed.
     pub fn stream(&self, id: u64) -> Option<Rc<TcpStream>> {
-        self.conns.get(&id).map(|conn| conn.wire.stream())
+        self.connections
+            .get(&id)
+            .map(|connection| connection.buffered.stream())
     }
 
-    /// Makes a call. Returns a new connection that must be registered, if one was opened for it.
+    /// Makes a call, or queues it until a connection is free. Returns the connection that was opened for it and must be
+    /// registered with the event loop, if any.
     pub fn call(&mut self, call: Call, now: f64) -> Option<u64> {
-        let to = call.to;
-        let destination = self.destinations.entry(to).or_default();
+        let address = call.address;
+        let destination = self.destinations.entry(address).or_default();
         destination.queue.push_back(call);
-        self.dispatch(to, now)
+        self.dispatch(address, now)
     }
 
-    /// Hands waiting calls to free connections, opening one where needed. What it does is bounded
-    /// by the connections and calls of this destination: there may be a thousand others.
-    fn dispatch(&mut self, to: SocketAddr, now: f64) -> Option<u64> {
-        let opened = self.serve_queue(to, now);
-        let left = self.destinations.get(&to);
-        if left.is_some_and(|d| !d.queue.is_empty()) {
-            self.waiting.insert(to);
+    /// Sends the queued calls of a destination over its idle connections, and opens another connection if needed. The
+    /// work depends on the connections and calls of this destination alone: there may be a thousand other destinations.
+    fn dispatch(&mut self, address: SocketAddr, now: f64) -> Option<u64> {
+        let opened = self.send_queued(address, now);
+        let remaining = self.destinations.get(&address);
+        if remaining.is_some_and(|destination| !destination.queue.is_empty()) {
+            self.destinations_with_queue.insert(address);
         } else {
-            self.waiting.remove(&to);
-            if left.is_some_and(|d| d.conns.is_empty()) {
-                self.destinations.remove(&to);
+            self.destinations_with_queue.remove(&address);
+            if remaining.is_some_and(|destination| destination.connections.is_empty()) {
+                self.destinations.remove(&address);
             }
         }
         opened
     }
 
-    fn serve_queue(&mut self, to: SocketAddr, now: f64) -> Option<u64> {
+    fn send_queued(&mut self, address: SocketAddr, now: f64) -> Option<u64> {
         loop {
-            let destination = self.destinations.get_mut(&to)?;
+            let destination = self.destinations.get_mut(&address)?;
             if destination.queue.is_empty() {
                 return None;
             }
-            let free = destination
-                .conns
-                .iter()
-                .copied()
-                .find(|id| self.conns.get(id).is_some_and(|c| c.call.is_none()));
+            let free = destination.connections.iter().copied().find(|id| {
+                self.connections
+                    .get(id)
+                    .is_some_and(|connection| connection.call.is_none())
+            });
             let Some(id) = free else { break };
             let call = destination.queue.pop_front()?;
-            self.use_again(id);
-            if let Some(conn) = self.conns.get_mut(&id) {
-                let sent = !conn.connected || conn.wire.send(&call.bytes);
-                conn.call = Some(call);
+            self.mark_in_use(id);
+            if let Some(connection) = self.connections.get_mut(&id) {
+                let sent = !connection.connected || connection.buffered.send(&call.bytes);
+                connection.call = Some(call);
                 if !sent {
-                    self.fail(id);
+                    self.close(id);
                 }
             }
         }
-        if self.destinations.get(&to)?.conns.len() >= self.per_destination {
+        if self.destinations.get(&address)?.connections.len() >= self.max_per_destination {
             return None;
         }
-        if self.conns.len() >= self.limit
-            && let Some((_, oldest)) = self.idle.first_key_value()
+        if self.connections.len() >= self.max_connections
+            && let Some((_, oldest)) = self.idle_connections.first_key_value()
         {
-            self.fail(*oldest);
+            self.close(*oldest);
         }
-        if self.conns.len() >= self.limit {
+        if self.connections.len() >= self.max_connections {
             return None;
         }
-        let destination = self.destinations.entry(to).or_default();
-        match socket::connect(to) {
+        let destination = self.destinations.entry(address).or_default();
+        match socket::connect(address) {
             Ok(stream) => {
                 let call = destination.queue.pop_front();
-                let id = self.next;
-                self.next += 1;
-                destination.conns.push(id);
-                self.conns.insert(
+                let id = self.next_id;
+                self.next_id += 1;
+                destination.connections.push(id);
+                self.connections.insert(
                     id,
-                    Conn {
-                        to,
-                        wire: Wire::new(stream),
+                    Connection {
+                        address,
+                        buffered: BufferedStream::new(stream),
                         connected: false,
                         call,
                         idle_since: now,
-                        idle_turn: None,
+                        idle_position: None,
                     },
                 );
                 Some(id)
             }
             Err(_) => {
                 for call in destination.queue.drain(..) {
-                    self.done.push((call.id, Outcome::NotSent));
+                    self.completed.push((call.id, Outcome::NotSent));
                 }
                 None
             }
         }
     }
 
-    /// A connection has no call any more.
-    fn set_idle(&mut self, id: u64, now: f64) {
-        self.next += 1;
-        let turn = self.next;
-        if let Some(conn) = self.conns.get_mut(&id) {
-            conn.idle_since = now;
-            conn.idle_turn = Some(turn);
-            self.idle.insert(turn, id);
+    /// Records that a connection has no call any more.
+    fn mark_idle(&mut self, id: u64, now: f64) {
+        self.next_id += 1;
+        let position = self.next_id;
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.idle_since = now;
+            connection.idle_position = Some(position);
+            self.idle_connections.insert(position, id);
         }
     }
 
-    /// A connection is no longer without a call.
-    fn use_again(&mut self, id: u64) {
-        if let Some(turn) = self.conns.get_mut(&id).and_then(|c| c.idle_turn.take()) {
-            self.idle.remove(&turn);
+    /// Records that a connection is no longer idle.
+    fn mark_in_use(&mut self, id: u64) {
+        if let Some(position) = self
+            .connections
+            .get_mut(&id)
+            .and_then(|connection| connection.idle_position.take())
+        {
+            self.idle_connections.remove(&position);
         }
     }
 
-    /// Ends a connection and the call on it.
-    fn fail(&mut self, id: u64) {
-        self.use_again(id);
-        let Some(conn) = self.conns.remove(&id) else {
+    /// Closes a connection and completes the call on it without a response.
+    fn close(&mut self, id: u64) {
+        self.mark_in_use(id);
+        let Some(connection) = self.connections.remove(&id) else {
             return;
         };
-        if let Some(destination) = self.destinations.get_mut(&conn.to) {
-            destination.conns.retain(|other| *other != id);
-            if destination.conns.is_empty() && destination.queue.is_empty() {
-                self.destinations.remove(&conn.to);
+        if let Some(destination) = self.destinations.get_mut(&connection.address) {
+            destination.connections.retain(|other| *other != id);
+            if destination.connections.is_empty() && destination.queue.is_empty() {
+                self.destinations.remove(&connection.address);
             }
         }
-        if let Some(call) = conn.call {
-            let outcome = if conn.connected {
-                Outcome::Silent
+        if let Some(call) = connection.call {
+            let outcome = if connection.connected {
+                Outcome::NoResponse
             } else {
-                Outcome::Unreached
+                Outcome::ConnectFailed
             };
-            self.done.push((call.id, outcome));
+            self.completed.push((call.id, outcome));
         }
     }
 
-    /// Reads and writes what a connection is ready for. Returns a connection to register.
+    /// Handles a readiness event of a connection: reads and writes what is possible. Returns the connection to
+    /// register, if another one was opened for a queued call.
     pub fn on_ready(&mut self, id: u64, now: f64) -> Option<u64> {
-        let conn = self.conns.get_mut(&id)?;
-        let to = conn.to;
-        let mut alive = true;
-        let mut answered = false;
-        if !conn.connected {
-            match conn.wire.connected() {
+        let connection = self.connections.get_mut(&id)?;
+        let address = connection.address;
+        let mut keep_open = true;
+        let mut has_responded = false;
+        if !connection.connected {
+            match connection.buffered.connect_result() {
                 None => return None,
                 Some(true) => {
-                    conn.connected = true;
-                    if let Some(call) = &conn.call {
+                    connection.connected = true;
+                    if let Some(call) = &connection.call {
                         let bytes = call.bytes.clone();
-                        alive = conn.wire.send(&bytes);
+                        keep_open = connection.buffered.send(&bytes);
                     }
                 }
-                Some(false) => alive = false,
+                Some(false) => keep_open = false,
             }
         }
-        if alive {
-            alive = conn.wire.flush();
+        if keep_open {
+            keep_open = connection.buffered.flush();
         }
-        if alive {
-            let end = conn.wire.fill(self.max_body + http::MAX_HEAD);
-            alive = end == ReadEnd::Open;
-            if conn.call.is_some() && end != ReadEnd::Failed && !conn.wire.inbox.is_empty() {
-                match http::parse_response(&conn.wire.inbox, self.max_body, !alive) {
+        if keep_open {
+            let status = connection
+                .buffered
+                .read_available(self.max_body + http::MAX_HEAD);
+            keep_open = status == ReadStatus::Open;
+            if connection.call.is_some()
+                && status != ReadStatus::Failed
+                && !connection.buffered.read_buffer.is_empty()
+            {
+                match http::parse_response(
+                    &connection.buffered.read_buffer,
+                    self.max_body,
+                    !keep_open,
+                ) {
                     Ok(Parsed::Complete(response, used)) => {
-                        conn.wire.consume(used);
-                        alive &= response.keep_alive && conn.wire.inbox.is_empty();
-                        if let Some(call) = conn.call.take() {
-                            self.done.push((call.id, Outcome::Answer(response)));
-                            answered = true;
+                        connection.buffered.consume(used);
+                        keep_open &=
+                            response.keep_alive && connection.buffered.read_buffer.is_empty();
+                        if let Some(call) = connection.call.take() {
+                            self.completed.push((call.id, Outcome::Response(response)));
+                            has_responded = true;
                         }
                     }
                     Ok(Parsed::Partial { .. }) => {}
-                    Err(_) => alive = false,
+                    Err(_) => keep_open = false,
                 }
-            } else if !conn.wire.inbox.is_empty() {
-                alive = false;
+            } else if !connection.buffered.read_buffer.is_empty() {
+                keep_open = false;
             }
         }
-        if !alive {
-            self.fail(id);
-        } else if answered {
-            self.set_idle(id, now);
+        if !keep_open {
+            self.close(id);
+        } else if has_responded {
+            self.mark_idle(id, now);
         }
-        self.dispatch(to, now)
+        self.dispatch(address, now)
     }
 
-    /// Ends calls whose time is over and connections unused for long. Returns connections to
-    /// register.
+    /// Completes the calls whose deadline has passed without a response, and closes the connections that have been idle
+    /// for too long. Returns the connections that were opened for queued calls, to register them.
     pub fn expire(&mut self, now: f64) -> Vec<u64> {
-        let late: Vec<u64> = self
-            .conns
+        let expired: Vec<u64> = self
+            .connections
             .iter()
-            .filter(|(_, conn)| match &conn.call {
-                Some(call) => now >= call.until,
-                None => now - conn.idle_since > self.idle_s,
+            .filter(|(_, connection)| match &connection.call {
+                Some(call) => now >= call.deadline,
+                None => now - connection.idle_since > self.idle_timeout_s,
             })
             .map(|(id, _)| *id)
             .collect();
-        for id in late {
-            self.fail(id);
+        for id in expired {
+            self.close(id);
         }
         let mut opened = Vec::new();
-        for to in self.waiting.clone() {
-            if let Some(destination) = self.destinations.get_mut(&to) {
+        for address in self.destinations_with_queue.clone() {
+            if let Some(destination) = self.destinations.get_mut(&address) {
                 let queue = &mut destination.queue;
-                while queue.front().is_some_and(|call| now >= call.until) {
+                while queue.front().is_some_and(|call| now >= call.deadline) {
                     if let Some(call) = queue.pop_front() {
-                        self.done.push((call.id, Outcome::NotSent));
+                        self.completed.push((call.id, Outcome::NotSent));
                     }
                 }
             }
-            opened.extend(self.dispatch(to, now));
+            opened.extend(self.dispatch(address, now));
         }
         opened
     }
 
-    /// Takes the calls that have ended.
-    pub fn take_done(&mut self) -> Vec<(CallId, Outcome)> {
-        std::mem::take(&mut self.done)
+    /// Returns the calls that have completed since the last such request, with their outcomes.
+    pub fn take_completed(&mut self) -> Vec<(CallId, Outcome)> {
+        std::mem::take(&mut self.completed)
     }
 }
--- a/src/transport/frames.rs
+++ b/src/transport/frames.rs
@@ -1,130 +1,135 @@
-//! Length-prefixed frames between controllers.
+//! Length-prefixed frames, which carry messages between controllers: 4 bytes of length (little-endian), then the body.
 
-use super::socket::{self, ReadEnd, Wire};
+use super::socket::{self, BufferedStream, ReadStatus};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// Takes whole frames out of the bytes read so far. `None`: a frame is longer than allowed.
-pub fn split_frames(inbox: &mut Vec<u8>, limit: usize) -> Option<Vec<Vec<u8>>> {
+/// Removes all complete frames from the buffer and returns their bodies. Returns `None` if a frame is longer than
+/// `limit`.
+pub fn split_frames(read_buffer: &mut Vec<u8>, limit: usize) -> Option<Vec<Vec<u8>>> {
     let mut frames = Vec::new();
-    let mut at = 0;
-    while let Some(head) = inbox.get(at..at + 4) {
+    let mut position = 0;
+    while let Some(head) = read_buffer.get(position..position + 4) {
         let length = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
         if length > limit {
             return None;
         }
-        let Some(body) = inbox.get(at + 4..at + 4 + length) else {
+        let Some(body) = read_buffer.get(position + 4..position + 4 + length) else {
             break;
         };
         frames.push(body.to_vec());
-        at += 4 + length;
+        position += 4 + length;
     }
-    inbox.drain(..at);
+    read_buffer.drain(..position);
     Some(frames)
 }
 
-/// An incoming peer connection.
+/// A connection from a peer.
 pub struct Incoming {
-    wire: Wire,
+    buffered: BufferedStream,
 }
 
 impl Incoming {
-    /// Takes over a stream.
+    /// Wraps a non-blocking stream.
     pub fn new(stream: TcpStream) -> Incoming {
         Incoming {
-            wire: Wire::new(stream),
+            buffered: BufferedStream::new(stream),
         }
     }
-    /// The stream.
+    /// The stream, to register it with the event loop.
     pub fn stream(&self) -> Rc<TcpStream> {
-        self.wire.stream()
+        self.buffered.stream()
     }
-    /// Reads frames. The flag says whether the connection goes on.
+    /// Reads the frames that have arrived. The flag is false if the connection must be closed.
     pub fn on_ready(&mut self, limit: usize) -> (Vec<Vec<u8>>, bool) {
-        let end = self.wire.fill(2 * limit);
-        match split_frames(&mut self.wire.inbox, limit) {
-            Some(frames) => (frames, end == ReadEnd::Open),
+        let status = self.buffered.read_available(2 * limit);
+        match split_frames(&mut self.buffered.read_buffer, limit) {
+            Some(frames) => (frames, status == ReadStatus::Open),
             None => (Vec::new(), false),
         }
     }
 }
 
-/// The outgoing connection to one peer. Frames are dropped, never queued without bound.
+/// The connection to one peer. To bound the memory, a frame is dropped instead of queued while the connection is being
+/// established or an earlier frame is not completely written.
 pub struct Outgoing {
-    to: SocketAddr,
-    wire: Option<Wire>,
+    address: SocketAddr,
+    buffered: Option<BufferedStream>,
     connected: bool,
-    since: f64,
-    patience_s: f64,
+    last_progress_at: f64,
+    stall_timeout_s: f64,
 }
 
 impl Outgoing {
-    /// A connection that is given up when it makes no progress for `patience_s`.
-    pub fn new(to: SocketAddr, patience_s: f64) -> Outgoing {
+    /// A connection that [`send`](Outgoing::send) opens, and replaces once it has made no progress for
+    /// `stall_timeout_s`.
+    pub fn new(address: SocketAddr, stall_timeout_s: f64) -> Outgoing {
         Outgoing {
-            to,
-            wire: None,
+            address,
+            buffered: None,
             connected: false,
-            since: 0.0,
-            patience_s,
+            last_progress_at: 0.0,
+            stall_timeout_s,
         }
     }
 
-    /// Sends a frame if the connection can take it. Returns a new stream to register.
+    /// Sends a frame, or drops it if the connection is not ready. Returns the new stream to register if a connection
+    /// was opened.
     pub fn send(&mut self, body: &[u8], now: f64) -> Option<Rc<TcpStream>> {
-        let stuck = |wire: &Wire, connected: bool, since: f64| {
-            (!connected || wire.unsent() > 0) && now - since > self.patience_s
+        let stalled = |buffered: &BufferedStream, connected: bool, last_progress_at: f64| {
+            (!connected || buffered.unsent_len() > 0)
+                && now - last_progress_at > self.stall_timeout_s
         };
-        if let Some(wire) = &self.wire
-            && stuck(wire, self.connected, self.since)
+        if let Some(buffered) = &self.buffered
+            && stalled(buffered, self.connected, self.last_progress_at)
         {
-            self.wire = None;
+            self.buffered = None;
         }
-        match &mut self.wire {
-            Some(wire) if self.connected => {
-                if wire.unsent() == 0 {
+        match &mut self.buffered {
+            Some(buffered) if self.connected => {
+                if buffered.unsent_len() == 0 {
                     let mut frame = (body.len() as u32).to_le_bytes().to_vec();
                     frame.extend_from_slice(body);
-                    self.since = now;
-                    if !wire.send(&frame) {
-                        self.wire = None;
+                    self.last_progress_at = now;
+                    if !buffered.send(&frame) {
+                        self.buffered = None;
                     }
                 }
                 None
             }
             Some(_) => None,
             None => {
-                let wire = Wire::new(socket::connect(self.to).ok()?);
-                let stream = wire.stream();
-                self.wire = Some(wire);
+                let buffered = BufferedStream::new(socket::connect(self.address).ok()?);
+                let stream = buffered.stream();
+                self.buffered = Some(buffered);
                 self.connected = false;
-                self.since = now;
+                self.last_progress_at = now;
                 Some(stream)
             }
         }
     }
 
-    /// Reacts to readiness. False: the connection has ended.
+    /// Handles a readiness event. Returns false if the connection is closed.
     pub fn on_ready(&mut self, now: f64) -> bool {
-        let Some(wire) = &mut self.wire else {
+        let Some(buffered) = &mut self.buffered else {
             return false;
         };
         if !self.connected {
-            match wire.connected() {
+            match buffered.connect_result() {
                 None => return true,
                 Some(true) => {
                     self.connected = true;
-                    self.since = now;
+                    self.last_progress_at = now;
                 }
                 Some(false) => {
-                    self.wire = None;
+                    self.buffered = None;
                     return false;
                 }
             }
         }
-        // Peers send nothing back on this connection; reading only notices its end.
-        if wire.fill(0) != ReadEnd::Open || !wire.flush() {
-            self.wire = None;
+        // Peers send nothing on this connection: a read only detects that it was closed.
+        if buffered.read_available(0) != ReadStatus::Open || !buffered.flush() {
+            self.buffered = None;
             return false;
         }
         true
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -1,30 +1,31 @@
-//! HTTP/1.1 messages as bytes: bounded parsing and writing, on top of `httparse`.
+//! Parses and writes HTTP/1.1 messages, with bounds on their size; built on `httparse`.
 
 use std::fmt::Write as _;
 
-/// Longest head of a message.
+/// Longest head of a message (start line and headers), in bytes.
 pub const MAX_HEAD: usize = 8 * 1024;
-/// Most header lines.
+/// Most headers of a message.
 const MAX_HEADERS: usize = 48;
-/// Longest body of a request.
+/// Longest body of a request, in bytes.
 pub const MAX_REQUEST_BODY: usize = 64 * 1024;
 
 /// A complete request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// Method, as sent.
+    /// Method, in the case in which it was sent.
     pub method: String,
-    /// Path without the query.
+    /// Path without query and fragment.
     pub path: String,
     /// Body.
     pub body: Vec<u8>,
-    /// Whether the connection stays open after the answer.
+    /// Whether the connection stays open after the response.
     pub keep_alive: bool,
 }
 
-/// Why bytes are not a request that we take; the status to answer with.
+/// The bytes are not an acceptable message. Holds the status to respond with: for a request, the one that names the
+/// reason; for a response, always 502.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("refused with status {0}")]
+#[error("invalid or oversized HTTP message (status {0})")]
 pub struct ParseError(pub u16);
 
 /// A complete response.
@@ -38,20 +39,20 @@
     pub keep_alive: bool,
 }
 
-/// What the bytes so far amount to.
+/// What the bytes received so far contain.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Parsed<T> {
     /// More bytes are needed.
     Partial {
-        /// The sender waits for `100 Continue`.
+        /// The sender waits for `100 Continue` before it sends the body.
         expects_continue: bool,
     },
-    /// A whole message and how many bytes it took.
+    /// A complete message, and the number of its bytes.
     Complete(T, usize),
 }
 
 struct Head {
-    length: Option<usize>,
+    content_length: Option<usize>,
     chunked: bool,
     close: bool,
     keep_alive: bool,
@@ -60,7 +61,7 @@
 
 fn read_headers(headers: &[httparse::Header]) -> Result<Head, ParseError> {
     let mut head = Head {
-        length: None,
+        content_length: None,
         chunked: false,
         close: false,
         keep_alive: false,
@@ -70,15 +71,15 @@
         let value = std::str::from_utf8(header.value).map_err(|_| ParseError(400))?;
         let value = value.trim();
         if header.name.eq_ignore_ascii_case("content-length") {
-            // Digits only: `usize` parsing would also take a plus sign.
+            // Digits only: `usize::from_str` would also accept a plus sign.
             if value.is_empty() || !value.bytes().all(|b| b.is_ascii_digit()) {
                 return Err(ParseError(400));
             }
             let length = value.parse().map_err(|_| ParseError(400))?;
-            if head.length.is_some_and(|known| known != length) {
+            if head.content_length.is_some_and(|known| known != length) {
                 return Err(ParseError(400));
             }
-            head.length = Some(length);
+            head.content_length = Some(length);
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
             if !value.eq_ignore_ascii_case("chunked") {
                 return Err(ParseError(501));
@@ -93,13 +94,14 @@
             head.expects_continue = value.eq_ignore_ascii_case("100-continue");
         }
     }
-    if head.chunked && head.length.is_some() {
+    if head.chunked && head.content_length.is_some() {
         return Err(ParseError(400));
     }
     Ok(head)
 }
 
-/// Reads a chunked body. `None`: more bytes are needed.
+/// Parses a chunked body of at most `limit` bytes. Returns the body and the number of its encoded bytes, or `None` if
+/// more bytes are needed.
 fn read_chunks(mut bytes: &[u8], limit: usize) -> Result<Option<(Vec<u8>, usize)>, ParseError> {
     let start = bytes.len();
     let mut body = Vec::new();
@@ -127,7 +129,7 @@
     }
 }
 
-/// Parses a request. A body over the limit is refused with 400, as the protocol has it.
+/// Parses a request. The error for a body above the limit is 400, not 413, as the protocol demands.
 pub fn parse_request(bytes: &[u8]) -> Result<Parsed<Request>, ParseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -157,7 +159,7 @@
             }
         }
     } else {
-        let length = head.length.unwrap_or(0);
+        let length = head.content_length.unwrap_or(0);
         if length > MAX_REQUEST_BODY {
             return Err(ParseError(400));
         }
@@ -180,11 +182,12 @@
     ))
 }
 
-/// Parses a response of at most `limit` bytes of body.
+/// Parses a response with a body of at most `limit` bytes. Informational responses (1xx) before it are skipped.
+/// `is_closed` says that the sender has closed its direction, which ends a body without a stated length.
 pub fn parse_response(
     bytes: &[u8],
     limit: usize,
-    ended: bool,
+    is_closed: bool,
 ) -> Result<Parsed<Response>, ParseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
@@ -199,25 +202,25 @@
     let status = response.code.unwrap_or(0);
     let head = read_headers(response.headers).map_err(|_| ParseError(502))?;
     if (100..200).contains(&status) {
-        return match parse_response(&bytes[used..], limit, ended)? {
+        return match parse_response(&bytes[used..], limit, is_closed)? {
             Parsed::Complete(response, more) => Ok(Parsed::Complete(response, used + more)),
             partial => Ok(partial),
         };
     }
     let rest = &bytes[used..];
-    let (body, total, framed) = if head.chunked {
+    let (body, total, has_known_length) = if head.chunked {
         match read_chunks(rest, limit).map_err(|_| ParseError(502))? {
             Some((body, size)) => (body, used + size, true),
             None => return partial,
         }
     } else {
-        match head.length {
+        match head.content_length {
             Some(length) if length > limit => return Err(ParseError(502)),
             Some(length) if rest.len() < length => return partial,
             Some(length) => (rest[..length].to_vec(), used + length, true),
             None if status == 204 || status == 304 => (Vec::new(), used, true),
             None if rest.len() > limit => return Err(ParseError(502)),
-            None if ended => (rest.to_vec(), bytes.len(), false),
+            None if is_closed => (rest.to_vec(), bytes.len(), false),
             None => return partial,
         }
     };
@@ -225,13 +228,13 @@
         Response {
             status,
             body,
-            keep_alive: framed && !head.close && response.version == Some(1),
+            keep_alive: has_known_length && !head.close && response.version == Some(1),
         },
         total,
     ))
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
@@ -249,7 +252,7 @@
     }
 }
 
-/// Writes a response.
+/// Encodes a response.
 pub fn write_response(
     status: u16,
     body: &[u8],
@@ -258,7 +261,7 @@
 ) -> Vec<u8> {
     let mut head = format!(
         "HTTP/1.1 {status} {}\r\nContent-Type: application/cbor\r\nContent-Length: {}\r\n",
-        reason(status),
+        reason_phrase(status),
         body.len()
     );
     if let Some(seconds) = retry_after_s {
@@ -273,7 +276,7 @@
     bytes
 }
 
-/// Writes a request.
+/// Encodes a request.
 pub fn write_request(method: &str, host: &str, path: &str, body: &[u8]) -> Vec<u8> {
     let mut bytes = format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\n").into_bytes();
     if method != "GET" || !body.is_empty() {
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets, HTTP and frames. Knows nothing of what the bytes mean.
+//! Sockets, HTTP and frames. This module carries bytes and does not interpret the content of messages.
 
 pub mod client;
 pub mod frames;
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -1,72 +1,76 @@
-//! Incoming HTTP connections: a bounded table, with time limits for slow senders.
+//! Incoming HTTP connections: a bounded table, with timeouts for idle connections and for slow clients.
 
 use super::http::{self, Parsed, Request};
-use super::socket::{ReadEnd, Wire};
+use super::socket::{BufferedStream, ReadStatus};
 use std::collections::HashMap;
 use std::net::TcpStream;
 
-/// Names a request that waits for its answer.
+/// Identifies a request that has no response yet.
 pub type RequestId = u64;
 
-/// Unread bytes that a connection may have.
+/// Most bytes that are received from a connection before they are parsed.
 const MAX_UNREAD: usize = 2 * http::MAX_REQUEST_BODY + 2 * http::MAX_HEAD;
 
-/// Share of the connections beyond which there are few left.
-const CROWDED: f64 = 0.85;
+/// Share of the connection limit above which the table counts as crowded.
+const CROWDED_SHARE: f64 = 0.85;
 
-/// What to do with a connection after it was touched.
+/// What the caller must do with a connection after it was read or written.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ConnectionAction {
     /// Nothing.
     Keep,
-    /// Close it.
+    /// Close the connection.
     Close,
-    /// Hand this request to the service.
+    /// Pass this request to the service.
     Serve(RequestId, Request),
 }
 
-struct Conn {
-    wire: Wire,
-    /// The request that waits for its answer.
-    serving: Option<(RequestId, bool)>,
-    /// When the last bytes of use came or went.
-    touched: f64,
+struct Connection {
+    buffered: BufferedStream,
+    /// The request that has no response yet, and whether the connection stays open after the response.
+    in_flight: Option<(RequestId, bool)>,
+    /// When the first bytes of a request were received, a request was complete, or a response was sent last.
+    last_activity_at: f64,
+    /// The client will send no more bytes.
     half_closed: bool,
-    continued: bool,
+    /// `100 Continue` was sent for the request that is being received.
+    continue_sent: bool,
+    /// The connection is closed once the write buffer is empty.
     closing: bool,
 }
 
 /// The table of incoming connections.
 pub struct Server {
-    conns: HashMap<u64, Conn>,
-    waiting: HashMap<RequestId, u64>,
-    next: u64,
-    limit: usize,
-    idle_s: f64,
-    slow_s: f64,
+    connections: HashMap<u64, Connection>,
+    connection_of_request: HashMap<RequestId, u64>,
+    next_id: u64,
+    max_connections: usize,
+    idle_timeout_s: f64,
+    slow_timeout_s: f64,
 }
 
 impl Server {
-    /// At most `limit` connections; idle ones are closed after `idle_s`, slow senders and readers
-    /// after `slow_s`.
-    pub fn new(limit: usize, idle_s: f64, slow_s: f64) -> Server {
+    /// A table of at most `max_connections`. Idle connections time out after `idle_timeout_s`, those of clients that
+    /// send a request or read a response slowly after `slow_timeout_s`.
+    pub fn new(max_connections: usize, idle_timeout_s: f64, slow_timeout_s: f64) -> Server {
         Server {
-            conns: HashMap::new(),
-            waiting: HashMap::new(),
-            next: 1,
-            limit,
-            idle_s,
-            slow_s,
+            connections: HashMap::new(),
+            connection_of_request: HashMap::new(),
+            next_id: 1,
+            max_connections,
+            idle_timeout_s,
+            slow_timeout_s,
         }
     }
 
-    /// Takes a connection. Also names the connections that must go for it.
+    /// Adds a connection and returns its id. If the table is full, also returns the connection that the caller must
+    /// close for it: the one without activity for longest, and one without a request in flight if there is any.
     pub fn accept(&mut self, stream: TcpStream, now: f64) -> (u64, Option<u64>) {
-        let evicted = if self.conns.len() >= self.limit {
-            self.conns
+        let evicted = if self.connections.len() >= self.max_connections {
+            self.connections
                 .iter()
                 .min_by(|a, b| {
-                    let key = |c: &Conn| (c.serving.is_some(), c.touched);
+                    let key = |c: &Connection| (c.in_flight.is_some(), c.last_activity_at);
                     let (a, b) = (key(a.1), key(b.1));
                     a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))
                 })
@@ -74,35 +78,37 @@
         } else {
             None
         };
-        let id = self.next;
-        self.next += 1;
-        self.conns.insert(
+        let id = self.next_id;
+        self.next_id += 1;
+        self.connections.insert(
             id,
-            Conn {
-                wire: Wire::new(stream),
-                serving: None,
-                touched: now,
+            Connection {
+                buffered: BufferedStream::new(stream),
+                in_flight: None,
+                last_activity_at: now,
                 half_closed: false,
-                continued: false,
+                continue_sent: false,
                 closing: false,
             },
         );
         (id, evicted)
     }
 
-    /// The stream of a connection.
+    /// The stream of a connection, to register it with the event loop; none once the connection is closed.
     pub fn stream(&self, id: u64) -> Option<std::rc::Rc<TcpStream>> {
-        self.conns.get(&id).map(|conn| conn.wire.stream())
+        self.connections
+            .get(&id)
+            .map(|connection| connection.buffered.stream())
     }
 
-    /// Has the connection of a request closed after its answer if few are left: its sender comes
-    /// again with a new one, and nobody has to be turned away.
-    pub fn close_if_crowded(&mut self, request: RequestId) {
-        let crowded = self.conns.len() as f64 > CROWDED * self.limit as f64;
-        if let Some(id) = self.waiting.get(&request)
+    /// Closes the connection of a request after its response if the table is crowded. Its client then opens a new
+    /// connection for its next request, and no connection has to be evicted for another client.
+    pub fn close_after_response_if_crowded(&mut self, request: RequestId) {
+        let crowded = self.connections.len() as f64 > CROWDED_SHARE * self.max_connections as f64;
+        if let Some(id) = self.connection_of_request.get(&request)
             && crowded
-            && let Some(conn) = self.conns.get_mut(id)
-            && let Some((_, keep_alive)) = &mut conn.serving
+            && let Some(connection) = self.connections.get_mut(id)
+            && let Some((_, keep_alive)) = &mut connection.in_flight
         {
             *keep_alive = false;
         }
@@ -110,80 +116,80 @@
 
     /// Number of connections.
     pub fn len(&self) -> usize {
-        self.conns.len()
+        self.connections.len()
     }
 
     /// Whether there are no connections.
     pub fn is_empty(&self) -> bool {
-        self.conns.is_empty()
+        self.connections.is_empty()
     }
 
-    /// Reads and writes what a connection is ready for.
+    /// Handles a readiness event of a connection: reads and writes what is possible.
     pub fn on_ready(&mut self, id: u64, now: f64) -> ConnectionAction {
-        let Some(conn) = self.conns.get_mut(&id) else {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return ConnectionAction::Close;
         };
-        if !conn.wire.flush() {
+        if !connection.buffered.flush() {
             return ConnectionAction::Close;
         }
-        if conn.closing {
-            return if conn.wire.unsent() == 0 {
+        if connection.closing {
+            return if connection.buffered.unsent_len() == 0 {
                 ConnectionAction::Close
             } else {
                 ConnectionAction::Keep
             };
         }
-        let before = conn.wire.inbox.len();
-        match conn.wire.fill(MAX_UNREAD) {
-            ReadEnd::Open => {}
-            ReadEnd::Closed => conn.half_closed = true,
-            ReadEnd::Failed => return ConnectionAction::Close,
+        let before = connection.buffered.read_buffer.len();
+        match connection.buffered.read_available(MAX_UNREAD) {
+            ReadStatus::Open => {}
+            ReadStatus::Closed => connection.half_closed = true,
+            ReadStatus::Failed => return ConnectionAction::Close,
         }
-        if before == 0 && !conn.wire.inbox.is_empty() {
-            conn.touched = now;
+        if before == 0 && !connection.buffered.read_buffer.is_empty() {
+            connection.last_activity_at = now;
         }
         self.next_request(id, now)
     }
 
     fn next_request(&mut self, id: u64, now: f64) -> ConnectionAction {
-        let Some(conn) = self.conns.get_mut(&id) else {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return ConnectionAction::Close;
         };
-        if conn.serving.is_some() {
+        if connection.in_flight.is_some() {
             return ConnectionAction::Keep;
         }
-        if conn.wire.inbox.is_empty() {
-            return if conn.half_closed {
+        if connection.buffered.read_buffer.is_empty() {
+            return if connection.half_closed {
                 ConnectionAction::Close
             } else {
                 ConnectionAction::Keep
             };
         }
-        match http::parse_request(&conn.wire.inbox) {
+        match http::parse_request(&connection.buffered.read_buffer) {
             Ok(Parsed::Complete(request, used)) => {
-                conn.wire.consume(used);
-                conn.continued = false;
-                conn.touched = now;
-                let request_id = self.next;
-                self.next += 1;
-                conn.serving = Some((request_id, request.keep_alive));
-                self.waiting.insert(request_id, id);
+                connection.buffered.consume(used);
+                connection.continue_sent = false;
+                connection.last_activity_at = now;
+                let request_id = self.next_id;
+                self.next_id += 1;
+                connection.in_flight = Some((request_id, request.keep_alive));
+                self.connection_of_request.insert(request_id, id);
                 ConnectionAction::Serve(request_id, request)
             }
-            Ok(Parsed::Partial { .. }) if conn.half_closed => ConnectionAction::Close,
+            Ok(Parsed::Partial { .. }) if connection.half_closed => ConnectionAction::Close,
             Ok(Parsed::Partial { expects_continue }) => {
-                if expects_continue && !conn.continued {
-                    conn.continued = true;
-                    if !conn.wire.send(b"HTTP/1.1 100 Continue\r\n\r\n") {
+                if expects_continue && !connection.continue_sent {
+                    connection.continue_sent = true;
+                    if !connection.buffered.send(b"HTTP/1.1 100 Continue\r\n\r\n") {
                         return ConnectionAction::Close;
                     }
                 }
                 ConnectionAction::Keep
             }
-            Err(refusal) => {
-                let bytes = http::write_response(refusal.0, b"", None, false);
-                conn.closing = true;
-                if conn.wire.send(&bytes) && conn.wire.unsent() > 0 {
+            Err(error) => {
+                let bytes = http::write_response(error.0, b"", None, false);
+                connection.closing = true;
+                if connection.buffered.send(&bytes) && connection.buffered.unsent_len() > 0 {
                     ConnectionAction::Keep
                 } else {
                     ConnectionAction::Close
@@ -192,8 +198,8 @@
         }
     }
 
-    /// Answers a request; says which connection it was, what to do with it then, and how long the
-    /// request has waited.
+    /// Sends the response to a request. Returns the id of its connection, what to do with the connection, and for how
+    /// long the request was in flight, in seconds; none if its connection is closed.
     pub fn answer(
         &mut self,
         request: RequestId,
@@ -202,44 +208,50 @@
         retry_after_s: Option<u32>,
         now: f64,
     ) -> Option<(u64, ConnectionAction, f64)> {
-        let id = self.waiting.remove(&request)?;
-        let conn = self.conns.get_mut(&id)?;
-        let (_, keep_alive) = conn.serving.take()?;
-        let waited_s = now - conn.touched;
-        conn.touched = now;
+        let id = self.connection_of_request.remove(&request)?;
+        let connection = self.connections.get_mut(&id)?;
+        let (_, keep_alive) = connection.in_flight.take()?;
+        let waited_s = now - connection.last_activity_at;
+        connection.last_activity_at = now;
         let bytes = http::write_response(status, body, retry_after_s, keep_alive);
-        if !conn.wire.send(&bytes) {
+        if !connection.buffered.send(&bytes) {
             return Some((id, ConnectionAction::Close, waited_s));
         }
         if !keep_alive {
-            conn.closing = true;
-            let after = if conn.wire.unsent() == 0 {
+            connection.closing = true;
+            let action = if connection.buffered.unsent_len() == 0 {
                 ConnectionAction::Close
             } else {
                 ConnectionAction::Keep
             };
-            return Some((id, after, waited_s));
+            return Some((id, action, waited_s));
         }
         Some((id, self.next_request(id, now), waited_s))
     }
 
-    /// Forgets a connection.
+    /// Removes a connection from the table, with the request in flight on it.
     pub fn close(&mut self, id: u64) {
-        if let Some(conn) = self.conns.remove(&id)
-            && let Some((request, _)) = conn.serving
+        if let Some(connection) = self.connections.remove(&id)
+            && let Some((request, _)) = connection.in_flight
         {
-            self.waiting.remove(&request);
+            self.connection_of_request.remove(&request);
         }
     }
 
-    /// Connections that were idle or slow for too long.
+    /// Connections that have exceeded the timeout for idle connections or for slow clients.
     pub fn timed_out(&self, now: f64) -> Vec<u64> {
-        self.conns
+        self.connections
             .iter()
-            .filter(|(_, conn)| {
-                let busy = conn.closing || !conn.wire.inbox.is_empty() || conn.wire.unsent() > 0;
-                let limit = if busy { self.slow_s } else { self.idle_s };
-                conn.serving.is_none() && now - conn.touched > limit
+            .filter(|(_, connection)| {
+                let busy = connection.closing
+                    || !connection.buffered.read_buffer.is_empty()
+                    || connection.buffered.unsent_len() > 0;
+                let timeout_s = if busy {
+                    self.slow_timeout_s
+                } else {
+                    self.idle_timeout_s
+                };
+                connection.in_flight.is_none() && now - connection.last_activity_at > timeout_s
             })
             .map(|(id, _)| *id)
             .collect()
--- a/src/transport/socket.rs
+++ b/src/transport/socket.rs
@@ -5,101 +5,102 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// What a read brought.
+/// State of a connection after a read.
 #[derive(Debug, PartialEq, Eq)]
-pub enum ReadEnd {
-    /// Nothing more for now.
+pub enum ReadStatus {
+    /// The connection is open; no more bytes have arrived yet.
     Open,
-    /// The other side has closed its direction.
+    /// The other side will send no more bytes.
     Closed,
-    /// The connection failed.
+    /// The connection failed, or more bytes arrived than are allowed.
     Failed,
 }
 
-/// A connection with its unread and unsent bytes.
+/// A non-blocking connection with buffers for received and unsent bytes.
 #[derive(Debug)]
-pub struct Wire {
+pub struct BufferedStream {
     stream: Rc<TcpStream>,
-    /// Bytes read and not yet consumed.
-    pub inbox: Vec<u8>,
-    outbox: Vec<u8>,
-    sent: usize,
+    /// Bytes that were received and not yet consumed.
+    pub read_buffer: Vec<u8>,
+    write_buffer: Vec<u8>,
+    sent_len: usize,
 }
 
-impl Wire {
-    /// Takes over a non-blocking stream.
-    pub fn new(stream: TcpStream) -> Wire {
-        Wire {
+impl BufferedStream {
+    /// Wraps a non-blocking stream.
+    pub fn new(stream: TcpStream) -> BufferedStream {
+        BufferedStream {
             stream: Rc::new(stream),
-            inbox: Vec::new(),
-            outbox: Vec::new(),
-            sent: 0,
+            read_buffer: Vec::new(),
+            write_buffer: Vec::new(),
+            sent_len: 0,
         }
     }
 
-    /// The stream, for registering with the loop.
+    /// The stream, to register it with the event loop.
     pub fn stream(&self) -> Rc<TcpStream> {
         self.stream.clone()
     }
 
-    /// Reads what is there, up to `limit` unread bytes.
-    pub fn fill(&mut self, limit: usize) -> ReadEnd {
+    /// Reads all bytes that have arrived. Fails if more than `limit` unconsumed bytes are then in the buffer.
+    pub fn read_available(&mut self, limit: usize) -> ReadStatus {
         let mut chunk = [0u8; 16 * 1024];
         loop {
-            if self.inbox.len() > limit {
-                return ReadEnd::Failed;
+            if self.read_buffer.len() > limit {
+                return ReadStatus::Failed;
             }
             match (&*self.stream).read(&mut chunk) {
-                Ok(0) => return ReadEnd::Closed,
-                Ok(n) => self.inbox.extend_from_slice(&chunk[..n]),
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return ReadEnd::Open,
+                Ok(0) => return ReadStatus::Closed,
+                Ok(n) => self.read_buffer.extend_from_slice(&chunk[..n]),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return ReadStatus::Open,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return ReadEnd::Failed,
+                Err(_) => return ReadStatus::Failed,
             }
         }
     }
 
-    /// Drops consumed bytes, and memory that a large message has left behind.
+    /// Removes consumed bytes from the read buffer, and frees an empty buffer that a large message has grown.
     pub fn consume(&mut self, count: usize) {
-        self.inbox.drain(..count);
-        if self.inbox.is_empty() && self.inbox.capacity() > 64 * 1024 {
-            self.inbox = Vec::new();
+        self.read_buffer.drain(..count);
+        if self.read_buffer.is_empty() && self.read_buffer.capacity() > 64 * 1024 {
+            self.read_buffer = Vec::new();
         }
     }
 
-    /// Queues bytes and sends what goes out. False: the connection failed.
+    /// Adds bytes to the write buffer and writes as much as the socket accepts. Returns false if the connection
+    /// failed.
     pub fn send(&mut self, bytes: &[u8]) -> bool {
-        self.outbox.extend_from_slice(bytes);
+        self.write_buffer.extend_from_slice(bytes);
         self.flush()
     }
 
-    /// Sends what goes out. False: the connection failed.
+    /// Writes as much of the write buffer as the socket accepts. Returns false if the connection failed.
     pub fn flush(&mut self) -> bool {
-        while self.sent < self.outbox.len() {
-            match (&*self.stream).write(&self.outbox[self.sent..]) {
+        while self.sent_len < self.write_buffer.len() {
+            match (&*self.stream).write(&self.write_buffer[self.sent_len..]) {
                 Ok(0) => return false,
-                Ok(n) => self.sent += n,
+                Ok(n) => self.sent_len += n,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return true,
                 Err(error) if error.kind() == io::ErrorKind::NotConnected => return true,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => return false,
             }
         }
-        self.outbox.clear();
-        self.sent = 0;
-        if self.outbox.capacity() > 64 * 1024 {
-            self.outbox = Vec::new();
+        self.write_buffer.clear();
+        self.sent_len = 0;
+        if self.write_buffer.capacity() > 64 * 1024 {
+            self.write_buffer = Vec::new();
         }
         true
     }
 
-    /// Bytes that wait to be sent.
-    pub fn unsent(&self) -> usize {
-        self.outbox.len() - self.sent
+    /// Number of bytes that are not written to the socket yet.
+    pub fn unsent_len(&self) -> usize {
+        self.write_buffer.len() - self.sent_len
     }
 
-    /// Whether a connection attempt is over and went well; `None` while it goes on.
-    pub fn connected(&self) -> Option<bool> {
+    /// Whether a connection attempt succeeded; `None` while it is in progress.
+    pub fn connect_result(&self) -> Option<bool> {
         match self.stream.take_error() {
             Ok(None) => self.stream.peer_addr().ok().map(|_| true),
             _ => Some(false),
@@ -107,7 +108,7 @@
     }
 }
 
-/// Starts a connection without waiting for it.
+/// Starts to connect without blocking; [`BufferedStream::connect_result`] tells when the attempt is over.
 pub fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(
         Domain::for_address(address),
@@ -125,10 +126,10 @@
     Ok(socket.into())
 }
 
-/// "Operation now in progress", which `std` has no stable name for.
+/// Linux error number of "operation now in progress"; `std::io::ErrorKind` has no stable variant for it.
 const EINPROGRESS: i32 = 115;
 
-/// Listens at an address, also right after a predecessor has ended.
+/// Listens on an address, even if connections of an earlier process on it are still in TIME_WAIT.
 pub fn listen(address: SocketAddr, backlog: i32) -> io::Result<TcpListener> {
     let socket = Socket::new(
         Domain::for_address(address),
