--- a/src/daemon/clients.rs
+++ b/src/daemon/clients.rs
@@ -1,4 +1,4 @@
-//! Outgoing calls: a connection pool for each kind of destination, and which response belongs to which call.
+//! Outgoing calls: a connection pool for each kind of destination, and the calls that have no response yet.
 
 use super::sockets::SocketBudget;
 use crate::coordination::effects::CorrelationId;
@@ -11,13 +11,14 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// Longest response of the state service, in bytes. A watch that brings more is listed anew.
+/// Longest response body of the state service, in bytes. If the response to a watch is longer, the watch is replaced by
+/// a new listing of its keys.
 const MAX_STATE_SERVICE_BODY: usize = 2 * 1024 * 1024;
-/// Longest response of the cloud, in bytes.
+/// Longest response body of the cloud API, in bytes.
 const MAX_CLOUD_BODY: usize = 1024 * 1024;
-/// Longest response of a worker, in bytes.
+/// Longest response body of a worker, in bytes.
 const MAX_WORKER_BODY: usize = 2 * http::MAX_REQUEST_BODY;
-/// Connections to one worker at a time.
+/// Most connections to one worker.
 const CONNECTIONS_PER_WORKER: usize = 1;
 
 /// A kind of destination; each has a connection pool of its own.
@@ -36,19 +37,19 @@
     ];
 }
 
-/// A connection of one of the pools.
+/// A connection of one of the connection pools.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct ClientConnection {
     pub(super) destination: Destination,
     pub(super) id: u64,
 }
 
-/// A call without a response so far.
+/// A call that has not completed, with what is needed to interpret its response.
 pub(super) enum PendingCall {
     StateService {
         correlation_id: CorrelationId,
         request: KvRequest,
-        /// When it was made, in seconds of the steady clock.
+        /// When the call was made, in seconds of the steady clock.
         sent_at: f64,
     },
     Cloud {
@@ -60,12 +61,13 @@
     },
 }
 
-/// What came of a call, in the protocol's terms.
+/// The response to a call, or how the call failed, as a message of its protocol.
 pub(super) enum CallResponse {
     StateService {
         correlation_id: CorrelationId,
         response: KvResponse,
-        /// When the call was made; none for watches, which wait on purpose.
+        /// When the call was made; none for a watch, whose duration is no latency because the service delays its
+        /// response.
         sent_at: Option<f64>,
     },
     Cloud {
@@ -87,8 +89,9 @@
         }
     }
 
-    /// The protocol's response for a transport outcome. Only for workers it matters whether a call without a
-    /// response was sent: state service and cloud count all of these as unknown, which is always safe.
+    /// Converts the transport's outcome to a response of the protocol. Whether a call without a response was sent
+    /// matters for workers only. For the state service and the cloud, each failure counts as an unknown outcome, which
+    /// is always safe.
     fn complete(self, outcome: Outcome) -> CallResponse {
         match self {
             PendingCall::StateService {
@@ -130,7 +133,7 @@
     }
 }
 
-/// The connection pools and the calls in flight.
+/// The connection pools, and the calls that have not completed.
 pub(super) struct Clients {
     state_service: Client,
     cloud: Client,
@@ -140,7 +143,8 @@
 }
 
 impl Clients {
-    /// Pools with these numbers of sockets, whose connections are closed when idle for `idle_timeout_s`.
+    /// Creates the connection pools with the sizes that the socket budget gives. Connections that have been idle for
+    /// `idle_timeout_s` are closed.
     pub(super) fn new(sockets: &SocketBudget, idle_timeout_s: f64) -> Clients {
         let single_destination =
             |connections, max_body| Client::new(connections, connections, max_body, idle_timeout_s);
@@ -174,12 +178,12 @@
         }
     }
 
-    /// The stream of a connection; none once it is closed.
+    /// The stream of a connection; none once the connection is closed.
     pub(super) fn stream(&self, connection: ClientConnection) -> Option<Rc<TcpStream>> {
         self.pool(connection.destination).stream(connection.id)
     }
 
-    /// Makes a call. Returns the connection that was opened for it and must be registered, if any.
+    /// Makes a call. Returns the connection that was opened for it and must be registered with the event loop, if any.
     pub(super) fn call(
         &mut self,
         pending: PendingCall,
@@ -202,7 +206,7 @@
         opened.map(|id| ClientConnection { destination, id })
     }
 
-    /// Reads and writes what a connection is ready for. Returns a connection to register, if one was opened.
+    /// Handles a readiness event of a connection. Returns the connection to register, if another one was opened.
     pub(super) fn on_ready(
         &mut self,
         connection: ClientConnection,
@@ -213,7 +217,8 @@
         opened.map(|id| ClientConnection { destination, id })
     }
 
-    /// Ends the calls that have timed out and closes idle connections. Returns the connections to register.
+    /// Completes the calls that have timed out and closes idle connections. Returns the connections that were opened
+    /// for queued calls, to register them.
     pub(super) fn expire(&mut self, now: f64) -> Vec<ClientConnection> {
         let mut opened = Vec::new();
         for destination in Destination::ALL {
@@ -226,7 +231,7 @@
         opened
     }
 
-    /// Takes the calls that have completed, with their responses.
+    /// Returns the responses of the calls that have completed since the last call of this function.
     pub(super) fn take_responses(&mut self) -> Vec<CallResponse> {
         let mut responses = Vec::new();
         for destination in Destination::ALL {
--- a/src/daemon/connections.rs
+++ b/src/daemon/connections.rs
@@ -1,4 +1,4 @@
-//! Listeners and the connections that the event loop watches: accepted, ready to read or write, closed.
+//! The listeners and connections of the event loop: accepts, reads, writes and closes them.
 
 use super::clients::ClientConnection;
 use super::{Daemon, DaemonError};
@@ -11,10 +11,10 @@
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// Path of workers' heartbeats, whose connections are the first to be closed when sockets run short.
+/// Path of workers' heartbeats. When sockets run short, connections of workers are closed first.
 const HEARTBEAT_PATH: &str = "/v1/report";
 
-/// A connection that the event loop watches.
+/// A connection that is registered with the event loop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Connection {
     /// From a user, a worker or the load balancer.
@@ -27,7 +27,7 @@
     IncomingPeer(u64),
 }
 
-/// Accepts connections in the event loop.
+/// Adds a listener to the event loop, which calls `accept` for each new connection.
 pub(super) fn add_listener(
     handle: &LoopHandle<'static, Daemon>,
     listener: TcpListener,
@@ -36,7 +36,7 @@
     let source = Generic::new(listener, Interest::READ, Mode::Level);
     handle
         .insert_source(source, move |_, listener, daemon: &mut Daemon| {
-            // A failed accept (out of sockets, say) is tried again in the loop's next turn.
+            // After a failed accept (out of sockets, for example) the next iteration of the event loop tries again.
             while let Ok((stream, _)) = listener.accept() {
                 let _ = stream.set_nodelay(true);
                 if stream.set_nonblocking(true).is_ok() {
@@ -61,7 +61,7 @@
         }
     }
 
-    pub(super) fn accept_peer(&mut self, stream: TcpStream) {
+    pub(super) fn accept_peer_connection(&mut self, stream: TcpStream) {
         if self.incoming_peers.len() >= self.sockets.incoming_peers
             && let Some(oldest) = self.incoming_peers.keys().min().copied()
         {
@@ -75,7 +75,7 @@
         self.register(Connection::IncomingPeer(id), stream);
     }
 
-    /// Has the event loop watch a connection.
+    /// Registers a connection with the event loop.
     pub(super) fn register(&mut self, connection: Connection, stream: Rc<TcpStream>) {
         let source = Generic::new(stream, Interest::BOTH, Mode::Edge);
         let inserted = self
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Unregisters the connections that the pools have closed by themselves.
+    /// Unregisters the connections that a connection pool has closed, on a timeout or to open another.
     pub(super) fn unregister_closed_clients(&mut self) {
         let closed: Vec<Connection> = self
             .registrations
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Unregisters a connection and drops what belongs to it.
+    /// Unregisters a connection and removes its state.
     pub(super) fn close(&mut self, connection: Connection) {
         self.unregister(connection);
         match connection {
@@ -138,13 +138,13 @@
         }
     }
 
-    /// A connection can be read or written.
+    /// Handles a readiness event: the connection can be read or written.
     fn on_ready(&mut self, connection: Connection) {
         let now = self.now();
         match connection {
             Connection::Request(id) => {
-                let after = self.server.on_ready(id, now.monotonic);
-                self.serve(id, after, now);
+                let action = self.server.on_ready(id, now.monotonic);
+                self.serve(id, action, now);
             }
             Connection::Client(client) => {
                 let opened = self.clients.on_ready(client, now.monotonic);
@@ -162,7 +162,7 @@
             }
             Connection::IncomingPeer(id) => self.on_peer_ready(id, now),
         }
-        self.pump();
+        self.process_effects();
     }
 
     fn on_peer_ready(&mut self, id: u64, now: Now) {
@@ -171,7 +171,7 @@
         };
         let (frames, open) = incoming.on_ready(peer::MAX_FRAME_BYTES);
         for frame in frames {
-            // A frame that is no heartbeat (of another version, say) is dropped.
+            // A frame that is not a valid heartbeat, from a peer of another version for example, is dropped.
             if let Ok(heartbeat) = peer::decode(&frame) {
                 self.controller.on_peer_heartbeat(heartbeat, now);
             }
@@ -181,17 +181,17 @@
         }
     }
 
-    /// Does what the server asks for after a connection was read or written.
-    pub(super) fn serve(&mut self, id: u64, after: ConnectionAction, now: Now) {
-        match after {
+    /// Does what the connection table demands after a connection was read or written.
+    pub(super) fn serve(&mut self, id: u64, action: ConnectionAction, now: Now) {
+        match action {
             ConnectionAction::Keep => {}
             ConnectionAction::Close => self.close(Connection::Request(id)),
             ConnectionAction::Serve(request_id, request) => {
-                // Workers keep their connections while there are enough; users can always connect.
+                // When the connection table is crowded, workers lose their connections, so that users can connect.
                 if request.path == HEARTBEAT_PATH {
                     self.server.close_after_response_if_crowded(request_id);
                 }
-                // A response that is there already goes out when the effects are carried out.
+                // If the controller responds immediately, the response is sent when its effects are executed.
                 self.controller.on_request(
                     request_id,
                     &request.method,
--- a/src/daemon/dispatch.rs
+++ b/src/daemon/dispatch.rs
@@ -1,4 +1,4 @@
-//! Carries out the controller's effects, and hands it the responses to its calls.
+//! Executes the controller's effects, and passes the responses to its calls back to it.
 
 use super::Daemon;
 use super::clients::{CallResponse, PendingCall};
@@ -10,27 +10,27 @@
 use std::net::SocketAddr;
 
 impl Daemon {
-    /// Carries out effects and delivers responses until there is neither.
-    pub(super) fn pump(&mut self) {
+    /// Executes effects and delivers responses until there are none left: a response may cause further effects.
+    pub(super) fn process_effects(&mut self) {
         loop {
             let now = self.now();
             let effects = self.controller.take_effects();
-            let had_effects = !effects.is_empty();
+            let has_effects = !effects.is_empty();
             for effect in effects {
-                self.carry_out(effect, now);
+                self.execute(effect, now);
             }
             let responses = self.clients.take_responses();
-            let had_responses = !responses.is_empty();
+            let has_responses = !responses.is_empty();
             for response in responses {
-                self.deliver(response, now);
+                self.deliver_response(response, now);
             }
-            if !had_responses && !had_effects {
+            if !has_responses && !has_effects {
                 return;
             }
         }
     }
 
-    fn carry_out(&mut self, effect: Effect, now: Now) {
+    fn execute(&mut self, effect: Effect, now: Now) {
         match effect {
             Effect::Respond {
                 request_id,
@@ -84,9 +84,9 @@
         let answered = self
             .server
             .answer(request_id, status, body, retry_after_s, now.monotonic);
-        if let Some((connection, after, waited_s)) = answered {
+        if let Some((connection, action, waited_s)) = answered {
             self.request_latency.record(waited_s);
-            self.serve(connection, after, now);
+            self.serve(connection, action, now);
         }
     }
 
@@ -129,7 +129,7 @@
         let frame = match peer::encode(heartbeat) {
             Ok(frame) => frame,
             Err(error) => {
-                tracing::error!(%error, "peer heartbeat not sent");
+                tracing::error!(%error, "peer heartbeat not sent: encoding failed");
                 return;
             }
         };
@@ -142,8 +142,8 @@
         }
     }
 
-    /// Hands a response to the controller.
-    fn deliver(&mut self, response: CallResponse, now: Now) {
+    /// Passes the response of a call to the controller.
+    fn deliver_response(&mut self, response: CallResponse, now: Now) {
         match response {
             CallResponse::StateService {
                 correlation_id,
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,9 +1,13 @@
-//! The process: one event loop with the listeners, the outgoing connections, a timer and the controller.
+//! The controller process: a single-threaded event loop with the listeners, all connections, a timer and the
+//! controller.
 //!
-//! The controller is pure: inputs go in with the time, and [effects](crate::coordination::effects) come out. This
-//! module is what makes a program of it. `connections` reads and writes sockets and hands requests and peers'
-//! heartbeats to the controller; `dispatch` carries out its effects; `clients` makes the calls and knows which
-//! response belongs to which; [`sockets`] shares out the sockets. All run on one thread.
+//! The controller itself does no I/O: it is called with an input and the time, and returns
+//! [effects](crate::coordination::effects). This module does the I/O for it:
+//!
+//! - `connections` reads and writes sockets, and passes requests and peers' heartbeats to the controller;
+//! - `dispatch` executes the controller's effects;
+//! - `clients` makes outgoing calls and matches each response to its call;
+//! - [`sockets`] divides the process's sockets among the kinds of connections.
 
 mod clients;
 mod connections;
@@ -29,39 +33,39 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Why a controller can't run.
+/// An error that ends the controller process.
 #[derive(Debug, thiserror::Error)]
 pub enum DaemonError {
-    /// An address can't be listened at.
-    #[error("cannot listen at {0}: {1}")]
+    /// The controller cannot listen on one of its addresses.
+    #[error("cannot listen on {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
     /// The event loop failed.
-    #[error("event loop: {0}")]
+    #[error("event loop failed: {0}")]
     Loop(#[from] calloop::Error),
-    /// A source could not be added to the event loop.
-    #[error("event loop: {0}")]
+    /// A listener or the timer could not be added to the event loop.
+    #[error("cannot add an event source to the event loop: {0}")]
     Source(String),
 }
 
-/// Connections that may wait to be accepted: after a failover all workers and users come at once.
+/// Connections that may wait to be accepted: after a failover all workers and users connect at the same time.
 const LISTEN_BACKLOG: i32 = 4096;
-/// Ticks of the controller in a heartbeat interval.
+/// Number of controller ticks in a heartbeat interval.
 const TICKS_PER_HEARTBEAT: f64 = 100.0;
-/// Sweeps for overdue connections in a heartbeat interval.
+/// Number of checks for timed-out connections in a heartbeat interval.
 const SWEEPS_PER_HEARTBEAT: f64 = 5.0;
-/// Heartbeat intervals between two log lines of a latency.
+/// Interval between two log lines with the latency of the same kind of call, in heartbeat intervals.
 const HEARTBEATS_PER_LATENCY_LOG: f64 = 24.0;
-/// Heartbeat intervals after which an idle outgoing connection is closed.
+/// Time after which an idle outgoing connection is closed, in heartbeat intervals.
 const CLIENT_IDLE_HEARTBEATS: f64 = 20.0;
-/// Heartbeat intervals after which an idle connection of a user or worker is closed.
+/// Time after which an idle connection from a user or worker is closed, in heartbeat intervals.
 const SERVER_IDLE_HEARTBEATS: f64 = 40.0;
-/// Heartbeat intervals within which a request must arrive, and a response be taken.
+/// Time within which a client must send a request completely, and read a response, in heartbeat intervals.
 const SLOW_REQUEST_HEARTBEATS: f64 = 4.0;
 
 struct Daemon {
     controller: Controller,
     handle: LoopHandle<'static, Daemon>,
-    /// What the event loop watches.
+    /// Event loop registrations of the open connections.
     registrations: HashMap<Connection, RegistrationToken>,
     sockets: SocketBudget,
     server: Server,
@@ -71,7 +75,7 @@
     next_incoming_peer: u64,
     state_service: SocketAddr,
     cloud: SocketAddr,
-    /// Zero of the steady clock.
+    /// Start of the process, at which the steady clock is 0.
     started: Instant,
     heartbeat_interval_s: f64,
     next_sweep_at: f64,
@@ -92,7 +96,7 @@
     );
     let mut daemon = Daemon::new(Rc::new(settings), Rc::new(policy), handle.clone());
     add_listener(&handle, requests, Daemon::accept_request_connection)?;
-    add_listener(&handle, peers, Daemon::accept_peer)?;
+    add_listener(&handle, peers, Daemon::accept_peer_connection)?;
     add_timer(&handle, daemon.heartbeat_interval_s / TICKS_PER_HEARTBEAT)?;
     event_loop.run(None, &mut daemon, |_| {})?;
     Ok(())
@@ -102,7 +106,7 @@
     socket::listen(address, LISTEN_BACKLOG).map_err(|error| DaemonError::Listen(address, error))
 }
 
-/// Ticks at once, and then every `interval_s`.
+/// Makes the event loop tick immediately, and then every `interval_s`.
 fn add_timer(handle: &LoopHandle<'static, Daemon>, interval_s: f64) -> Result<(), DaemonError> {
     let interval = Duration::from_secs_f64(interval_s);
     handle
@@ -162,7 +166,7 @@
         }
     }
 
-    /// Lets time pass: for the controller, for calls that time out, and for connections that are overdue.
+    /// Runs what is due at this time: in the controller, for calls and for connections.
     fn tick(&mut self) {
         let now = self.now();
         self.controller.tick(now);
@@ -173,9 +177,10 @@
             self.next_sweep_at = now.monotonic + self.heartbeat_interval_s / SWEEPS_PER_HEARTBEAT;
             self.sweep(now.monotonic);
         }
-        self.pump();
+        self.process_effects();
     }
 
+    /// Logs latencies, and closes connections that have timed out.
     fn sweep(&mut self, now: f64) {
         self.request_latency.log_if_due(now);
         self.state_service_latency.log_if_due(now);
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -8,7 +8,7 @@
 /// Identifies a request that has no response yet.
 pub type RequestId = u64;
 
-/// Most bytes that are received from a connection before they are parsed.
+/// Limit on the bytes of a connection that were received and are not parsed yet.
 const MAX_UNREAD: usize = 2 * http::MAX_REQUEST_BODY + 2 * http::MAX_HEAD;
 
 /// Share of the connection limit above which the table counts as crowded.
@@ -64,7 +64,8 @@
     }
 
     /// Adds a connection and returns its id. If the table is full, also returns the connection that the caller must
-    /// close for it: the one without activity for longest, and one without a request in flight if there is any.
+    /// close to make room: among those without a request in flight, or else among all, the one that has been inactive
+    /// for longest.
     pub fn accept(&mut self, stream: TcpStream, now: f64) -> (u64, Option<u64>) {
         let evicted = if self.connections.len() >= self.max_connections {
             self.connections
