--- a/src/cli.rs
+++ b/src/cli.rs
@@ -2,7 +2,7 @@
 //! controllers.
 
 use crate::daemon;
-use crate::policy::{Policy, Problem};
+use crate::policy::{Policy, PolicyProblem};
 use crate::protocol::cbor;
 use crate::settings::{Settings, SettingsError};
 use crate::transport::http::{self, Parsed, Response};
@@ -113,7 +113,7 @@
     #[error(transparent)]
     Settings(#[from] SettingsError),
     #[error("the policy has {} problems", .0.len())]
-    Policy(Vec<Problem>),
+    Policy(Vec<PolicyProblem>),
 }
 
 impl LoadError {
--- a/src/latency.rs
+++ b/src/latency.rs
@@ -1,29 +1,29 @@
-//! Latencies of requests and calls, recorded in histograms and logged at intervals.
+//! Records the latencies of requests and calls in histograms, and logs their quantiles at intervals.
 
 use hdrhistogram::Histogram;
 
-/// The longest latency told apart, in microseconds.
+/// Longest latency that is recorded exactly, in microseconds; longer ones count as this one.
 const MAX_LATENCY_US: u64 = 60_000_000;
-/// Significant decimal digits of a recorded latency.
+/// Number of significant decimal digits with which a latency is recorded.
 const SIGNIFICANT_DIGITS: u8 = 2;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 const MICROSECONDS_PER_MILLISECOND: f64 = 1000.0;
 
-/// Records the latencies of one kind of call.
+/// Records the latencies of one kind of request or call.
 #[derive(Debug)]
 pub struct LatencyRecorder {
-    what: &'static str,
-    /// None if the histogram could not be made: then nothing is recorded.
+    name: &'static str,
+    /// None if the histogram could not be created; then nothing is recorded.
     histogram: Option<Histogram<u64>>,
     next_log_at: f64,
     log_interval_s: f64,
 }
 
 impl LatencyRecorder {
-    /// A recorder that is logged, and cleared, every `log_interval_s`.
-    pub fn new(what: &'static str, log_interval_s: f64) -> LatencyRecorder {
+    /// Creates a recorder that logs its quantiles under `name`, and is cleared, every `log_interval_s`.
+    pub fn new(name: &'static str, log_interval_s: f64) -> LatencyRecorder {
         LatencyRecorder {
-            what,
+            name,
             histogram: Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS).ok(),
             next_log_at: log_interval_s,
             log_interval_s,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Logs and clears what was recorded, if the interval is over at `now` (seconds of the steady clock).
+    /// Logs and clears the recorded latencies if the log interval has ended at `now` (seconds of the steady clock).
     pub fn log_if_due(&mut self, now: f64) {
         if now < self.next_log_at {
             return;
@@ -48,7 +48,7 @@
         {
             let ms = |microseconds: u64| microseconds as f64 / MICROSECONDS_PER_MILLISECOND;
             tracing::info!(
-                what = self.what,
+                what = self.name,
                 count = histogram.len(),
                 p50_ms = ms(histogram.value_at_quantile(0.5)),
                 p90_ms = ms(histogram.value_at_quantile(0.9)),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,37 +1,38 @@
 //! cedarladder: a cluster scheduler for rented instances.
 //!
-//! Users submit jobs to any of a few controllers. One controller is the leader: it scales pools of instances out
-//! and in through the cloud's API, schedules tasks on the workers that run there, and writes what it decides to a
+//! Users submit jobs to any one of a few controllers. One controller is the leader: it scales pools of instances out
+//! and in through the cloud's API, schedules tasks on the workers of the instances, and writes its decisions to a
 //! write-ahead log in the state service, a consensus-backed key-value store. Any controller may fail at any time.
 //!
-//! `docs/architecture.md` describes the programs, who owns which state, and what happens on each path;
-//! `docs/design.md` has the decisions with their reasons and a glossary.
+//! `docs/architecture.md` describes the programs, which component owns which state, and what happens on each path;
+//! `docs/design.md` holds the design decisions with their reasons, and a glossary.
 //!
 //! # Layers
 //!
-//! | module | what it holds | uses |
+//! | module | content | uses |
 //! | --- | --- | --- |
 //! | [`coordination`] | decisions: election, job API, leader, scheduler, autoscaler | [`bookkeeping`], [`protocol`] |
-//! | [`bookkeeping`] | what is known and what is written down | [`protocol`] |
-//! | [`protocol`] | wire types and their encodings | |
-//! | [`transport`] | sockets, HTTP, frames between controllers | |
+//! | [`bookkeeping`] | tables of jobs and workers, records in the state service, the write-ahead log | [`protocol`] |
+//! | [`protocol`] | types of messages and records, and their encodings | |
+//! | [`transport`] | sockets, HTTP, and frames between controllers | |
 //!
-//! The first two are pure: inputs, the time and a random generator are passed in, and
-//! [`effects`](coordination::effects) come out. [`daemon`] is the event loop that owns the sockets and the clock, passes
-//! inputs in and carries effects out. [`cli`] is the command line; [`settings`] and [`policy`] are the two files that a
-//! controller reads at its start; [`latency`] counts how long calls take.
+//! The first two do no I/O: their functions are called with an input, the time and a random generator, and return
+//! [`effects`](coordination::effects). [`daemon`] is the event loop: it owns the sockets and the clock, passes inputs
+//! to the controller and executes the effects. [`cli`] is the command line. [`settings`] and [`policy`] are the two
+//! files that a controller reads when it starts. [`latency`] measures the duration of calls.
 //!
-//! # Order of reading
+//! # Suggested reading order
 //!
-//! 1. [`coordination::effects`] and [`coordination::controller`]: what goes into a controller, who handles it, and
-//!    what comes out.
-//! 2. [`protocol`]: the state service ([`protocol::kv`]), workers ([`protocol::worker`]), the cloud
-//!    ([`protocol::cloud`]) and users ([`protocol::job`]).
-//! 3. [`coordination::election`], then [`bookkeeping::permits`]: who may do what, on how old a view.
-//! 4. [`bookkeeping`]: the records and tables, then the write-ahead log.
+//! 1. [`coordination::effects`] and [`coordination::controller`]: the inputs of a controller, the component that
+//!    handles each of them, and the resulting effects.
+//! 2. [`protocol`]: messages to and from the state service ([`protocol::kv`]), workers ([`protocol::worker`]), the
+//!    cloud ([`protocol::cloud`]) and users ([`protocol::job`]).
+//! 3. [`coordination::election`], then [`bookkeeping::permits`]: which actions a controller may take, and how recent
+//!    its view of the state must be for each.
+//! 4. [`bookkeeping`]: records and tables, then the write-ahead log.
 //! 5. [`coordination::leader`], [`coordination::scheduler`], [`coordination::autoscaler`] and
 //!    [`coordination::job_api`].
-//! 6. [`daemon`] and [`transport`], which carry bytes.
+//! 6. [`daemon`] and [`transport`], which do the I/O.
 
 #![warn(missing_docs)]
 
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,6 +1,7 @@
-//! Operators' own settings: a file of expressions for the autoscaler's figures, with a checker.
+//! The policy file, in which operators set the parameters of the autoscaler: reads, checks and evaluates it.
 //!
-//! The language is CEL. The built-in figures are such a file too, `default.policy`.
+//! Each line assigns an expression in the language CEL to a parameter. The built-in policy is such a file too,
+//! `default.policy`; it gives the parameters that the operators' file does not define.
 
 use crate::settings::Settings;
 use cel::{Context, Program, Value};
@@ -8,70 +9,70 @@
 use std::fmt;
 use std::path::Path;
 
-/// The built-in figures.
+/// The text of the built-in policy file.
 pub const BUILT_IN_POLICY: &str = include_str!("default.policy");
 
-/// ScalingParameters for one pool.
+/// The autoscaler's parameters for one pool.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ScalingParameters {
-    /// Time within which a waiting task should be picked up.
+    /// Time within which a machine should start a waiting task, in seconds.
     pub pickup_s: f64,
-    /// Least machines.
+    /// Fewest machines.
     pub min: u32,
     /// Most machines.
     pub max: u32,
-    /// How long a machine stays idle before it may be given back.
+    /// Time for which a machine must be idle before it may be returned to the cloud, in seconds.
     pub cooldown_s: f64,
-    /// Window over which rates are counted.
+    /// Window over which rates of starts and finishes are measured, in seconds.
     pub window_s: f64,
-    /// Machines kept beyond the forecast, as a share of it.
+    /// Machines kept in addition to the forecast demand, as a share of it.
     pub headroom: f64,
 }
 
-/// What a pool's figures may depend on.
+/// The state of a pool, which expressions can use as variables.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PoolState {
-    /// Spot machines.
+    /// Whether the pool consists of spot machines.
     pub spot: bool,
-    /// Usual boot time.
+    /// Usual boot time of a machine, in seconds.
     pub boot_time_s: f64,
-    /// Price per hour.
+    /// Price of a machine per hour.
     pub hourly: f64,
-    /// CPUs of a machine.
+    /// Number of CPUs of a machine.
     pub cpus: f64,
-    /// Machines with tasks.
+    /// Number of machines with tasks.
     pub busy: u32,
-    /// All machines.
+    /// Number of machines, idle ones included.
     pub machines: u32,
-    /// Tasks that wait for the pool.
+    /// Number of tasks that wait for a machine of the pool.
     pub waiting: u32,
 }
 
 /// A problem in a policy file.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Problem {
-    /// The file.
+pub struct PolicyProblem {
+    /// Path of the file.
     pub file: String,
-    /// The line, from 1; 0: the file as a whole.
+    /// Line number, from 1; 0 if the problem concerns the file as a whole.
     pub line: usize,
-    /// The figure, if it is known.
+    /// Name to the left of the '=', if there is one.
     pub name: String,
-    /// What is wrong.
-    pub what: String,
+    /// Description of the problem.
+    pub message: String,
 }
 
-impl fmt::Display for Problem {
+impl fmt::Display for PolicyProblem {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{}:{}: ", self.file, self.line)?;
         if !self.name.is_empty() {
             write!(f, "{}: ", self.name)?;
         }
-        f.write_str(&self.what)
+        f.write_str(&self.message)
     }
 }
 
-/// Names of the figures with the least and largest value that each may have.
-const NAMES: [(&str, f64, f64); 6] = [
+/// The parameters, each with its least and its largest allowed value. [`Policy::parameters`] relies on their order.
+const PARAMETERS: [(&str, f64, f64); 6] = [
     ("pickup_s", 0.1, 86_400.0),
     ("min_machines", 0.0, 100_000.0),
     ("max_machines", 0.0, 100_000.0),
@@ -80,7 +81,7 @@
     ("headroom", 0.0, 10.0),
 ];
 
-/// What expressions may use; all are numbers but `spot`.
+/// The variables that expressions can use. All are decimal numbers except `spot`, which is a boolean.
 const VARIABLES: [&str; 10] = [
     "report_s",
     "lease_s",
@@ -94,91 +95,98 @@
     "waiting",
 ];
 
-/// The longest expression taken.
-const MAX_LENGTH: usize = 1000;
+/// Longest expression allowed, in bytes.
+const MAX_EXPRESSION_LEN: usize = 1000;
 
-/// ScalingParameters of the settings that expressions may use.
+/// Values of the settings file that expressions can use as variables.
 #[derive(Debug, Clone, Copy)]
-struct Platform {
+struct SettingsVariables {
     heartbeat_interval_s: f64,
     lease_s: f64,
     list_lag_s: f64,
 }
 
-/// ScalingParameters as expressions.
+/// The compiled expressions of a policy.
 #[derive(Debug)]
 pub struct Policy {
     programs: Vec<Program>,
     defaults: Vec<Program>,
-    platform: Platform,
-    complained: Cell<bool>,
+    settings_variables: SettingsVariables,
+    failure_logged: Cell<bool>,
 }
 
 impl Policy {
-    /// The built-in figures.
+    /// The built-in policy.
     pub fn built_in(settings: &Settings) -> Policy {
         match Policy::parse(BUILT_IN_POLICY, "built-in", settings) {
             Ok(policy) => policy,
-            // A test checks the built-in file; without figures nothing is scaled.
+            // A test checks that the built-in policy is valid. An empty policy gives each parameter its least value,
+            // so nothing is scaled.
             Err(_) => Policy::empty(settings),
         }
     }
 
     fn empty(settings: &Settings) -> Policy {
-        let d = &settings.deployment;
+        let deployment = &settings.deployment;
         Policy {
             programs: Vec::new(),
             defaults: Vec::new(),
-            platform: Platform {
-                heartbeat_interval_s: d.workers.heartbeat_interval_s,
-                lease_s: d.workers.lease_s,
-                list_lag_s: d.cloud.list_lag_s,
+            settings_variables: SettingsVariables {
+                heartbeat_interval_s: deployment.workers.heartbeat_interval_s,
+                lease_s: deployment.workers.lease_s,
+                list_lag_s: deployment.cloud.list_lag_s,
             },
-            complained: Cell::new(false),
+            failure_logged: Cell::new(false),
         }
     }
 
-    /// Reads and checks a file; figures that it does not name keep their default.
-    pub fn load(path: &Path, settings: &Settings) -> Result<Policy, Vec<Problem>> {
+    /// Reads and checks a policy file. Parameters that it does not define get the expression of the built-in policy.
+    pub fn load(path: &Path, settings: &Settings) -> Result<Policy, Vec<PolicyProblem>> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|error| {
-            vec![Problem {
+            vec![PolicyProblem {
                 file: file.clone(),
                 line: 0,
                 name: String::new(),
-                what: error.to_string(),
+                message: error.to_string(),
             }]
         })?;
         Policy::parse(&text, &file, settings)
     }
 
-    /// Reads and checks a text, and names all its problems.
-    pub fn parse(text: &str, file: &str, settings: &Settings) -> Result<Policy, Vec<Problem>> {
+    /// Parses and checks the text of a policy file, and returns all its problems.
+    pub fn parse(
+        text: &str,
+        file: &str,
+        settings: &Settings,
+    ) -> Result<Policy, Vec<PolicyProblem>> {
         let mut policy = Policy::empty(settings);
         let mut problems = Vec::new();
-        let defaults = read(BUILT_IN_POLICY, "built-in", &mut problems);
-        let given = read(text, file, &mut problems);
-        for (name, least, most) in NAMES {
+        let defaults = parse_expressions(BUILT_IN_POLICY, "built-in", &mut problems);
+        let expressions = parse_expressions(text, file, &mut problems);
+        for (name, min_value, max_value) in PARAMETERS {
             let default = defaults.iter().find(|e| e.name == name);
-            let Some(expression) = given.iter().find(|e| e.name == name).or(default) else {
-                problems.push(Problem {
+            let Some(expression) = expressions.iter().find(|e| e.name == name).or(default) else {
+                problems.push(PolicyProblem {
                     file: file.to_owned(),
                     line: 0,
                     name: name.to_owned(),
-                    what: "has no expression".to_owned(),
+                    message: "has no expression".to_owned(),
                 });
                 continue;
             };
-            match expression.compile(&policy.platform, least, most) {
+            match expression.compile(&policy.settings_variables, min_value, max_value) {
                 Ok(program) => policy.programs.push(program),
-                Err(what) => problems.push(Problem {
+                Err(message) => problems.push(PolicyProblem {
                     file: expression.file.clone(),
                     line: expression.line,
                     name: name.to_owned(),
-                    what,
+                    message,
                 }),
             }
-            if let Some(Ok(program)) = default.map(|e| e.compile(&policy.platform, least, most)) {
+            if let Some(Ok(program)) =
+                default.map(|e| e.compile(&policy.settings_variables, min_value, max_value))
+            {
                 policy.defaults.push(program);
             }
         }
@@ -189,23 +197,38 @@
         Err(problems)
     }
 
-    /// The figures of a pool. An expression that fails for these values gives way to the default.
+    /// Evaluates the parameters for a pool. If an expression fails for the values of this pool, the expression of the
+    /// built-in policy is used, and the first such failure is logged.
     pub fn parameters(&self, pool: &PoolState) -> ScalingParameters {
         let value = |i: usize| -> f64 {
-            let (name, least, most) = NAMES[i];
-            let own = self
+            let (name, min_value, max_value) = PARAMETERS[i];
+            let result = self
                 .programs
                 .get(i)
                 .ok_or_else(|| "no expression".to_owned())
-                .and_then(|program| evaluate(program, &self.platform, pool, least, most));
-            own.unwrap_or_else(|what| {
-                if !self.complained.replace(true) {
-                    tracing::error!(name, what, "policy expression failed: default used");
+                .and_then(|program| {
+                    evaluate(
+                        program,
+                        &self.settings_variables,
+                        pool,
+                        min_value,
+                        max_value,
+                    )
+                });
+            result.unwrap_or_else(|reason| {
+                if !self.failure_logged.replace(true) {
+                    tracing::error!(
+                        name,
+                        what = reason,
+                        "policy expression failed: default used"
+                    );
                 }
                 self.defaults
                     .get(i)
-                    .and_then(|p| evaluate(p, &self.platform, pool, least, most).ok())
-                    .unwrap_or(least)
+                    .and_then(|p| {
+                        evaluate(p, &self.settings_variables, pool, min_value, max_value).ok()
+                    })
+                    .unwrap_or(min_value)
             })
         };
         let min = value(1) as u32;
@@ -227,9 +250,9 @@
     text: String,
 }
 
-/// Splits a file into its expressions; notes the lines that are none.
-fn read(text: &str, file: &str, problems: &mut Vec<Problem>) -> Vec<Expression> {
-    let mut found: Vec<Expression> = Vec::new();
+/// Splits a file into its expressions. Lines that are not a valid assignment are added to `problems`.
+fn parse_expressions(text: &str, file: &str, problems: &mut Vec<PolicyProblem>) -> Vec<Expression> {
+    let mut expressions: Vec<Expression> = Vec::new();
     for (i, line) in text.lines().enumerate() {
         let line = line.trim();
         if line.is_empty() || line.starts_with('#') {
@@ -237,17 +260,20 @@
         }
         let (name, expression) = line.split_once('=').unwrap_or((line, ""));
         let (name, expression) = (name.trim(), expression.trim());
-        let what = if !NAMES.iter().any(|(known, ..)| *known == name) {
-            let names: Vec<&str> = NAMES.iter().map(|(known, ..)| *known).collect();
-            format!("no such figure; there are {}", names.join(", "))
+        let message = if !PARAMETERS.iter().any(|(parameter, ..)| *parameter == name) {
+            let names: Vec<&str> = PARAMETERS
+                .iter()
+                .map(|(parameter, ..)| *parameter)
+                .collect();
+            format!("unknown parameter; the parameters are {}", names.join(", "))
         } else if expression.is_empty() {
             "an expression is missing after '='".to_owned()
-        } else if expression.len() > MAX_LENGTH {
-            format!("longer than {MAX_LENGTH} characters")
-        } else if found.iter().any(|other| other.name == name) {
-            "is given twice".to_owned()
+        } else if expression.len() > MAX_EXPRESSION_LEN {
+            format!("longer than {MAX_EXPRESSION_LEN} characters")
+        } else if expressions.iter().any(|other| other.name == name) {
+            "is defined twice".to_owned()
         } else {
-            found.push(Expression {
+            expressions.push(Expression {
                 file: file.to_owned(),
                 line: i + 1,
                 name: name.to_owned(),
@@ -255,19 +281,25 @@
             });
             continue;
         };
-        problems.push(Problem {
+        problems.push(PolicyProblem {
             file: file.to_owned(),
             line: i + 1,
             name: name.to_owned(),
-            what,
+            message,
         });
     }
-    found
+    expressions
 }
 
 impl Expression {
-    /// Compiles it and tries it on samples, so that a wrong type or range shows before it matters.
-    fn compile(&self, platform: &Platform, least: f64, most: f64) -> Result<Program, String> {
+    /// Compiles the expression and evaluates it for some sample pools, so that a value of a wrong type or out of range
+    /// is found when the file is checked.
+    fn compile(
+        &self,
+        settings_variables: &SettingsVariables,
+        min_value: f64,
+        max_value: f64,
+    ) -> Result<Program, String> {
         let program = Program::compile(&self.text).map_err(|errors| {
             let first = errors.errors.first();
             format!(
@@ -284,7 +316,7 @@
         unknown.sort_unstable();
         if !unknown.is_empty() {
             return Err(format!(
-                "unknown variable {}; there are {}",
+                "unknown variable {}; the variables are {}",
                 unknown.join(", "),
                 VARIABLES.join(", ")
             ));
@@ -300,7 +332,7 @@
                     machines,
                     waiting,
                 };
-                evaluate(&program, platform, &pool, least, most)?;
+                evaluate(&program, settings_variables, &pool, min_value, max_value)?;
             }
         }
         Ok(program)
@@ -309,16 +341,16 @@
 
 fn evaluate(
     program: &Program,
-    platform: &Platform,
+    settings_variables: &SettingsVariables,
     pool: &PoolState,
-    least: f64,
-    most: f64,
+    min_value: f64,
+    max_value: f64,
 ) -> Result<f64, String> {
     let mut context = Context::default();
     let numbers = [
-        ("report_s", platform.heartbeat_interval_s),
-        ("lease_s", platform.lease_s),
-        ("list_lag_s", platform.list_lag_s),
+        ("report_s", settings_variables.heartbeat_interval_s),
+        ("lease_s", settings_variables.lease_s),
+        ("list_lag_s", settings_variables.list_lag_s),
         ("ready_s", pool.boot_time_s),
         ("hourly", pool.hourly),
         ("cpus", pool.cpus),
@@ -334,15 +366,15 @@
         Ok(Value::Float(value)) => value,
         Ok(other) => {
             return Err(format!(
-                "wrong type: gives a value of type {}, not a decimal number",
+                "wrong type: the value is of type {}, not a decimal number",
                 other.type_of()
             ));
         }
         Err(error) => return Err(format!("wrong type or value: {error}")),
     };
-    if !value.is_finite() || value < least || value > most {
+    if !value.is_finite() || value < min_value || value > max_value {
         return Err(format!(
-            "out of range: {value} is not within {least} to {most}"
+            "out of range: {value} is not between {min_value} and {max_value}"
         ));
     }
     Ok(value)
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Operators' files: what is good, and what is said of what is not.
+//! Policy files: valid ones, and the messages for invalid ones.
 
 use cedarladder::policy::{BUILT_IN_POLICY, Policy, PoolState};
 use cedarladder::settings::Settings;
@@ -20,21 +20,21 @@
 }
 
 #[test]
-fn built_in() {
+fn built_in_policy_is_valid() {
     let policy = Policy::parse(BUILT_IN_POLICY, "built-in", &settings()).expect("no problems");
-    let ordinary = policy.parameters(&pool(false, 3));
+    let on_demand = policy.parameters(&pool(false, 3));
     let spot = policy.parameters(&pool(true, 3));
-    assert_eq!((ordinary.cooldown_s, spot.cooldown_s), (4.0, 14.0));
-    assert_eq!((ordinary.pickup_s, ordinary.window_s), (2.0, 24.0));
-    assert_eq!((ordinary.min, ordinary.max), (0, 10_000));
+    assert_eq!((on_demand.cooldown_s, spot.cooldown_s), (4.0, 14.0));
+    assert_eq!((on_demand.pickup_s, on_demand.window_s), (2.0, 24.0));
+    assert_eq!((on_demand.min, on_demand.max), (0, 10_000));
 }
 
 #[test]
-fn problems() {
-    // (file, line, name, words of the message)
+fn problems_are_reported_with_line_and_name() {
+    // (text of the file, line, name, part of the message)
     let cases = [
-        ("nonsense", 1, "nonsense", "no such figure"),
-        ("# a remark\n\nspeed = 2.0", 3, "speed", "no such figure"),
+        ("nonsense", 1, "nonsense", "unknown parameter"),
+        ("# a remark\n\nspeed = 2.0", 3, "speed", "unknown parameter"),
         ("pickup_s =", 1, "pickup_s", "missing"),
         ("pickup_s = 2.0 +", 1, "pickup_s", "does not parse"),
         (
@@ -61,29 +61,31 @@
         ),
         ("headroom = 0.1\nheadroom = 0.2", 2, "headroom", "twice"),
     ];
-    for (text, line, name, words) in cases {
-        let found = Policy::parse(text, "my.policy", &settings()).expect_err(text);
-        assert_eq!(found.len(), 1, "{text}: {found:?}");
-        let said = found[0].to_string();
+    for (text, line, name, part) in cases {
+        let problems = Policy::parse(text, "my.policy", &settings()).expect_err(text);
+        assert_eq!(problems.len(), 1, "{text}: {problems:?}");
+        let message = problems[0].to_string();
         assert!(
-            said.starts_with(&format!("my.policy:{line}: {name}: ")),
-            "{said}"
+            message.starts_with(&format!("my.policy:{line}: {name}: ")),
+            "{message}"
         );
-        assert!(said.contains(words), "{text}: {said}");
+        assert!(message.contains(part), "{text}: {message}");
     }
-    let all = "pickup_s = x\nwindow_s = 0.0\nfoo = 1.0";
+    let invalid = "pickup_s = x\nwindow_s = 0.0\nfoo = 1.0";
     assert_eq!(
-        Policy::parse(all, "f", &settings()).expect_err(all).len(),
+        Policy::parse(invalid, "f", &settings())
+            .expect_err(invalid)
+            .len(),
         3,
-        "all are reported"
+        "all problems are reported"
     );
 }
 
-/// An expression that passes the samples may still fail later; the default takes its place.
+/// An expression may be valid for the sample pools and still fail for another pool; then the built-in one is used.
 #[test]
-fn run_time_failure() {
+fn expression_that_fails_at_run_time_is_replaced_by_the_built_in_one() {
     let text = "min_machines = 1.0\ncooldown_s = busy == 7.0 ? -1.0 : 5.0";
-    let policy = Policy::parse(text, "f", &settings()).expect("passes the samples");
+    let policy = Policy::parse(text, "f", &settings()).expect("valid for the sample pools");
     assert_eq!(policy.parameters(&pool(false, 3)).cooldown_s, 5.0);
     assert_eq!(policy.parameters(&pool(false, 7)).cooldown_s, 4.0);
     assert_eq!(policy.parameters(&pool(false, 7)).min, 1);
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -1,4 +1,5 @@
-//! The socket budget: what each purpose gets, and that the limit of the settings holds.
+//! The socket budget: how many sockets each kind of connection gets, and that their sum stays within the settings'
+//! limit.
 
 use cedarladder::daemon::sockets::SocketBudget;
 use cedarladder::settings::Settings;
@@ -47,10 +48,11 @@
 }
 
 #[test]
-fn all_but_what_is_set_aside_is_for_requests() {
+fn requests_get_the_sockets_that_are_not_reserved() {
     let budget = SocketBudget::new(&settings(2080, 2));
     let expected = SocketBudget {
-        // 249 for direct calls, 8 for peers, 28 and 4 for the services, 62 unassigned.
+        // Reserved: 249 for direct calls, 8 for peers, 28 for the state service, 4 for the cloud, and 62 that are not
+        // assigned to any kind of connection.
         requests: 2080 - 249 - 8 - 28 - 4 - 62,
         incoming_peers: 6,
         state_service: 28,
@@ -73,13 +75,13 @@
                 + budget.direct_calls;
             assert!(
                 sum <= max_sockets,
-                "{sum} of {max_sockets}, {peers} peers: {budget:?}"
+                "{sum} sockets, limit {max_sockets}, {peers} peers: {budget:?}"
             );
         }
     }
 }
 
 #[test]
-fn requests_get_a_socket_even_if_the_limit_is_too_low_for_all() {
+fn requests_get_a_socket_even_if_the_limit_is_below_the_reserved_number() {
     assert_eq!(SocketBudget::new(&settings(32, 4)).requests, 1);
 }
