--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -77,16 +77,19 @@
     let seeds = |path: PathBuf| {
         let mut options = Options::parse_from(["soak"]);
         options.seeds = Some(path);
-        options.all_seeds()
+        options.run_seeds()
     };
     let good = seeds(file("good", "# of last week\n7\n\n 19\n"));
     assert_eq!(good.ok(), Some(vec![7, 19]));
     let missing = seeds(folder.join("missing"));
     assert!(matches!(missing, Err(OptionsError::Unreadable { .. })));
     let odd = seeds(file("odd", "7\n-3\n"));
-    assert!(matches!(odd, Err(OptionsError::NoSeed { line: 2, .. })));
+    assert!(matches!(
+        odd,
+        Err(OptionsError::InvalidSeed { line: 2, .. })
+    ));
     let empty = seeds(file("empty", "\n"));
-    assert!(matches!(empty, Err(OptionsError::Empty { .. })));
+    assert!(matches!(empty, Err(OptionsError::NoSeeds { .. })));
     for error in [missing, odd, empty].into_iter().filter_map(Result::err) {
         let text = error.to_string();
         assert!(text.contains("--seeds"), "{text}");
--- a/tests/soak/clock.rs
+++ b/tests/soak/clock.rs
@@ -1,12 +1,12 @@
-//! Time of a run: seconds since its start, and the protocol's times at its scale.
+//! The clock of a run, and the protocol's times at the run's scale.
 
 use std::time::{Duration, Instant};
 
-/// The clock of a run.
+/// The clock of a run; its times are seconds since the start of the run.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     started: Instant,
-    /// Seconds of the run for a second of the protocol's times.
+    /// Seconds of the run that represent one second of the protocol.
     pub scale: f64,
 }
 
@@ -18,44 +18,47 @@
         }
     }
 
-    /// Seconds since the run began.
+    /// Seconds since the start of the run.
     pub fn now(&self) -> f64 {
         self.started.elapsed().as_secs_f64()
     }
 
-    /// A time of the protocol, in seconds of the run.
+    /// Converts a duration from seconds of the protocol to seconds of the run.
     pub fn scaled(&self, protocol_s: f64) -> f64 {
         protocol_s * self.scale
     }
 
-    /// Waits for so many seconds of the run.
+    /// Sleeps for a number of seconds of the run.
     pub async fn sleep(&self, seconds: f64) {
         tokio::time::sleep(Duration::from_secs_f64(seconds.max(0.0))).await;
     }
 
-    /// Waits until a time of the run.
+    /// Sleeps until a time of the run.
     pub async fn sleep_until(&self, at: f64) {
         self.sleep(at - self.now()).await;
     }
 }
 
-/// The protocol's times, in seconds of the run. The ratios are those of a large deployment.
+/// The protocol's times, in seconds of the run. Their ratios are those of a large deployment.
 #[derive(Debug, Clone, Copy)]
 pub struct ProtocolTimes {
     pub heartbeat_interval_s: f64,
     pub lease_s: f64,
     pub cancel_s: f64,
-    /// How long a worker waits for an answer, and before it tries the next controller.
+    /// Time for which a worker waits for the response to a heartbeat.
     pub response_timeout_s: f64,
+    /// Time after a failed heartbeat until the worker tries the next controller.
     pub retry_delay_s: f64,
-    /// The shortest time between two heartbeats.
+    /// Shortest time between two heartbeats of a worker.
     pub min_heartbeat_interval_s: f64,
-    /// How long users wait for an answer, and for one to a poll.
+    /// Time for which users wait for the response to a submission or cancellation.
     pub user_timeout_s: f64,
+    /// Time for which users wait for the response to a poll.
     pub poll_timeout_s: f64,
     pub poll_interval_s: f64,
-    /// Usual boot time, and the lag of the machine list.
+    /// Usual boot time of a machine.
     pub boot_time_s: f64,
+    /// Usual time until a change shows in the list of machines.
     pub list_lag_s: f64,
 }
 
--- a/tests/soak/cloud.rs
+++ b/tests/soak/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: it rents machines, boots them, lists them with a lag, and deletes them.
+//! The cloud stand-in: creates, boots and deletes machines, and lists them with a lag.
 
 use super::http::{Reply, Request};
 use super::machines::{CPUS, INSTANCE_TYPE, Machine, Worker};
@@ -13,9 +13,9 @@
 use std::sync::{Arc, Mutex};
 use tokio::net::TcpListener;
 
-/// The zones.
+/// Names of the zones.
 pub const ZONES: [&str; 2] = ["a", "b"];
-/// Seconds of the protocol by which requests are late during a fault of the cloud.
+/// Range of the delay of requests during [`Fault::CloudErrors`], in seconds of the protocol.
 const DELAY_S: (f64, f64) = (1.0, 20.0);
 
 #[derive(Serialize)]
@@ -92,13 +92,14 @@
     more: bool,
 }
 
-/// The cloud.
+/// The cloud stand-in.
 #[derive(Clone)]
 pub struct Cloud {
     pub oracle: Shared,
     pub nodes: Vec<SocketAddr>,
-    /// Machines of each zone and kind that it has.
+    /// Number of machines that can exist at a time in each pool: a zone, on-demand or spot.
     pub pool_size: usize,
+    /// Names of the machines that each idempotency key has created.
     created_instances: Arc<Mutex<BTreeMap<String, Vec<String>>>>,
 }
 
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Answers a controller.
+    /// Handles a request of a controller. Returns no response if the fault delays the request: its caller times out.
     pub async fn handle(self, request: Request) -> Option<Reply> {
         let (is_delayed, delay_s, clock) = {
             let oracle = &mut *lock(&self.oracle);
@@ -209,6 +210,7 @@
         Reply::new(200, &InstanceNames { hosts })
     }
 
+    /// Boots a machine, and runs its worker until the machine is gone.
     async fn boot(self, name: String, boot_s: f64) {
         let clock = lock(&self.oracle).clock;
         clock.sleep(boot_s).await;
@@ -249,7 +251,7 @@
         Reply::new(200, &())
     }
 
-    /// The machines as they were some time ago.
+    /// Lists the machines as they were some time ago.
     fn list_instances(&self, from: Option<&String>) -> Reply {
         let oracle = &mut *lock(&self.oracle);
         let lag_s = oracle.times.list_lag_s * oracle.rng.random_range(0.5..2.0);
--- a/tests/soak/controllers.rs
+++ b/tests/soak/controllers.rs
@@ -1,4 +1,4 @@
-//! The controllers: real processes of the built program, which are killed, stopped, continued and restarted.
+//! The controller processes: starts, pauses, continues, kills and restarts the built program, and reads its logs.
 
 use super::clock::ProtocolTimes;
 use super::oracle::{FREE_TEAM, TEAM};
@@ -15,13 +15,13 @@
 pub struct Addresses {
     pub users: SocketAddr,
     pub peers: SocketAddr,
-    /// Where it reaches each of the others: a proxy for this pair.
+    /// Number of each other controller, with the address of the proxy through which this one connects to it.
     pub seeds: Vec<(usize, SocketAddr)>,
     pub state: SocketAddr,
     pub cloud: SocketAddr,
 }
 
-/// One controller.
+/// One controller process.
 pub struct Controller {
     label: String,
     program: PathBuf,
@@ -30,29 +30,29 @@
     child: Option<Child>,
 }
 
-/// What a controller's log shows against it.
+/// A line of a controller's log that reports an error.
 pub struct LogError {
     pub line: String,
 }
 
 impl Controller {
-    /// Writes its settings; it is not started yet.
+    /// Writes the settings file of a controller, without starting it.
     pub fn new(
         number: usize,
         program: &Path,
-        folder: &Path,
+        directory: &Path,
         addresses: &Addresses,
         times: &ProtocolTimes,
         team_cpus: f64,
     ) -> io::Result<Controller> {
         let label = format!("n{number}");
-        let settings = folder.join(format!("{label}.toml"));
+        let settings = directory.join(format!("{label}.toml"));
         std::fs::write(
             &settings,
             settings_text(&label, addresses, times, team_cpus),
         )?;
         Ok(Controller {
-            log: folder.join(format!("{label}.log")),
+            log: directory.join(format!("{label}.log")),
             label,
             program: program.to_owned(),
             settings,
@@ -60,7 +60,7 @@
         })
     }
 
-    /// Starts it, unless it runs.
+    /// Starts the controller if it is not running.
     pub fn start(&mut self) -> io::Result<()> {
         if self.child.is_some() {
             return Ok(());
@@ -88,17 +88,17 @@
         }
     }
 
-    /// Stops it where it is.
+    /// Pauses the process (SIGSTOP).
     pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets it go on.
+    /// Continues the paused process (SIGCONT).
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Kills it.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -106,14 +106,14 @@
         }
     }
 
-    /// Whether it has ended by itself, and how.
+    /// If the process has ended by itself, returns a description with its exit status.
     pub fn ended(&mut self) -> Option<String> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
         Some(format!("{} ended by itself: {status}", self.label))
     }
 
-    /// Lines of its log that no run may bring about.
+    /// Lines of the log with an error or a panic, which no run may cause.
     pub fn log_errors(&self) -> Vec<LogError> {
         let text = std::fs::read(&self.log).unwrap_or_default();
         String::from_utf8_lossy(&text)
@@ -125,7 +125,7 @@
             .collect()
     }
 
-    /// How often its log says something.
+    /// Number of log lines that contain a text.
     pub fn count_in_log(&self, text: &str) -> u64 {
         let log = std::fs::read(&self.log).unwrap_or_default();
         let log = String::from_utf8_lossy(&log);
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -1,11 +1,11 @@
-//! The faults that are under way, and whom they concern.
+//! The active faults, and the controller or the machines that each affects.
 
 use super::plan::{Fault, PlannedFault};
 use rand::Rng;
 use rand::rngs::SmallRng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A fault that is under way.
+/// An active fault.
 #[derive(Debug, Clone)]
 struct Active {
     planned: PlannedFault,
@@ -14,16 +14,16 @@
     machines: BTreeSet<String>,
 }
 
-/// All faults that are under way.
+/// All active faults.
 #[derive(Debug, Default)]
 pub struct Faults {
     active: Vec<Active>,
-    /// How often each fault did something: a message held, a request refused, a process stopped.
+    /// How often each fault took effect: delayed a message, rejected a request or stopped a process, for example.
     pub fault_counts: BTreeMap<Fault, u64>,
 }
 
 impl Faults {
-    /// Begins a fault for a controller and for these machines.
+    /// Begins a fault. It affects the given controller or machines, as its kind demands.
     pub fn begin(
         &mut self,
         planned: PlannedFault,
@@ -39,40 +39,40 @@
         });
     }
 
-    /// Forgets what is over.
+    /// Removes the faults that have ended.
     pub fn expire(&mut self, now: f64) {
         self.active.retain(|active| now < active.until);
     }
 
-    /// Ends everything.
+    /// Ends all faults.
     pub fn end_all(&mut self) {
         self.active.clear();
     }
 
-    /// Whether a fault is under way, for whomever.
+    /// Whether a fault is active, whatever it affects.
     pub fn is_active(&self, fault: Fault) -> bool {
         self.active.iter().any(|a| a.planned.fault == fault)
     }
 
-    /// Whether a fault is under way for a controller.
+    /// Whether a fault is active that affects a controller.
     pub fn affects_node(&self, fault: Fault, node: usize) -> bool {
         let concerns = |a: &Active| a.planned.fault == fault && a.node == node;
         self.active.iter().any(concerns)
     }
 
-    /// Whether a fault is under way for a machine.
+    /// Whether a fault is active that affects a machine.
     pub fn affects_machine(&self, fault: Fault, machine: &str) -> bool {
         self.machine_affected_until(fault, machine).is_some()
     }
 
-    /// Until when a fault is under way for a machine.
+    /// The time at which a fault that affects a machine ends; none if there is no such fault.
     pub fn machine_affected_until(&self, fault: Fault, machine: &str) -> Option<f64> {
         let concerns = |a: &&Active| a.planned.fault == fault && a.machines.contains(machine);
         let ends = self.active.iter().filter(concerns).map(|a| a.until);
         ends.max_by(f64::total_cmp)
     }
 
-    /// By how long a message is late, if it is one of those that a fault concerns.
+    /// Draws whether a fault affects a message, by the fault's share, and returns the delay of the message if it does.
     pub fn draw_delay(&mut self, fault: Fault, rng: &mut SmallRng) -> Option<f64> {
         let active = self.active.iter().find(|a| a.planned.fault == fault)?;
         let planned = active.planned;
@@ -83,7 +83,7 @@
         Some(planned.delay_s * rng.random_range(0.5..1.0))
     }
 
-    /// Counts that a fault did something.
+    /// Counts that a fault took effect.
     pub fn count(&mut self, fault: Fault) {
         *self.fault_counts.entry(fault).or_default() += 1;
     }
--- a/tests/soak/http.rs
+++ b/tests/soak/http.rs
@@ -1,4 +1,4 @@
-//! HTTP of the stand-ins: servers that may leave a request without an answer, and a client with a time limit.
+//! HTTP of the stand-ins: a server that can leave requests without a response, and a client with a timeout.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// A request as a stand-in sees it.
+/// A request that a stand-in has received.
 #[derive(Debug, Clone)]
 pub struct Request {
     pub method: String,
@@ -21,7 +21,7 @@
     pub body: Vec<u8>,
 }
 
-/// An answer.
+/// A response.
 #[derive(Debug, Clone)]
 pub struct Reply {
     pub status: u16,
@@ -37,17 +37,17 @@
     }
 }
 
-/// Why a call has no answer.
+/// Why a call has no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoReply {
-    /// No connection came about.
+    /// The connection could not be established.
     ConnectFailed,
-    /// There was none in time, or the connection ended.
+    /// The call timed out, or the connection was closed.
     NoResponse,
 }
 
-/// Serves connections until the task is dropped. A handler that returns nothing leaves its request
-/// without an answer for as long as the connection lasts.
+/// Serves connections until the task is dropped. If the handler returns `None`, the request gets no response and its
+/// connection stays open until the client closes it.
 pub async fn serve<H, F>(listener: TcpListener, handler: H)
 where
     H: Fn(Request) -> F + Clone + Send + 'static,
@@ -60,7 +60,7 @@
         let _ = stream.set_nodelay(true);
         let handler = handler.clone();
         tokio::spawn(async move {
-            let service = service_fn(move |request| answer(request, handler.clone()));
+            let service = service_fn(move |request| handle_request(request, handler.clone()));
             let connection = hyper::server::conn::http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service);
             let _ = connection.await;
@@ -68,7 +68,7 @@
     }
 }
 
-async fn answer<H, F>(
+async fn handle_request<H, F>(
     request: hyper::Request<hyper::body::Incoming>,
     handler: H,
 ) -> Result<hyper::Response<Full<Bytes>>, Infallible>
@@ -92,7 +92,7 @@
             .collect(),
         body,
     };
-    // What has begun is carried out even if the connection ends meanwhile.
+    // The handler runs in a task of its own, so that a request is executed completely even if its connection is closed.
     let reply = tokio::spawn(handler(request)).await.ok().flatten();
     let Some(reply) = reply else {
         return std::future::pending().await;
@@ -102,32 +102,32 @@
     Ok(response.unwrap_or_default())
 }
 
-/// A connection that is made anew whenever it has ended.
+/// A client with one connection, which is opened again after it was closed.
 #[derive(Default)]
 pub struct Client {
-    open: Option<(SocketAddr, SendRequest<Full<Bytes>>)>,
+    connection: Option<(SocketAddr, SendRequest<Full<Bytes>>)>,
 }
 
 impl Client {
-    /// Makes a call and waits so long for its answer.
+    /// Makes a call and waits for its response for at most `timeout_s`.
     pub async fn call(
         &mut self,
         to: SocketAddr,
         method: &str,
         path: &str,
         body: Vec<u8>,
-        within_s: f64,
+        timeout_s: f64,
     ) -> Result<Reply, NoReply> {
-        let within = Duration::from_secs_f64(within_s.max(0.0));
-        let outcome = tokio::time::timeout(within, self.exchange(to, method, path, body)).await;
+        let timeout = Duration::from_secs_f64(timeout_s.max(0.0));
+        let outcome = tokio::time::timeout(timeout, self.exchange(to, method, path, body)).await;
         match outcome {
             Ok(Ok(reply)) => Ok(reply),
             Ok(Err(error)) => {
-                self.open = None;
+                self.connection = None;
                 Err(error)
             }
             Err(_) => {
-                self.open = None;
+                self.connection = None;
                 Err(NoReply::NoResponse)
             }
         }
@@ -140,11 +140,12 @@
         path: &str,
         body: Vec<u8>,
     ) -> Result<Reply, NoReply> {
-        let usable = matches!(&self.open, Some((at, sender)) if *at == to && !sender.is_closed());
-        if !usable {
-            self.open = Some((to, connect(to).await?));
+        let is_usable =
+            matches!(&self.connection, Some((at, sender)) if *at == to && !sender.is_closed());
+        if !is_usable {
+            self.connection = Some((to, connect(to).await?));
         }
-        let Some((_, sender)) = &mut self.open else {
+        let Some((_, sender)) = &mut self.connection else {
             return Err(NoReply::ConnectFailed);
         };
         sender.ready().await.map_err(|_| NoReply::NoResponse)?;
--- a/tests/soak/machines.rs
+++ b/tests/soak/machines.rs
@@ -1,4 +1,4 @@
-//! Machines with their workers: what they run, what they report, and what they do when they are told.
+//! Simulated machines and their workers: they send heartbeats, and execute commands to start, stop and clear tasks.
 
 use super::clock::Clock;
 use super::http::{Client, Reply, Request, serve};
@@ -11,13 +11,13 @@
 use std::net::SocketAddr;
 use tokio::net::TcpListener;
 
-/// CPUs of every machine.
+/// Number of CPUs of each machine.
 pub const CPUS: f64 = 8.0;
-/// The only instance type.
+/// Name of the only instance type.
 pub const INSTANCE_TYPE: &str = "standard";
-/// Seconds of the protocol that the fetch of an image takes.
+/// Time that a machine takes to fetch an image, in seconds of the protocol.
 const FETCH_S: f64 = 2.0;
-/// Seconds between two looks at a machine's tasks, its lease and its next heartbeat.
+/// Interval between two checks of a machine's tasks, its lease and its next heartbeat, in seconds.
 const POLL_INTERVAL_S: f64 = 0.005;
 
 /// A task on a machine.
@@ -28,18 +28,19 @@
     pub state: State,
 }
 
-/// How far a task is, with the time of what comes next.
+/// State of a task. Times are seconds of the run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum State {
-    /// It has its image at this time.
+    /// The machine fetches the image, and has it at this time.
     Fetching(f64),
-    /// It is done at this time.
+    /// The task runs, and is done at this time.
     Running(f64),
+    /// The task has exited, or was not started, for this cause.
     Exited(&'static str),
 }
 
 impl Task {
-    /// Whether it is on its machine: it has its image and has not exited.
+    /// Whether the task runs on its machine: the image is fetched and the task has not exited.
     pub fn is_running(&self) -> bool {
         matches!(self.state, State::Running(_))
     }
@@ -49,7 +50,7 @@
     }
 }
 
-/// A machine that was rented, and its worker.
+/// A rented machine and the state of its worker. Times are seconds of the run.
 #[derive(Debug)]
 pub struct Machine {
     pub name: String,
@@ -65,10 +66,11 @@
     sequence: u64,
     token: u64,
     lease_started_at: f64,
-    /// Something has changed that is to be reported soon.
+    /// Something has changed that must be reported in a heartbeat soon.
     changed: bool,
-    /// When a higher token last counted as a change.
+    /// When a higher token was last treated as such a change.
     token_reported_at: f64,
+    /// Announced time at which the cloud takes the spot machine away.
     reclaim_at: Option<f64>,
 }
 
@@ -156,19 +158,20 @@
         }
     }
 
-    /// It is up, and its incarnation begins.
+    /// Records that the machine is up, and begins its worker's incarnation.
     pub fn finish_boot(&mut self, address: SocketAddr, now: f64) {
         self.up_at = Some(now);
         self.address = Some(address);
         self.lease_started_at = now;
     }
 
-    /// CPUs that its tasks use, those that wait for their image included.
+    /// Number of CPUs in use by tasks that have not exited, those that wait for their image included.
     pub fn used(&self, cpus_of_task: impl Fn(&str) -> f64) -> f64 {
         let unfinished = self.tasks.iter().filter(|task| !task.has_exited());
         unfinished.map(|task| cpus_of_task(&task.name)).sum()
     }
 
+    /// The body of the next heartbeat, with the next sequence number.
     fn next_heartbeat(&mut self, now: f64) -> Vec<u8> {
         self.sequence += 1;
         self.changed = false;
@@ -199,7 +202,7 @@
         })
     }
 
-    /// Takes a token that may be higher than all before.
+    /// Stores a token if it is higher than all before. This is reported soon, but at most once in half a lease.
     fn observe_token(&mut self, token: u64, half_lease_s: f64, now: f64) {
         if token > self.token {
             self.token = token;
@@ -212,7 +215,7 @@
 }
 
 impl Oracle {
-    /// Notes that a spot machine is about to be taken.
+    /// Announces to a worker that its spot machine is taken away at a time.
     pub fn announce_reclaim(&mut self, name: &str, at: f64) {
         if let Some(machine) = self.machines.get_mut(name) {
             machine.reclaim_at = Some(at);
@@ -220,7 +223,7 @@
         }
     }
 
-    /// A machine is gone, with all that runs there.
+    /// Removes a machine, with all tasks on it.
     pub fn remove_machine(&mut self, name: &str) {
         let now = self.clock.now();
         if let Some(machine) = self.machines.get_mut(name) {
@@ -237,7 +240,8 @@
         self.faults.affects_machine(Fault::HangMachines, host)
     }
 
-    /// Executes commands, if their token and, for direct ones, their incarnation match. False: they do not.
+    /// Executes commands. Returns false, without executing them, if their token is lower than one seen before, or if
+    /// they came in a direct call and are for another incarnation.
     fn execute(&mut self, host: &str, commands: &CommandBatchBody, direct: bool) -> bool {
         let now = self.clock.now();
         let half_lease_s = self.times.lease_s / 2.0;
@@ -272,14 +276,14 @@
         let Some(machine) = self.machines.get(host) else {
             return;
         };
-        let known = |task: &&Task| task.name == name;
-        let mut same_task = machine.tasks.iter().filter(known);
-        if same_task.clone().any(|task| task.attempt == attempt) {
+        let is_same_task = |task: &&Task| task.name == name;
+        let mut attempts = machine.tasks.iter().filter(is_same_task);
+        if attempts.clone().any(|task| task.attempt == attempt) {
             return;
         }
         let state = match image {
             None => State::Exited("no_such"),
-            Some(_) if same_task.any(|task| !task.has_exited()) => State::Exited("busy"),
+            Some(_) if attempts.any(|task| !task.has_exited()) => State::Exited("busy"),
             Some(_) if machine.used(|task| self.cpus_of(task)) + needed_cpus > CPUS + 1e-6 => {
                 State::Exited("full")
             }
@@ -316,11 +320,12 @@
         }
     }
 
-    /// Lets a machine's tasks go on, and its incarnation end when its lease is over.
+    /// Advances a machine's tasks to the current time. If its lease has expired, ends all tasks and begins a new
+    /// incarnation. The tasks of a hung machine make no progress.
     pub fn advance(&mut self, host: &str) {
         let now = self.clock.now();
         let lease_s = self.times.lease_s;
-        let hung = self.is_hung(host);
+        let is_hung_now = self.is_hung(host);
         let Some(machine) = self.machines.get_mut(host) else {
             return;
         };
@@ -335,7 +340,7 @@
             self.counters.leases_expired += 1;
             return;
         }
-        if hung {
+        if is_hung_now {
             for task in &mut machine.tasks {
                 if let State::Running(until) | State::Fetching(until) = &mut task.state {
                     *until += POLL_INTERVAL_S;
@@ -372,18 +377,18 @@
         );
         let (job, index) = name.split_once('/').unwrap_or((&name, "0"));
         let index: u32 = index.parse().unwrap_or(0);
-        let Some(known) = self.jobs.get(job) else {
+        let Some(job_state) = self.jobs.get(job) else {
             return;
         };
-        machine.images.insert(known.spec.image.clone());
+        machine.images.insert(job_state.spec.image.clone());
         machine.changed = true;
-        // The result of a task that is done is kept: it exits as soon as it has its image.
-        if known.done.contains(&index) {
+        // The result of a completed task is kept, so that another attempt exits as soon as its image is fetched.
+        if job_state.done.contains(&index) {
             machine.tasks[position].state = State::Exited("done");
             return;
         }
-        let run_s = known.spec.run_s * self.rng.random_range(0.6..1.4);
-        let until = if known.spec.is_service {
+        let run_s = job_state.spec.run_s * self.rng.random_range(0.6..1.4);
+        let until = if job_state.spec.is_service {
             f64::INFINITY
         } else {
             now + run_s
@@ -410,18 +415,18 @@
     }
 }
 
-/// What a worker needs.
+/// The worker of a machine.
 #[derive(Clone)]
 pub struct Worker {
     pub name: String,
     pub oracle: Shared,
     pub clock: Clock,
-    /// The controllers' addresses for workers.
+    /// Addresses on which the controllers accept requests of workers.
     pub nodes: Vec<SocketAddr>,
 }
 
 impl Worker {
-    /// Heartbeats, and takes direct commands, until its machine is gone.
+    /// Sends heartbeats and executes commands until the machine is gone.
     pub async fn run(self, listener: TcpListener) {
         let worker = self.clone();
         let server = serve(listener, move |request| {
@@ -434,7 +439,7 @@
         }
     }
 
-    /// Lets the tasks go on and the incarnation end in time, whatever the heartbeats wait for.
+    /// Advances the tasks and ends expired incarnations in time, also while a heartbeat waits for its response.
     async fn advance_tasks(&self) {
         while self.machine_exists() {
             self.clock.sleep(POLL_INTERVAL_S).await;
@@ -450,10 +455,10 @@
             .is_some_and(|machine| machine.gone_at.is_none())
     }
 
-    /// Whether a fault is under way for this machine; it is counted.
-    fn is_affected_by(&self, faults_to_check: &[Fault]) -> bool {
+    /// Whether one of these faults is active for this machine; if so, counts that it took effect.
+    fn is_affected_by(&self, kinds: &[Fault]) -> bool {
         let faults = &mut lock(&self.oracle).faults;
-        let found = faults_to_check
+        let found = kinds
             .iter()
             .find(|fault| faults.affects_machine(**fault, &self.name))
             .copied();
@@ -478,7 +483,7 @@
         }
     }
 
-    /// Takes a direct request.
+    /// Handles a direct call of a controller. Returns no response if a fault prevents it.
     async fn handle_direct_call(self, request: Request) -> Option<Reply> {
         if !self.machine_exists()
             || self.is_affected_by(&[Fault::PartitionMachines, Fault::PartitionMachinesInbound])
@@ -491,30 +496,30 @@
         let Ok(commands) = cbor::decode::<CommandBatchBody>(&request.body) else {
             return Some(Reply::new(400, &()));
         };
-        let (delayed, duplicated, leader_partitioned) = {
+        let (command_delay_s, copy_delay_s, leader_partitioned) = {
             let oracle = &mut *lock(&self.oracle);
-            let delayed = oracle
+            let command_delay_s = oracle
                 .faults
                 .draw_delay(Fault::DelayCommands, &mut oracle.rng);
-            let duplicated = oracle
+            let copy_delay_s = oracle
                 .faults
                 .draw_delay(Fault::DuplicateCommands, &mut oracle.rng);
             let leader = oracle.leader;
             let is_partitioned = oracle
                 .faults
                 .affects_node(Fault::PartitionFromWorkers, leader);
-            (delayed, duplicated, is_partitioned)
+            (command_delay_s, copy_delay_s, is_partitioned)
         };
         if leader_partitioned {
             return None;
         }
-        if let Some(delay_s) = duplicated {
+        if let Some(delay_s) = copy_delay_s {
             tokio::spawn(
                 self.clone()
                     .execute_late_commands(commands.clone(), delay_s),
             );
         }
-        if let Some(delay_s) = delayed {
+        if let Some(delay_s) = command_delay_s {
             self.execute_late_commands(commands, delay_s).await;
             return None;
         }
@@ -523,7 +528,7 @@
         Some(self.heartbeat_reply(if done { 200 } else { 409 }))
     }
 
-    /// Commands that arrive late are executed if token and incarnation still match.
+    /// Executes commands after a delay, if their token and incarnation are still valid then.
     async fn execute_late_commands(self, commands: CommandBatchBody, delay_s: f64) {
         self.clock.sleep(delay_s).await;
         self.wait_while_hung().await;
@@ -558,7 +563,7 @@
         }
     }
 
-    /// Heartbeats to one controller after another, one heartbeat at a time.
+    /// Sends heartbeats, one at a time: to the same controller while it responds as the leader, else to another one.
     async fn send_heartbeats(&self) {
         let mut client = Client::default();
         let mut at = lock(&self.oracle).rng.random_range(0..self.nodes.len());
@@ -584,16 +589,16 @@
         }
     }
 
-    /// Sends one heartbeat. Returns the wait until the next and to whom that goes.
+    /// Sends one heartbeat to a controller. Returns the time until the next one, and the controller to send it to.
     async fn send_heartbeat(&self, client: &mut Client, at: usize) -> (f64, usize) {
-        let other = (at + 1) % self.nodes.len();
-        let (body, incarnation, times, delayed, duplicated, node_partitioned, wait_s) = {
+        let next_node = (at + 1) % self.nodes.len();
+        let (body, incarnation, times, heartbeat_delay_s, copy_delay_s, node_partitioned, wait_s) = {
             let oracle = &mut *lock(&self.oracle);
             let now = oracle.clock.now();
-            let delayed = oracle
+            let heartbeat_delay_s = oracle
                 .faults
                 .draw_delay(Fault::DelayHeartbeats, &mut oracle.rng);
-            let duplicated = oracle
+            let copy_delay_s = oracle
                 .faults
                 .draw_delay(Fault::DuplicateHeartbeats, &mut oracle.rng);
             let wait_s = oracle.times.heartbeat_interval_s * oracle.rng.random_range(0.75..1.25);
@@ -607,8 +612,8 @@
                 machine.next_heartbeat(now),
                 incarnation,
                 times,
-                delayed,
-                duplicated,
+                heartbeat_delay_s,
+                copy_delay_s,
                 is_partitioned,
                 wait_s,
             )
@@ -616,16 +621,16 @@
         let sent = self.clock.now();
         let request_lost = node_partitioned
             || self.is_affected_by(&[Fault::PartitionMachinesOutbound, Fault::PartitionMachines]);
-        for delay_s in [delayed, duplicated]
+        for delay_s in [heartbeat_delay_s, copy_delay_s]
             .into_iter()
             .flatten()
             .filter(|_| !request_lost)
         {
             tokio::spawn(self.clone().deliver_late_heartbeat(body.clone(), delay_s));
         }
-        if request_lost || delayed.is_some() {
+        if request_lost || heartbeat_delay_s.is_some() {
             self.clock.sleep(times.response_timeout_s).await;
-            return (times.retry_delay_s, other);
+            return (times.retry_delay_s, next_node);
         }
         let to = self.nodes[at];
         let answer = client
@@ -638,9 +643,9 @@
                 .sleep_until(sent + times.response_timeout_s)
                 .await;
         }
-        let hung = lock(&self.oracle).is_hung(&self.name);
-        let Some(reply) = answer.ok().filter(|_| !response_lost && !hung) else {
-            return (times.retry_delay_s, other);
+        let is_hung_now = lock(&self.oracle).is_hung(&self.name);
+        let Some(reply) = answer.ok().filter(|_| !response_lost && !is_hung_now) else {
+            return (times.retry_delay_s, next_node);
         };
         match reply.status {
             200 => {
@@ -648,7 +653,7 @@
                 (wait_s, at)
             }
             421 => self.next_after_redirect(&reply.body, at, times.retry_delay_s),
-            _ => (times.retry_delay_s, other),
+            _ => (times.retry_delay_s, next_node),
         }
     }
 
@@ -661,7 +666,7 @@
             oracle.leader = at;
             oracle.counters.leader_changes += 1;
         }
-        // Answers to heartbeats of an earlier incarnation are dropped.
+        // Responses to heartbeats of an earlier incarnation are dropped.
         let same_incarnation = oracle
             .machines
             .get(&self.name)
@@ -674,6 +679,7 @@
         }
     }
 
+    /// After a redirect: the time until the next heartbeat, and the controller to send it to.
     fn next_after_redirect(&self, body: &[u8], at: usize, retry_delay_s: f64) -> (f64, usize) {
         let redirect = cbor::decode::<NotLeaderBody>(body).ok();
         let leader_hint = redirect.and_then(|redirect| redirect.leader_hint);
@@ -684,7 +690,7 @@
         }
     }
 
-    /// A heartbeat, or a copy of it, that arrives late at any controller; nobody waits for its answer.
+    /// Delivers a delayed heartbeat, or a copy of one, to a random controller. Its response is ignored.
     async fn deliver_late_heartbeat(self, body: Vec<u8>, delay_s: f64) {
         self.clock.sleep(delay_s).await;
         let (node, times) = {
--- a/tests/soak/mod.rs
+++ b/tests/soak/mod.rs
@@ -1,9 +1,11 @@
-//! A randomized fault test on real processes over loopback.
+//! A randomized fault test with real controller processes over loopback, called the soak.
 //!
-//! The built program runs as three or more controllers. Workers, users, cloud and state service are stand-ins,
-//! written from the protocol, in this one process; proxies stand between the controllers. Faults come by a
-//! schedule that a seed determines. The protocol's rules are checked from outside, by what workers and users
-//! see. All times keep the ratios of a real deployment.
+//! Several processes of the built program run as controllers, called nodes here and numbered from 0. This process
+//! simulates everything else: workers, users, the cloud and the state service are stand-ins that were written from the
+//! protocol, and the connections between controllers pass through proxies. Faults are injected by a schedule that a
+//! seed determines. The [`oracle`] checks the protocol's rules from outside, by what workers and users observe.
+//!
+//! All times of the protocol are scaled down by the same factor, so that their ratios are those of a real deployment.
 
 pub mod clock;
 pub mod cloud;
@@ -32,25 +34,25 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::Semaphore;
 
-/// For how long the end of a soak may take.
-const SHUTDOWN: Duration = Duration::from_secs(2);
-/// Threads of the stand-ins.
+/// Time for the tasks of the runtime to end at the end of the soak.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
+/// Number of threads that run the stand-ins.
 const THREADS: usize = 3;
 
-/// Why a soak did not come to its end.
+/// An error that ends the soak without a verdict.
 #[derive(Debug, thiserror::Error)]
 pub enum SoakError {
     #[error(transparent)]
     Options(#[from] OptionsError),
-    #[error("the soak can't run: {0}; look for free ports, memory and disk space")]
+    #[error("the soak cannot run: {0}; check for free ports, memory and disk space")]
     Io(#[from] io::Error),
-    #[error("the soak was stopped by a signal; its controllers are ended, nothing is judged")]
+    #[error("the soak was stopped by a signal; its controllers are killed and there is no verdict")]
     Stopped,
 }
 
-/// Runs what the options ask for and prints it. Returns the worst verdict.
+/// Runs the soak as the options say and prints the results. Returns the worst verdict of its runs.
 pub fn soak(options: &Options) -> Result<Verdict, SoakError> {
-    let seeds = options.all_seeds()?;
+    let seeds = options.run_seeds()?;
     if options.plan {
         for seed in seeds {
             report::print_plan(
@@ -72,19 +74,19 @@
         .build()?;
     let outcomes = runtime.block_on(async {
         tokio::select! {
-            outcomes = all(options, &program, &seeds) => outcomes.map_err(SoakError::from),
-            stopped = stop_signal() => Err(stopped.err().map_or(SoakError::Stopped, SoakError::from)),
+            outcomes = run_seeds(options, &program, &seeds) => outcomes.map_err(SoakError::from),
+            result = stop_signal() => Err(result.err().map_or(SoakError::Stopped, SoakError::from)),
         }
     });
-    // Runs that are dropped end their controllers.
-    runtime.shutdown_timeout(SHUTDOWN);
+    // A run that is dropped kills its controllers.
+    runtime.shutdown_timeout(SHUTDOWN_TIMEOUT);
     let outcomes = outcomes?;
     report::print_summary(&outcomes);
     let verdicts = outcomes.iter().map(|outcome| outcome.verdict);
     Ok(report::worst(verdicts))
 }
 
-/// Waits until somebody stops the soak.
+/// Waits for SIGTERM or SIGINT.
 async fn stop_signal() -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -95,15 +97,16 @@
     Ok(())
 }
 
-async fn all(options: &Options, program: &Path, seeds: &[u64]) -> io::Result<Vec<Outcome>> {
-    let at_once = Arc::new(Semaphore::new(options.jobs as usize));
+/// Runs all seeds, as many at a time as the options allow.
+async fn run_seeds(options: &Options, program: &Path, seeds: &[u64]) -> io::Result<Vec<Outcome>> {
+    let concurrency = Arc::new(Semaphore::new(options.jobs as usize));
     let mut runs = Vec::new();
     for seed in seeds.iter().copied() {
         let (options, program) = (options.clone(), program.to_owned());
-        let at_once = at_once.clone();
+        let concurrency = concurrency.clone();
         runs.push(tokio::spawn(async move {
-            let _turn = at_once.acquire().await;
-            one(&options, &program, seed).await
+            let _permit = concurrency.acquire().await;
+            run_seed(&options, &program, seed).await
         }));
     }
     let mut outcomes = Vec::new();
@@ -113,23 +116,24 @@
     Ok(outcomes)
 }
 
-async fn one(options: &Options, program: &Path, seed: u64) -> io::Result<Outcome> {
-    let folder = log_folder(options, seed);
-    if folder.exists() {
-        std::fs::remove_dir_all(&folder)?;
+/// Runs one seed and prints its result. Keeps its logs if it did not pass or the option --logs is given.
+async fn run_seed(options: &Options, program: &Path, seed: u64) -> io::Result<Outcome> {
+    let directory = log_directory(options, seed);
+    if directory.exists() {
+        std::fs::remove_dir_all(&directory)?;
     }
-    std::fs::create_dir_all(&folder)?;
-    let outcome = run::play(options, program, &folder, seed).await?;
+    std::fs::create_dir_all(&directory)?;
+    let outcome = run::run(options, program, &directory, seed).await?;
     report::print_outcome(&outcome, options);
     if options.logs.is_none() && outcome.verdict == Verdict::Passed {
-        std::fs::remove_dir_all(&folder)?;
+        std::fs::remove_dir_all(&directory)?;
     } else {
-        println!("  logs: {}", folder.display());
+        println!("  logs: {}", directory.display());
     }
     Ok(outcome)
 }
 
-fn log_folder(options: &Options, seed: u64) -> PathBuf {
+fn log_directory(options: &Options, seed: u64) -> PathBuf {
     let parent = options.logs.clone().unwrap_or_else(std::env::temp_dir);
     parent.join(format!("cedarladder-soak-{}-{seed}", std::process::id()))
 }
--- a/tests/soak/options.rs
+++ b/tests/soak/options.rs
@@ -1,4 +1,4 @@
-//! The command line of the soak, and what may be wrong with it.
+//! The command line options of the soak and their checks.
 
 use clap::Parser;
 use std::path::{Path, PathBuf};
@@ -10,31 +10,31 @@
     /// The seed of a single run, or the first of several.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Runs, with one seed after another.
+    /// Number of runs, with consecutive seeds.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=10_000))]
     pub count: u64,
-    /// A file with seeds, one a line, in place of --seed and --count.
+    /// A file with one seed a line, in place of --seed and --count.
     #[arg(long, conflicts_with_all = ["seed", "count"])]
     pub seeds: Option<PathBuf>,
-    /// Runs at a time.
+    /// Number of concurrent runs.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=16))]
     pub jobs: u64,
-    /// Controllers.
+    /// Number of controllers.
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=9))]
     pub nodes: u64,
-    /// Machines that the cloud has.
+    /// Number of machines that the cloud has.
     #[arg(long, default_value_t = 24, value_parser = clap::value_parser!(u64).range(4..=1000))]
     pub machines: u64,
-    /// Seconds during which faults begin.
+    /// Time during which faults begin, in seconds.
     #[arg(long, default_value_t = 40.0, value_parser = positive)]
     pub duration: f64,
-    /// Seconds of the run for a second of the protocol's times.
+    /// Seconds of the run that represent one second of the protocol.
     #[arg(long, default_value_t = 0.1, value_parser = positive)]
     pub scale: f64,
-    /// The controllers' program; the release build beside this one unless given.
+    /// Program of the controllers; by default the release build in the same target directory.
     #[arg(long)]
     pub binary: Option<PathBuf>,
-    /// Where the controllers' logs are kept; they are dropped after a run without findings unless given.
+    /// Directory in which the controllers' logs are kept; without it the logs of runs that pass are deleted.
     #[arg(long)]
     pub logs: Option<PathBuf>,
     /// Print the schedule of faults and run nothing.
@@ -49,67 +49,70 @@
     }
 }
 
-/// Why the soak can't run as asked.
+/// Why the options cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum OptionsError {
-    /// A seed file can't be read.
+    /// The seed file cannot be read.
     #[error("--seeds {path}: {source}; name a readable file with one seed a line")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Error of the read.
         source: std::io::Error,
     },
-    /// A line of it is no seed.
+    /// A line of the seed file is not a seed.
     #[error(
-        "--seeds {path}, line {line}: '{text}' is no seed; write a whole number from 0 to 2^64-1"
+        "--seeds {path}, line {line}: '{text}' is not a seed; write a whole number from 0 to 2^64-1"
     )]
-    NoSeed {
-        /// The file.
+    InvalidSeed {
+        /// Path of the file.
         path: PathBuf,
-        /// The line.
+        /// Line number.
         line: usize,
-        /// What stands there.
+        /// Text of the line.
         text: String,
     },
-    /// It has no seeds.
-    #[error("--seeds {path}: no seed in it; write one a line")]
-    Empty {
-        /// The file.
+    /// The seed file has no seeds.
+    #[error("--seeds {path}: the file has no seeds; write one a line")]
+    NoSeeds {
+        /// Path of the file.
         path: PathBuf,
     },
-    /// The controllers' program is missing.
+    /// The program of the controllers does not exist.
     #[error("--binary {path}: no such program; build it with `cargo build --release`")]
-    NoBinary {
-        /// Where it was looked for.
+    BinaryNotFound {
+        /// Path that was tried.
         path: PathBuf,
     },
 }
 
 impl Options {
-    /// The seeds to run.
-    pub fn all_seeds(&self) -> Result<Vec<u64>, OptionsError> {
+    /// The seeds of the runs.
+    pub fn run_seeds(&self) -> Result<Vec<u64>, OptionsError> {
         match &self.seeds {
             Some(path) => read_seeds(path),
             None => Ok((0..self.count).map(|n| self.seed.wrapping_add(n)).collect()),
         }
     }
 
-    /// The controllers' program.
+    /// Path of the program of the controllers.
     pub fn program(&self) -> Result<PathBuf, OptionsError> {
         let path = self.binary.clone().unwrap_or_else(default_binary);
         if path.is_file() {
             Ok(path)
         } else {
-            Err(OptionsError::NoBinary { path })
+            Err(OptionsError::BinaryNotFound { path })
         }
     }
 }
 
-/// `target/release/cedarladder`, seen from `target/release/examples/soak`.
+/// `target/release/cedarladder`, relative to this program, `target/release/examples/soak`.
 fn default_binary() -> PathBuf {
-    let here = std::env::current_exe().unwrap_or_default();
-    let target = here.ancestors().nth(3).unwrap_or(Path::new("target"));
+    let this_program = std::env::current_exe().unwrap_or_default();
+    let target = this_program
+        .ancestors()
+        .nth(3)
+        .unwrap_or(Path::new("target"));
     target.join("release").join("cedarladder")
 }
 
@@ -124,7 +127,7 @@
         if text.is_empty() || text.starts_with('#') {
             continue;
         }
-        let seed = text.parse().map_err(|_| OptionsError::NoSeed {
+        let seed = text.parse().map_err(|_| OptionsError::InvalidSeed {
             path: path.to_owned(),
             line: line + 1,
             text: text.to_owned(),
@@ -132,7 +135,7 @@
         seeds.push(seed);
     }
     if seeds.is_empty() {
-        return Err(OptionsError::Empty {
+        return Err(OptionsError::NoSeeds {
             path: path.to_owned(),
         });
     }
--- a/tests/soak/oracle.rs
+++ b/tests/soak/oracle.rs
@@ -1,4 +1,4 @@
-//! What is really so, as users and workers see it, and the protocol's rules.
+//! The actual state, as users and workers observe it, and the checks of the protocol's rules against it.
 
 use super::clock::{Clock, ProtocolTimes};
 use super::faults::Faults;
@@ -8,25 +8,34 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// The protocol's rules, and what is asked for beyond them.
+/// The rules that are checked: those of the protocol, and some beyond it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rule {
+    /// Two attempts of a task ran on different machines at the same time.
     RanTwice,
+    /// A team's tasks used more CPUs than its limit.
     QuotaExceeded,
+    /// A task ran in a zone, or on a spot machine, that its job does not allow.
     WrongPlacement,
+    /// A task ran later than `cancel_s` after its job's cancellation was reported.
     RanAfterCancellation,
+    /// A controller did not know an accepted job, or no controller responded to requests about it.
     JobForgotten,
+    /// A controller reported a job that was never submitted.
     NonexistentJobFound,
+    /// A job was reported as done before all its tasks were.
     DoneTooEarly,
+    /// A job was reported in an older state than before, or as cancelled without a cancellation.
     StateReverted,
+    /// No task was started in the whole run.
     NoTaskStarted,
-    /// A task waits beside room long after all faults.
+    /// A task waited too long after the last fault although there was capacity for it.
     WaitsDespiteCapacity,
-    /// A controller ended by itself, or logged a violated invariant.
+    /// A controller ended by itself, or logged an error.
     ControllerFailure,
 }
 
-/// A broken rule, with what shows it.
+/// A violation of a rule, with the details of the case.
 #[derive(Debug, Clone)]
 pub struct Violation {
     pub at: f64,
@@ -39,11 +48,12 @@
     task.split('/').next().unwrap_or("")
 }
 
-/// A team's limit.
+/// Name of the team with a CPU limit.
 pub const TEAM: &str = "limited";
+/// Name of the team without a limit.
 pub const FREE_TEAM: &str = "free";
 
-/// What a job is.
+/// The job as it is submitted.
 #[derive(Debug, Clone)]
 pub struct Spec {
     pub id: String,
@@ -59,7 +69,7 @@
     pub image: String,
 }
 
-/// A job, as its user knows it, and what its tasks have done.
+/// A job with what its user was told about it, and which of its tasks are done.
 #[derive(Debug, Clone)]
 pub struct Job {
     pub spec: Spec,
@@ -67,7 +77,7 @@
     pub cancel_requested_at: Option<f64>,
     pub reported_cancelled_at: Option<f64>,
     pub reported_done_at: Option<f64>,
-    /// When it was last told its state, and since when it is asked about.
+    /// When its user last got a response about it; at first, when the job was created.
     pub last_response_at: f64,
     pub done: BTreeSet<u32>,
     pub violation_reported: bool,
@@ -87,13 +97,13 @@
         }
     }
 
-    /// Whether its user has been told how it ended.
+    /// Whether its user was told that it is done or cancelled.
     pub fn has_ended(&self) -> bool {
         self.reported_cancelled_at.is_some() || self.reported_done_at.is_some()
     }
 }
 
-/// What took place, beside the faults.
+/// Numbers of events in a run, other than faults.
 #[derive(Debug, Default, Clone)]
 pub struct Counters {
     pub submitted: u64,
@@ -113,7 +123,7 @@
     pub machines_deleted: u64,
 }
 
-/// Everything that the stand-ins share.
+/// The state that all stand-ins share: the jobs, the machines, and the violations found so far.
 pub struct Oracle {
     pub clock: Clock,
     pub times: ProtocolTimes,
@@ -123,27 +133,27 @@
     pub faults: Faults,
     pub counters: Counters,
     pub violations: Vec<Violation>,
-    /// CPUs that the limited team may use.
+    /// Number of CPUs that the limited team may use.
     pub team_cpus: f64,
-    /// The controller that last answered a heartbeat with 200.
+    /// The controller that last responded to a heartbeat with status 200.
     pub leader: usize,
-    /// The longest delay of the stand-ins lately, by which their times may be off.
+    /// Longest recent scheduling delay of this process, by which the times of stand-ins may be too late.
     pub scheduling_delay_s: f64,
-    /// No fault begins any more.
+    /// When the last fault ended; none while faults are injected.
     pub faults_ended_at: Option<f64>,
 }
 
-/// The truth as all tasks share it.
+/// The oracle, shared by all stand-ins.
 pub type Shared = Arc<Mutex<Oracle>>;
 
-/// Locks the truth. A task that has panicked while it held the lock has shown itself elsewhere.
+/// Locks the oracle. A poisoned lock is ignored, as the panic that poisoned it is reported elsewhere.
 pub fn lock(shared: &Shared) -> MutexGuard<'_, Oracle> {
     shared
         .lock()
         .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// Delays of the stand-ins that are let pass in any case, as a share of `cancel_s`.
+/// Tolerance for delays of the stand-ins in addition to the measured ones, as a share of `cancel_s`.
 const TOLERANCE: f64 = 0.01;
 
 impl Oracle {
@@ -164,7 +174,7 @@
         }
     }
 
-    /// Notes a broken rule.
+    /// Records the violation of a rule.
     pub fn record_violation(&mut self, rule: Rule, details: String) {
         let at = self.clock.now();
         self.violations.push(Violation { at, rule, details });
@@ -174,62 +184,66 @@
         TOLERANCE * self.times.cancel_s + self.scheduling_delay_s
     }
 
-    /// Whether all tasks of a job have to be gone by now.
+    /// Whether the time to end the tasks of a cancelled job is over.
     pub fn must_have_ended(&self, job: &str) -> bool {
-        let told = self.jobs.get(job).and_then(|job| job.reported_cancelled_at);
+        let cancelled_at = self.jobs.get(job).and_then(|job| job.reported_cancelled_at);
         let limit_s = self.times.cancel_s + self.tolerance_s();
-        told.is_some_and(|at| self.clock.now() > at + limit_s)
+        cancelled_at.is_some_and(|at| self.clock.now() > at + limit_s)
     }
 
-    /// The tasks that are on machines, with their machine.
+    /// The names of all running tasks, with their machines.
     fn running_tasks(&self) -> impl Iterator<Item = (&Machine, &str)> {
         self.machines.values().flat_map(|machine| {
-            let on = machine.tasks.iter().filter(|task| task.is_running());
-            on.map(move |task| (machine, task.name.as_str()))
+            let running = machine.tasks.iter().filter(|task| task.is_running());
+            running.map(move |task| (machine, task.name.as_str()))
         })
     }
 
-    /// A task begins on a machine: all rules about where and when are checked.
+    /// Checks the start of a task on a machine against all rules about where and when a task may run.
     pub fn check_start(&mut self, host: &str, name: &str, attempt: u64) {
         self.counters.starts += 1;
         let job = job_of(name);
-        let Some(known) = self.jobs.get(job) else {
+        let Some(job_state) = self.jobs.get(job) else {
             return;
         };
-        let spec = known.spec.clone();
-        if known.reported_cancelled_at.is_some() {
+        let spec = job_state.spec.clone();
+        if job_state.reported_cancelled_at.is_some() {
             self.counters.starts_after_confirmed_cancellation += 1;
         }
-        let told = known.reported_cancelled_at;
-        let where_ = format!("{name} attempt {attempt} on {host}");
-        let mut broken: Vec<(Rule, String)> = Vec::new();
+        let cancelled_at = job_state.reported_cancelled_at;
+        let start = format!("{name} attempt {attempt} on {host}");
+        let mut violations: Vec<(Rule, String)> = Vec::new();
         if self.must_have_ended(job) {
-            let details = format!("{where_} starts, cancelled at {told:?}");
-            broken.push((Rule::RanAfterCancellation, details));
+            let details =
+                format!("{start} starts, its job was reported as cancelled at {cancelled_at:?}");
+            violations.push((Rule::RanAfterCancellation, details));
         }
-        let twin = self
+        let duplicate = self
             .running_tasks()
             .find(|(machine, task)| *task == name && machine.name != host);
-        if let Some((machine, _)) = twin {
-            let details = format!("{where_} starts while on {}", machine.name);
-            broken.push((Rule::RanTwice, details));
+        if let Some((machine, _)) = duplicate {
+            let details = format!("{start} starts while it runs on {}", machine.name);
+            violations.push((Rule::RanTwice, details));
         }
         if spec.team == TEAM {
             let used = self.team_cpus_used() + spec.cpus;
             if used > self.team_cpus + 1e-6 {
-                let details = format!("{where_}: {used} CPUs of {}", self.team_cpus);
-                broken.push((Rule::QuotaExceeded, details));
+                let details = format!(
+                    "{start}: the team uses {used} CPUs, its limit is {}",
+                    self.team_cpus
+                );
+                violations.push((Rule::QuotaExceeded, details));
             }
         }
         if let Some(details) = self.placement_violation(host, name, &spec) {
-            broken.push((Rule::WrongPlacement, format!("{where_}: {details}")));
+            violations.push((Rule::WrongPlacement, format!("{start}: {details}")));
         }
-        for (rule, details) in broken {
+        for (rule, details) in violations {
             self.record_violation(rule, details);
         }
     }
 
-    /// CPUs that the limited team's tasks use.
+    /// Number of CPUs that the limited team's running tasks use.
     pub fn team_cpus_used(&self) -> f64 {
         let cpus = |job: &Job| (job.spec.team == TEAM).then_some(job.spec.cpus);
         self.running_tasks()
@@ -238,7 +252,7 @@
             .sum()
     }
 
-    /// Why a task must not be on a machine, given its job's other tasks.
+    /// The reason why a task must not run on a machine, given where its job's other tasks run; none if it may.
     fn placement_violation(&self, host: &str, name: &str, spec: &Spec) -> Option<String> {
         let machine = self.machines.get(host)?;
         let zone = machine.zone;
@@ -253,21 +267,21 @@
             .filter(|(_, task)| job_of(task) == spec.id && *task != name);
         let zones: Vec<&str> = others.map(|(machine, _)| machine.zone).collect();
         if spec.one_zone && zones.iter().any(|other| *other != zone) {
-            return Some(format!("in zone {zone}, others are in {zones:?}"));
+            return Some(format!("in zone {zone}, other tasks are in {zones:?}"));
         }
-        let here = zones.iter().filter(|other| **other == zone).count() as u32;
-        let most = spec.tasks.div_ceil(2);
-        if spec.spread && here + 1 > most {
+        let in_zone = zones.iter().filter(|other| **other == zone).count() as u32;
+        let limit = spec.tasks.div_ceil(2);
+        if spec.spread && in_zone + 1 > limit {
             return Some(format!(
                 "{} of {} tasks in zone {zone}",
-                here + 1,
+                in_zone + 1,
                 spec.tasks
             ));
         }
         None
     }
 
-    /// Tasks that are on machines past the cancellation of their job.
+    /// Records a violation for each job of which a task still runs although the time to end it is over.
     pub fn check_cancelled(&mut self) {
         let late: Vec<(String, String)> = self
             .running_tasks()
@@ -276,14 +290,16 @@
             .collect();
         for (host, task) in late {
             let job = job_of(&task).to_owned();
-            let Some(known) = self.jobs.get_mut(&job) else {
+            let Some(job_state) = self.jobs.get_mut(&job) else {
                 continue;
             };
-            if std::mem::replace(&mut known.violation_reported, true) {
+            if std::mem::replace(&mut job_state.violation_reported, true) {
                 continue;
             }
-            let told = known.reported_cancelled_at;
-            let details = format!("{task} is on {host}, cancelled at {told:?}");
+            let cancelled_at = job_state.reported_cancelled_at;
+            let details = format!(
+                "{task} runs on {host}, its job was reported as cancelled at {cancelled_at:?}"
+            );
             self.record_violation(Rule::RanAfterCancellation, details);
         }
     }
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -103,15 +103,15 @@
 }
 
 /// Runs the soak with one seed.
-pub async fn play(
+pub async fn run(
     options: &Options,
     program: &Path,
-    folder: &Path,
+    directory: &Path,
     seed: u64,
 ) -> io::Result<Outcome> {
     let nodes = options.nodes as usize;
     let plan = schedule(seed, nodes, options.duration, options.scale);
-    let mut run = Run::begin(options, program, folder, seed).await?;
+    let mut run = Run::begin(options, program, directory, seed).await?;
     for planned in plan {
         run.run_until(planned.at).await?;
         run.begin_fault(planned)?;
@@ -122,7 +122,12 @@
 }
 
 impl Run {
-    async fn begin(options: &Options, program: &Path, folder: &Path, seed: u64) -> io::Result<Run> {
+    async fn begin(
+        options: &Options,
+        program: &Path,
+        directory: &Path,
+        seed: u64,
+    ) -> io::Result<Run> {
         let clock = Clock::new(options.scale);
         let count = options.nodes as usize;
         let machines = options.machines as usize;
@@ -173,7 +178,7 @@
                 cloud: cloud_address,
             };
             let mut controller =
-                Controller::new(node, program, folder, &addresses, &times, team_cpus)?;
+                Controller::new(node, program, directory, &addresses, &times, team_cpus)?;
             controller.start()?;
             nodes.push(controller);
         }
