--- a/examples/soak.rs
+++ b/examples/soak.rs
@@ -1,5 +1,5 @@
-//! Runs the soak by hand; see README.md. Exit codes: 0 no rule was broken, 1 some was, 2 wrong options,
-//! 3 this machine was too slow to judge.
+//! Runs the soak from the command line; see README.md. Exit codes: 0 no rule was broken, 1 a rule was broken, 2 invalid
+//! options, 3 this machine was too slow to judge.
 
 #[path = "../tests/soak/mod.rs"]
 mod soak;
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,5 +1,5 @@
-//! A short run of the soak with a fixed seed, and what the soak itself must do: take only options that make
-//! sense, plan the same faults for the same seed, and judge.
+//! A short run of the soak with a fixed seed, and tests of the soak itself: its options, its schedules of faults, its
+//! verdicts, and its checks of the rules.
 
 #[path = "soak/mod.rs"]
 mod soak;
@@ -14,7 +14,7 @@
 use soak::run::Verdict;
 use std::path::PathBuf;
 
-/// Seed, length and size of the run in CI.
+/// Arguments of the short run: seed, duration and size.
 const CI_RUN: [&str; 9] = [
     "soak",
     "--seed",
@@ -27,27 +27,27 @@
     "24",
 ];
 
-/// Real controllers, overlapping faults: no rule is broken. A machine too slow for the run's times gets it
-/// once more at half the pace, and then is no excuse.
+/// Real controllers and overlapping faults: no rule is broken. If this machine is too slow for the times of the run,
+/// the run is repeated once with all times doubled; if it is too slow for that too, the test fails.
 #[test]
-fn a_short_soak() {
+fn short_run_breaks_no_rule() {
     for scale in ["0.1", "0.2"] {
         let arguments = CI_RUN.into_iter().chain(["--scale", scale]);
         let mut options = Options::parse_from(arguments);
         options.binary = Some(PathBuf::from(env!("CARGO_BIN_EXE_cedarladder")));
         match soak::soak(&options).expect("the soak runs") {
             Verdict::Passed => return,
-            Verdict::Failed => panic!("a rule was broken: see above"),
-            Verdict::TooSlow => println!("too slow to judge at scale {scale}"),
+            Verdict::Failed => panic!("a rule was broken, see the output above"),
+            Verdict::TooSlow => println!("this machine is too slow for scale {scale}"),
         }
     }
-    panic!("this machine is too slow to judge the soak");
+    panic!("this machine is too slow for the soak");
 }
 
-/// Options that make no sense are refused, and the message names them.
+/// Invalid options are rejected with a message that names the option.
 #[test]
-fn options() {
-    for (arguments, named) in [
+fn invalid_options_are_rejected() {
+    for (arguments, option) in [
         (vec!["--sed", "1"], "--sed"),
         (vec!["--seed", "one"], "--seed"),
         (vec!["--duration", "0"], "--duration"),
@@ -56,21 +56,21 @@
         (vec!["--machines", "5000"], "--machines"),
         (vec!["--seeds", "f", "--seed", "1"], "--seeds"),
     ] {
-        let all = ["soak"].into_iter().chain(arguments.clone());
-        let error = Options::try_parse_from(all).expect_err("no such options");
+        let words = ["soak"].into_iter().chain(arguments.clone());
+        let error = Options::try_parse_from(words).expect_err("no such options");
         assert_eq!(error.exit_code(), 2, "{arguments:?}");
         let text = error.to_string();
-        assert!(text.contains(named), "{arguments:?}: {text}");
+        assert!(text.contains(option), "{arguments:?}: {text}");
     }
 }
 
-/// A seed file that can't be read, or holds no seeds, is named with what to do.
+/// The message for a seed file that cannot be read, or has no valid seeds, names the file and says what to do.
 #[test]
-fn seed_files() {
-    let folder = std::env::temp_dir().join(format!("cedarladder-seeds-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+fn seed_files_are_checked() {
+    let directory = std::env::temp_dir().join(format!("cedarladder-seeds-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).expect("a folder");
     let file = |name: &str, text: &str| {
-        let path = folder.join(name);
+        let path = directory.join(name);
         std::fs::write(&path, text).expect("a file");
         path
     };
@@ -79,53 +79,59 @@
         options.seeds = Some(path);
         options.run_seeds()
     };
-    let good = seeds(file("good", "# of last week\n7\n\n 19\n"));
-    assert_eq!(good.ok(), Some(vec![7, 19]));
-    let missing = seeds(folder.join("missing"));
+    let valid = seeds(file("good", "# of last week\n7\n\n 19\n"));
+    assert_eq!(valid.ok(), Some(vec![7, 19]));
+    let missing = seeds(directory.join("missing"));
     assert!(matches!(missing, Err(OptionsError::Unreadable { .. })));
-    let odd = seeds(file("odd", "7\n-3\n"));
+    let invalid = seeds(file("invalid", "7\n-3\n"));
     assert!(matches!(
-        odd,
+        invalid,
         Err(OptionsError::InvalidSeed { line: 2, .. })
     ));
     let empty = seeds(file("empty", "\n"));
     assert!(matches!(empty, Err(OptionsError::NoSeeds { .. })));
-    for error in [missing, odd, empty].into_iter().filter_map(Result::err) {
+    for error in [missing, invalid, empty]
+        .into_iter()
+        .filter_map(Result::err)
+    {
         let text = error.to_string();
         assert!(text.contains("--seeds"), "{text}");
         let remedy = text.contains("name a readable file") || text.contains("write ");
         assert!(remedy, "{text}");
     }
-    std::fs::remove_dir_all(&folder).expect("removed");
+    std::fs::remove_dir_all(&directory).expect("removed");
 }
 
-/// The same seed plans the same faults; the meeting of held starts and cancellations is in each plan.
+/// A seed always gives the same schedule. Each schedule contains delayed commands combined with cancellations.
 #[test]
-fn plans() {
+fn schedules_are_reproducible() {
     for seed in 0..20 {
         let plan = schedule(seed, 3, 40.0, 0.1);
         assert_eq!(plan, schedule(seed, 3, 40.0, 0.1), "seed {seed}");
-        let held = plan.iter().find(|p| p.fault == Fault::DelayCommands);
-        let held = held.expect("commands are held");
-        // Half of the lateness at least.
-        assert!(held.delay_s / 2.0 >= 5.15, "longer than cancel_s: {held:?}");
-        let storms = plan.iter().filter(|p| p.fault == Fault::CancelManyJobs);
-        assert!(storms.count() >= 3, "seed {seed}");
+        let delayed = plan.iter().find(|p| p.fault == Fault::DelayCommands);
+        let delayed = delayed.expect("commands are delayed");
+        // The delay of a command is at least half of `delay_s`.
+        assert!(
+            delayed.delay_s / 2.0 >= 5.15,
+            "longer than cancel_s: {delayed:?}"
+        );
+        let cancellations = plan.iter().filter(|p| p.fault == Fault::CancelManyJobs);
+        assert!(cancellations.count() >= 3, "seed {seed}");
     }
     assert_ne!(schedule(1, 3, 40.0, 0.1), schedule(2, 3, 40.0, 0.1));
 }
 
-/// Of several verdicts the worst counts, and none at all is no pass.
+/// The worst of several verdicts counts. Without any verdict the soak does not pass.
 #[test]
-fn verdicts() {
+fn worst_verdict_counts() {
     use Verdict::{Failed, Passed, TooSlow};
-    for (all, expected) in [
+    for (verdicts, expected) in [
         (vec![Passed, Passed], Passed),
         (vec![Passed, TooSlow], TooSlow),
         (vec![TooSlow, Failed, Passed], Failed),
         (vec![], TooSlow),
     ] {
-        assert_eq!(worst(all.iter().copied()), expected, "{all:?}");
+        assert_eq!(worst(verdicts.iter().copied()), expected, "{verdicts:?}");
     }
 }
 
@@ -145,11 +151,12 @@
     }
 }
 
-/// Each: what a world looks like in which task 0 of a job begins on h1, and the rule that this breaks.
+/// Each case changes the state in which task 0 of job j-1 starts on machine h1, and names the rule that the start
+/// breaks.
 #[test]
-fn broken_rules_are_found() {
+fn broken_rules_are_detected() {
     type Case = (&'static str, fn(&mut Oracle), Option<Rule>);
-    fn on(oracle: &mut Oracle, worker: &str, task: &str) {
+    fn run_task(oracle: &mut Oracle, worker: &str, task: &str) {
         let machine = oracle.machines.get_mut(worker).expect("a machine");
         machine.tasks.push(Task {
             name: task.to_owned(),
@@ -161,58 +168,58 @@
         oracle.jobs.get_mut("j-1").expect("a job")
     }
     let cases: [Case; 10] = [
-        ("nothing wrong", |_| {}, None),
+        ("no rule is broken", |_| {}, None),
         (
-            "it is on another machine",
-            |t| on(t, "h2", "j-1/0"),
+            "the task runs on another machine",
+            |t| run_task(t, "h2", "j-1/0"),
             Some(Rule::RanTwice),
         ),
         (
-            "cancelled long ago",
+            "the job was cancelled long ago",
             |t| job(t).reported_cancelled_at = Some(-100.0),
             Some(Rule::RanAfterCancellation),
         ),
         (
-            "cancelled just now",
+            "the job was cancelled just now",
             |t| job(t).reported_cancelled_at = Some(0.0),
             None,
         ),
         (
             "its team is at its limit",
-            |t| on(t, "h2", "j-2/0"),
+            |t| run_task(t, "h2", "j-2/0"),
             Some(Rule::QuotaExceeded),
         ),
         (
-            "another team is beyond any limit",
+            "its team has no limit",
             |t| {
                 job(t).spec.team = FREE_TEAM;
-                on(t, "h2", "j-2/0");
+                run_task(t, "h2", "j-2/0");
             },
             None,
         ),
         (
-            "the wrong zone",
+            "the job is restricted to another zone",
             |t| job(t).spec.zone = Some("b"),
             Some(Rule::WrongPlacement),
         ),
         (
-            "a spot machine",
+            "the machine is a spot machine",
             |t| t.machines.get_mut("h1").expect("a machine").spot = true,
             Some(Rule::WrongPlacement),
         ),
         (
-            "one zone, and its mate is in the other",
+            "all tasks must be in one zone, and another task is in the other zone",
             |t| {
                 job(t).spec.one_zone = true;
-                on(t, "h2", "j-1/1");
+                run_task(t, "h2", "j-1/1");
             },
             Some(Rule::WrongPlacement),
         ),
         (
-            "spread, and its mate is in the same zone",
+            "the tasks must be spread, and the other task is in the same zone",
             |t| {
                 job(t).spec.spread = true;
-                on(t, "h1", "j-1/1");
+                run_task(t, "h1", "j-1/1");
             },
             Some(Rule::WrongPlacement),
         ),
@@ -228,7 +235,7 @@
                 .jobs
                 .insert(id.to_owned(), Job::new(spec(id, TEAM), 0.0));
         }
-        // The other job's task takes all that is left of the limit.
+        // One task of the other job uses all CPUs that its team's limit allows.
         oracle.jobs.get_mut("j-2").expect("a job").spec.cpus = 8.0;
         change(&mut oracle);
         oracle.check_start("h1", "j-1/0", 1);
@@ -241,9 +248,9 @@
     }
 }
 
-/// What is still on a machine past its job's cancellation is found once.
+/// A task that still runs too long after its job's cancellation is reported once.
 #[test]
-fn cancelled_tasks_are_found() {
+fn running_tasks_of_cancelled_jobs_are_detected() {
     let mut oracle = Oracle::new(1, Clock::new(0.1), 8.0);
     let mut machine = Machine::new("h1".to_owned(), "a", false, 0.0);
     machine.tasks.push(Task {
--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -1,58 +1,59 @@
-//! The schedule of faults, worked out from a seed before a run begins.
+//! The schedule of faults of a run, which is drawn from its seed before the run begins.
 
 use super::clock::ProtocolTimes;
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 
-/// What may go wrong for a while.
+/// Kind of a fault. A fault lasts for a while, unless its description says otherwise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Fault {
     /// A controller is killed, and restarted when the fault ends.
     KillController,
-    /// A controller is stopped by a signal, and continued when the fault ends.
+    /// A controller is paused by a signal, and continued when the fault ends.
     PauseController,
-    /// The state service refuses one controller.
+    /// The state service rejects the requests of one controller.
     RejectController,
-    /// The state service refuses all.
+    /// The state service rejects all requests.
     StateServiceOutage,
-    /// The state service executes what a controller asks, and its answers are lost.
+    /// The state service executes the requests of one controller, but its responses are lost.
     LoseStateServiceResponses,
-    /// The state service hears nothing of a controller.
+    /// The requests of one controller do not reach the state service.
     PartitionFromStateService,
-    /// Part of the transactions get no answer, and are executed later.
+    /// A share of the transactions get no response, and are executed later.
     DelayTransactions,
-    /// A controller and its peers don't hear one another.
+    /// One controller is partitioned from its peers.
     PartitionPeers,
-    /// Direct commands are held, unanswered, and executed later.
+    /// A share of the direct calls to workers get no response, and their commands are executed later.
     DelayCommands,
-    /// Direct commands arrive twice.
+    /// The commands of a share of the direct calls to workers arrive a second time, later.
     DuplicateCommands,
-    /// Copies of heartbeats arrive later, at any controller.
+    /// Copies of a share of the heartbeats arrive later, at a random controller.
     DuplicateHeartbeats,
-    /// Heartbeats are lost, or arrive after their sender has given up.
+    /// A share of the heartbeats arrive later at a random controller, and their senders get no response.
     DelayHeartbeats,
-    /// Neither answers nor commands reach some machines; their heartbeats arrive.
+    /// Heartbeats of some machines arrive, but responses and commands do not reach these machines.
     PartitionMachinesInbound,
-    /// Some machines reach no controller; direct commands reach them.
+    /// Heartbeats of some machines are lost, but commands reach these machines.
     PartitionMachinesOutbound,
-    /// Some machines stand still.
+    /// Some machines hang: their tasks make no progress, and their workers send nothing and execute no commands.
     HangMachines,
     /// Some machines are partitioned in both directions.
     PartitionMachines,
-    /// A controller and the workers don't reach one another.
+    /// One controller is partitioned from all workers.
     PartitionFromWorkers,
-    /// Spot machines are taken away.
+    /// The cloud takes spot machines away, half of them after a notice. Has no duration.
     ReclaimSpotMachines,
-    /// Users cancel many jobs at once.
+    /// Users cancel many jobs at the same time. Has no duration.
     CancelManyJobs,
-    /// Many small jobs come, and are cancelled within a heartbeat interval: before most workers have reported.
+    /// Many small jobs are submitted, and cancelled within a heartbeat interval: before most workers have sent a
+    /// heartbeat.
     CancelNewJobs,
-    /// The cloud refuses all, or carries requests out late.
+    /// The cloud rejects requests, or executes them late without a response.
     CloudErrors,
 }
 
-const ALL: [Fault; 21] = [
+const ALL_FAULTS: [Fault; 21] = [
     Fault::KillController,
     Fault::PauseController,
     Fault::RejectController,
@@ -76,38 +77,39 @@
     Fault::CloudErrors,
 ];
 
-/// Which controller a fault is for.
+/// The controller that a fault affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Target {
-    /// Whoever leads when it begins.
+    /// The leader at the time at which the fault begins.
     Leader,
-    /// This one.
+    /// The controller with this number.
     Node(usize),
 }
 
-/// A fault with its times.
+/// A scheduled fault.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlannedFault {
     pub fault: Fault,
+    /// When the fault begins, in seconds of the run.
     pub at: f64,
     pub duration_s: f64,
     pub target: Target,
-    /// Share of messages or machines that it is for.
+    /// Share of the messages, machines or jobs that it affects.
     pub share: f64,
-    /// For how long messages are held or late.
+    /// Longest delay of an affected message, in seconds of the run.
     pub delay_s: f64,
 }
 
-/// Seconds of the protocol before the first fault: machines are up and jobs run.
+/// Time before the first fault, in seconds of the protocol: machines boot and jobs start.
 const WARM_UP_S: f64 = 60.0;
-/// Seconds of the protocol between two moments at which faults begin.
+/// Range of the interval between two moments at which faults begin, in seconds of the protocol.
 const MOMENT_INTERVAL_S: (f64, f64) = (15.0, 55.0);
-/// Share of the moments that have a meeting of faults of their own, beside what chance draws.
+/// Share of the moments with a fixed combination of faults in addition to the faults that are drawn.
 const COMBINATION_SHARE: f64 = 0.08;
-/// Faults that begin at a moment.
+/// Range of the number of faults that are drawn for a moment.
 const FAULTS_PER_MOMENT: (usize, usize) = (1, 3);
 
-/// The faults of a run whose last one begins before `duration` is over.
+/// Draws the faults of a run. Moments at which faults begin lie before `duration`, in seconds of the run.
 pub fn schedule(seed: u64, nodes: usize, duration: f64, scale: f64) -> Vec<PlannedFault> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let times = ProtocolTimes::new(scale);
@@ -120,10 +122,10 @@
             plan.extend(rejected_leader_then_outage(at, &times));
         }
         let count = rng.random_range(FAULTS_PER_MOMENT.0..=FAULTS_PER_MOMENT.1);
-        let drawn: Vec<&Fault> = ALL.choose_multiple(&mut rng, count).collect();
-        for fault in drawn {
+        let kinds: Vec<&Fault> = ALL_FAULTS.choose_multiple(&mut rng, count).collect();
+        for fault in kinds {
             let delay = rng.random::<f64>() * 3.0 * scale;
-            plan.push(planned(*fault, at + delay, nodes, &times, &mut rng));
+            plan.push(draw_fault(*fault, at + delay, nodes, &times, &mut rng));
         }
         at += scale * rng.random_range(MOMENT_INTERVAL_S.0..MOMENT_INTERVAL_S.1);
     }
@@ -131,14 +133,14 @@
     plan
 }
 
-/// The meeting of late starts and cancellations, with which every run begins: direct commands are held for
-/// longer than cancelled tasks may last, and users cancel meanwhile.
+/// The combination with which each run begins: commands to start tasks are delayed by longer than the time within which
+/// cancelled tasks must end, and users cancel jobs in the meantime.
 fn delayed_starts_with_cancellations(
     at: f64,
     times: &ProtocolTimes,
     rng: &mut SmallRng,
 ) -> Vec<PlannedFault> {
-    let held = PlannedFault {
+    let delayed_commands = PlannedFault {
         fault: Fault::DelayCommands,
         at,
         duration_s: times.lease_s,
@@ -146,30 +148,31 @@
         share: rng.random_range(0.6..1.0),
         delay_s: times.cancel_s * 2.0,
     };
-    let storm = |delay_s: f64| PlannedFault {
+    let cancel_many = |delay_s: f64| PlannedFault {
         fault: Fault::CancelManyJobs,
         at: at + delay_s,
         duration_s: 0.0,
         share: 0.8,
-        ..held
+        ..delayed_commands
     };
-    let prompt = PlannedFault {
+    let cancel_new = PlannedFault {
         fault: Fault::CancelNewJobs,
-        ..held
+        ..delayed_commands
     };
     vec![
-        held,
-        prompt,
-        storm(times.heartbeat_interval_s),
-        storm(times.heartbeat_interval_s * 3.0),
-        storm(times.lease_s),
+        delayed_commands,
+        cancel_new,
+        cancel_many(times.heartbeat_interval_s),
+        cancel_many(times.heartbeat_interval_s * 3.0),
+        cancel_many(times.lease_s),
     ]
 }
 
-/// The state service refuses the leader alone, users cancel in that moment, and then it is out for longer than
-/// cancelled tasks may last. The leader's peers don't reach it either: nobody can tell it.
+/// The state service rejects the requests of the leader alone, users cancel jobs at that moment, and then the state
+/// service is out for longer than the time within which cancelled tasks must end. The leader is also partitioned from
+/// its peers, so that no controller can tell it of the cancellations.
 fn rejected_leader_then_outage(at: f64, times: &ProtocolTimes) -> Vec<PlannedFault> {
-    let refused = PlannedFault {
+    let rejection = PlannedFault {
         fault: Fault::RejectController,
         at,
         duration_s: times.heartbeat_interval_s,
@@ -177,40 +180,41 @@
         share: 0.8,
         delay_s: 0.0,
     };
-    let storm = PlannedFault {
+    let cancel_many = PlannedFault {
         fault: Fault::CancelManyJobs,
         at: at + times.min_heartbeat_interval_s / 5.0,
-        ..refused
+        ..rejection
     };
     let outage = PlannedFault {
         fault: Fault::StateServiceOutage,
         at: at + times.heartbeat_interval_s,
         duration_s: 1.3 * times.cancel_s,
-        ..refused
+        ..rejection
     };
-    let cut = PlannedFault {
+    let partition = PlannedFault {
         fault: Fault::PartitionPeers,
-        duration_s: refused.duration_s + outage.duration_s,
-        ..refused
+        duration_s: rejection.duration_s + outage.duration_s,
+        ..rejection
     };
-    vec![refused, cut, storm, outage]
+    vec![rejection, partition, cancel_many, outage]
 }
 
-fn planned(
+fn draw_fault(
     fault: Fault,
     at: f64,
     nodes: usize,
     times: &ProtocolTimes,
     rng: &mut SmallRng,
 ) -> PlannedFault {
-    // Moments, less than a lease, more than one, or more than a cancellation takes.
-    let lengths = [
+    // The duration is at most 1.1 times one of these, so that faults are short, or last about as long as a lease,
+    // longer than a lease, or longer than the time within which cancelled tasks must end.
+    let base_durations_s = [
         times.retry_delay_s,
         times.lease_s,
         1.5 * times.lease_s,
         1.4 * times.cancel_s,
     ];
-    let length = lengths[rng.random_range(0..lengths.len())];
+    let base_duration_s = base_durations_s[rng.random_range(0..base_durations_s.len())];
     let target = if rng.random_bool(0.6) {
         Target::Leader
     } else {
@@ -226,7 +230,7 @@
     PlannedFault {
         fault,
         at,
-        duration_s: length * rng.random_range(0.1..1.1),
+        duration_s: base_duration_s * rng.random_range(0.1..1.1),
         target,
         share: rng.random_range(0.15..1.0),
         delay_s,
--- a/tests/soak/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! What stands between two controllers: while they are partitioned from each other, it holds all bytes.
+//! A proxy for the connections from one controller to another. While the two are partitioned, it holds back all bytes.
 
 use super::clock::Clock;
 use super::oracle::{Shared, lock};
@@ -7,51 +7,58 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Bytes that are passed on at a time.
+/// Largest number of bytes that are forwarded at a time.
 const CHUNK: usize = 16 * 1024;
-/// Seconds between two looks at whether the cut is over.
+/// Interval between two checks whether the partition has ended, in seconds.
 const POLL_INTERVAL_S: f64 = 0.01;
 
-/// One direction between two controllers.
+/// The proxy for connections that one controller opens to another.
 #[derive(Clone)]
 pub struct Proxy {
     pub oracle: Shared,
     pub clock: Clock,
+    /// Number of the controller that connects to the proxy.
     pub from: usize,
+    /// Number of the controller to which the proxy connects.
     pub to: usize,
+    /// Address of that controller for peers.
     pub address: SocketAddr,
 }
 
 impl Proxy {
-    /// Passes connections on until the task is dropped.
+    /// Forwards connections until the task is dropped.
     pub async fn run(self, listener: TcpListener) {
         loop {
             let Ok((incoming, _)) = listener.accept().await else {
                 continue;
             };
-            tokio::spawn(self.clone().pass(incoming));
+            tokio::spawn(self.clone().forward_connection(incoming));
         }
     }
 
-    async fn pass(self, incoming: TcpStream) {
-        self.wait_while_cut().await;
+    async fn forward_connection(self, incoming: TcpStream) {
+        self.wait_while_partitioned().await;
         let Ok(outgoing) = TcpStream::connect(self.address).await else {
             return;
         };
         let (in_read, in_write) = incoming.into_split();
         let (out_read, out_write) = outgoing.into_split();
-        let there = self.clone().copy(in_read, out_write);
-        let back = self.copy(out_read, in_write);
-        tokio::join!(there, back);
+        let requests = self.clone().forward_bytes(in_read, out_write);
+        let responses = self.forward_bytes(out_read, in_write);
+        tokio::join!(requests, responses);
     }
 
-    async fn copy(self, mut from: impl AsyncRead + Unpin, mut to: impl AsyncWrite + Unpin) {
+    async fn forward_bytes(
+        self,
+        mut from: impl AsyncRead + Unpin,
+        mut to: impl AsyncWrite + Unpin,
+    ) {
         let mut chunk = vec![0; CHUNK];
         while let Ok(read) = from.read(&mut chunk).await {
             if read == 0 {
                 break;
             }
-            self.wait_while_cut().await;
+            self.wait_while_partitioned().await;
             if to.write_all(&chunk[..read]).await.is_err() {
                 break;
             }
@@ -59,18 +66,18 @@
         let _ = to.shutdown().await;
     }
 
-    async fn wait_while_cut(&self) {
-        let mut counted = false;
+    async fn wait_while_partitioned(&self) {
+        let mut is_counted = false;
         loop {
             {
                 let faults = &mut lock(&self.oracle).faults;
-                let cut = [self.from, self.to]
+                let is_partitioned = [self.from, self.to]
                     .into_iter()
                     .any(|node| faults.affects_node(Fault::PartitionPeers, node));
-                if !cut {
+                if !is_partitioned {
                     return;
                 }
-                if !std::mem::replace(&mut counted, true) {
+                if !std::mem::replace(&mut is_counted, true) {
                     faults.count(Fault::PartitionPeers);
                 }
             }
--- a/tests/soak/report.rs
+++ b/tests/soak/report.rs
@@ -1,4 +1,4 @@
-//! What is printed of runs.
+//! Prints schedules and results of runs.
 
 use super::options::Options;
 use super::oracle::Rule;
@@ -6,21 +6,21 @@
 use super::run::{Outcome, Verdict};
 use std::collections::BTreeMap;
 
-/// Findings of a run that are printed.
+/// Largest number of violations that are printed for a run.
 const MAX_PRINTED: usize = 20;
 
 /// Prints a schedule of faults.
 pub fn print_plan(seed: u64, plan: &[PlannedFault]) {
-    println!("seed {seed}: {} troubles", plan.len());
+    println!("seed {seed}: {} faults", plan.len());
     for p in plan {
         println!(
-            "  {:7.2} s  {:?} for {:.2} s, {:?}, share {:.2}, late by up to {:.2} s",
+            "  {:7.2} s  {:?} for {:.2} s, {:?}, share {:.2}, delay up to {:.2} s",
             p.at, p.fault, p.duration_s, p.target, p.share, p.delay_s
         );
     }
 }
 
-/// Prints a run, with the command that plays it alone.
+/// Prints the result of a run, and the command that repeats the run if it did not pass.
 pub fn print_outcome(outcome: &Outcome, options: &Options) {
     let Outcome {
         seed,
@@ -31,14 +31,14 @@
         ..
     } = outcome;
     println!(
-        "seed {seed}: {verdict:?}, {seconds:.0} s, {} controllers, {} machines; slow moments {}, lag {:.0} ms",
+        "seed {seed}: {verdict:?}, {seconds:.0} s, {} controllers, {} machines; {} slow steps, scheduling delay {:.0} ms",
         options.nodes,
         options.machines,
         outcome.slow_steps,
         outcome.scheduling_delay_s * 1000.0
     );
     println!("  {counters:?}");
-    println!("  troubles: {:?}", outcome.fault_counts);
+    println!("  faults: {:?}", outcome.fault_counts);
     for violation in violations.iter().take(MAX_PRINTED) {
         println!(
             "  {:.3} {:?}: {}",
@@ -50,39 +50,39 @@
     }
     if *verdict != Verdict::Passed {
         println!(
-            "  alone: soak --seed {seed} --nodes {} --machines {} --duration {} --scale {}",
+            "  to repeat: soak --seed {seed} --nodes {} --machines {} --duration {} --scale {}",
             options.nodes, options.machines, options.duration, options.scale
         );
     }
 }
 
-/// Prints what all runs have shown together.
+/// Prints the totals over all runs.
 pub fn print_summary(outcomes: &[Outcome]) {
-    let of = |verdict| outcomes.iter().filter(|o| o.verdict == verdict).count();
+    let count = |verdict| outcomes.iter().filter(|o| o.verdict == verdict).count();
     let seconds: f64 = outcomes.iter().map(|o| o.seconds).sum();
     println!(
-        "{} runs, {seconds:.0} s in all: {} green, {} broken, {} too slow to judge",
+        "{} runs, {seconds:.0} s in total: {} passed, {} failed, {} too slow to judge",
         outcomes.len(),
-        of(Verdict::Passed),
-        of(Verdict::Failed),
-        of(Verdict::TooSlow)
+        count(Verdict::Passed),
+        count(Verdict::Failed),
+        count(Verdict::TooSlow)
     );
     let mut rules: BTreeMap<Rule, usize> = BTreeMap::new();
-    let mut troubles: BTreeMap<Fault, u64> = BTreeMap::new();
+    let mut faults: BTreeMap<Fault, u64> = BTreeMap::new();
     for outcome in outcomes {
         for violation in &outcome.violations {
             *rules.entry(violation.rule).or_default() += 1;
         }
         for (fault, count) in &outcome.fault_counts {
-            *troubles.entry(*fault).or_default() += count;
+            *faults.entry(*fault).or_default() += count;
         }
     }
     println!("rules broken: {rules:?}");
-    println!("troubles: {troubles:?}");
-    let sum = |of: fn(&Outcome) -> u64| -> u64 { outcomes.iter().map(of).sum() };
+    println!("faults: {faults:?}");
+    let sum = |counter: fn(&Outcome) -> u64| -> u64 { outcomes.iter().map(counter).sum() };
     println!(
-        "starts {}, cancelled {}, late commands executed {}, refused {}, late starts past the cancellation {}, \
-         start_revocations {}, starts after a confirmed cancellation {}",
+        "starts {}, cancelled jobs {}, late commands executed {}, rejected {}, late starts after the cancellation {}, \
+         start revocations {}, starts after a confirmed cancellation {}",
         sum(|o| o.counters.starts),
         sum(|o| o.counters.cancelled),
         sum(|o| o.counters.late_commands_executed),
@@ -91,15 +91,15 @@
         sum(|o| o.counters.start_revocations),
         sum(|o| o.counters.starts_after_confirmed_cancellation),
     );
-    let broken: Vec<u64> = outcomes
+    let failed: Vec<u64> = outcomes
         .iter()
         .filter(|o| o.verdict == Verdict::Failed)
         .map(|o| o.seed)
         .collect();
-    println!("broken seeds: {broken:?}");
+    println!("failed seeds: {failed:?}");
 }
 
-/// The worst of some verdicts; none at all is too little to judge.
+/// The worst of the verdicts; [`Verdict::TooSlow`] if there are none, as nothing was tested.
 pub fn worst(verdicts: impl Iterator<Item = Verdict>) -> Verdict {
     let mut worst = None;
     for verdict in verdicts {
--- a/tests/soak/state.rs
+++ b/tests/soak/state.rs
@@ -1,4 +1,4 @@
-//! The state service, with a port for each controller so that faults may concern one alone.
+//! The state service stand-in. Each controller has a port of its own, so that faults can affect a single controller.
 
 use super::clock::Clock;
 use super::http::{Reply, Request};
@@ -10,11 +10,11 @@
 use serde::{Deserialize, Serialize};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// Changes that the service remembers for watches.
-const KEPT_CHANGES: usize = 10_000;
-/// Items in a page of keys at most.
+/// Number of changes that the service keeps for watches.
+const MAX_KEPT_CHANGES: usize = 10_000;
+/// Largest number of items in a page of keys.
 const MAX_PAGE: usize = 1000;
-/// Seconds between two looks of a watch that waits.
+/// Interval between two checks for changes while a watch waits, in seconds.
 const POLL_INTERVAL_S: f64 = 0.002;
 
 #[derive(Serialize)]
@@ -60,7 +60,7 @@
     ttl_ms: u64,
 }
 
-/// An error's body.
+/// The body of an error response.
 #[derive(Serialize)]
 pub struct ErrorBody {
     pub error: &'static str,
@@ -70,7 +70,7 @@
     Reply::new(status, &ErrorBody { error })
 }
 
-/// A response as it stands on the wire, from a store at this revision.
+/// Encodes a response of a store that is at `revision`.
 fn reply(response: KvResponse, revision: u64) -> Reply {
     match response {
         KvResponse::Value(key_value) => Reply::new(200, &key_value),
@@ -97,11 +97,11 @@
         KvResponse::InvalidRequest => error_reply(400, "no such lease"),
         KvResponse::RateLimited => error_reply(429, "too many requests"),
         KvResponse::Unavailable => error_reply(503, "trouble"),
-        KvResponse::OutcomeUnknown => unreachable!("a store knows what it has done"),
+        KvResponse::OutcomeUnknown => unreachable!("the store itself always knows the outcome"),
     }
 }
 
-/// The state service.
+/// The state service stand-in.
 #[derive(Clone)]
 pub struct StateService {
     store: Arc<Mutex<KvStore>>,
@@ -112,7 +112,7 @@
 impl StateService {
     pub fn new(oracle: Shared, clock: Clock) -> StateService {
         StateService {
-            store: Arc::new(Mutex::new(KvStore::new(KEPT_CHANGES))),
+            store: Arc::new(Mutex::new(KvStore::new(MAX_KEPT_CHANGES))),
             oracle,
             clock,
         }
@@ -124,16 +124,16 @@
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Ends leases that were not renewed; during an outage none ends.
+    /// Expires leases that were not renewed. During an outage no lease expires.
     pub async fn expire_leases(self) {
         loop {
             self.clock.sleep(POLL_INTERVAL_S * 5.0).await;
-            let out = lock(&self.oracle)
+            let is_out = lock(&self.oracle)
                 .faults
                 .is_active(Fault::StateServiceOutage);
             let now = self.clock.now();
             let mut store = self.store();
-            if out {
+            if is_out {
                 store.extend_leases(now);
             } else {
                 store.expire_leases(now);
@@ -141,9 +141,9 @@
         }
     }
 
-    /// Answers a controller.
+    /// Handles a request of a controller. Returns no response if a fault loses the request or the response.
     pub async fn handle(self, node: usize, request: Request) -> Option<Reply> {
-        let lost = match self.active_fault(node) {
+        let response_lost = match self.active_fault(node) {
             Some(Fault::PartitionFromStateService) => return None,
             Some(Fault::LoseStateServiceResponses) => true,
             Some(_) => return Some(error_reply(503, "trouble")),
@@ -153,28 +153,28 @@
             return self.watch(node, &request).await;
         }
         if request.path == "/txn"
-            && let Some(delay_s) = self.late_transaction(&request)
+            && let Some(delay_s) = self.transaction_delay(&request)
         {
             self.clock.sleep(delay_s).await;
             let _ = self.respond(&request);
             return None;
         }
         let reply = self.respond(&request);
-        (!lost).then_some(reply)
+        (!response_lost).then_some(reply)
     }
 
-    /// The fault that concerns a controller's requests now; it is counted.
+    /// The active fault that affects a controller's requests, if any; counts that it took effect.
     fn active_fault(&self, node: usize) -> Option<Fault> {
         let faults = &mut lock(&self.oracle).faults;
         let found = if faults.is_active(Fault::StateServiceOutage) {
             Some(Fault::StateServiceOutage)
         } else {
-            let alone = [
+            let single_node_faults = [
                 Fault::PartitionFromStateService,
                 Fault::RejectController,
                 Fault::LoseStateServiceResponses,
             ];
-            alone
+            single_node_faults
                 .into_iter()
                 .find(|fault| faults.affects_node(*fault, node))
         };
@@ -184,7 +184,8 @@
         found
     }
 
-    fn late_transaction(&self, request: &Request) -> Option<f64> {
+    /// The delay of a request, if it is a transaction with writes that [`Fault::DelayTransactions`] affects.
+    fn transaction_delay(&self, request: &Request) -> Option<f64> {
         let writes = cbor::decode::<Txn>(&request.body).is_ok_and(|txn| !txn.writes.is_empty());
         let oracle = &mut *lock(&self.oracle);
         let delay_s = oracle
@@ -200,7 +201,8 @@
         }
     }
 
-    /// Carries out a request, and tells the revision after it. An error: it is malformed.
+    /// Executes a request. Returns the response and the revision of the store after it, or an error if the request is
+    /// malformed.
     fn execute(&self, request: &Request) -> Result<(KvResponse, u64), &'static str> {
         let now = self.clock.now();
         let mut store = self.store();
@@ -243,8 +245,8 @@
         let after = number("From");
         let until = self.clock.now() + number("WaitMs") as f64 / 1000.0;
         loop {
-            // Open watches stay open while this controller is refused, and bring nothing.
-            let waits = {
+            // While a fault affects this controller, its open watches stay open and report nothing.
+            let is_suspended = {
                 let oracle = lock(&self.oracle);
                 oracle.faults.is_active(Fault::StateServiceOutage)
                     || oracle.faults.affects_node(Fault::RejectController, node)
@@ -252,7 +254,7 @@
                         .faults
                         .affects_node(Fault::PartitionFromStateService, node)
             };
-            if !waits {
+            if !is_suspended {
                 let store = self.store();
                 let response = store.changes_after(&prefix, after);
                 let is_quiet =
