--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -1,42 +1,48 @@
-//! Three controllers in a simulated world, with crashes, outages, cuts, and lost and late messages.
+//! Simulated deployments with three controllers: crashes, outages, partitions, and lost and late messages.
 
 mod world;
 
 use world::{NetworkFaults, World};
 
 #[test]
-fn days() {
-    type Trouble = fn(&mut World);
-    let cases: [(&str, Trouble); 9] = [
-        ("quiet", |_| {}),
+fn jobs_end_despite_faults() {
+    type Scenario = fn(&mut World);
+    let cases: [(&str, Scenario); 9] = [
+        ("no fault", |_| {}),
         ("a controller crashes", |w| w.crash(0, 20.0, 25.0)),
-        ("each controller in turn", |w| {
+        ("each controller crashes in turn", |w| {
             for i in 0..3 {
                 w.crash(i, 20.0 + 12.0 * i as f64, 25.0 + 12.0 * i as f64);
             }
         }),
-        ("all controllers at once, one back at once", |w| {
-            w.crash(0, 30.0, 30.2);
-            w.crash(1, 30.0, 35.0);
-            w.crash(2, 30.0, 36.0);
-        }),
+        (
+            "all controllers crash at once, one restarts immediately",
+            |w| {
+                w.crash(0, 30.0, 30.2);
+                w.crash(1, 30.0, 35.0);
+                w.crash(2, 30.0, 36.0);
+            },
+        ),
         (
             "the state service is out for longer than a worker's lease",
             |w| w.state_service_outage(25.0, 45.0),
         ),
-        ("a crash during an outage", |w| {
-            w.state_service_outage(25.0, 40.0);
-            w.crash(1, 30.0, 35.0);
-            w.crash(0, 38.0, 43.0);
-        }),
-        ("machines are taken", |w| {
+        (
+            "controllers crash during an outage of the state service",
+            |w| {
+                w.state_service_outage(25.0, 40.0);
+                w.crash(1, 30.0, 35.0);
+                w.crash(0, 38.0, 43.0);
+            },
+        ),
+        ("the cloud takes machines away", |w| {
             for at in [25.0, 35.0, 50.0] {
                 w.run_until(at);
                 w.reclaim_instance();
             }
         }),
         (
-            "machines are cut off for shorter and longer than their lease",
+            "machines are partitioned for shorter and longer than their lease",
             |w| {
                 w.run_until(20.0);
                 w.disconnect_worker(0, 6.0);
@@ -45,7 +51,7 @@
                 w.disconnect_worker(1, 14.0);
             },
         ),
-        ("answers are lost and requests late", |w| {
+        ("responses are lost and requests are late", |w| {
             w.faults = NetworkFaults {
                 lost_responses: 0.03,
                 late_requests: 0.03,
@@ -56,25 +62,25 @@
             w.faults = NetworkFaults::default();
         }),
     ];
-    for (name, trouble) in cases {
+    for (name, scenario) in cases {
         let mut world = World::new(7);
         world.add_mixed_jobs();
-        trouble(&mut world);
+        scenario(&mut world);
         world.run_until(200.0);
         assert_eq!(world.violations, Vec::<String>::new(), "{name}");
         assert_eq!(world.unfinished_jobs(), Vec::<&str>::new(), "{name}");
         assert!(world.starts >= 24, "{name}: {} starts", world.starts);
         assert!(
             world.instance_count() < 12,
-            "{name}: idle machines are given back"
+            "{name}: idle machines are returned"
         );
     }
 }
 
-/// Many times more than the machines can do: heartbeats are answered ahead of all leases, no rule is
-/// broken, and a cancelled job still goes at once.
+/// Users submit many times more tasks than the machines can run: heartbeats are still answered before any lease
+/// expires, no rule is broken, and cancellations are still confirmed within the test.
 #[test]
-fn far_too_much() {
+fn overload_expires_no_lease() {
     let mut world = World::new(3);
     for n in 0..40 {
         let cancel = (n % 4 == 0).then_some(30.0);
@@ -85,17 +91,17 @@
     assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.workers_with_new_incarnation(), 0);
     assert!(world.starts > 100, "{} starts", world.starts);
-    let told = world.users.iter().filter(|u| {
+    let ended = world.users.iter().filter(|u| {
         u.cancel_at.is_some()
             && (u.cancellation_confirmed_at.is_some() || u.completion_confirmed_at.is_some())
     });
-    assert_eq!(told.count(), 10);
+    assert_eq!(ended.count(), 10);
 }
 
-/// A leader partitioned from all but the state service takes itself for the one that is partitioned: it
-/// gives up leadership, and releases none of the machines it doesn't hear.
+/// A leader that is partitioned from everything except the state service must conclude that it is the partitioned one,
+/// not its workers: it resigns, and deletes no machine because of the missing heartbeats.
 #[test]
-fn a_leader_alone() {
+fn partitioned_leader_resigns_and_deletes_no_machine() {
     for seed in [0, 1, 2, 6, 18] {
         let mut world = World::new(seed);
         world.add_mixed_jobs();
@@ -109,18 +115,17 @@
     }
 }
 
-/// Days on which something was found, in the order of the finds:
-/// - 22: bindings of a deleted machine came back with a record that was read again, and were never
-///   counted off;
-/// - 253: a new incarnation, first heard of in a direct answer, was taken to have the old lease;
-/// - 342: a job cancelled between the leader's listing and its watch's was never stopped;
-/// - 1408: a task was meant for the one machine that may not have it, for ever.
-const FOUND: [u64; 4] = [22, 253, 342, 1408];
+/// Seeds that have found faults:
+/// - 22: bindings of a deleted machine came back with a record that was read again, and were never released;
+/// - 253: a new incarnation, which became known by the response to a direct call, was assumed to have the old lease;
+/// - 342: a job that was cancelled between the leader's listing of the jobs and that of its watch was never stopped;
+/// - 1408: a task was assigned again and again to the only machine on which it was not allowed to run.
+const REGRESSION_SEEDS: [u64; 4] = [22, 253, 342, 1408];
 
-/// Many short days with all kinds of trouble at once; the seeds are fixed.
+/// Many short runs with a mixture of crashes, outages, partitions, and lost and late messages; the seeds are fixed.
 #[test]
-fn storms() {
-    for seed in (0..16).chain(FOUND) {
+fn mixed_faults() {
+    for seed in (0..16).chain(REGRESSION_SEEDS) {
         let mut world = World::new(seed);
         world.add_mixed_jobs();
         world.faults = NetworkFaults {
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,5 +1,5 @@
-//! Troubles that operators met: controllers that pause or fall silent, questions many times as often,
-//! machines up at once or never, guests, and jobs with a mistake; alone and together.
+//! Scenarios from operation, alone and combined: controllers that pause or hang, users that poll many times as often as
+//! usual, machines that boot immediately or never, jobs of a guest team, and jobs whose tasks always fail.
 
 mod world;
 
@@ -7,11 +7,11 @@
 use rand::{Rng, SeedableRng};
 use world::{CANCEL_S, LEASE_S, NetworkFaults, World};
 
-/// When the troubles begin: the machines are up and the first jobs run.
-const BEGIN: f64 = 30.0;
+/// When the faults of a scenario begin, in seconds: the machines are up by then, and the first jobs run.
+const FAULTS_BEGIN_AT: f64 = 30.0;
 
-/// Services, long arrays and short ones, within the team's limit of twenty tasks.
-fn crowd(world: &mut World) {
+/// Adds services, long arrays and short arrays, within the team's limit of twenty tasks.
+fn add_jobs(world: &mut World) {
     for n in 0..3 {
         world.add_user(n, 0.5, (2, 0.0, true, false), None);
     }
@@ -24,141 +24,144 @@
     }
 }
 
-/// Small jobs of a guest team, some a second, and a large array of it.
-fn guests(world: &mut World, from: f64) {
+/// Adds jobs of a guest team: a large array, and 40 small jobs, one each 0.4 s.
+fn add_guest_jobs(world: &mut World, from: f64) {
     world.add_guest_job(200, from, (60, 8.0));
     for n in 0..40 {
         world.add_guest_job(201 + n, from + 0.4 * f64::from(n), (1, 20.0));
     }
 }
 
-/// Runs to `at` after the troubles' begin.
-fn to(world: &mut World, at: f64) {
-    world.run_until(BEGIN + at);
+/// Runs until `at` seconds after the faults begin.
+fn run_until_after_begin(world: &mut World, at: f64) {
+    world.run_until(FAULTS_BEGIN_AT + at);
 }
 
 type Case = (&'static str, fn(&mut World));
 
-/// Plays each case at three and five controllers, with two seeds.
-fn play(cases: &[Case]) {
-    for (name, trouble) in cases {
-        for (nodes, seed) in [(3, 1), (3, 2), (5, 3), (5, 4)] {
-            let name = format!("{name}, {nodes} controllers, seed {seed}");
-            let mut world = World::with_size(seed, nodes, 3);
-            crowd(&mut world);
-            to(&mut world, 0.0);
-            trouble(&mut world);
-            let calm = world.now.max(BEGIN + 70.0);
-            world.end_faults(calm);
-            world.run_until(calm + 150.0);
+/// Runs each case with three and with five controllers, with two seeds for each.
+fn run_cases(cases: &[Case]) {
+    for (name, scenario) in cases {
+        for (controllers, seed) in [(3, 1), (3, 2), (5, 3), (5, 4)] {
+            let name = format!("{name}, {controllers} controllers, seed {seed}");
+            let mut world = World::with_size(seed, controllers, 3);
+            add_jobs(&mut world);
+            run_until_after_begin(&mut world, 0.0);
+            scenario(&mut world);
+            let faults_end_at = world.now.max(FAULTS_BEGIN_AT + 70.0);
+            world.end_faults(faults_end_at);
+            world.run_until(faults_end_at + 150.0);
             world.check_with_starvation(&name);
         }
     }
 }
 
-/// Nothing that was decided before a pause does harm when it goes out after it: the pause falls between
-/// the decision and the sending, for less than the leader's lease up to more than a cancellation takes.
+/// A decision that was made before a pause of the leader must do no harm if it is sent after the pause. The leader is
+/// paused between decision and sending, for shorter than its lease up to longer than the time for a cancellation.
 #[test]
 fn pauses_between_decision_and_sending() {
-    play(&[
-        ("moments, again and again", |w| {
+    run_cases(&[
+        ("short pauses, again and again", |w| {
             for i in 0..15 {
-                to(w, 3.0 * f64::from(i));
+                run_until_after_begin(w, 3.0 * f64::from(i));
                 assert!(w.pause_leader_before_sending(0.3 + 0.1 * f64::from(i)));
             }
             assert!(w.counts.pauses_before_sending >= 10);
         }),
         (
-            "for longer than the leader's lease, amid cancellations",
+            "for longer than the leader's lease, during cancellations",
             |w| {
                 for at in [0.0, 20.0, 40.0] {
-                    to(w, at);
+                    run_until_after_begin(w, at);
                     assert!(w.pause_leader_before_sending(4.0));
                     w.cancel_jobs(1, 0, 0.0);
                 }
-                to(w, 50.0);
+                run_until_after_begin(w, 50.0);
                 assert!(w.counts.pauses_before_sending >= 3);
                 assert!(
-                    w.cancellations_confirmed(BEGIN, BEGIN + 50.0) >= 1,
-                    "cancelled meanwhile"
+                    w.cancellations_confirmed(FAULTS_BEGIN_AT, FAULTS_BEGIN_AT + 50.0) >= 1,
+                    "a cancellation was confirmed in the meantime"
                 );
             },
         ),
         ("for longer than the workers' leases", |w| {
             assert!(w.pause_leader_before_sending(LEASE_S + 3.0));
-            to(w, 0.2);
+            run_until_after_begin(w, 0.2);
             w.cancel_jobs(3, 2, 6.0);
-            to(w, 30.0);
+            run_until_after_begin(w, 30.0);
             assert_eq!(w.counts.pauses_before_sending, 1);
-            assert!(w.leader_changes() >= 2, "another leads");
+            assert!(w.leader_changes() >= 2, "there is another leader");
         }),
-        ("for longer than a cancellation takes", |w| {
+        ("for longer than the time for a cancellation", |w| {
             assert!(w.pause_leader_before_sending(CANCEL_S + 5.0));
-            to(w, 0.2);
+            run_until_after_begin(w, 0.2);
             w.cancel_jobs(4, 2, 9.0);
-            to(w, 45.0);
+            run_until_after_begin(w, 45.0);
             assert_eq!(w.counts.pauses_before_sending, 1);
         }),
         (
-            "while the state service is slow and answers get lost",
+            "while the state service is slow and responses are lost",
             |w| {
                 w.faults.state_service_delay_s = 0.15;
                 w.faults.late_transactions = 0.1;
                 w.faults.lost_responses = 0.03;
                 for i in 0..6 {
-                    to(w, 8.0 * f64::from(i));
+                    run_until_after_begin(w, 8.0 * f64::from(i));
                     w.pause_leader_before_sending(1.0 + f64::from(i));
                 }
-                to(w, 55.0);
+                run_until_after_begin(w, 55.0);
                 assert!(w.counts.pauses_before_sending >= 3 && w.counts.late_txns >= 1);
             },
         ),
     ]);
 }
 
-/// Connections to a controller hang for a minute and more: the others need nothing of it, and it hears
-/// of the present before it answers anybody.
+/// Connections to a controller hang for a minute and longer. The others work without it, and when it is back it learns
+/// the current state before it responds to any request.
 #[test]
-fn silent_controllers() {
-    play(&[
-        ("the leader", |w| {
+fn hung_controllers() {
+    run_cases(&[
+        ("the leader hangs", |w| {
             assert!(w.hang_leader(60.0));
-            to(w, 6.0);
-            assert!(w.leader_changes() >= 2, "another leads soon");
-            to(w, 62.0);
+            run_until_after_begin(w, 6.0);
+            assert!(w.leader_changes() >= 2, "there is another leader soon");
+            run_until_after_begin(w, 62.0);
             assert!(w.counts.requests_to_hung_controllers >= 5);
         }),
         (
-            "the leader, and then its successor, amid cancellations",
+            "the leader hangs and its successor restarts, during cancellations",
             |w| {
                 assert!(w.hang_leader(70.0));
-                to(w, 4.0);
+                run_until_after_begin(w, 4.0);
                 w.cancel_jobs(2, 1, 6.0);
-                to(w, 9.0);
+                run_until_after_begin(w, 9.0);
                 w.restart_leader(0.3);
-                to(w, 72.0);
+                run_until_after_begin(w, 72.0);
+                assert!(w.counts.requests_to_hung_controllers >= 5);
+            },
+        ),
+        (
+            "the leader hangs, then machines hang and its successor pauses",
+            |w| {
+                assert!(w.hang_leader(65.0));
+                w.cancel_jobs(3, 3, 9.0);
+                run_until_after_begin(w, 20.0);
+                w.pause_leader(12.0);
+                run_until_after_begin(w, 67.0);
                 assert!(w.counts.requests_to_hung_controllers >= 5);
             },
         ),
-        ("the leader, while its successor's machines hang", |w| {
-            assert!(w.hang_leader(65.0));
-            w.cancel_jobs(3, 3, 9.0);
-            to(w, 20.0);
-            w.pause_leader(12.0);
-            to(w, 67.0);
-            assert!(w.counts.requests_to_hung_controllers >= 5);
-        }),
     ]);
 }
 
-/// Questions come ten times as often, while something else goes on.
+/// Users poll ten times as often as usual, alone and combined with other faults.
 #[test]
-fn storms_of_polls() {
-    play(&[
-        ("alone", |w| {
+fn frequent_polls() {
+    run_cases(&[
+        ("without other faults", |w| {
             w.faults.extra_polls = 10.0;
             let before = w.counts.polls;
-            to(w, 30.0);
+            run_until_after_begin(w, 30.0);
             assert!(w.counts.polls - before > 300);
         }),
         (
@@ -166,69 +169,70 @@
             |w| {
                 w.faults.extra_polls = 10.0;
                 w.faults.state_service_delay_s = 0.15;
-                to(w, 5.0);
+                run_until_after_begin(w, 5.0);
                 w.restart_leader(3.0);
-                to(w, 20.0);
+                run_until_after_begin(w, 20.0);
                 w.fail_state_requests_of_leader(8.0);
-                to(w, 40.0);
+                run_until_after_begin(w, 40.0);
             },
         ),
-        ("in an outage that begins with cancellations", |w| {
+        ("during an outage that begins with cancellations", |w| {
             w.faults.extra_polls = 10.0;
             w.cancel_jobs(3, 0, 0.0);
-            to(w, 0.6);
+            run_until_after_begin(w, 0.6);
             w.state_service_outage_for(20.0);
-            to(w, 25.0);
+            run_until_after_begin(w, 25.0);
         }),
     ]);
 }
 
-/// Machines are up before the provisioning request's answer has come, or never, while the leader changes.
+/// Machines are up before the response to the provisioning request has arrived, or never come up, while the leader
+/// changes.
 #[test]
-fn machines_up_at_once_or_never() {
-    play(&[
-        ("at once", |w| {
+fn machines_boot_immediately_or_never() {
+    run_cases(&[
+        ("immediately", |w| {
             w.faults.instant_boots = 1.0;
             w.lose_instances("a", 4);
-            to(w, 1.0);
+            run_until_after_begin(w, 1.0);
             w.restart_leader(2.0);
-            to(w, 30.0);
+            run_until_after_begin(w, 30.0);
             assert!(w.counts.instant_boots >= 2);
         }),
-        ("at once, and writes lag", |w| {
+        ("immediately, while transactions are late", |w| {
             w.faults.instant_boots = 1.0;
             w.faults.late_transactions = 0.3;
             w.faults.late_requests = 0.05;
             w.lose_instances("a", 4);
-            to(w, 3.0);
+            run_until_after_begin(w, 3.0);
             w.pause_leader_before_sending(3.0);
-            to(w, 30.0);
+            run_until_after_begin(w, 30.0);
             assert!(w.counts.instant_boots >= 2);
         }),
-        ("never, with work queued", |w| {
+        ("never, while tasks wait", |w| {
             w.faults.failed_boots = 0.6;
             w.lose_instances("a", 4);
             w.lose_instances("b", 2);
-            to(w, 60.0);
+            run_until_after_begin(w, 60.0);
             assert!(w.counts.failed_boots >= 2);
         }),
     ]);
 }
 
-/// A guest team takes all that is idle; the others' work, urgent or not, waits for none of it, and the
-/// guests' comes to its end.
+/// Tasks of a guest team use all idle machines. Jobs of other teams, urgent or not, start without waiting for them, and
+/// the guest jobs still end.
 #[test]
-fn guests_make_way() {
-    for (nodes, seed) in [(3, 1), (5, 2)] {
-        let name = format!("{nodes} controllers, seed {seed}");
-        let mut world = World::with_size(seed, nodes, 4);
-        crowd(&mut world);
-        guests(&mut world, 20.0);
+fn guest_tasks_delay_no_other_jobs() {
+    for (controllers, seed) in [(3, 1), (5, 2)] {
+        let name = format!("{controllers} controllers, seed {seed}");
+        let mut world = World::with_size(seed, controllers, 4);
+        add_jobs(&mut world);
+        add_guest_jobs(&mut world, 20.0);
         world.run_until(34.0);
         let jobs: Vec<u32> = (200..241).collect();
         let running = world.running_tasks_of(&jobs);
-        assert!(running >= 10, "{name}: {running} tasks of guests run");
-        // Replicas and arrays that come amid them.
+        assert!(running >= 10, "{name}: {running} tasks of guest jobs run");
+        // Services and arrays of the other team, submitted while guest tasks run.
         for n in 60..64 {
             world.add_user(n, 35.0, (4, 6.0, n % 2 == 0, false), None);
         }
@@ -252,45 +256,46 @@
     }
 }
 
-/// All of it at once, at random; the seeds are fixed.
+/// All of these faults, combined at random; the seeds are fixed.
 #[test]
-fn storms_of_operations() {
+fn mixed_operational_faults() {
     let (mut pauses, mut unanswered, mut failures, mut boots) = (0, 0, 0, 0);
     for seed in 0..14u64 {
-        let nodes = if seed % 2 == 0 { 3 } else { 5 };
-        let mut chance = SmallRng::seed_from_u64(seed);
-        let mut world = World::with_size(seed, nodes, [3, 12][seed as usize % 2]);
-        crowd(&mut world);
+        let controllers = if seed % 2 == 0 { 3 } else { 5 };
+        let mut rng = SmallRng::seed_from_u64(seed);
+        let mut world = World::with_size(seed, controllers, [3, 12][seed as usize % 2]);
+        add_jobs(&mut world);
         if seed % 3 == 0 {
-            guests(&mut world, 25.0);
+            add_guest_jobs(&mut world, 25.0);
         }
         for n in 0..4 {
-            let at = 20.0 + chance.random::<f64>() * 60.0;
-            let cancel_at = at + chance.random::<f64>() * 60.0;
-            let tasks = chance.random_range(1..12);
+            let at = 20.0 + rng.random::<f64>() * 60.0;
+            let cancel_at = at + rng.random::<f64>() * 60.0;
+            let tasks = rng.random_range(1..12);
             world.add_failing_job(100 + n, at, (tasks, n == 3), cancel_at);
         }
-        let some = |chance: &mut SmallRng, of: f64| NetworkFaults::random_strength(chance, 0.5, of);
+        let random_strength =
+            |rng: &mut SmallRng, of: f64| NetworkFaults::random_strength(rng, 0.5, of);
         world.faults = NetworkFaults {
-            lost_responses: some(&mut chance, 0.04),
-            duplicate_heartbeats: some(&mut chance, 0.4),
-            repeated_requests: some(&mut chance, 0.1),
-            state_service_delay_s: some(&mut chance, 0.15),
-            late_transactions: some(&mut chance, 0.2),
-            delayed_heartbeats: some(&mut chance, 0.2),
-            extra_polls: some(&mut chance, 8.0),
-            instant_boots: some(&mut chance, 0.8),
-            failed_boots: some(&mut chance, 0.3),
-            cancels_at_end: some(&mut chance, 0.3),
+            lost_responses: random_strength(&mut rng, 0.04),
+            duplicate_heartbeats: random_strength(&mut rng, 0.4),
+            repeated_requests: random_strength(&mut rng, 0.1),
+            state_service_delay_s: random_strength(&mut rng, 0.15),
+            late_transactions: random_strength(&mut rng, 0.2),
+            delayed_heartbeats: random_strength(&mut rng, 0.2),
+            extra_polls: random_strength(&mut rng, 8.0),
+            instant_boots: random_strength(&mut rng, 0.8),
+            failed_boots: random_strength(&mut rng, 0.3),
+            cancels_at_end: random_strength(&mut rng, 0.3),
             ..NetworkFaults::default()
         };
-        to(&mut world, 0.0);
+        run_until_after_begin(&mut world, 0.0);
         for _ in 0..12 {
-            let next = world.now + chance.random::<f64>() * 9.0;
+            let next = world.now + rng.random::<f64>() * 9.0;
             world.run_until(next);
-            let nth = chance.random_range(0..8);
-            let for_s = NetworkFaults::random_duration(&mut chance);
-            match chance.random_range(0..10) {
+            let nth = rng.random_range(0..8);
+            let for_s = NetworkFaults::random_duration(&mut rng);
+            match rng.random_range(0..10) {
                 0 | 1 => drop(world.pause_leader_before_sending(for_s)),
                 2 => drop(world.hang_leader(10.0 + for_s)),
                 3 => drop(world.pause_leader(for_s)),
@@ -302,8 +307,8 @@
                 _ => drop(world.cancel_jobs(1 + nth % 3, nth % 3, for_s.min(LEASE_S - 1.0))),
             }
         }
-        let calm = world.now + 1.5 * CANCEL_S;
-        world.end_faults(calm);
+        let faults_end_at = world.now + 1.5 * CANCEL_S;
+        world.end_faults(faults_end_at);
         let end = world.now + 1.5 * CANCEL_S + 200.0;
         world.run_until(end);
         world.check(&format!("seed {seed}"));
