--- a/examples/digest.rs
+++ b/examples/digest.rs
@@ -1,6 +1,6 @@
-//! Prints a digest of the controllers' behaviour, a line for each seed, and the hash of all these lines: a
-//! change that must not change behaviour leaves every line as it is. See CONTRIBUTING.md. Exit codes: 0,
-//! or 1 if a rule was broken in some seed.
+//! Prints a digest of the controllers' behaviour in simulated runs: a line for each seed, and the hash of all these
+//! lines. A change that must not change behaviour must leave each line unchanged. See CONTRIBUTING.md. The exit code is
+//! 1 if a rule was broken in any run, else 0.
 
 #[path = "../tests/world/mod.rs"]
 mod world;
@@ -13,16 +13,16 @@
 use world::digest::{self, Digest};
 use world::recorder::sha256_hex;
 
-/// Prints a digest of the controllers' behaviour in simulated worlds.
+/// Prints a digest of the controllers' behaviour in simulated runs.
 #[derive(Parser)]
 struct Options {
-    /// How many seeds to play.
+    /// Number of seeds to run.
     #[arg(long, default_value_t = 200)]
     seeds: u64,
     /// The first seed.
     #[arg(long, default_value_t = 0)]
     first: u64,
-    /// How many seeds to play at a time.
+    /// Number of seeds to run at a time.
     #[arg(long, default_value_t = 4)]
     jobs: usize,
 }
@@ -31,7 +31,7 @@
     let options = Options::parse();
     let mut lines = String::new();
     let mut exit = ExitCode::SUCCESS;
-    for digest in play_all(&options).into_values() {
+    for digest in run_seeds(&options).into_values() {
         lines += &format!("{digest}\n");
         for rule in &digest.violations {
             eprintln!("seed {}: {rule}", digest.seed);
@@ -43,16 +43,16 @@
     exit
 }
 
-/// The digests of all seeds, which threads take one after the other.
-fn play_all(options: &Options) -> BTreeMap<u64, Digest> {
+/// Runs all seeds in several threads, each of which takes the next seed when it has finished one.
+fn run_seeds(options: &Options) -> BTreeMap<u64, Digest> {
     let end = options.first + options.seeds;
-    let next = AtomicU64::new(options.first);
+    let next_seed = AtomicU64::new(options.first);
     let digests = Mutex::new(BTreeMap::new());
     std::thread::scope(|scope| {
         for _ in 0..options.jobs.max(1) {
             scope.spawn(|| {
                 loop {
-                    let seed = next.fetch_add(1, Ordering::Relaxed);
+                    let seed = next_seed.fetch_add(1, Ordering::Relaxed);
                     if seed >= end {
                         return;
                     }
