--- a/examples/digest.rs
+++ b/examples/digest.rs
@@ -57,11 +57,11 @@
                         return;
                     }
                     let digest = digest::run_seed(seed);
-                    let mut digests = digests.lock().expect("no other thread has panicked");
+                    let mut digests = digests.lock().expect("another thread has panicked");
                     digests.insert(seed, digest);
                 }
             });
         }
     });
-    digests.into_inner().expect("no thread has panicked")
+    digests.into_inner().expect("a thread has panicked")
 }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -81,7 +81,7 @@
 
 /// Exit code for invalid arguments, files or settings.
 const EXIT_USAGE: u8 = 2;
-/// Time limit for the connection attempt and for each read of the response; users of the protocol wait as long.
+/// Time limit for the connection attempt and for each read of the response; the protocol gives users the same limit.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Runs the command line and returns the exit code of the process.
@@ -241,7 +241,11 @@
         match http::parse_response(&bytes, http::MAX_REQUEST_BODY, count == 0) {
             Ok(Parsed::Complete(response, _)) => return Ok(response),
             Ok(Parsed::Partial { .. }) if count > 0 => {}
-            _ => return Err(std::io::Error::other("the response is not valid HTTP")),
+            _ => {
+                return Err(std::io::Error::other(
+                    "the response is incomplete, too long or not valid HTTP",
+                ));
+            }
         }
     }
 }
--- a/src/daemon/clients.rs
+++ b/src/daemon/clients.rs
@@ -21,26 +21,22 @@
 /// Most connections to one worker.
 const CONNECTIONS_PER_WORKER: usize = 1;
 
-/// A kind of destination; each has a connection pool of its own.
+/// The connection pools, by the kind of their destinations. Each pool is a [`Client`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(super) enum Destination {
+pub(super) enum Pool {
     StateService,
     Cloud,
     Workers,
 }
 
-impl Destination {
-    pub(super) const ALL: [Destination; 3] = [
-        Destination::StateService,
-        Destination::Cloud,
-        Destination::Workers,
-    ];
+impl Pool {
+    pub(super) const ALL: [Pool; 3] = [Pool::StateService, Pool::Cloud, Pool::Workers];
 }
 
 /// A connection of one of the connection pools.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct ClientConnection {
-    pub(super) destination: Destination,
+    pub(super) pool: Pool,
     pub(super) id: u64,
 }
 
@@ -81,11 +77,11 @@
 }
 
 impl PendingCall {
-    fn destination(&self) -> Destination {
+    fn pool(&self) -> Pool {
         match self {
-            PendingCall::StateService { .. } => Destination::StateService,
-            PendingCall::Cloud { .. } => Destination::Cloud,
-            PendingCall::Worker { .. } => Destination::Workers,
+            PendingCall::StateService { .. } => Pool::StateService,
+            PendingCall::Cloud { .. } => Pool::Cloud,
+            PendingCall::Worker { .. } => Pool::Workers,
         }
     }
 
@@ -162,25 +158,25 @@
         }
     }
 
-    fn pool(&self, destination: Destination) -> &Client {
-        match destination {
-            Destination::StateService => &self.state_service,
-            Destination::Cloud => &self.cloud,
-            Destination::Workers => &self.workers,
+    fn client(&self, pool: Pool) -> &Client {
+        match pool {
+            Pool::StateService => &self.state_service,
+            Pool::Cloud => &self.cloud,
+            Pool::Workers => &self.workers,
         }
     }
 
-    fn pool_mut(&mut self, destination: Destination) -> &mut Client {
-        match destination {
-            Destination::StateService => &mut self.state_service,
-            Destination::Cloud => &mut self.cloud,
-            Destination::Workers => &mut self.workers,
+    fn client_mut(&mut self, pool: Pool) -> &mut Client {
+        match pool {
+            Pool::StateService => &mut self.state_service,
+            Pool::Cloud => &mut self.cloud,
+            Pool::Workers => &mut self.workers,
         }
     }
 
     /// The stream of a connection; none once the connection is closed.
     pub(super) fn stream(&self, connection: ClientConnection) -> Option<Rc<TcpStream>> {
-        self.pool(connection.destination).stream(connection.id)
+        self.client(connection.pool).stream(connection.id)
     }
 
     /// Makes a call. Returns the connection that was opened for it and must be registered with the event loop, if any.
@@ -194,7 +190,7 @@
     ) -> Option<ClientConnection> {
         let id = self.next_call_id;
         self.next_call_id += 1;
-        let destination = pending.destination();
+        let pool = pending.pool();
         self.pending.insert(id, pending);
         let call = Call {
             id,
@@ -202,8 +198,8 @@
             bytes: http::write_request(method, &to.to_string(), &path, &body),
             deadline: now + timeout_s,
         };
-        let opened = self.pool_mut(destination).call(call, now);
-        opened.map(|id| ClientConnection { destination, id })
+        let opened = self.client_mut(pool).call(call, now);
+        opened.map(|id| ClientConnection { pool, id })
     }
 
     /// Handles a readiness event of a connection. Returns the connection to register, if another one was opened.
@@ -212,21 +208,18 @@
         connection: ClientConnection,
         now: f64,
     ) -> Option<ClientConnection> {
-        let destination = connection.destination;
-        let opened = self.pool_mut(destination).on_ready(connection.id, now);
-        opened.map(|id| ClientConnection { destination, id })
+        let pool = connection.pool;
+        let opened = self.client_mut(pool).on_ready(connection.id, now);
+        opened.map(|id| ClientConnection { pool, id })
     }
 
     /// Completes the calls that have timed out and closes idle connections. Returns the connections that were opened
     /// for queued calls, to register them.
     pub(super) fn expire(&mut self, now: f64) -> Vec<ClientConnection> {
         let mut opened = Vec::new();
-        for destination in Destination::ALL {
-            let ids = self.pool_mut(destination).expire(now);
-            opened.extend(
-                ids.into_iter()
-                    .map(|id| ClientConnection { destination, id }),
-            );
+        for pool in Pool::ALL {
+            let ids = self.client_mut(pool).expire(now);
+            opened.extend(ids.into_iter().map(|id| ClientConnection { pool, id }));
         }
         opened
     }
@@ -234,8 +227,8 @@
     /// Returns the responses of the calls that have completed since the last call of this function.
     pub(super) fn take_responses(&mut self) -> Vec<CallResponse> {
         let mut responses = Vec::new();
-        for destination in Destination::ALL {
-            for (id, outcome) in self.pool_mut(destination).take_completed() {
+        for pool in Pool::ALL {
+            for (id, outcome) in self.client_mut(pool).take_completed() {
                 if let Some(pending) = self.pending.remove(&id) {
                     responses.push(pending.complete(outcome));
                 }
--- a/src/daemon/connections.rs
+++ b/src/daemon/connections.rs
@@ -126,7 +126,8 @@
         }
     }
 
-    /// Unregisters a connection and removes its state.
+    /// Unregisters a connection and, if it is an incoming one, removes it from its table. An outgoing connection stays
+    /// in its connection pool or peer, which closes or replaces it after its timeout.
     pub(super) fn close(&mut self, connection: Connection) {
         self.unregister(connection);
         match connection {
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -17,9 +17,9 @@
 pub struct ScalingParameters {
     /// Time within which a machine should start a waiting task, in seconds.
     pub pickup_s: f64,
-    /// Fewest machines.
+    /// Fewest machines that the pool may have, idle or not.
     pub min: u32,
-    /// Most machines.
+    /// Most machines that the pool may have.
     pub max: u32,
     /// Time for which a machine must be idle before it may be returned to the cloud, in seconds.
     pub cooldown_s: f64,
@@ -120,8 +120,8 @@
     pub fn built_in(settings: &Settings) -> Policy {
         match Policy::parse(BUILT_IN_POLICY, "built-in", settings) {
             Ok(policy) => policy,
-            // A test checks that the built-in policy is valid. An empty policy gives each parameter its least value,
-            // so nothing is scaled.
+            // A test checks that the built-in policy is valid. An empty policy gives each parameter its least value.
+            // The largest number of machines is then 0, so that none are rented.
             Err(_) => Policy::empty(settings),
         }
     }
@@ -269,7 +269,7 @@
         } else if expression.is_empty() {
             "an expression is missing after '='".to_owned()
         } else if expression.len() > MAX_EXPRESSION_LEN {
-            format!("longer than {MAX_EXPRESSION_LEN} characters")
+            format!("the expression is longer than {MAX_EXPRESSION_LEN} bytes")
         } else if expressions.iter().any(|other| other.name == name) {
             "is defined twice".to_owned()
         } else {
@@ -366,7 +366,7 @@
         Ok(Value::Float(value)) => value,
         Ok(other) => {
             return Err(format!(
-                "wrong type: the value is of type {}, not a decimal number",
+                "wrong type: the value is of type {}, not float; write decimal numbers with a point, such as 2.0",
                 other.type_of()
             ));
         }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -22,7 +22,7 @@
     #[error("{0}")]
     Malformed(String),
     /// A field has a value that is not allowed.
-    #[error("{field}: {reason}")]
+    #[error("invalid setting {field}: {reason}")]
     Invalid {
         /// Path of the field in the file.
         field: String,
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -1,4 +1,5 @@
-//! Outgoing HTTP connections: a small connection pool for each destination, and a deadline for each call.
+//! A pool of outgoing HTTP connections, with a few connections to each destination address, and a deadline for each
+//! call.
 
 use super::http::{self, Parsed, Response};
 use super::socket::{self, BufferedStream, ReadStatus};
@@ -45,14 +46,14 @@
     idle_position: Option<u64>,
 }
 
-/// One destination: the calls that wait for a connection, and the ids of its connections.
+/// A destination address: the calls that wait for a connection to it, and the ids of its connections.
 #[derive(Default)]
 struct Destination {
     queue: VecDeque<Call>,
     connections: Vec<u64>,
 }
 
-/// The connection pools of all destinations.
+/// A connection pool.
 pub struct Client {
     connections: HashMap<u64, Connection>,
     destinations: HashMap<SocketAddr, Destination>,
@@ -321,7 +322,7 @@
         opened
     }
 
-    /// Returns the calls that have completed since the last such request, with their outcomes.
+    /// Returns the calls that have completed since this function was last called, with their outcomes.
     pub fn take_completed(&mut self) -> Vec<(CallId, Outcome)> {
         std::mem::take(&mut self.completed)
     }
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -29,7 +29,8 @@
     buffered: BufferedStream,
     /// The request that has no response yet, and whether the connection stays open after the response.
     in_flight: Option<(RequestId, bool)>,
-    /// When the first bytes of a request were received, a request was complete, or a response was sent last.
+    /// Time of the last of these events: the connection was accepted, the first bytes of a request were received, a
+    /// request was complete, or a response was sent.
     last_activity_at: f64,
     /// The client will send no more bytes.
     half_closed: bool,
--- a/src/transport/socket.rs
+++ b/src/transport/socket.rs
@@ -1,4 +1,4 @@
-//! Non-blocking sockets with bounded buffers.
+//! Non-blocking sockets, with a bounded buffer for received bytes and an unbounded one for bytes to send.
 
 use socket2::{Domain, Protocol, SockAddr, Socket, Type};
 use std::io::{self, Read, Write};
--- a/tests/ci.rs
+++ b/tests/ci.rs
@@ -180,18 +180,18 @@
     ];
     let dir = std::env::temp_dir().join(format!("cedarladder-ci-{}", std::process::id()));
     for (name, log, status, known, passes, message) in cases {
-        std::fs::create_dir_all(&dir).expect("a folder");
-        std::fs::write(dir.join("log"), log).expect("a log");
+        std::fs::create_dir_all(&dir).expect("cannot create the directory");
+        std::fs::write(dir.join("log"), log).expect("cannot write the log");
         if let Some(known) = known {
-            std::fs::write(dir.join("known"), known).expect("a list");
+            std::fs::write(dir.join("known"), known).expect("cannot write the list");
         }
         let output = Command::new("bash")
             .arg(concat!(env!("CARGO_MANIFEST_DIR"), "/.ci/judge"))
             .args([dir.join("log").as_os_str(), status.to_string().as_ref()])
             .arg(dir.join("known"))
             .output()
-            .expect("bash");
-        std::fs::remove_dir_all(&dir).expect("the folder");
+            .expect("cannot run bash");
+        std::fs::remove_dir_all(&dir).expect("cannot remove the directory");
         let printed =
             String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned();
         assert_eq!(output.status.success(), passes, "{name}: {printed}");
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -69,10 +69,14 @@
         world.run_until(200.0);
         assert_eq!(world.violations, Vec::<String>::new(), "{name}");
         assert_eq!(world.unfinished_jobs(), Vec::<&str>::new(), "{name}");
-        assert!(world.starts >= 24, "{name}: {} starts", world.starts);
+        assert!(
+            world.starts >= 24,
+            "{name}: {} starts, at least 24 are expected",
+            world.starts
+        );
         assert!(
             world.instance_count() < 12,
-            "{name}: idle machines are returned"
+            "{name}: idle machines were not returned"
         );
     }
 }
@@ -90,7 +94,11 @@
     world.run_until(60.0);
     assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.workers_with_new_incarnation(), 0);
-    assert!(world.starts > 100, "{} starts", world.starts);
+    assert!(
+        world.starts > 100,
+        "{} starts, more than 100 are expected",
+        world.starts
+    );
     let ended = world.users.iter().filter(|u| {
         u.cancel_at.is_some()
             && (u.cancellation_confirmed_at.is_some() || u.completion_confirmed_at.is_some())
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -4,7 +4,7 @@
 use cedarladder::settings::Settings;
 
 fn settings() -> Settings {
-    Settings::parse(include_str!("world/settings.toml")).expect("settings")
+    Settings::parse(include_str!("world/settings.toml")).expect("the settings are invalid")
 }
 
 fn pool(spot: bool, busy: u32) -> PoolState {
@@ -21,7 +21,8 @@
 
 #[test]
 fn built_in_policy_is_valid() {
-    let policy = Policy::parse(BUILT_IN_POLICY, "built-in", &settings()).expect("no problems");
+    let policy = Policy::parse(BUILT_IN_POLICY, "built-in", &settings())
+        .expect("the built-in policy is invalid");
     let on_demand = policy.parameters(&pool(false, 3));
     let spot = policy.parameters(&pool(true, 3));
     assert_eq!((on_demand.cooldown_s, spot.cooldown_s), (4.0, 14.0));
@@ -77,7 +78,7 @@
             .expect_err(invalid)
             .len(),
         3,
-        "all problems are reported"
+        "one problem is expected for each of the three lines"
     );
 }
 
@@ -85,7 +86,8 @@
 #[test]
 fn expression_that_fails_at_run_time_is_replaced_by_the_built_in_one() {
     let text = "min_machines = 1.0\ncooldown_s = busy == 7.0 ? -1.0 : 5.0";
-    let policy = Policy::parse(text, "f", &settings()).expect("valid for the sample pools");
+    let policy =
+        Policy::parse(text, "f", &settings()).expect("the policy is invalid for the sample pools");
     assert_eq!(policy.parameters(&pool(false, 3)).cooldown_s, 5.0);
     assert_eq!(policy.parameters(&pool(false, 7)).cooldown_s, 4.0);
     assert_eq!(policy.parameters(&pool(false, 7)).min, 1);
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -35,7 +35,7 @@
         let arguments = CI_RUN.into_iter().chain(["--scale", scale]);
         let mut options = Options::parse_from(arguments);
         options.binary = Some(PathBuf::from(env!("CARGO_BIN_EXE_cedarladder")));
-        match soak::soak(&options).expect("the soak runs") {
+        match soak::soak(&options).expect("the soak cannot run") {
             Verdict::Passed => return,
             Verdict::Failed => panic!("a rule was broken, see the output above"),
             Verdict::TooSlow => println!("this machine is too slow for scale {scale}"),
@@ -68,10 +68,10 @@
 #[test]
 fn seed_files_are_checked() {
     let directory = std::env::temp_dir().join(format!("cedarladder-seeds-{}", std::process::id()));
-    std::fs::create_dir_all(&directory).expect("a folder");
+    std::fs::create_dir_all(&directory).expect("cannot create the directory");
     let file = |name: &str, text: &str| {
         let path = directory.join(name);
-        std::fs::write(&path, text).expect("a file");
+        std::fs::write(&path, text).expect("cannot write the file");
         path
     };
     let seeds = |path: PathBuf| {
@@ -99,7 +99,7 @@
         let remedy = text.contains("name a readable file") || text.contains("write ");
         assert!(remedy, "{text}");
     }
-    std::fs::remove_dir_all(&directory).expect("removed");
+    std::fs::remove_dir_all(&directory).expect("cannot remove the directory");
 }
 
 /// A seed always gives the same schedule. Each schedule contains delayed commands combined with cancellations.
@@ -109,11 +109,11 @@
         let plan = schedule(seed, 3, 40.0, 0.1);
         assert_eq!(plan, schedule(seed, 3, 40.0, 0.1), "seed {seed}");
         let delayed = plan.iter().find(|p| p.fault == Fault::DelayCommands);
-        let delayed = delayed.expect("commands are delayed");
+        let delayed = delayed.expect("the schedule delays no commands");
         // The delay of a command is at least half of `delay_s`.
         assert!(
             delayed.delay_s / 2.0 >= 5.15,
-            "longer than cancel_s: {delayed:?}"
+            "the delay must be longer than cancel_s: {delayed:?}"
         );
         let cancellations = plan.iter().filter(|p| p.fault == Fault::CancelManyJobs);
         assert!(cancellations.count() >= 3, "seed {seed}");
@@ -157,7 +157,7 @@
 fn broken_rules_are_detected() {
     type Case = (&'static str, fn(&mut Oracle), Option<Rule>);
     fn run_task(oracle: &mut Oracle, worker: &str, task: &str) {
-        let machine = oracle.machines.get_mut(worker).expect("a machine");
+        let machine = oracle.machines.get_mut(worker).expect("no such machine");
         machine.tasks.push(Task {
             name: task.to_owned(),
             attempt: 1,
@@ -165,7 +165,7 @@
         });
     }
     fn job(oracle: &mut Oracle) -> &mut Job {
-        oracle.jobs.get_mut("j-1").expect("a job")
+        oracle.jobs.get_mut("j-1").expect("no such job")
     }
     let cases: [Case; 10] = [
         ("no rule is broken", |_| {}, None),
@@ -204,7 +204,7 @@
         ),
         (
             "the machine is a spot machine",
-            |t| t.machines.get_mut("h1").expect("a machine").spot = true,
+            |t| t.machines.get_mut("h1").expect("no such machine").spot = true,
             Some(Rule::WrongPlacement),
         ),
         (
@@ -236,7 +236,7 @@
                 .insert(id.to_owned(), Job::new(spec(id, TEAM), 0.0));
         }
         // One task of the other job uses all CPUs that its team's limit allows.
-        oracle.jobs.get_mut("j-2").expect("a job").spec.cpus = 8.0;
+        oracle.jobs.get_mut("j-2").expect("no such job").spec.cpus = 8.0;
         change(&mut oracle);
         oracle.check_start("h1", "j-1/0", 1);
         let found: Vec<Rule> = oracle
@@ -267,7 +267,7 @@
     oracle
         .jobs
         .get_mut("j-1")
-        .expect("a job")
+        .expect("no such job")
         .reported_cancelled_at = Some(-100.0);
     oracle.check_cancelled();
     oracle.check_cancelled();
--- a/tests/soak/clock.rs
+++ b/tests/soak/clock.rs
@@ -1,4 +1,8 @@
 //! The clock of a run, and the protocol's times at the run's scale.
+//!
+//! A duration in "seconds of the protocol" is what a real deployment would use. The run multiplies it by its scale,
+//! such as
+//! 0.1, to get "seconds of the run".
 
 use std::time::{Duration, Instant};
 
--- a/tests/soak/cloud.rs
+++ b/tests/soak/cloud.rs
@@ -113,7 +113,8 @@
         }
     }
 
-    /// Handles a request of a controller. Returns no response if the fault delays the request: its caller times out.
+    /// Handles a request of a controller. During [`Fault::CloudErrors`], rejects the
+    /// request, or delays it and returns no response, so that its caller times out.
     pub async fn handle(self, request: Request) -> Option<Reply> {
         let (is_delayed, delay_s, clock) = {
             let oracle = &mut *lock(&self.oracle);
@@ -123,7 +124,12 @@
             }
             let is_delayed = is_faulty && oracle.rng.random_bool(0.4);
             if is_faulty && !is_delayed {
-                return Some(Reply::new(503, &ErrorBody { error: "trouble" }));
+                return Some(Reply::new(
+                    503,
+                    &ErrorBody {
+                        error: "unavailable: injected fault",
+                    },
+                ));
             }
             let delay_s = oracle
                 .clock
--- a/tests/soak/controllers.rs
+++ b/tests/soak/controllers.rs
@@ -15,7 +15,8 @@
 pub struct Addresses {
     pub users: SocketAddr,
     pub peers: SocketAddr,
-    /// Number of each other controller, with the address of the proxy through which this one connects to it.
+    /// The `[[seeds]]` section of the settings, which lists the other controllers: the index of each, and the address
+    /// of the proxy through which this controller connects to it.
     pub seeds: Vec<(usize, SocketAddr)>,
     pub state: SocketAddr,
     pub cloud: SocketAddr,
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -18,7 +18,9 @@
 #[derive(Debug, Default)]
 pub struct Faults {
     active: Vec<Active>,
-    /// How often each fault took effect: delayed a message, rejected a request or stopped a process, for example.
+    /// How often each fault was applied: to delay a message, reject a request or stop a process, for example. It also
+    /// counts when it was drawn for a message on which it then had no effect, such as one that was lost by another
+    /// fault.
     pub fault_counts: BTreeMap<Fault, u64>,
 }
 
@@ -83,7 +85,7 @@
         Some(planned.delay_s * rng.random_range(0.5..1.0))
     }
 
-    /// Counts that a fault took effect.
+    /// Counts that a fault was applied.
     pub fn count(&mut self, fault: Fault) {
         *self.fault_counts.entry(fault).or_default() += 1;
     }
--- a/tests/soak/machines.rs
+++ b/tests/soak/machines.rs
@@ -64,11 +64,12 @@
     images: BTreeSet<String>,
     incarnation: u64,
     sequence: u64,
+    /// Highest token in the commands of a controller so far.
     token: u64,
     lease_started_at: f64,
     /// Something has changed that must be reported in a heartbeat soon.
     changed: bool,
-    /// When a higher token was last treated as such a change.
+    /// When `changed` was last set because of a higher token.
     token_reported_at: f64,
     /// Announced time at which the cloud takes the spot machine away.
     reclaim_at: Option<f64>,
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Records that the machine is up, and begins its worker's incarnation.
+    /// Records that the machine is up, and begins its worker's lease.
     pub fn finish_boot(&mut self, address: SocketAddr, now: f64) {
         self.up_at = Some(now);
         self.address = Some(address);
@@ -202,7 +203,8 @@
         })
     }
 
-    /// Stores a token if it is higher than all before. This is reported soon, but at most once in half a lease.
+    /// Stores a token if it is higher than all before. A heartbeat with a new token is then sent soon, but not more
+    /// often than once in half a lease.
     fn observe_token(&mut self, token: u64, half_lease_s: f64, now: f64) {
         if token > self.token {
             self.token = token;
@@ -240,8 +242,9 @@
         self.faults.affects_machine(Fault::HangMachines, host)
     }
 
-    /// Executes commands. Returns false, without executing them, if their token is lower than one seen before, or if
-    /// they came in a direct call and are for another incarnation.
+    /// Executes commands from the response to a heartbeat or, if `direct` is set, from a request that a controller sent
+    /// to the worker. Returns false, without executing them, if there is no such machine, if their token is lower than
+    /// one seen before, or if they are direct and for another incarnation.
     fn execute(&mut self, host: &str, commands: &CommandBatchBody, direct: bool) -> bool {
         let now = self.clock.now();
         let half_lease_s = self.times.lease_s / 2.0;
@@ -415,7 +418,7 @@
     }
 }
 
-/// The worker of a machine.
+/// Simulates the worker process of a machine; its state is in [`Machine`].
 #[derive(Clone)]
 pub struct Worker {
     pub name: String,
@@ -455,7 +458,7 @@
             .is_some_and(|machine| machine.gone_at.is_none())
     }
 
-    /// Whether one of these faults is active for this machine; if so, counts that it took effect.
+    /// Whether one of these faults is active for this machine; if so, counts that it was applied.
     fn is_affected_by(&self, kinds: &[Fault]) -> bool {
         let faults = &mut lock(&self.oracle).faults;
         let found = kinds
@@ -483,7 +486,8 @@
         }
     }
 
-    /// Handles a direct call of a controller. Returns no response if a fault prevents it.
+    /// Handles a direct call: a request that a controller sends to the worker. Returns no response if a fault prevents
+    /// it.
     async fn handle_direct_call(self, request: Request) -> Option<Reply> {
         if !self.machine_exists()
             || self.is_affected_by(&[Fault::PartitionMachines, Fault::PartitionMachinesInbound])
@@ -524,8 +528,8 @@
             return None;
         }
         self.wait_while_hung().await;
-        let done = lock(&self.oracle).execute(&self.name, &commands, true);
-        Some(self.heartbeat_reply(if done { 200 } else { 409 }))
+        let executed = lock(&self.oracle).execute(&self.name, &commands, true);
+        Some(self.heartbeat_reply(if executed { 200 } else { 409 }))
     }
 
     /// Executes commands after a delay, if their token and incarnation are still valid then.
@@ -566,32 +570,32 @@
     /// Sends heartbeats, one at a time: to the same controller while it responds as the leader, else to another one.
     async fn send_heartbeats(&self) {
         let mut client = Client::default();
-        let mut at = lock(&self.oracle).rng.random_range(0..self.nodes.len());
-        let mut next = self.clock.now();
-        let mut last = f64::NEG_INFINITY;
+        let mut target = lock(&self.oracle).rng.random_range(0..self.nodes.len());
+        let mut next_due_at = self.clock.now();
+        let mut last_sent_at = f64::NEG_INFINITY;
         while self.machine_exists() {
             self.clock.sleep(POLL_INTERVAL_S).await;
             let (due, earliest) = {
                 let oracle = lock(&self.oracle);
                 let changed = oracle.machines.get(&self.name).is_some_and(|m| m.changed);
                 let now = self.clock.now();
-                let earliest = last + oracle.times.min_heartbeat_interval_s;
-                (now >= next || (changed && now >= earliest), earliest)
+                let earliest = last_sent_at + oracle.times.min_heartbeat_interval_s;
+                (now >= next_due_at || (changed && now >= earliest), earliest)
             };
-            if !due || self.clock.now() < earliest.min(next) {
+            if !due || self.clock.now() < earliest.min(next_due_at) {
                 continue;
             }
             self.wait_while_hung().await;
-            last = self.clock.now();
-            let (wait_s, node) = self.send_heartbeat(&mut client, at).await;
-            at = node;
-            next = self.clock.now() + wait_s;
+            last_sent_at = self.clock.now();
+            let (wait_s, node) = self.send_heartbeat(&mut client, target).await;
+            target = node;
+            next_due_at = self.clock.now() + wait_s;
         }
     }
 
     /// Sends one heartbeat to a controller. Returns the time until the next one, and the controller to send it to.
-    async fn send_heartbeat(&self, client: &mut Client, at: usize) -> (f64, usize) {
-        let next_node = (at + 1) % self.nodes.len();
+    async fn send_heartbeat(&self, client: &mut Client, node: usize) -> (f64, usize) {
+        let next_node = (node + 1) % self.nodes.len();
         let (body, incarnation, times, heartbeat_delay_s, copy_delay_s, node_partitioned, wait_s) = {
             let oracle = &mut *lock(&self.oracle);
             let now = oracle.clock.now();
@@ -602,10 +606,12 @@
                 .faults
                 .draw_delay(Fault::DuplicateHeartbeats, &mut oracle.rng);
             let wait_s = oracle.times.heartbeat_interval_s * oracle.rng.random_range(0.75..1.25);
-            let is_partitioned = oracle.faults.affects_node(Fault::PartitionFromWorkers, at);
+            let is_partitioned = oracle
+                .faults
+                .affects_node(Fault::PartitionFromWorkers, node);
             let times = oracle.times;
             let Some(machine) = oracle.machines.get_mut(&self.name) else {
-                return (wait_s, at);
+                return (wait_s, node);
             };
             let incarnation = machine.incarnation;
             (
@@ -618,7 +624,7 @@
                 wait_s,
             )
         };
-        let sent = self.clock.now();
+        let sent_at = self.clock.now();
         let request_lost = node_partitioned
             || self.is_affected_by(&[Fault::PartitionMachinesOutbound, Fault::PartitionMachines]);
         for delay_s in [heartbeat_delay_s, copy_delay_s]
@@ -632,7 +638,7 @@
             self.clock.sleep(times.response_timeout_s).await;
             return (times.retry_delay_s, next_node);
         }
-        let to = self.nodes[at];
+        let to = self.nodes[node];
         let answer = client
             .call(to, "POST", "/v1/report", body, times.response_timeout_s)
             .await;
@@ -640,7 +646,7 @@
             self.is_affected_by(&[Fault::PartitionMachinesInbound, Fault::PartitionMachines]);
         if response_lost {
             self.clock
-                .sleep_until(sent + times.response_timeout_s)
+                .sleep_until(sent_at + times.response_timeout_s)
                 .await;
         }
         let is_hung_now = lock(&self.oracle).is_hung(&self.name);
@@ -649,21 +655,21 @@
         };
         match reply.status {
             200 => {
-                self.handle_heartbeat_response(&reply.body, at, incarnation, sent);
-                (wait_s, at)
+                self.handle_heartbeat_response(&reply.body, node, incarnation, sent_at);
+                (wait_s, node)
             }
-            421 => self.next_after_redirect(&reply.body, at, times.retry_delay_s),
+            421 => self.next_after_redirect(&reply.body, node, times.retry_delay_s),
             _ => (times.retry_delay_s, next_node),
         }
     }
 
-    fn handle_heartbeat_response(&self, body: &[u8], at: usize, incarnation: u64, sent: f64) {
+    fn handle_heartbeat_response(&self, body: &[u8], node: usize, incarnation: u64, sent_at: f64) {
         let Ok(commands) = cbor::decode::<CommandBatchBody>(body) else {
             return;
         };
         let oracle = &mut *lock(&self.oracle);
-        if oracle.leader != at {
-            oracle.leader = at;
+        if oracle.leader != node {
+            oracle.leader = node;
             oracle.counters.leader_changes += 1;
         }
         // Responses to heartbeats of an earlier incarnation are dropped.
@@ -675,22 +681,23 @@
             && oracle.execute(&self.name, &commands, false)
             && let Some(machine) = oracle.machines.get_mut(&self.name)
         {
-            machine.lease_started_at = sent;
+            machine.lease_started_at = sent_at;
         }
     }
 
     /// After a redirect: the time until the next heartbeat, and the controller to send it to.
-    fn next_after_redirect(&self, body: &[u8], at: usize, retry_delay_s: f64) -> (f64, usize) {
+    fn next_after_redirect(&self, body: &[u8], node: usize, retry_delay_s: f64) -> (f64, usize) {
         let redirect = cbor::decode::<NotLeaderBody>(body).ok();
         let leader_hint = redirect.and_then(|redirect| redirect.leader_hint);
         let hinted = leader_hint.and_then(|label| label.strip_prefix('n')?.parse::<usize>().ok());
-        match hinted.filter(|node| *node != at && *node < self.nodes.len()) {
-            Some(node) => (0.0, node),
-            None => (retry_delay_s, (at + 1) % self.nodes.len()),
+        match hinted.filter(|hinted| *hinted != node && *hinted < self.nodes.len()) {
+            Some(hinted) => (0.0, hinted),
+            None => (retry_delay_s, (node + 1) % self.nodes.len()),
         }
     }
 
-    /// Delivers a delayed heartbeat, or a copy of one, to a random controller. Its response is ignored.
+    /// Delivers a heartbeat late to a random controller: either a delayed one, or a copy of one that was also sent in
+    /// time. The response is ignored.
     async fn deliver_late_heartbeat(self, body: Vec<u8>, delay_s: f64) {
         self.clock.sleep(delay_s).await;
         let (node, times) = {
--- a/tests/soak/options.rs
+++ b/tests/soak/options.rs
@@ -25,13 +25,13 @@
     /// Number of machines that the cloud has.
     #[arg(long, default_value_t = 24, value_parser = clap::value_parser!(u64).range(4..=1000))]
     pub machines: u64,
-    /// Time during which faults begin, in seconds.
+    /// Time of the run after which no more faults begin, in seconds.
     #[arg(long, default_value_t = 40.0, value_parser = positive)]
     pub duration: f64,
     /// Seconds of the run that represent one second of the protocol.
     #[arg(long, default_value_t = 0.1, value_parser = positive)]
     pub scale: f64,
-    /// Program of the controllers; by default the release build in the same target directory.
+    /// Program of the controllers; by default the release build in the target directory that contains the soak program.
     #[arg(long)]
     pub binary: Option<PathBuf>,
     /// Directory in which the controllers' logs are kept; without it the logs of runs that pass are deleted.
@@ -87,7 +87,7 @@
 }
 
 impl Options {
-    /// The seeds of the runs.
+    /// The seeds of the runs: those of the seed file or else, without a file, `count` seeds from `seed` on.
     pub fn run_seeds(&self) -> Result<Vec<u64>, OptionsError> {
         match &self.seeds {
             Some(path) => read_seeds(path),
--- a/tests/soak/oracle.rs
+++ b/tests/soak/oracle.rs
@@ -137,7 +137,8 @@
     pub team_cpus: f64,
     /// The controller that last responded to a heartbeat with status 200.
     pub leader: usize,
-    /// Longest recent scheduling delay of this process, by which the times of stand-ins may be too late.
+    /// Longest recent scheduling delay of this process. Stand-ins may have observed events later than they happened by
+    /// up to this time, so the checks allow for it.
     pub scheduling_delay_s: f64,
     /// When the last fault ended; none while faults are injected.
     pub faults_ended_at: Option<f64>,
--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -46,8 +46,8 @@
     ReclaimSpotMachines,
     /// Users cancel many jobs at the same time. Has no duration.
     CancelManyJobs,
-    /// Many small jobs are submitted, and cancelled within a heartbeat interval: before most workers have sent a
-    /// heartbeat.
+    /// Many small jobs are submitted, and each is cancelled within a heartbeat interval: before most workers have sent
+    /// a heartbeat since the submission.
     CancelNewJobs,
     /// The cloud rejects requests, or executes them late without a response.
     CloudErrors,
@@ -94,7 +94,8 @@
     pub at: f64,
     pub duration_s: f64,
     pub target: Target,
-    /// Share of the messages, machines or jobs that it affects.
+    /// Share of the messages or machines that it affects. `ReclaimSpotMachines` and `CancelManyJobs` affect half of
+    /// this share of the spot machines or open jobs.
     pub share: f64,
     /// Longest delay of an affected message, in seconds of the run.
     pub delay_s: f64,
@@ -206,15 +207,15 @@
     times: &ProtocolTimes,
     rng: &mut SmallRng,
 ) -> PlannedFault {
-    // The duration is at most 1.1 times one of these, so that faults are short, or last about as long as a lease,
-    // longer than a lease, or longer than the time within which cancelled tasks must end.
-    let base_durations_s = [
+    // The longest durations are a moment, about a lease, longer than a lease, and longer than the time within which
+    // cancelled tasks must end.
+    let longest_durations_s = [
         times.retry_delay_s,
         times.lease_s,
         1.5 * times.lease_s,
         1.4 * times.cancel_s,
     ];
-    let base_duration_s = base_durations_s[rng.random_range(0..base_durations_s.len())];
+    let longest_duration_s = longest_durations_s[rng.random_range(0..longest_durations_s.len())];
     let target = if rng.random_bool(0.6) {
         Target::Leader
     } else {
@@ -230,7 +231,7 @@
     PlannedFault {
         fault,
         at,
-        duration_s: base_duration_s * rng.random_range(0.1..1.1),
+        duration_s: longest_duration_s * rng.random_range(0.1..1.1),
         target,
         share: rng.random_range(0.15..1.0),
         delay_s,
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -28,12 +28,13 @@
 /// Longest time in the recovery phase for which a task may wait while a suitable machine has capacity, in seconds of
 /// the protocol.
 const MAX_WAIT_S: f64 = 90.0;
-/// No new job is submitted while the open jobs request more than this share of the machines' CPUs.
+/// No new job is submitted while the open jobs request more than this share of the machines' CPUs, except during
+/// [`Fault::CancelNewJobs`].
 const MAX_LOAD: f64 = 0.7;
 /// Share of the machines' CPUs that the limited team may use.
 const TEAM_SHARE: f64 = 0.4;
-/// Interval between new jobs, in seconds of the protocol, if there were a single machine; it is divided by their
-/// number.
+/// Interval between new jobs, in seconds of the protocol times the number of machines: the more machines there are, the
+/// more often a job is submitted.
 const JOB_INTERVAL_S: f64 = 24.0;
 /// During [`Fault::CancelNewJobs`], jobs are submitted more often than usual by this factor.
 const CANCELLED_JOBS_FACTOR: f64 = 4.0;
@@ -42,7 +43,7 @@
 /// Interval between two steps of the run, in seconds. A longer interval means that this process, and so each stand-in,
 /// is delayed.
 const STEP_S: f64 = 0.02;
-/// A run with more slow steps than this is inconclusive: the machine is too slow for its times.
+/// A run with more slow steps than this is inconclusive: the host of the test is too slow for the scaled times.
 const MAX_SLOW_STEPS: u64 = 10;
 
 /// Result of a run.
@@ -52,7 +53,7 @@
     Passed,
     /// Some rule was broken.
     Failed,
-    /// This machine was too slow for the run's times, so the run proves nothing.
+    /// The host of the test was too slow for the scaled times of the protocol, so the run proves nothing.
     TooSlow,
 }
 
@@ -254,7 +255,8 @@
         Ok(())
     }
 
-    /// Submits a job if it is time for the next one and the open jobs request less than [`MAX_LOAD`] of the CPUs.
+    /// Submits a job if it is time for the next one, no more than [`MAX_LOAD`] of the CPUs is requested by open jobs,
+    /// and the last fault has not ended. During [`Fault::CancelNewJobs`], the load is not checked.
     fn submit(&mut self, now: f64) {
         if now < self.next_job {
             return;
@@ -325,7 +327,7 @@
         Ok(())
     }
 
-    /// Removes spot machines; every other one is announced to its worker 20 s of the protocol before.
+    /// Removes spot machines. For every other one, the removal is announced to the worker 20 s of the protocol before.
     fn reclaim_spot_machines(&self, oracle: &mut Oracle, machines: &BTreeSet<String>, now: f64) {
         let notice_s = self.clock.scaled(20.0);
         for (position, name) in machines.iter().enumerate() {
@@ -427,7 +429,8 @@
     drawn.cloned().collect()
 }
 
-/// Marks half of the given share of the open jobs as to be cancelled: their users cancel them with their next request.
+/// Marks open jobs as to be cancelled, each with a probability of half the fault's share. Their users cancel them with
+/// their next request.
 fn cancel_many_jobs(oracle: &mut Oracle, share: f64) {
     let now = oracle.clock.now();
     let Oracle {
--- a/tests/soak/state.rs
+++ b/tests/soak/state.rs
@@ -60,7 +60,7 @@
     ttl_ms: u64,
 }
 
-/// The body of an error response.
+/// The body of an error response of the state service or the cloud.
 #[derive(Serialize)]
 pub struct ErrorBody {
     pub error: &'static str,
@@ -96,7 +96,7 @@
         KvResponse::Compacted => error_reply(410, "too old"),
         KvResponse::InvalidRequest => error_reply(400, "no such lease"),
         KvResponse::RateLimited => error_reply(429, "too many requests"),
-        KvResponse::Unavailable => error_reply(503, "trouble"),
+        KvResponse::Unavailable => error_reply(503, "unavailable: injected fault"),
         KvResponse::OutcomeUnknown => unreachable!("the store itself always knows the outcome"),
     }
 }
@@ -146,7 +146,7 @@
         let response_lost = match self.active_fault(node) {
             Some(Fault::PartitionFromStateService) => return None,
             Some(Fault::LoseStateServiceResponses) => true,
-            Some(_) => return Some(error_reply(503, "trouble")),
+            Some(_) => return Some(error_reply(503, "unavailable: injected fault")),
             None => false,
         };
         if request.path == "/follow" {
@@ -163,7 +163,7 @@
         (!response_lost).then_some(reply)
     }
 
-    /// The active fault that affects a controller's requests, if any; counts that it took effect.
+    /// The active fault that affects a controller's requests, if any; counts that it was applied.
     fn active_fault(&self, node: usize) -> Option<Fault> {
         let faults = &mut lock(&self.oracle).faults;
         let found = if faults.is_active(Fault::StateServiceOutage) {
@@ -214,7 +214,10 @@
             }
             ("POST", ["holds"]) => {
                 let grant = cbor::decode::<GrantBody>(&request.body);
-                store.grant_lease(grant.map_err(|_| "no life")?.ttl_ms, now)
+                store.grant_lease(
+                    grant.map_err(|_| "the body has no lease duration")?.ttl_ms,
+                    now,
+                )
             }
             ("POST", ["holds", lease_id, "renew"]) => match lease_id.parse() {
                 Ok(lease_id) => store.keep_alive(lease_id, now),
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -44,7 +44,7 @@
 max_sockets = {max_sockets}
 "#
     );
-    Settings::parse(&text).expect("settings")
+    Settings::parse(&text).expect("the settings are invalid")
 }
 
 #[test]
