--- a/src/cli.rs
+++ b/src/cli.rs
@@ -81,7 +81,7 @@
 
 /// Exit code for invalid arguments, files or settings.
 const EXIT_USAGE: u8 = 2;
-/// Time limit for the connection attempt and for each read of the response; the protocol gives users the same limit.
+/// Time limit for the connection attempt and for each read of the response. The protocol gives users the same limit.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Runs the command line and returns the exit code of the process.
--- a/src/daemon/sockets.rs
+++ b/src/daemon/sockets.rs
@@ -25,7 +25,7 @@
     pub state_service: usize,
     /// Connections to the cloud.
     pub cloud: usize,
-    /// Connections to workers, for direct calls.
+    /// Connections to workers, for direct calls (see [`protocol::worker`](crate::protocol::worker)).
     pub direct_calls: usize,
 }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -183,7 +183,7 @@
 const MIN_TXN_OPS: usize = 4;
 /// Least value allowed for `max_sockets`: a controller cannot work with fewer.
 const MIN_SOCKETS: usize = 32;
-/// Share of the sockets that is used for direct calls to workers.
+/// Share of the sockets for direct calls to workers (see [`protocol::worker`](crate::protocol::worker)).
 const DIRECT_CALL_SHARE: f64 = 0.12;
 
 impl ControllerLimits {
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -51,6 +51,7 @@
     Complete(T, usize),
 }
 
+/// What the headers of a message say about its body and its connection.
 struct Head {
     content_length: Option<usize>,
     chunked: bool,
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -153,6 +153,7 @@
         self.next_request(id, now)
     }
 
+    /// Parses the next request of a connection, unless an earlier one has no response yet.
     fn next_request(&mut self, id: u64, now: f64) -> ConnectionAction {
         let Some(connection) = self.connections.get_mut(&id) else {
             return ConnectionAction::Close;
--- a/tests/soak/cloud.rs
+++ b/tests/soak/cloud.rs
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Handles a request of a controller. During [`Fault::CloudErrors`], rejects the
-    /// request, or delays it and returns no response, so that its caller times out.
+    /// Handles a request of a controller. During [`Fault::CloudErrors`], rejects the request, or executes it late and
+    /// returns no response.
     pub async fn handle(self, request: Request) -> Option<Reply> {
         let (is_delayed, delay_s, clock) = {
             let oracle = &mut *lock(&self.oracle);
@@ -257,7 +257,7 @@
         Reply::new(200, &())
     }
 
-    /// Lists the machines as they were some time ago.
+    /// Lists the machines as they were some time ago, to simulate the lag of the list.
     fn list_instances(&self, from: Option<&String>) -> Reply {
         let oracle = &mut *lock(&self.oracle);
         let lag_s = oracle.times.list_lag_s * oracle.rng.random_range(0.5..2.0);
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -10,7 +10,9 @@
 struct Active {
     planned: PlannedFault,
     until: f64,
+    /// The controller that the fault affects, if it is a fault of a controller.
     node: usize,
+    /// The machines that the fault affects, if it is a fault of machines.
     machines: BTreeSet<String>,
 }
 
--- a/tests/soak/options.rs
+++ b/tests/soak/options.rs
@@ -55,9 +55,7 @@
     /// The seed file cannot be read.
     #[error("--seeds {path}: {source}; name a readable file with one seed a line")]
     Unreadable {
-        /// Path of the file.
         path: PathBuf,
-        /// Error of the read.
         source: std::io::Error,
     },
     /// A line of the seed file is not a seed.
@@ -65,19 +63,13 @@
         "--seeds {path}, line {line}: '{text}' is not a seed; write a whole number from 0 to 2^64-1"
     )]
     InvalidSeed {
-        /// Path of the file.
         path: PathBuf,
-        /// Line number.
         line: usize,
-        /// Text of the line.
         text: String,
     },
     /// The seed file has no seeds.
     #[error("--seeds {path}: the file has no seeds; write one a line")]
-    NoSeeds {
-        /// Path of the file.
-        path: PathBuf,
-    },
+    NoSeeds { path: PathBuf },
     /// The program of the controllers does not exist.
     #[error("--binary {path}: no such program; build it with `cargo build --release`")]
     BinaryNotFound {
--- a/tests/soak/oracle.rs
+++ b/tests/soak/oracle.rs
@@ -19,11 +19,12 @@
     WrongPlacement,
     /// A task ran later than `cancel_s` after its job's cancellation was reported.
     RanAfterCancellation,
-    /// A controller did not know an accepted job, or no controller responded to requests about it.
+    /// A controller did not know an accepted job or rejected a request about it, or no controller responded to such
+    /// requests for too long.
     JobForgotten,
     /// A controller reported a job that was never submitted.
     NonexistentJobFound,
-    /// A job was reported as done before all its tasks were.
+    /// A job was reported as done before all its tasks had completed.
     DoneTooEarly,
     /// A job was reported in an older state than before, or as cancelled without a cancellation.
     StateReverted,
@@ -62,9 +63,13 @@
     pub cpus: f64,
     pub team: &'static str,
     pub zone: Option<&'static str>,
+    /// All tasks must run in the same zone.
     pub one_zone: bool,
+    /// At most half of the tasks, rounded up, may run in the same zone.
     pub spread: bool,
+    /// Tasks may run on spot machines.
     pub spot: bool,
+    /// Usual run time of a task, in seconds of the run.
     pub run_s: f64,
     pub image: String,
 }
@@ -79,7 +84,9 @@
     pub reported_done_at: Option<f64>,
     /// When its user last got a response about it; at first, when the job was created.
     pub last_response_at: f64,
+    /// Indexes of the tasks that have completed.
     pub done: BTreeSet<u32>,
+    /// A violation was recorded for this job, so that the same one is not recorded again.
     pub violation_reported: bool,
 }
 
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -61,6 +61,7 @@
 #[derive(Debug, Clone)]
 pub struct Outcome {
     pub seed: u64,
+    /// Duration of the run.
     pub seconds: f64,
     pub verdict: Verdict,
     pub violations: Vec<Violation>,
--- a/tests/soak/state.rs
+++ b/tests/soak/state.rs
@@ -234,7 +234,7 @@
                 store.list(prefix, after, size.unwrap_or(MAX_PAGE).min(MAX_PAGE))
             }
             ("GET", ["keys", ..]) => store.get(request.path.trim_start_matches("/keys/")),
-            _ => return Err("no such call"),
+            _ => return Err("no such path or method"),
         };
         Ok((response, store.revision()))
     }
