--- a/examples/soak.rs
+++ b/examples/soak.rs
@@ -1,5 +1,5 @@
-//! Runs the soak by hand; see README.md. Exit codes: 0 no rule was broken, 1 some was, 2 wrong options,
-//! 3 this machine was too slow to judge.
+//! Runs the soak from the command line; see README.md. Exit codes: 0 no rule was broken, 1 a rule was broken, 2 invalid
+//! options, 3 this machine was too slow to judge.
 
 #[path = "../tests/soak/mod.rs"]
 mod soak;
@@ -12,8 +12,8 @@
 fn main() -> ExitCode {
     let options = Options::parse();
     match soak::soak(&options) {
-        Ok(Verdict::Green) => ExitCode::SUCCESS,
-        Ok(Verdict::Broken) => ExitCode::from(1),
+        Ok(Verdict::Passed) => ExitCode::SUCCESS,
+        Ok(Verdict::Failed) => ExitCode::from(1),
         Ok(Verdict::TooSlow) => ExitCode::from(3),
         Err(error) => {
             eprintln!("soak: {error}");
--- a/src/daemon/clients.rs
+++ b/src/daemon/clients.rs
@@ -1,4 +1,4 @@
-//! Outgoing calls: a connection pool for each kind of destination, and which response belongs to which call.
+//! Outgoing calls: a connection pool for each kind of destination, and the calls that have no response yet.
 
 use super::sockets::SocketBudget;
 use crate::coordination::effects::CorrelationId;
@@ -11,44 +11,41 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// Longest response of the state service, in bytes. A watch that brings more is listed anew.
+/// Longest response body of the state service, in bytes. If the response to a watch is longer, the watch is replaced by
+/// a new listing of its keys.
 const MAX_STATE_SERVICE_BODY: usize = 2 * 1024 * 1024;
-/// Longest response of the cloud, in bytes.
+/// Longest response body of the cloud API, in bytes.
 const MAX_CLOUD_BODY: usize = 1024 * 1024;
-/// Longest response of a worker, in bytes.
+/// Longest response body of a worker, in bytes.
 const MAX_WORKER_BODY: usize = 2 * http::MAX_REQUEST_BODY;
-/// Connections to one worker at a time.
+/// Most connections to one worker.
 const CONNECTIONS_PER_WORKER: usize = 1;
 
-/// A kind of destination; each has a connection pool of its own.
+/// The connection pools, by the kind of their destinations. Each pool is a [`Client`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(super) enum Destination {
+pub(super) enum Pool {
     StateService,
     Cloud,
     Workers,
 }
 
-impl Destination {
-    pub(super) const ALL: [Destination; 3] = [
-        Destination::StateService,
-        Destination::Cloud,
-        Destination::Workers,
-    ];
+impl Pool {
+    pub(super) const ALL: [Pool; 3] = [Pool::StateService, Pool::Cloud, Pool::Workers];
 }
 
-/// A connection of one of the pools.
+/// A connection of one of the connection pools.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct ClientConnection {
-    pub(super) destination: Destination,
+    pub(super) pool: Pool,
     pub(super) id: u64,
 }
 
-/// A call without a response so far.
+/// A call that has not completed, with what is needed to interpret its response.
 pub(super) enum PendingCall {
     StateService {
         correlation_id: CorrelationId,
         request: KvRequest,
-        /// When it was made, in seconds of the steady clock.
+        /// When the call was made, in seconds of the steady clock.
         sent_at: f64,
     },
     Cloud {
@@ -60,12 +57,13 @@
     },
 }
 
-/// What came of a call, in the protocol's terms.
+/// The response to a call, or how the call failed, as a message of its protocol.
 pub(super) enum CallResponse {
     StateService {
         correlation_id: CorrelationId,
         response: KvResponse,
-        /// When the call was made; none for watches, which wait on purpose.
+        /// When the call was made; none for a watch, whose duration is no latency because the service delays its
+        /// response.
         sent_at: Option<f64>,
     },
     Cloud {
@@ -79,16 +77,17 @@
 }
 
 impl PendingCall {
-    fn destination(&self) -> Destination {
+    fn pool(&self) -> Pool {
         match self {
-            PendingCall::StateService { .. } => Destination::StateService,
-            PendingCall::Cloud { .. } => Destination::Cloud,
-            PendingCall::Worker { .. } => Destination::Workers,
+            PendingCall::StateService { .. } => Pool::StateService,
+            PendingCall::Cloud { .. } => Pool::Cloud,
+            PendingCall::Worker { .. } => Pool::Workers,
         }
     }
 
-    /// The protocol's response for a transport outcome. Only for workers it matters whether a call without a
-    /// response was sent: state service and cloud count all of these as unknown, which is always safe.
+    /// Converts the transport's outcome to a response of the protocol. Whether a call without a response was sent
+    /// matters for workers only. For the state service and the cloud, each failure counts as an unknown outcome, which
+    /// is always safe.
     fn complete(self, outcome: Outcome) -> CallResponse {
         match self {
             PendingCall::StateService {
@@ -99,8 +98,8 @@
                 correlation_id,
                 sent_at: (!matches!(request, KvRequest::Watch { .. })).then_some(sent_at),
                 response: match outcome {
-                    Outcome::Answer(http) => request.response(http.status, &http.body),
-                    Outcome::NotSent | Outcome::Unreached | Outcome::Silent => {
+                    Outcome::Response(http) => request.response(http.status, &http.body),
+                    Outcome::NotSent | Outcome::ConnectFailed | Outcome::NoResponse => {
                         KvResponse::OutcomeUnknown
                     }
                 },
@@ -111,8 +110,8 @@
             } => CallResponse::Cloud {
                 correlation_id,
                 response: match outcome {
-                    Outcome::Answer(http) => request.response(http.status, &http.body),
-                    Outcome::NotSent | Outcome::Unreached | Outcome::Silent => {
+                    Outcome::Response(http) => request.response(http.status, &http.body),
+                    Outcome::NotSent | Outcome::ConnectFailed | Outcome::NoResponse => {
                         CloudResponse::OutcomeUnknown
                     }
                 },
@@ -120,17 +119,17 @@
             PendingCall::Worker { correlation_id } => CallResponse::Worker {
                 correlation_id,
                 response: match outcome {
-                    Outcome::Answer(http) => WorkerRequest::response(http.status, &http.body),
+                    Outcome::Response(http) => WorkerRequest::response(http.status, &http.body),
                     Outcome::NotSent => WorkerResponse::NotSent,
-                    Outcome::Unreached => WorkerResponse::Unreachable,
-                    Outcome::Silent => WorkerResponse::OutcomeUnknown,
+                    Outcome::ConnectFailed => WorkerResponse::Unreachable,
+                    Outcome::NoResponse => WorkerResponse::OutcomeUnknown,
                 },
             },
         }
     }
 }
 
-/// The connection pools and the calls in flight.
+/// The connection pools, and the calls that have not completed.
 pub(super) struct Clients {
     state_service: Client,
     cloud: Client,
@@ -140,7 +139,8 @@
 }
 
 impl Clients {
-    /// Pools with these numbers of sockets, whose connections are closed when idle for `idle_timeout_s`.
+    /// Creates the connection pools with the sizes that the socket budget gives. Connections that have been idle for
+    /// `idle_timeout_s` are closed.
     pub(super) fn new(sockets: &SocketBudget, idle_timeout_s: f64) -> Clients {
         let single_destination =
             |connections, max_body| Client::new(connections, connections, max_body, idle_timeout_s);
@@ -158,28 +158,28 @@
         }
     }
 
-    fn pool(&self, destination: Destination) -> &Client {
-        match destination {
-            Destination::StateService => &self.state_service,
-            Destination::Cloud => &self.cloud,
-            Destination::Workers => &self.workers,
+    fn client(&self, pool: Pool) -> &Client {
+        match pool {
+            Pool::StateService => &self.state_service,
+            Pool::Cloud => &self.cloud,
+            Pool::Workers => &self.workers,
         }
     }
 
-    fn pool_mut(&mut self, destination: Destination) -> &mut Client {
-        match destination {
-            Destination::StateService => &mut self.state_service,
-            Destination::Cloud => &mut self.cloud,
-            Destination::Workers => &mut self.workers,
+    fn client_mut(&mut self, pool: Pool) -> &mut Client {
+        match pool {
+            Pool::StateService => &mut self.state_service,
+            Pool::Cloud => &mut self.cloud,
+            Pool::Workers => &mut self.workers,
         }
     }
 
-    /// The stream of a connection; none once it is closed.
+    /// The stream of a connection; none once the connection is closed.
     pub(super) fn stream(&self, connection: ClientConnection) -> Option<Rc<TcpStream>> {
-        self.pool(connection.destination).stream(connection.id)
+        self.client(connection.pool).stream(connection.id)
     }
 
-    /// Makes a call. Returns the connection that was opened for it and must be registered, if any.
+    /// Makes a call. Returns the connection that was opened for it and must be registered with the event loop, if any.
     pub(super) fn call(
         &mut self,
         pending: PendingCall,
@@ -190,47 +190,45 @@
     ) -> Option<ClientConnection> {
         let id = self.next_call_id;
         self.next_call_id += 1;
-        let destination = pending.destination();
+        let pool = pending.pool();
         self.pending.insert(id, pending);
         let call = Call {
             id,
-            to,
+            address: to,
             bytes: http::write_request(method, &to.to_string(), &path, &body),
-            until: now + timeout_s,
+            deadline: now + timeout_s,
         };
-        let opened = self.pool_mut(destination).call(call, now);
-        opened.map(|id| ClientConnection { destination, id })
+        let opened = self.client_mut(pool).call(call, now);
+        opened.map(|id| ClientConnection { pool, id })
     }
 
-    /// Reads and writes what a connection is ready for. Returns a connection to register, if one was opened.
+    /// Handles a readiness event of a connection. Returns the connection to register, if another one was opened.
     pub(super) fn on_ready(
         &mut self,
         connection: ClientConnection,
         now: f64,
     ) -> Option<ClientConnection> {
-        let destination = connection.destination;
-        let opened = self.pool_mut(destination).on_ready(connection.id, now);
-        opened.map(|id| ClientConnection { destination, id })
+        let pool = connection.pool;
+        let opened = self.client_mut(pool).on_ready(connection.id, now);
+        opened.map(|id| ClientConnection { pool, id })
     }
 
-    /// Ends the calls that have timed out and closes idle connections. Returns the connections to register.
+    /// Completes the calls that have timed out and closes idle connections. Returns the connections that were opened
+    /// for queued calls, to register them.
     pub(super) fn expire(&mut self, now: f64) -> Vec<ClientConnection> {
         let mut opened = Vec::new();
-        for destination in Destination::ALL {
-            let ids = self.pool_mut(destination).expire(now);
-            opened.extend(
-                ids.into_iter()
-                    .map(|id| ClientConnection { destination, id }),
-            );
+        for pool in Pool::ALL {
+            let ids = self.client_mut(pool).expire(now);
+            opened.extend(ids.into_iter().map(|id| ClientConnection { pool, id }));
         }
         opened
     }
 
-    /// Takes the calls that have completed, with their responses.
+    /// Returns the responses of the calls that have completed since the last call of this function.
     pub(super) fn take_responses(&mut self) -> Vec<CallResponse> {
         let mut responses = Vec::new();
-        for destination in Destination::ALL {
-            for (id, outcome) in self.pool_mut(destination).take_done() {
+        for pool in Pool::ALL {
+            for (id, outcome) in self.client_mut(pool).take_completed() {
                 if let Some(pending) = self.pending.remove(&id) {
                     responses.push(pending.complete(outcome));
                 }
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -1,84 +1,94 @@
-//! The faults that are under way, and whom they concern.
+//! The active faults, and the controller or the machines that each affects.
 
-use super::plan::{Fault, Planned};
+use super::plan::{Fault, PlannedFault};
 use rand::Rng;
 use rand::rngs::SmallRng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A fault that is under way.
+/// An active fault.
 #[derive(Debug, Clone)]
 struct Active {
-    planned: Planned,
+    planned: PlannedFault,
     until: f64,
+    /// The controller that the fault affects, if it is a fault of a controller.
     node: usize,
+    /// The machines that the fault affects, if it is a fault of machines.
     machines: BTreeSet<String>,
 }
 
-/// All faults that are under way.
+/// All active faults.
 #[derive(Debug, Default)]
 pub struct Faults {
     active: Vec<Active>,
-    /// How often each fault did something: a message held, a request refused, a process stopped.
-    pub took_place: BTreeMap<Fault, u64>,
+    /// How often each fault was applied: to delay a message, reject a request or stop a process, for example. It also
+    /// counts when it was drawn for a message on which it then had no effect, such as one that was lost by another
+    /// fault.
+    pub fault_counts: BTreeMap<Fault, u64>,
 }
 
 impl Faults {
-    /// Begins a fault for a controller and for these machines.
-    pub fn begin(&mut self, planned: Planned, node: usize, machines: BTreeSet<String>, now: f64) {
+    /// Begins a fault. It affects the given controller or machines, as its kind demands.
+    pub fn begin(
+        &mut self,
+        planned: PlannedFault,
+        node: usize,
+        machines: BTreeSet<String>,
+        now: f64,
+    ) {
         self.active.push(Active {
             planned,
-            until: now + planned.for_s,
+            until: now + planned.duration_s,
             node,
             machines,
         });
     }
 
-    /// Forgets what is over.
+    /// Removes the faults that have ended.
     pub fn expire(&mut self, now: f64) {
         self.active.retain(|active| now < active.until);
     }
 
-    /// Ends everything.
+    /// Ends all faults.
     pub fn end_all(&mut self) {
         self.active.clear();
     }
 
-    /// Whether a fault is under way, for whomever.
-    pub fn any(&self, fault: Fault) -> bool {
+    /// Whether a fault is active, whatever it affects.
+    pub fn is_active(&self, fault: Fault) -> bool {
         self.active.iter().any(|a| a.planned.fault == fault)
     }
 
-    /// Whether a fault is under way for a controller.
-    pub fn at_node(&self, fault: Fault, node: usize) -> bool {
+    /// Whether a fault is active that affects a controller.
+    pub fn affects_node(&self, fault: Fault, node: usize) -> bool {
         let concerns = |a: &Active| a.planned.fault == fault && a.node == node;
         self.active.iter().any(concerns)
     }
 
-    /// Whether a fault is under way for a machine.
-    pub fn at_machine(&self, fault: Fault, machine: &str) -> bool {
-        self.until_at_machine(fault, machine).is_some()
+    /// Whether a fault is active that affects a machine.
+    pub fn affects_machine(&self, fault: Fault, machine: &str) -> bool {
+        self.machine_affected_until(fault, machine).is_some()
     }
 
-    /// Until when a fault is under way for a machine.
-    pub fn until_at_machine(&self, fault: Fault, machine: &str) -> Option<f64> {
+    /// The time at which a fault that affects a machine ends; none if there is no such fault.
+    pub fn machine_affected_until(&self, fault: Fault, machine: &str) -> Option<f64> {
         let concerns = |a: &&Active| a.planned.fault == fault && a.machines.contains(machine);
         let ends = self.active.iter().filter(concerns).map(|a| a.until);
         ends.max_by(f64::total_cmp)
     }
 
-    /// By how long a message is late, if it is one of those that a fault concerns.
-    pub fn lateness(&mut self, fault: Fault, chance: &mut SmallRng) -> Option<f64> {
+    /// Draws whether a fault affects a message, by the fault's share, and returns the delay of the message if it does.
+    pub fn draw_delay(&mut self, fault: Fault, rng: &mut SmallRng) -> Option<f64> {
         let active = self.active.iter().find(|a| a.planned.fault == fault)?;
         let planned = active.planned;
-        if chance.random::<f64>() >= planned.share {
+        if rng.random::<f64>() >= planned.share {
             return None;
         }
-        self.note(fault);
-        Some(planned.late_s * chance.random_range(0.5..1.0))
+        self.count(fault);
+        Some(planned.delay_s * rng.random_range(0.5..1.0))
     }
 
-    /// Counts that a fault did something.
-    pub fn note(&mut self, fault: Fault) {
-        *self.took_place.entry(fault).or_default() += 1;
+    /// Counts that a fault was applied.
+    pub fn count(&mut self, fault: Fault) {
+        *self.fault_counts.entry(fault).or_default() += 1;
     }
 }
--- a/tests/soak/oracle.rs
+++ b/tests/soak/oracle.rs
@@ -1,4 +1,4 @@
-//! What is really so, as users and workers see it, and the protocol's rules.
+//! The actual state, as users and workers observe it, and the checks of the protocol's rules against it.
 
 use super::clock::{Clock, ProtocolTimes};
 use super::faults::Faults;
@@ -8,92 +8,109 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// The protocol's rules, and what is asked for beyond them.
+/// The rules that are checked: those of the protocol, and some beyond it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rule {
+    /// Two attempts of a task ran on different machines at the same time.
     RanTwice,
-    Quota,
-    WrongPlace,
-    RanCancelled,
-    Forgotten,
-    Invented,
-    NotDone,
-    WentBack,
-    NothingRan,
-    /// A task waits beside room long after all faults.
-    WaitsBesideRoom,
-    /// A controller ended by itself, or logged a violated invariant.
-    Controller,
+    /// A team's tasks used more CPUs than its limit.
+    QuotaExceeded,
+    /// A task ran in a zone, or on a spot machine, that its job does not allow.
+    WrongPlacement,
+    /// A task ran later than `cancel_s` after its job's cancellation was reported.
+    RanAfterCancellation,
+    /// A controller did not know an accepted job or rejected a request about it, or no controller responded to such
+    /// requests for too long.
+    JobForgotten,
+    /// A controller reported a job that was never submitted.
+    NonexistentJobFound,
+    /// A job was reported as done before all its tasks had completed.
+    DoneTooEarly,
+    /// A job was reported in an older state than before, or as cancelled without a cancellation.
+    StateReverted,
+    /// No task was started in the whole run.
+    NoTaskStarted,
+    /// A task waited too long after the last fault although there was capacity for it.
+    WaitsDespiteCapacity,
+    /// A controller ended by itself, or logged an error.
+    ControllerFailure,
 }
 
-/// A broken rule, with what shows it.
+/// A violation of a rule, with the details of the case.
 #[derive(Debug, Clone)]
-pub struct Finding {
+pub struct Violation {
     pub at: f64,
     pub rule: Rule,
-    pub record: String,
+    pub details: String,
 }
 
 /// The job that a task belongs to.
-pub fn job_of(step: &str) -> &str {
-    step.split('/').next().unwrap_or("")
+pub fn job_of(task: &str) -> &str {
+    task.split('/').next().unwrap_or("")
 }
 
-/// A team's limit.
+/// Name of the team with a CPU limit.
 pub const TEAM: &str = "limited";
+/// Name of the team without a limit.
 pub const FREE_TEAM: &str = "free";
 
-/// What a job is.
+/// The job as it is submitted.
 #[derive(Debug, Clone)]
 pub struct Spec {
     pub id: String,
     pub tasks: u32,
-    pub standing: bool,
+    pub is_service: bool,
     pub cpus: f64,
     pub team: &'static str,
     pub zone: Option<&'static str>,
+    /// All tasks must run in the same zone.
     pub one_zone: bool,
+    /// At most half of the tasks, rounded up, may run in the same zone.
     pub spread: bool,
+    /// Tasks may run on spot machines.
     pub spot: bool,
+    /// Usual run time of a task, in seconds of the run.
     pub run_s: f64,
     pub image: String,
 }
 
-/// A job, as its user knows it, and what its tasks have done.
+/// A job with what its user was told about it, and which of its tasks are done.
 #[derive(Debug, Clone)]
 pub struct Job {
     pub spec: Spec,
-    pub accepted: Option<f64>,
-    pub asked_cancel: Option<f64>,
-    pub told_cancelled: Option<f64>,
-    pub told_done: Option<f64>,
-    /// When it was last told its state, and since when it is asked about.
-    pub answered: f64,
+    pub accepted_at: Option<f64>,
+    pub cancel_requested_at: Option<f64>,
+    pub reported_cancelled_at: Option<f64>,
+    pub reported_done_at: Option<f64>,
+    /// When its user last got a response about it; at first, when the job was created.
+    pub last_response_at: f64,
+    /// Indexes of the tasks that have completed.
     pub done: BTreeSet<u32>,
-    pub reported: bool,
+    /// A violation was recorded for this job, so that the same one is not recorded again.
+    pub violation_reported: bool,
 }
 
 impl Job {
     pub fn new(spec: Spec, now: f64) -> Job {
         Job {
             spec,
-            accepted: None,
-            asked_cancel: None,
-            told_cancelled: None,
-            told_done: None,
-            answered: now,
+            accepted_at: None,
+            cancel_requested_at: None,
+            reported_cancelled_at: None,
+            reported_done_at: None,
+            last_response_at: now,
             done: BTreeSet::new(),
-            reported: false,
+            violation_reported: false,
         }
     }
 
-    /// Whether its user has been told how it ended.
-    pub fn is_over(&self) -> bool {
-        self.told_cancelled.is_some() || self.told_done.is_some()
+    /// Whether its user was told that it is done or cancelled.
+    pub fn has_ended(&self) -> bool {
+        self.reported_cancelled_at.is_some() || self.reported_done_at.is_some()
     }
 }
 
-/// What took place, beside the faults.
+/// Numbers of events in a run, other than faults.
 #[derive(Debug, Default, Clone)]
 pub struct Counters {
     pub submitted: u64,
@@ -102,48 +119,49 @@
     pub done: u64,
     pub polls: u64,
     pub starts: u64,
-    pub starts_after_cancel: u64,
+    pub starts_after_confirmed_cancellation: u64,
     pub late_commands_executed: u64,
-    pub late_commands_refused: u64,
-    pub late_starts_past_cancellation: u64,
-    pub leases_lost: u64,
-    pub leaders: u64,
-    pub fences: u64,
+    pub late_commands_rejected: u64,
+    pub late_starts_after_cancellation: u64,
+    pub leases_expired: u64,
+    pub leader_changes: u64,
+    pub start_revocations: u64,
     pub machines_rented: u64,
     pub machines_deleted: u64,
 }
 
-/// Everything that the stand-ins share.
+/// The state that all stand-ins share: the jobs, the machines, and the violations found so far.
 pub struct Oracle {
     pub clock: Clock,
     pub times: ProtocolTimes,
-    pub chance: SmallRng,
+    pub rng: SmallRng,
     pub jobs: BTreeMap<String, Job>,
     pub machines: BTreeMap<String, Machine>,
     pub faults: Faults,
-    pub counts: Counters,
-    pub findings: Vec<Finding>,
-    /// CPUs that the limited team may use.
+    pub counters: Counters,
+    pub violations: Vec<Violation>,
+    /// Number of CPUs that the limited team may use.
     pub team_cpus: f64,
-    /// The controller that last answered a heartbeat with 200.
+    /// The controller that last responded to a heartbeat with status 200.
     pub leader: usize,
-    /// The longest delay of the stand-ins lately, by which their times may be off.
-    pub lag_s: f64,
-    /// No fault begins any more.
-    pub calm_since: Option<f64>,
+    /// Longest recent scheduling delay of this process. Stand-ins may have observed events later than they happened by
+    /// up to this time, so the checks allow for it.
+    pub scheduling_delay_s: f64,
+    /// When the last fault ended; none while faults are injected.
+    pub faults_ended_at: Option<f64>,
 }
 
-/// The truth as all tasks share it.
+/// The oracle, shared by all stand-ins.
 pub type Shared = Arc<Mutex<Oracle>>;
 
-/// Locks the truth. A task that has panicked while it held the lock has shown itself elsewhere.
+/// Locks the oracle. A poisoned lock is ignored, as the panic that poisoned it is reported elsewhere.
 pub fn lock(shared: &Shared) -> MutexGuard<'_, Oracle> {
     shared
         .lock()
         .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// Delays of the stand-ins that are let pass in any case, as a share of `cancel_s`.
+/// Tolerance for delays of the stand-ins in addition to the measured ones, as a share of `cancel_s`.
 const TOLERANCE: f64 = 0.01;
 
 impl Oracle {
@@ -151,95 +169,99 @@
         Oracle {
             clock,
             times: ProtocolTimes::new(clock.scale),
-            chance: SmallRng::seed_from_u64(seed ^ 0x5eed),
+            rng: SmallRng::seed_from_u64(seed ^ 0x5eed),
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
             faults: Faults::default(),
-            counts: Counters::default(),
-            findings: Vec::new(),
+            counters: Counters::default(),
+            violations: Vec::new(),
             team_cpus,
             leader: 0,
-            lag_s: 0.0,
-            calm_since: None,
+            scheduling_delay_s: 0.0,
+            faults_ended_at: None,
         }
     }
 
-    /// Notes a broken rule.
-    pub fn break_rule(&mut self, rule: Rule, record: String) {
+    /// Records the violation of a rule.
+    pub fn record_violation(&mut self, rule: Rule, details: String) {
         let at = self.clock.now();
-        self.findings.push(Finding { at, rule, record });
+        self.violations.push(Violation { at, rule, details });
     }
 
     fn tolerance_s(&self) -> f64 {
-        TOLERANCE * self.times.cancel_s + self.lag_s
+        TOLERANCE * self.times.cancel_s + self.scheduling_delay_s
     }
 
-    /// Whether all tasks of a job have to be gone by now.
-    pub fn must_be_gone(&self, job: &str) -> bool {
-        let told = self.jobs.get(job).and_then(|job| job.told_cancelled);
+    /// Whether the time to end the tasks of a cancelled job is over.
+    pub fn must_have_ended(&self, job: &str) -> bool {
+        let cancelled_at = self.jobs.get(job).and_then(|job| job.reported_cancelled_at);
         let limit_s = self.times.cancel_s + self.tolerance_s();
-        told.is_some_and(|at| self.clock.now() > at + limit_s)
+        cancelled_at.is_some_and(|at| self.clock.now() > at + limit_s)
     }
 
-    /// The tasks that are on machines, with their machine.
-    fn on_machines(&self) -> impl Iterator<Item = (&Machine, &str)> {
+    /// The names of all running tasks, with their machines.
+    fn running_tasks(&self) -> impl Iterator<Item = (&Machine, &str)> {
         self.machines.values().flat_map(|machine| {
-            let on = machine.steps.iter().filter(|step| step.is_on());
-            on.map(move |step| (machine, step.name.as_str()))
+            let running = machine.tasks.iter().filter(|task| task.is_running());
+            running.map(move |task| (machine, task.name.as_str()))
         })
     }
 
-    /// A task begins on a machine: all rules about where and when are checked.
-    pub fn check_begin(&mut self, host: &str, name: &str, attempt: u64) {
-        self.counts.starts += 1;
+    /// Checks the start of a task on a machine against all rules about where and when a task may run.
+    pub fn check_start(&mut self, host: &str, name: &str, attempt: u64) {
+        self.counters.starts += 1;
         let job = job_of(name);
-        let Some(known) = self.jobs.get(job) else {
+        let Some(job_state) = self.jobs.get(job) else {
             return;
         };
-        let spec = known.spec.clone();
-        if known.told_cancelled.is_some() {
-            self.counts.starts_after_cancel += 1;
+        let spec = job_state.spec.clone();
+        if job_state.reported_cancelled_at.is_some() {
+            self.counters.starts_after_confirmed_cancellation += 1;
         }
-        let told = known.told_cancelled;
-        let where_ = format!("{name} attempt {attempt} on {host}");
-        let mut broken: Vec<(Rule, String)> = Vec::new();
-        if self.must_be_gone(job) {
-            let record = format!("{where_} starts, cancelled at {told:?}");
-            broken.push((Rule::RanCancelled, record));
+        let cancelled_at = job_state.reported_cancelled_at;
+        let start = format!("{name} attempt {attempt} on {host}");
+        let mut violations: Vec<(Rule, String)> = Vec::new();
+        if self.must_have_ended(job) {
+            let details =
+                format!("{start} starts, its job was reported as cancelled at {cancelled_at:?}");
+            violations.push((Rule::RanAfterCancellation, details));
         }
-        let twin = self
-            .on_machines()
-            .find(|(machine, step)| *step == name && machine.name != host);
-        if let Some((machine, _)) = twin {
-            let record = format!("{where_} starts while on {}", machine.name);
-            broken.push((Rule::RanTwice, record));
+        let duplicate = self
+            .running_tasks()
+            .find(|(machine, task)| *task == name && machine.name != host);
+        if let Some((machine, _)) = duplicate {
+            let details = format!("{start} starts while it runs on {}", machine.name);
+            violations.push((Rule::RanTwice, details));
         }
         if spec.team == TEAM {
-            let used = self.team_use() + spec.cpus;
+            let used = self.team_cpus_used() + spec.cpus;
             if used > self.team_cpus + 1e-6 {
-                let record = format!("{where_}: {used} CPUs of {}", self.team_cpus);
-                broken.push((Rule::Quota, record));
+                let details = format!(
+                    "{start}: the team uses {used} CPUs, its limit is {}",
+                    self.team_cpus
+                );
+                violations.push((Rule::QuotaExceeded, details));
             }
         }
-        if let Some(record) = self.misplaced(host, name, &spec) {
-            broken.push((Rule::WrongPlace, format!("{where_}: {record}")));
+        if let Some(details) = self.placement_violation(host, name, &spec) {
+            violations.push((Rule::WrongPlacement, format!("{start}: {details}")));
         }
-        for (rule, record) in broken {
-            self.break_rule(rule, record);
+        for (rule, details) in violations {
+            self.record_violation(rule, details);
         }
     }
 
-    /// CPUs that the limited team's tasks use.
-    pub fn team_use(&self) -> f64 {
+    /// Number of CPUs that the limited team's running tasks use.
+    pub fn team_cpus_used(&self) -> f64 {
         let cpus = |job: &Job| (job.spec.team == TEAM).then_some(job.spec.cpus);
-        self.on_machines()
-            .filter_map(|(_, step)| self.jobs.get(job_of(step)))
+        self.running_tasks()
+            .filter_map(|(_, task)| self.jobs.get(job_of(task)))
             .filter_map(cpus)
             .sum()
     }
 
-    /// Why a task must not be on a machine, given its job's other tasks.
-    fn misplaced(&self, host: &str, name: &str, spec: &Spec) -> Option<String> {
+    /// The reason why a task must not run on a machine, given where its job's other tasks run; none if it may.
+    fn placement_violation(&self, host: &str, name: &str, spec: &Spec) -> Option<String> {
         let machine = self.machines.get(host)?;
         let zone = machine.zone;
         if machine.spot && !spec.spot {
@@ -249,42 +271,44 @@
             return Some(format!("in zone {zone}"));
         }
         let others = self
-            .on_machines()
-            .filter(|(_, step)| job_of(step) == spec.id && *step != name);
+            .running_tasks()
+            .filter(|(_, task)| job_of(task) == spec.id && *task != name);
         let zones: Vec<&str> = others.map(|(machine, _)| machine.zone).collect();
         if spec.one_zone && zones.iter().any(|other| *other != zone) {
-            return Some(format!("in zone {zone}, others are in {zones:?}"));
+            return Some(format!("in zone {zone}, other tasks are in {zones:?}"));
         }
-        let here = zones.iter().filter(|other| **other == zone).count() as u32;
-        let most = spec.tasks.div_ceil(2);
-        if spec.spread && here + 1 > most {
+        let in_zone = zones.iter().filter(|other| **other == zone).count() as u32;
+        let limit = spec.tasks.div_ceil(2);
+        if spec.spread && in_zone + 1 > limit {
             return Some(format!(
                 "{} of {} tasks in zone {zone}",
-                here + 1,
+                in_zone + 1,
                 spec.tasks
             ));
         }
         None
     }
 
-    /// Tasks that are on machines past the cancellation of their job.
+    /// Records a violation for each job of which a task still runs although the time to end it is over.
     pub fn check_cancelled(&mut self) {
         let late: Vec<(String, String)> = self
-            .on_machines()
-            .filter(|(_, step)| self.must_be_gone(job_of(step)))
-            .map(|(machine, step)| (machine.name.clone(), step.to_owned()))
+            .running_tasks()
+            .filter(|(_, task)| self.must_have_ended(job_of(task)))
+            .map(|(machine, task)| (machine.name.clone(), task.to_owned()))
             .collect();
-        for (host, step) in late {
-            let job = job_of(&step).to_owned();
-            let Some(known) = self.jobs.get_mut(&job) else {
+        for (host, task) in late {
+            let job = job_of(&task).to_owned();
+            let Some(job_state) = self.jobs.get_mut(&job) else {
                 continue;
             };
-            if std::mem::replace(&mut known.reported, true) {
+            if std::mem::replace(&mut job_state.violation_reported, true) {
                 continue;
             }
-            let told = known.told_cancelled;
-            let record = format!("{step} is on {host}, cancelled at {told:?}");
-            self.break_rule(Rule::RanCancelled, record);
+            let cancelled_at = job_state.reported_cancelled_at;
+            let details = format!(
+                "{task} runs on {host}, its job was reported as cancelled at {cancelled_at:?}"
+            );
+            self.record_violation(Rule::RanAfterCancellation, details);
         }
     }
 }
--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -1,232 +1,239 @@
-//! The schedule of faults, worked out from a seed before a run begins.
+//! The schedule of faults of a run, which is drawn from its seed before the run begins.
 
 use super::clock::ProtocolTimes;
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 
-/// What may go wrong for a while.
+/// Kind of a fault. A fault lasts for a while, unless its description says otherwise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Fault {
     /// A controller is killed, and restarted when the fault ends.
-    KillNode,
-    /// A controller is stopped by a signal, and continued when the fault ends.
-    PauseNode,
-    /// The state service refuses one controller.
-    RefuseNode,
-    /// The state service refuses all.
-    StateOutage,
-    /// The state service executes what a controller asks, and its answers are lost.
-    LoseStateAnswers,
-    /// The state service hears nothing of a controller.
-    CutFromState,
-    /// Part of the transactions get no answer, and are executed later.
-    LateTransactions,
-    /// A controller and its peers don't hear one another.
-    CutPeers,
-    /// Direct commands are held, unanswered, and executed later.
-    HoldCommands,
-    /// Direct commands arrive twice.
-    CopyCommands,
-    /// Copies of heartbeats arrive later, at any controller.
-    CopyReports,
-    /// Heartbeats are lost, or arrive after their sender has given up.
-    HoldReports,
-    /// Neither answers nor commands reach some machines; their heartbeats arrive.
-    DeafMachines,
-    /// Some machines reach no controller; direct commands reach them.
-    MuteMachines,
-    /// Some machines stand still.
+    KillController,
+    /// A controller is paused by a signal, and continued when the fault ends.
+    PauseController,
+    /// The state service rejects the requests of one controller.
+    RejectController,
+    /// The state service rejects all requests.
+    StateServiceOutage,
+    /// The state service executes the requests of one controller, but its responses are lost.
+    LoseStateServiceResponses,
+    /// The requests of one controller do not reach the state service.
+    PartitionFromStateService,
+    /// A share of the transactions get no response, and are executed later.
+    DelayTransactions,
+    /// One controller is partitioned from its peers.
+    PartitionPeers,
+    /// A share of the direct calls to workers get no response, and their commands are executed later.
+    DelayCommands,
+    /// The commands of a share of the direct calls to workers arrive a second time, later.
+    DuplicateCommands,
+    /// Copies of a share of the heartbeats arrive later, at a random controller.
+    DuplicateHeartbeats,
+    /// A share of the heartbeats arrive later at a random controller, and their senders get no response.
+    DelayHeartbeats,
+    /// Heartbeats of some machines arrive, but responses and commands do not reach these machines.
+    PartitionMachinesInbound,
+    /// Heartbeats of some machines are lost, but commands reach these machines.
+    PartitionMachinesOutbound,
+    /// Some machines hang: their tasks make no progress, and their workers send nothing and execute no commands.
     HangMachines,
     /// Some machines are partitioned in both directions.
-    CutMachines,
-    /// A controller and the workers don't reach one another.
-    CutFromWorkers,
-    /// Spot machines are taken away.
-    TakeSpot,
-    /// Users cancel many jobs at once.
-    CancelStorm,
-    /// Many small jobs come, and are cancelled within a heartbeat interval: before most workers have reported.
-    PromptCancels,
-    /// The cloud refuses all, or carries requests out late.
-    DisturbCloud,
+    PartitionMachines,
+    /// One controller is partitioned from all workers.
+    PartitionFromWorkers,
+    /// The cloud takes spot machines away, half of them after a notice. Has no duration.
+    ReclaimSpotMachines,
+    /// Users cancel many jobs at the same time. Has no duration.
+    CancelManyJobs,
+    /// Many small jobs are submitted, and each is cancelled within a heartbeat interval: before most workers have sent
+    /// a heartbeat since the submission.
+    CancelNewJobs,
+    /// The cloud rejects requests, or executes them late without a response.
+    CloudErrors,
 }
 
-const ALL: [Fault; 21] = [
-    Fault::KillNode,
-    Fault::PauseNode,
-    Fault::RefuseNode,
-    Fault::StateOutage,
-    Fault::LoseStateAnswers,
-    Fault::CutFromState,
-    Fault::LateTransactions,
-    Fault::CutPeers,
-    Fault::HoldCommands,
-    Fault::CopyCommands,
-    Fault::CopyReports,
-    Fault::HoldReports,
-    Fault::DeafMachines,
-    Fault::MuteMachines,
+const ALL_FAULTS: [Fault; 21] = [
+    Fault::KillController,
+    Fault::PauseController,
+    Fault::RejectController,
+    Fault::StateServiceOutage,
+    Fault::LoseStateServiceResponses,
+    Fault::PartitionFromStateService,
+    Fault::DelayTransactions,
+    Fault::PartitionPeers,
+    Fault::DelayCommands,
+    Fault::DuplicateCommands,
+    Fault::DuplicateHeartbeats,
+    Fault::DelayHeartbeats,
+    Fault::PartitionMachinesInbound,
+    Fault::PartitionMachinesOutbound,
     Fault::HangMachines,
-    Fault::CutMachines,
-    Fault::CutFromWorkers,
-    Fault::TakeSpot,
-    Fault::CancelStorm,
-    Fault::PromptCancels,
-    Fault::DisturbCloud,
+    Fault::PartitionMachines,
+    Fault::PartitionFromWorkers,
+    Fault::ReclaimSpotMachines,
+    Fault::CancelManyJobs,
+    Fault::CancelNewJobs,
+    Fault::CloudErrors,
 ];
 
-/// Which controller a fault is for.
+/// The controller that a fault affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Target {
-    /// Whoever leads when it begins.
+    /// The leader at the time at which the fault begins.
     Leader,
-    /// This one.
+    /// The controller with this number.
     Node(usize),
 }
 
-/// A fault with its times.
+/// A scheduled fault.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Planned {
+pub struct PlannedFault {
     pub fault: Fault,
+    /// When the fault begins, in seconds of the run.
     pub at: f64,
-    pub for_s: f64,
+    pub duration_s: f64,
     pub target: Target,
-    /// Share of messages or machines that it is for.
+    /// Share of the messages or machines that it affects. `ReclaimSpotMachines` and `CancelManyJobs` affect half of
+    /// this share of the spot machines or open jobs.
     pub share: f64,
-    /// For how long messages are held or late.
-    pub late_s: f64,
+    /// Longest delay of an affected message, in seconds of the run.
+    pub delay_s: f64,
 }
 
-/// Seconds of the protocol before the first fault: machines are up and jobs run.
+/// Time before the first fault, in seconds of the protocol: machines boot and jobs start.
 const WARM_UP_S: f64 = 60.0;
-/// Seconds of the protocol between two moments at which faults begin.
-const PAUSE_S: (f64, f64) = (15.0, 55.0);
-/// Share of the moments that have a meeting of faults of their own, beside what chance draws.
-const MEETINGS: f64 = 0.08;
-/// Faults that begin at a moment.
-const AT_ONCE: (usize, usize) = (1, 3);
+/// Range of the interval between two moments at which faults begin, in seconds of the protocol.
+const MOMENT_INTERVAL_S: (f64, f64) = (15.0, 55.0);
+/// Share of the moments with a fixed combination of faults in addition to the faults that are drawn.
+const COMBINATION_SHARE: f64 = 0.08;
+/// Range of the number of faults that are drawn for a moment.
+const FAULTS_PER_MOMENT: (usize, usize) = (1, 3);
 
-/// The faults of a run whose last one begins before `duration` is over.
-pub fn schedule(seed: u64, nodes: usize, duration: f64, scale: f64) -> Vec<Planned> {
-    let mut chance = SmallRng::seed_from_u64(seed);
+/// Draws the faults of a run. Moments at which faults begin lie before `duration`, in seconds of the run.
+pub fn schedule(seed: u64, nodes: usize, duration: f64, scale: f64) -> Vec<PlannedFault> {
+    let mut rng = SmallRng::seed_from_u64(seed);
     let times = ProtocolTimes::new(scale);
     let mut plan = Vec::new();
     let mut at = WARM_UP_S * scale;
     while at < duration {
         if plan.is_empty() {
-            plan = starts_held_past_cancellations(at, &times, &mut chance);
-        } else if chance.random_bool(MEETINGS) {
-            plan.extend(refused_alone_then_outage(at, &times));
+            plan = delayed_starts_with_cancellations(at, &times, &mut rng);
+        } else if rng.random_bool(COMBINATION_SHARE) {
+            plan.extend(rejected_leader_then_outage(at, &times));
         }
-        let count = chance.random_range(AT_ONCE.0..=AT_ONCE.1);
-        let drawn: Vec<&Fault> = ALL.choose_multiple(&mut chance, count).collect();
-        for fault in drawn {
-            let delay = chance.random::<f64>() * 3.0 * scale;
-            plan.push(planned(*fault, at + delay, nodes, &times, &mut chance));
+        let count = rng.random_range(FAULTS_PER_MOMENT.0..=FAULTS_PER_MOMENT.1);
+        let kinds: Vec<&Fault> = ALL_FAULTS.choose_multiple(&mut rng, count).collect();
+        for fault in kinds {
+            let delay = rng.random::<f64>() * 3.0 * scale;
+            plan.push(draw_fault(*fault, at + delay, nodes, &times, &mut rng));
         }
-        at += scale * chance.random_range(PAUSE_S.0..PAUSE_S.1);
+        at += scale * rng.random_range(MOMENT_INTERVAL_S.0..MOMENT_INTERVAL_S.1);
     }
     plan.sort_by(|a, b| a.at.total_cmp(&b.at));
     plan
 }
 
-/// The meeting of late starts and cancellations, with which every run begins: direct commands are held for
-/// longer than cancelled tasks may last, and users cancel meanwhile.
-fn starts_held_past_cancellations(
+/// The combination with which each run begins: commands to start tasks are delayed by longer than the time within which
+/// cancelled tasks must end, and users cancel jobs in the meantime.
+fn delayed_starts_with_cancellations(
     at: f64,
     times: &ProtocolTimes,
-    chance: &mut SmallRng,
-) -> Vec<Planned> {
-    let held = Planned {
-        fault: Fault::HoldCommands,
+    rng: &mut SmallRng,
+) -> Vec<PlannedFault> {
+    let delayed_commands = PlannedFault {
+        fault: Fault::DelayCommands,
         at,
-        for_s: times.lease_s,
+        duration_s: times.lease_s,
         target: Target::Leader,
-        share: chance.random_range(0.6..1.0),
-        late_s: times.cancel_s * 2.0,
+        share: rng.random_range(0.6..1.0),
+        delay_s: times.cancel_s * 2.0,
     };
-    let storm = |delay_s: f64| Planned {
-        fault: Fault::CancelStorm,
+    let cancel_many = |delay_s: f64| PlannedFault {
+        fault: Fault::CancelManyJobs,
         at: at + delay_s,
-        for_s: 0.0,
+        duration_s: 0.0,
         share: 0.8,
-        ..held
+        ..delayed_commands
     };
-    let prompt = Planned {
-        fault: Fault::PromptCancels,
-        ..held
+    let cancel_new = PlannedFault {
+        fault: Fault::CancelNewJobs,
+        ..delayed_commands
     };
     vec![
-        held,
-        prompt,
-        storm(times.report_s),
-        storm(times.report_s * 3.0),
-        storm(times.lease_s),
+        delayed_commands,
+        cancel_new,
+        cancel_many(times.heartbeat_interval_s),
+        cancel_many(times.heartbeat_interval_s * 3.0),
+        cancel_many(times.lease_s),
     ]
 }
 
-/// The state service refuses the leader alone, users cancel in that moment, and then it is out for longer than
-/// cancelled tasks may last. The leader's peers don't reach it either: nobody can tell it.
-fn refused_alone_then_outage(at: f64, times: &ProtocolTimes) -> Vec<Planned> {
-    let refused = Planned {
-        fault: Fault::RefuseNode,
+/// The state service rejects the requests of the leader alone, users cancel jobs at that moment, and then the state
+/// service is out for longer than the time within which cancelled tasks must end. The leader is also partitioned from
+/// its peers, so that no controller can tell it of the cancellations.
+fn rejected_leader_then_outage(at: f64, times: &ProtocolTimes) -> Vec<PlannedFault> {
+    let rejection = PlannedFault {
+        fault: Fault::RejectController,
         at,
-        for_s: times.report_s,
+        duration_s: times.heartbeat_interval_s,
         target: Target::Leader,
         share: 0.8,
-        late_s: 0.0,
+        delay_s: 0.0,
     };
-    let storm = Planned {
-        fault: Fault::CancelStorm,
-        at: at + times.change_s / 5.0,
-        ..refused
+    let cancel_many = PlannedFault {
+        fault: Fault::CancelManyJobs,
+        at: at + times.min_heartbeat_interval_s / 5.0,
+        ..rejection
     };
-    let outage = Planned {
-        fault: Fault::StateOutage,
-        at: at + times.report_s,
-        for_s: 1.3 * times.cancel_s,
-        ..refused
+    let outage = PlannedFault {
+        fault: Fault::StateServiceOutage,
+        at: at + times.heartbeat_interval_s,
+        duration_s: 1.3 * times.cancel_s,
+        ..rejection
     };
-    let cut = Planned {
-        fault: Fault::CutPeers,
-        for_s: refused.for_s + outage.for_s,
-        ..refused
+    let partition = PlannedFault {
+        fault: Fault::PartitionPeers,
+        duration_s: rejection.duration_s + outage.duration_s,
+        ..rejection
     };
-    vec![refused, cut, storm, outage]
+    vec![rejection, partition, cancel_many, outage]
 }
 
-fn planned(
+fn draw_fault(
     fault: Fault,
     at: f64,
     nodes: usize,
     times: &ProtocolTimes,
-    chance: &mut SmallRng,
-) -> Planned {
-    // Moments, less than a lease, more than one, or more than a cancellation takes.
-    let lengths = [
-        times.retry_s,
+    rng: &mut SmallRng,
+) -> PlannedFault {
+    // The longest durations are a moment, about a lease, longer than a lease, and longer than the time within which
+    // cancelled tasks must end.
+    let longest_durations_s = [
+        times.retry_delay_s,
         times.lease_s,
         1.5 * times.lease_s,
         1.4 * times.cancel_s,
     ];
-    let length = lengths[chance.random_range(0..lengths.len())];
-    let target = if chance.random_bool(0.6) {
+    let longest_duration_s = longest_durations_s[rng.random_range(0..longest_durations_s.len())];
+    let target = if rng.random_bool(0.6) {
         Target::Leader
     } else {
-        Target::Node(chance.random_range(0..nodes))
+        Target::Node(rng.random_range(0..nodes))
     };
-    let late_s = match fault {
-        Fault::LateTransactions => chance.random_range(2.0..12.0) * times.retry_s,
-        Fault::CopyReports | Fault::HoldReports => chance.random_range(0.1..2.0) * times.lease_s,
-        _ => chance.random_range(0.1..2.0) * times.cancel_s,
+    let delay_s = match fault {
+        Fault::DelayTransactions => rng.random_range(2.0..12.0) * times.retry_delay_s,
+        Fault::DuplicateHeartbeats | Fault::DelayHeartbeats => {
+            rng.random_range(0.1..2.0) * times.lease_s
+        }
+        _ => rng.random_range(0.1..2.0) * times.cancel_s,
     };
-    Planned {
+    PlannedFault {
         fault,
         at,
-        for_s: length * chance.random_range(0.1..1.1),
+        duration_s: longest_duration_s * rng.random_range(0.1..1.1),
         target,
-        share: chance.random_range(0.15..1.0),
-        late_s,
+        share: rng.random_range(0.15..1.0),
+        delay_s,
     }
 }
