--- a/src/coordination/autoscaler.rs
+++ b/src/coordination/autoscaler.rs
@@ -1,76 +1,79 @@
-//! How many machines a pool should have: the largest of three targets, within bounds.
+//! Computes how many machines a pool should have: the largest of three targets, within the pool's
+//! bounds.
 //!
-//! The arithmetic of "Predictive Queue Autoscaling with Little's Law"; docs/design.md says what was
-//! kept and what was changed.
+//! The formulas are those of "Predictive Queue Autoscaling with Little's Law"; docs/design.md lists
+//! what was changed.
 
 use crate::policy::ScalingParameters;
 
-/// A pool's load.
+/// The measured load of a pool.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PoolLoad {
-    /// Tasks that wait for a machine of this pool.
+    /// Number of tasks that wait for a machine of this pool.
     pub pending: u32,
-    /// For how long the oldest of them has waited.
+    /// Seconds for which the oldest waiting task has waited.
     pub oldest_s: f64,
-    /// Starts and finishes per second and machine.
+    /// Task starts and finishes per second on each busy machine.
     pub rate: f64,
-    /// Expected arrivals of tasks per second.
+    /// Forecast of task starts per second.
     pub forecast: f64,
-    /// Average time of a task on its machine.
+    /// Average run time of a task, in seconds.
     pub task_s: f64,
-    /// Tasks that fit on a machine.
+    /// Number of tasks that fit on a machine.
     pub per_machine: f64,
-    /// Machines' worth of replicas, which run until they are cancelled: for them, what Little's law
-    /// calls the number in the system is simply what is there.
+    /// Number of machines that the running replicas of services fill. Replicas run until they are
+    /// cancelled, so the forecast counts them as they are instead of applying Little's law.
     pub service_machines: f64,
-    /// Machines beyond those with tasks, and those for what waits, kept for replicas to come.
+    /// Machines kept free for replicas of future services, in addition to the busy machines and those
+    /// that the waiting tasks need.
     pub headroom_machines: u32,
-    /// Machines with tasks.
+    /// Number of machines with tasks.
     pub busy: u32,
-    /// Machines that the requests of the waiting tasks would fill.
+    /// Number of machines that the waiting tasks would fill.
     pub machines_to_fill: u32,
 }
 
-/// What set the target.
+/// Which rule determined the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetReason {
-    /// Little's law.
+    /// Little's law applied to the waiting tasks.
     Little,
-    /// The forecast.
+    /// The forecast of task starts, and the running replicas.
     Trend,
-    /// Machines kept for replicas to come.
+    /// Machines kept free for future replicas were added.
     Headroom,
-    /// The backlog.
+    /// The backlog must be drained before the oldest task misses the pickup target.
     Drain,
-    /// What the waiting tasks would fill.
+    /// The target was limited to the busy machines and those that the waiting tasks would fill.
     Fill,
-    /// Machines with tasks stay.
+    /// Machines with tasks are kept.
     Busy,
-    /// The least machines.
+    /// The minimum of the pool.
     Min,
-    /// The most machines.
+    /// The maximum of the pool.
     Max,
 }
 
-/// A decision with all that led to it.
+/// The target of a pool, and the three targets that it was chosen from.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ScalingDecision {
-    /// Machines by Little's law.
+    /// Machines needed according to Little's law.
     pub littles_law_target: u32,
-    /// Machines by the forecast.
+    /// Machines needed for the forecast.
     pub forecast_target: u32,
-    /// Machines to drain the backlog.
+    /// Machines needed to drain the backlog in time.
     pub drain_target: u32,
-    /// The target.
+    /// The number of machines that the pool should have.
     pub target: u32,
-    /// What set it.
+    /// Which rule determined `target`.
     pub reason: TargetReason,
 }
 
-/// Usage of the pickup target above which the drain target gets a margin.
-const MARGIN_FROM: f64 = 0.8;
+/// Share of the pickup target that the oldest task must have waited for the drain target to get a safety margin.
+const DRAIN_MARGIN_THRESHOLD: f64 = 0.8;
 
-fn ceil(machines: f64, max: u32) -> u32 {
+/// Rounds a number of machines up, to at most `max`. The tolerance absorbs rounding errors of the computation.
+fn machine_count(machines: f64, max: u32) -> u32 {
     if machines.is_finite() {
         (machines - 1e-9).ceil().clamp(0.0, f64::from(max)) as u32
     } else {
@@ -78,63 +81,65 @@
     }
 }
 
-/// Machines by Little's law: the pending tasks over the pickup target, over the rate of a machine.
+/// Returns the machines needed according to Little's law: the number of pending tasks, divided by the pickup
+/// target and by the rate of a machine.
 pub fn littles_law_target(load: &PoolLoad, parameters: &ScalingParameters) -> u32 {
     if load.pending == 0 || load.rate <= 0.0 {
         return parameters.min;
     }
-    ceil(
+    machine_count(
         f64::from(load.pending) / parameters.pickup_s / load.rate,
         parameters.max,
     )
 }
 
-/// Machines for the expected arrivals: their rate times the time of a task, over the tasks that a
-/// machine takes, and what replicas fill.
+/// Returns the machines needed for the forecast: the forecast rate times the run time of a task, divided by
+/// the tasks that fit on a machine, plus the machines that replicas fill.
 pub fn forecast_target(load: &PoolLoad, parameters: &ScalingParameters) -> u32 {
     let tasks = load.forecast * load.task_s;
-    ceil(
+    machine_count(
         tasks / load.per_machine.max(1.0) + load.service_machines,
         parameters.max,
     )
 }
 
-/// Machines that drain the backlog before the oldest task breaches the pickup target.
+/// Returns the machines needed to start all pending tasks before the oldest one misses the pickup target; if it
+/// has missed the target already, the maximum.
 pub fn drain_target(load: &PoolLoad, parameters: &ScalingParameters) -> u32 {
     if load.pending == 0 {
         return parameters.min;
     }
-    let usage = load.oldest_s / parameters.pickup_s;
-    if usage > 1.0 {
+    let waited_share = load.oldest_s / parameters.pickup_s;
+    if waited_share > 1.0 {
         return parameters.max;
     }
     if load.rate <= 0.0 {
         return parameters.min;
     }
-    let left_s = (parameters.pickup_s - load.oldest_s).max(1.0);
-    let margin = 1.0 + (usage - MARGIN_FROM).max(0.0) * 2.0;
-    ceil(
-        f64::from(load.pending) / left_s / load.rate * margin,
+    let remaining_s = (parameters.pickup_s - load.oldest_s).max(1.0);
+    let margin = 1.0 + (waited_share - DRAIN_MARGIN_THRESHOLD).max(0.0) * 2.0;
+    machine_count(
+        f64::from(load.pending) / remaining_s / load.rate * margin,
         parameters.max,
     )
 }
 
-/// The target of a pool: the largest of the three, with the headroom. What waits is served by the machines that are busy now plus at most those
-/// that its requests would fill.
+/// Decides on the target of a pool: the largest of the three targets, plus the headroom. The two targets for the
+/// waiting tasks are limited to the busy machines and those that the waiting tasks would fill.
 pub fn decide(load: &PoolLoad, parameters: &ScalingParameters) -> ScalingDecision {
     let littles_law_target = littles_law_target(load, parameters);
     let drain_target = drain_target(load, parameters);
     let forecast_target = forecast_target(load, parameters);
-    let filled = load.busy + load.machines_to_fill;
+    let fill_limit = load.busy + load.machines_to_fill;
     let (mut target, mut reason) = if drain_target > littles_law_target {
         (drain_target, TargetReason::Drain)
     } else {
         (littles_law_target, TargetReason::Little)
     };
-    if target > filled {
-        (target, reason) = (filled, TargetReason::Fill);
+    if target > fill_limit {
+        (target, reason) = (fill_limit, TargetReason::Fill);
     }
-    // Busy machines stay; they are no matter of targets.
+    // Machines with tasks are never released to meet a target.
     if load.busy > target {
         (target, reason) = (load.busy, TargetReason::Busy);
     }
--- a/src/coordination/rate_meter.rs
+++ b/src/coordination/rate_meter.rs
@@ -1,31 +1,31 @@
-//! Rates of events over a sliding window, and their trend.
+//! Measures the rate of events over a sliding window, and forecasts it from its trend.
 
 use std::collections::VecDeque;
 
-/// Events that a meter keeps; the oldest are dropped beyond.
+/// Maximum number of events that a meter keeps; beyond it the oldest are dropped.
 const MAX_EVENTS: usize = 4096;
-/// Windows for which events are kept: the present one, and the one before for the trend.
+/// Number of windows for which events are kept: the current one and, for the trend, the one before it.
 const WINDOWS_KEPT: f64 = 2.0;
-/// Shortest span over which a rate is taken, in seconds.
+/// Shortest time span over which a rate is computed, in seconds.
 const MIN_SPAN_S: f64 = 1.0;
-/// Part of the present rate below which no forecast falls.
+/// Lower bound of a forecast, as a share of the current rate.
 const MIN_FORECAST_SHARE: f64 = 0.5;
 
-/// An event with its weight, and when it took place.
+/// An event with its time, in seconds, and its weight.
 #[derive(Debug, Clone, Copy)]
 struct Event {
     at: f64,
     weight: f64,
 }
 
-/// Counts events over a sliding window.
+/// Adds up the weights of events over a sliding window.
 #[derive(Debug, Clone, Default)]
 pub struct RateMeter {
     events: VecDeque<Event>,
 }
 
 impl RateMeter {
-    /// Adds an event of some weight.
+    /// Records an event that takes place now.
     pub fn add(&mut self, weight: f64, now: f64) {
         self.events.push_back(Event { at: now, weight });
         if self.events.len() > MAX_EVENTS {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Drops what is older than two windows.
+    /// Drops events that are older than two windows.
     pub fn trim(&mut self, window_s: f64, now: f64) {
         let is_old = |event: &Event| now - event.at > WINDOWS_KEPT * window_s;
         while self.events.front().is_some_and(is_old) {
@@ -41,16 +41,18 @@
         }
     }
 
-    /// Events per second over the last window, or over the time since `from` if that is shorter.
-    pub fn rate(&self, window_s: f64, from: f64, now: f64) -> f64 {
-        let span_s = window_s.min(now - from).max(MIN_SPAN_S);
+    /// Returns the rate per second over the last window, or over the time since counting began at
+    /// `started_at` if that is shorter.
+    pub fn rate(&self, window_s: f64, started_at: f64, now: f64) -> f64 {
+        let span_s = window_s.min(now - started_at).max(MIN_SPAN_S);
         self.total_weight(now - span_s, now) / span_s
     }
 
-    /// The rate with its trend carried on by one window; never below half of the present rate.
-    pub fn forecast(&self, window_s: f64, from: f64, now: f64) -> f64 {
-        let rate = self.rate(window_s, from, now);
-        if now - from < WINDOWS_KEPT * window_s {
+    /// Returns the rate extrapolated by one window: the current rate plus its change since the window
+    /// before. A forecast is at least half of the current rate.
+    pub fn forecast(&self, window_s: f64, started_at: f64, now: f64) -> f64 {
+        let rate = self.rate(window_s, started_at, now);
+        if now - started_at < WINDOWS_KEPT * window_s {
             return rate;
         }
         let window_start = now - window_s;
@@ -59,9 +61,9 @@
         (rate + trend).max(rate * MIN_FORECAST_SHARE)
     }
 
-    /// Weight of the events after `from` and until `to`.
-    fn total_weight(&self, from: f64, to: f64) -> f64 {
-        let in_span = |event: &&Event| event.at > from && event.at <= to;
+    /// Returns the total weight of the events after `after` and up to `until`.
+    fn total_weight(&self, after: f64, until: f64) -> f64 {
+        let in_span = |event: &&Event| event.at > after && event.at <= until;
         let events = self.events.iter().filter(in_span);
         events.map(|event| event.weight).sum()
     }
--- a/src/coordination/scheduler/capacity.rs
+++ b/src/coordination/scheduler/capacity.rs
@@ -1,4 +1,4 @@
-//! Capacity of the workers during a scheduling cycle.
+//! The free capacity of each worker, as it changes during a scheduling cycle.
 
 use super::preemption::PreemptionCandidate;
 use crate::bookkeeping::workers::{Resources, Worker, Workers};
@@ -6,7 +6,7 @@
 use crate::protocol::job::JobSpec;
 use std::collections::HashMap;
 
-/// The resources that one task of a job requests.
+/// Returns the resources that one task of a job requests.
 pub fn resource_request(spec: &JobSpec) -> Resources {
     Resources {
         cpus: spec.cpus,
@@ -15,16 +15,16 @@
     }
 }
 
-/// The zones seen in a cycle, numbered in order of appearance.
+/// Maps the names of zones to consecutive numbers, which a cycle uses as indices.
 #[derive(Debug, Default)]
 pub(super) struct ZoneIndex<'a> {
     names: Vec<&'a str>,
 }
 
 impl<'a> ZoneIndex<'a> {
-    /// The number of a zone; a zone not seen before gets the next one.
+    /// Returns the number of a zone, and assigns the next number if the zone is new.
     pub(super) fn number_of(&mut self, zone: &'a str) -> usize {
-        match self.names.iter().position(|known| *known == zone) {
+        match self.names.iter().position(|name| *name == zone) {
             Some(number) => number,
             None => {
                 self.names.push(zone);
@@ -33,34 +33,34 @@
         }
     }
 
-    /// How many zones are known.
+    /// Returns the number of zones in the index.
     pub(super) fn len(&self) -> usize {
         self.names.len()
     }
 }
 
-/// A schedulable worker with the capacity that is left on it at this point of the cycle.
+/// A schedulable worker and the capacity that the cycle has not assigned yet.
 pub(super) struct WorkerCapacity<'a> {
     pub(super) worker: &'a Worker,
-    /// Number of its zone in the cycle's [`ZoneIndex`].
+    /// Number of the worker's zone in the cycle's [`ZoneIndex`].
     pub(super) zone: usize,
     pub(super) total: Resources,
-    /// Rate at which it pulls images, in GB per second.
+    /// Rate at which the worker pulls images, in GB per second.
     pub(super) image_pull_gb_per_s: f64,
     pub(super) free: Resources,
-    /// Resources that tasks being stopped will release, less what is already promised to others.
+    /// Resources that tasks being stopped will release, less what this cycle has claimed of them for other tasks.
     pub(super) releasing: Resources,
-    /// Its tasks that may be preempted; listed when first needed.
+    /// The worker's tasks that may be preempted; `None` until the list is first needed.
     pub(super) preemptible: Option<Vec<PreemptionCandidate<'a>>>,
 }
 
 impl WorkerCapacity<'_> {
-    /// What will be free once the tasks being stopped are gone.
+    /// Returns the resources that will be free once the tasks being stopped have exited.
     pub(super) fn free_after_release(&self) -> Resources {
         self.free + self.releasing
     }
 
-    /// Whether the worker has an image in its cache.
+    /// Returns whether the worker has an image in its cache.
     pub(super) fn has_image(&self, image: &str) -> bool {
         self.worker
             .cached_images
@@ -69,7 +69,7 @@
     }
 }
 
-/// The capacity of all workers that may take tasks. Workers of unknown instance types take none.
+/// Returns the capacity of all workers that may be assigned tasks. Workers whose instance type is unknown are left out.
 pub(super) fn worker_capacities<'a>(
     workers: &'a Workers,
     instance_types: &[InstanceType],
--- a/src/coordination/scheduler/cycle.rs
+++ b/src/coordination/scheduler/cycle.rs
@@ -1,4 +1,4 @@
-//! One scheduling cycle: a run over the queue of jobs.
+//! A scheduling cycle, which goes through the queue of jobs once.
 
 use super::assignments::{Assignments, PendingDemand};
 use super::capacity::{WorkerCapacity, ZoneIndex, worker_capacities};
@@ -14,16 +14,17 @@
 use rand::Rng;
 use std::collections::HashSet;
 
-/// Times that govern how a cycle treats a job.
+/// Time limits that a cycle applies to each job.
 #[derive(Debug, Clone, Copy)]
 pub struct CycleLimits {
-    /// Seconds without a start after which a job goes first among its equals.
+    /// Seconds after its submission from which a job that has started no task counts as starving. It is then scheduled
+    /// before the other jobs of its priority and quota state.
     pub starvation_after_s: f64,
-    /// Seconds for which a job's tasks avoid a worker on which one of them has failed.
+    /// Seconds for which a job's tasks are not placed on a worker where one of them has failed.
     pub avoid_failed_worker_s: f64,
 }
 
-/// One scheduling cycle. It works on copies of the quotas and of the workers' free capacity.
+/// The state of one scheduling cycle. It changes only its own copies of the quotas and of the workers' free capacity.
 pub struct SchedulingCycle<'a> {
     pub(super) jobs: &'a Jobs,
     pub(super) quotas: Quotas,
@@ -32,14 +33,14 @@
     pub(super) assignments: Assignments,
     pub(super) jobs_within_quota: HashSet<String>,
     pub(super) unsatisfiable: UnsatisfiableRequests,
-    /// The lowest priority among jobs with bound tasks.
+    /// The lowest priority of any job with bound tasks.
     pub(super) lowest_bound_priority: PriorityClass,
     pub(super) limits: CycleLimits,
     pub(super) now: f64,
 }
 
 impl<'a> SchedulingCycle<'a> {
-    /// Prepares a cycle.
+    /// Prepares a cycle over these jobs and workers.
     pub fn new(
         jobs: &'a Jobs,
         workers: &'a Workers,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Schedules all jobs of the queue.
+    /// Schedules all jobs of the queue, and returns the resulting assignments.
     pub fn run(mut self, rng: &mut impl Rng) -> Assignments {
         let queue = scheduling_queue(self.jobs, &self.jobs_within_quota, self.limits, self.now);
         for queued in queue {
@@ -85,7 +86,7 @@
         let mut placement = JobPlacement::new(job, &mut self.zones);
         let outcome = self.place_tasks(&mut placement, rng);
         if outcome.quota_exhausted {
-            // More capacity would not help: the team's quota is what limits the job.
+            // The team's limit holds the job back, so preemption or more workers would not help it.
             return;
         }
         let mut unplaced = waiting - outcome.placed - outcome.still_observed;
@@ -96,7 +97,8 @@
         self.record_pending_demand(job, unplaced + outcome.still_observed);
     }
 
-    /// Frees capacity for up to `count` tasks of a job. Returns for how many there will be.
+    /// Claims capacity that is being released, or preempts tasks, for up to `count` tasks of a job. Returns the number
+    /// of tasks for which there will be capacity.
     fn preempt_for_tasks(
         &mut self,
         placement: &JobPlacement,
@@ -104,24 +106,24 @@
         rng: &mut impl Rng,
     ) -> u32 {
         let job = placement.job;
-        let urgent = self.now >= job.may_preempt_from && !job.failures.is_crash_looping();
-        let scope = if urgent {
+        let may_preempt = self.now >= job.may_preempt_from && !job.failures.is_crash_looping();
+        let scope = if may_preempt {
             PreemptionScope::AllWorkers
         } else {
             PreemptionScope::NoWorkers
         };
-        let mut served = 0;
-        while served < count
+        let mut placed = 0;
+        while placed < count
             && self.quota_allows(&job.spec)
             && self.claim_or_preempt(placement, scope, rng)
         {
             self.charge_quota(&job.spec);
-            served += 1;
+            placed += 1;
         }
-        served
+        placed
     }
 
-    /// Notes the tasks without capacity, as far as the team's quota would let them run.
+    /// Adds the unplaced tasks to the pending demand, up to the number that the team's limit still allows.
     fn record_pending_demand(&mut self, job: &Job, unplaced: u32) {
         let spec = &job.spec;
         let allowed = self
@@ -137,12 +139,12 @@
         }
     }
 
-    /// Whether the team's quota allows one more task of a job.
+    /// Returns whether the team's limit allows one more task of a job.
     pub(super) fn quota_allows(&self, spec: &JobSpec) -> bool {
         self.quotas.has_capacity(&spec.team, spec.cpus, spec.gpus)
     }
 
-    /// Charges one task of a job to its team's quota.
+    /// Adds one task of a job to its team's usage.
     pub(super) fn charge_quota(&mut self, spec: &JobSpec) {
         self.quotas.charge(&spec.team, spec.cpus, spec.gpus);
     }
--- a/src/coordination/scheduler/mod.rs
+++ b/src/coordination/scheduler/mod.rs
@@ -1,9 +1,10 @@
 //! The scheduler: assigns waiting tasks to workers.
 //!
-//! One [`SchedulingCycle`] works through the queue of jobs. For each job it *filters* the workers
-//! that its tasks may run on, *scores* these, *reserves* capacity and quota on the best one, and
-//! *binds* the task to it. Where no capacity is free, tasks of lower priority may be preempted. A
-//! cycle performs no I/O and changes neither jobs nor workers; its result is [`Assignments`].
+//! A [`SchedulingCycle`] goes through the queue of jobs. For each job it *filters* the workers that
+//! the tasks may run on, *scores* them, and for each task *reserves* capacity on the best worker and
+//! quota of the team, and *binds* the task to that worker. If no capacity is free, it may preempt
+//! tasks of lower priority. A cycle performs no I/O and changes neither jobs nor workers; it returns
+//! [`Assignments`].
 
 mod assignments;
 mod capacity;
--- a/src/coordination/scheduler/placement.rs
+++ b/src/coordination/scheduler/placement.rs
@@ -1,4 +1,4 @@
-//! Placement of one job's tasks: reserves capacity and binds.
+//! Placement of one job's tasks on workers: reserves capacity and binds the tasks.
 
 use super::capacity::{ZoneIndex, resource_request};
 use super::cycle::SchedulingCycle;
@@ -12,17 +12,17 @@
 use rand::Rng;
 use std::collections::HashMap;
 
-/// Tasks bound in one cycle, at most.
+/// Maximum number of tasks bound in one cycle.
 const MAX_BINDS: usize = 128;
 
 /// A job whose tasks are being placed.
 pub(super) struct JobPlacement<'a> {
     pub(super) job: &'a Job,
-    /// What one of its tasks requests.
+    /// The resources that one task of the job requests.
     pub(super) request: Resources,
-    /// Its tasks in each zone, by the zone's number.
+    /// Number of the job's tasks in each zone, indexed by the zone's number.
     tasks_per_zone: Vec<u32>,
-    /// Tasks placed on each worker in this cycle, by the worker's index.
+    /// Number of the job's tasks placed on each worker in this cycle, by the worker's index.
     placed_per_worker: HashMap<usize, u32>,
 }
 
@@ -46,17 +46,17 @@
         &self.job.spec
     }
 
-    /// The job's tasks in a zone.
+    /// Returns the number of the job's tasks in a zone.
     pub(super) fn tasks_in_zone(&self, zone: usize) -> u32 {
         self.tasks_per_zone.get(zone).copied().unwrap_or(0)
     }
 
-    /// Tasks placed on a worker in this cycle.
+    /// Returns the number of the job's tasks placed on a worker in this cycle.
     pub(super) fn placed_on(&self, worker: usize) -> u32 {
         self.placed_per_worker.get(&worker).copied().unwrap_or(0)
     }
 
-    /// Whether the job's rules on zones allow one more task in a zone.
+    /// Returns whether the job's zone constraints (`one_zone`, `spread`) allow one more task in a zone.
     pub(super) fn zone_allows(&self, zone: usize) -> bool {
         let spec = self.spec();
         let in_zone = self.tasks_in_zone(zone);
@@ -75,33 +75,35 @@
         *self.placed_per_worker.entry(worker).or_default() += 1;
     }
 
-    /// Takes back all that was recorded. Only gangs are rolled back, of which no task is bound before.
+    /// Removes all recorded placements. Clearing the zones' counts is correct because only gangs are rolled back, and
+    /// none of a gang's tasks is bound before the cycle.
     fn reset(&mut self) {
         self.tasks_per_zone.fill(0);
         self.placed_per_worker.clear();
     }
 }
 
-/// What came of placing a job's tasks.
+/// The result of placing a job's tasks.
 #[derive(Debug, Default)]
 pub(super) struct PlacementOutcome {
-    /// Tasks bound, or for which capacity is about to be released.
+    /// Tasks that were bound, or for which capacity that is being released was claimed.
     pub(super) placed: u32,
-    /// Tasks that found only workers which still show an earlier attempt of them.
+    /// Tasks that could not be placed because each worker that fits still reports an earlier attempt of them.
     pub(super) still_observed: u32,
-    /// The team's quota ended the placement.
+    /// Placement stopped because the team's limit is reached.
     pub(super) quota_exhausted: bool,
 }
 
-/// State to return to if not all tasks of a gang can be placed.
+/// The state to restore if not all tasks of a gang can be placed.
 struct GangCheckpoint {
+    /// Number of bindings before the gang.
     bindings: usize,
     quotas: Quotas,
 }
 
 impl<'a> SchedulingCycle<'a> {
-    /// Places the job's tasks on workers with free capacity. The tasks of a gang are placed together
-    /// or not at all.
+    /// Places the job's tasks on workers with free capacity. The tasks of a gang are placed all
+    /// together or not at all.
     pub(super) fn place_tasks(
         &mut self,
         placement: &mut JobPlacement<'a>,
@@ -116,7 +118,7 @@
         };
         let outcome = self.place_each_task(placement, rng);
         if outcome.placed < placement.job.startable_count() {
-            // The outcome stands: only tasks beyond the capacity there was count as pending demand.
+            // The counts in the outcome are kept: only the tasks that found no capacity become pending demand.
             self.roll_back(checkpoint, placement);
         }
         outcome
@@ -161,7 +163,7 @@
             };
             let mut best = self.best_worker(&candidates, placement, &task);
             if best.is_none() && candidates.len() >= SAMPLE_SIZE {
-                // The sample is used up; workers outside of it may still have capacity.
+                // No worker of the sample has capacity left; others may have.
                 candidates = self.score_workers(placement, rng);
                 best = self.best_worker(&candidates, placement, &task);
             }
@@ -169,7 +171,7 @@
                 && best.is_none_or(|worker| worker.slow_start)
                 && self.claim_or_preempt(placement, PreemptionScope::WorkersWithImage, rng)
             {
-                // Capacity beside the image is free sooner than the image would be pulled elsewhere.
+                // Preempting on a worker that has the image is faster than pulling the image elsewhere.
                 self.charge_quota(spec);
                 outcome.placed += 1;
                 continue;
@@ -187,7 +189,8 @@
         outcome
     }
 
-    /// Whether a start within the job's objective is still possible, and worth stopping others for.
+    /// Returns whether a service's start objective can still be met by preempting tasks on workers that have its image:
+    /// less than half of the objective has passed, and the job is not crash-looping.
     fn may_preempt_for_image(&self, job: &Job) -> bool {
         job.spec.kind == JobKind::Service
             && !job.failures.is_crash_looping()
@@ -196,7 +199,7 @@
                 .is_some_and(|objective_s| self.now - job.waiting_since < objective_s / 2.0)
     }
 
-    /// Whether any of the workers still shows an earlier attempt of a task.
+    /// Returns whether any of the candidates still reports an earlier attempt of a task.
     fn is_observed_on_any(&self, candidates: &[ScoredWorker], task: &TaskId) -> bool {
         candidates.iter().any(|candidate| {
             let worker = self.capacities[candidate.index].worker;
@@ -204,7 +207,7 @@
         })
     }
 
-    /// Takes a worker's capacity and the team's quota for one task.
+    /// Reserves capacity of a worker, and quota of the team, for one task.
     fn reserve(&mut self, worker: usize, placement: &mut JobPlacement) {
         let capacity = &mut self.capacities[worker];
         capacity.free -= placement.request;
@@ -218,8 +221,8 @@
         self.assignments.bindings.push((task, name));
     }
 
-    /// Reserves the freest worker for a starving job, so that small tasks of other jobs don't fill
-    /// every gap before a large task fits.
+    /// Reserves capacity for one task of a starving job on the worker with the largest free share. Without this, small
+    /// tasks of other jobs would fill each gap before a large task fits.
     pub(super) fn reserve_freest_worker(&mut self, placement: &JobPlacement) {
         let free_share = |index: usize| {
             let capacity = &self.capacities[index];
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -1,4 +1,4 @@
-//! Capacity for tasks that can't wait: claims what is about to be released, or stops other tasks.
+//! Preemption: for tasks that can't wait, claims capacity that is being released, or stops other tasks.
 
 use super::cycle::SchedulingCycle;
 use super::placement::JobPlacement;
@@ -9,17 +9,18 @@
 use rand::Rng;
 use rand::seq::index::sample;
 
-/// Tasks preempted in one cycle, at most.
+/// Maximum number of tasks preempted in one cycle.
 const MAX_PREEMPTIONS: usize = 32;
-/// Least CPUs with which the lost work of a task is computed.
+/// Lower bound on the CPUs that the lost work of a task is computed with.
 const MIN_WORK_CPUS: f64 = 0.1;
 
-/// Workers on which tasks may be preempted for a job.
+/// The workers on which tasks may be preempted for a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PreemptionScope {
+    /// Nothing is preempted, but capacity that is being released may be claimed on any worker.
     NoWorkers,
-    /// Only those that have the job's image in their cache; capacity about to be released is claimed
-    /// only there too.
+    /// Workers that have the job's image in their cache. Capacity that is being released is also
+    /// claimed only there.
     WorkersWithImage,
     AllWorkers,
 }
@@ -31,18 +32,19 @@
     is_service: bool,
     team: &'a str,
     request: Resources,
-    /// CPU seconds that would be lost.
+    /// CPU seconds of work that preemption would lose.
     work_lost: f64,
+    /// This cycle has already preempted the task.
     preempted: bool,
 }
 
-/// Tasks to be preempted on one worker: its candidates with the least work lost.
+/// The tasks to preempt on one worker: the first of its candidates, which lose the least work.
 struct PreemptionPlan {
     /// Index of the worker in the cycle's capacities.
     worker: usize,
-    /// Number of tasks.
+    /// Number of tasks to preempt.
     victims: usize,
-    /// CPU seconds that would be lost.
+    /// CPU seconds of work that would be lost.
     work_lost: f64,
     /// The worker would have to pull the job's image.
     needs_image_pull: bool,
@@ -55,8 +57,8 @@
 }
 
 impl SchedulingCycle<'_> {
-    /// Claims capacity for one task that is about to be released, or preempts tasks within `scope`.
-    /// Returns whether there will be capacity.
+    /// Provides capacity for one task: claims capacity that is being released or, failing that,
+    /// preempts tasks on the workers of `scope`. Returns whether there will be capacity.
     pub(super) fn claim_or_preempt(
         &mut self,
         placement: &JobPlacement,
@@ -80,7 +82,7 @@
         true
     }
 
-    /// Indices of the workers that the job may use, within a scope.
+    /// Returns the indices of the workers that pass the job's filter and from which `scope` lets it claim capacity.
     fn usable_workers(&self, placement: &JobPlacement, scope: PreemptionScope) -> Vec<usize> {
         let image_required = scope == PreemptionScope::WorkersWithImage;
         (0..self.capacities.len())
@@ -92,7 +94,7 @@
             .collect()
     }
 
-    /// Claims capacity that tasks being stopped will release.
+    /// Claims capacity that tasks being stopped will release on one of the workers. Returns whether there was enough.
     fn claim_releasing(&mut self, usable: &[usize], request: &Resources) -> bool {
         for index in usable {
             let capacity = &mut self.capacities[*index];
@@ -106,16 +108,17 @@
         false
     }
 
+    /// Returns whether the job fits into its team's quota together with the team's earlier jobs.
     fn is_within_quota(&self, placement: &JobPlacement) -> bool {
         self.jobs_within_quota.contains(&placement.spec().id)
     }
 
-    /// Whether there may be any task that can be preempted for the job.
+    /// Returns whether there can be any task to preempt for the job; if not, the search is skipped.
     fn may_preempt_any(&self, placement: &JobPlacement) -> bool {
         placement.spec().priority < self.lowest_bound_priority || self.is_within_quota(placement)
     }
 
-    /// The best preemption on a random sample of the usable workers.
+    /// Returns the best plan over a random sample of the usable workers.
     fn best_preemption(
         &mut self,
         usable: &[usize],
@@ -137,7 +140,7 @@
         best
     }
 
-    /// Lists a worker's tasks that may be preempted, those with the least work lost first.
+    /// Lists a worker's bound tasks that are not being stopped yet, ordered by the work that preemption would lose.
     fn list_preemptible(&mut self, worker: usize) {
         if self.capacities[worker].preemptible.is_some() {
             return;
@@ -164,8 +167,8 @@
         self.capacities[worker].preemptible = Some(preemptible);
     }
 
-    /// Whether a task may be preempted for the job: it has lower priority, or its team has borrowed
-    /// what the job's team is entitled to by its quota.
+    /// Returns whether a task may be preempted for the job: the task has lower priority, or the job is
+    /// within its team's quota and the task's team uses more than its own.
     fn may_preempt(&self, victim: &PreemptionCandidate, placement: &JobPlacement) -> bool {
         let request = &victim.request;
         let borrows_quota = || {
@@ -179,7 +182,7 @@
         !victim.preempted && (victim.priority > placement.spec().priority || borrows_quota())
     }
 
-    /// The tasks of a worker that would have to be preempted for one task of the job, if any.
+    /// Returns the tasks of a worker to preempt for one task of the job, or `None` if that can't free enough.
     fn plan_preemption(&self, worker: usize, placement: &JobPlacement) -> Option<PreemptionPlan> {
         let capacity = &self.capacities[worker];
         let mut available = capacity.free_after_release();
@@ -202,6 +205,7 @@
         (plan.victims > 0 && available.fits(&placement.request)).then_some(plan)
     }
 
+    /// Preempts the tasks of a plan, and claims the capacity that they release for one task of the job.
     fn preempt(&mut self, plan: &PreemptionPlan, placement: &JobPlacement) {
         let worker = plan.worker;
         let mut preemptible = self.capacities[worker]
--- a/src/coordination/scheduler/queue.rs
+++ b/src/coordination/scheduler/queue.rs
@@ -7,14 +7,14 @@
 use std::cmp::Ordering;
 use std::collections::{HashMap, HashSet};
 
-/// A job's position in the queue: by priority, then jobs within their team's quota, then starving
-/// jobs, then those that can still meet their deadline, the earliest deadline first.
+/// The sort key of a job in the queue. Jobs are ordered by priority; among equals, jobs within their team's
+/// quota come first, then starving jobs, then jobs whose deadline has not passed, then the earliest deadline.
 struct QueuePosition {
     priority: PriorityClass,
     beyond_quota: bool,
     not_starving: bool,
     late: bool,
-    /// The job's deadline or, if it has none, the time of its submission.
+    /// The job's deadline or, if it has none, the time of its submission, in seconds.
     deadline: f64,
 }
 
@@ -51,20 +51,20 @@
     }
 }
 
-/// A job in the queue.
+/// A job in the queue, with its sort key.
 pub(super) struct QueuedJob<'a> {
     pub(super) job: &'a Job,
     position: QueuePosition,
 }
 
 impl QueuedJob<'_> {
-    /// Whether the job has waited without a start for longer than the ageing limit.
+    /// Returns whether the job has waited without starting a task for at least `starvation_after_s`.
     pub(super) fn is_starving(&self) -> bool {
         !self.position.not_starving
     }
 }
 
-/// The jobs with tasks to start, in the order in which they are scheduled.
+/// Returns the jobs with tasks to start, in the order in which they are scheduled. Gangs with bound tasks are left out.
 pub(super) fn scheduling_queue<'a>(
     jobs: &'a Jobs,
     jobs_within_quota: &HashSet<String>,
@@ -88,15 +88,15 @@
     queue
 }
 
-/// Resources requested by all tasks of a team's jobs up to some point.
+/// Sum of the resources that all tasks of a team's jobs request, over the jobs added so far.
 #[derive(Default)]
 struct TeamRequest {
     cpus: f64,
     gpus: f64,
 }
 
-/// Ids of the jobs that fit into their team's quota as a whole, together with all earlier
-/// unfinished jobs of the team.
+/// Returns the ids of the jobs of which all tasks fit into the team's quota, together with all tasks of the
+/// team's unfinished jobs that were submitted earlier.
 pub(super) fn jobs_within_quota(jobs: &Jobs, quotas: &Quotas) -> HashSet<String> {
     let mut by_age: Vec<&Job> = jobs.iter().collect();
     by_age.sort_by(|a, b| {
@@ -105,15 +105,15 @@
             .then_with(|| a.spec.id.cmp(&b.spec.id))
     });
     let mut requests: HashMap<&str, TeamRequest> = HashMap::new();
-    let mut within = HashSet::new();
+    let mut within_quota = HashSet::new();
     for job in by_age {
         let spec = &job.spec;
         let request = requests.entry(&spec.team).or_default();
         request.cpus += spec.cpus * f64::from(spec.tasks);
         request.gpus += spec.gpus * f64::from(spec.tasks);
         if quotas.is_within_quota(&spec.team, request.cpus, request.gpus) {
-            within.insert(spec.id.clone());
+            within_quota.insert(spec.id.clone());
         }
     }
-    within
+    within_quota
 }
--- a/src/coordination/scheduler/scoring.rs
+++ b/src/coordination/scheduler/scoring.rs
@@ -1,4 +1,4 @@
-//! Filter and score: which workers a job's tasks may run on, and which of them is best.
+//! Filtering and scoring: which workers a job's tasks may run on, and which of them is best.
 
 use super::capacity::WorkerCapacity;
 use super::cycle::SchedulingCycle;
@@ -10,42 +10,43 @@
 use rand::seq::index::sample;
 use std::cmp::Ordering;
 
-/// Workers considered for one job; of more than these a random sample is considered.
+/// Maximum number of workers considered for one job. If more are feasible, a random sample of this size is considered.
 pub(super) const SAMPLE_SIZE: usize = 64;
-/// Factor on the time that pulling an image should take: workers may pull a third slower than their
-/// instance type says, and the start itself takes time too.
+/// Factor on the nominal time of an image pull: workers may pull a third slower than their instance
+/// type says, and the start of the task takes time too.
 const IMAGE_PULL_MARGIN: f64 = 1.5;
-/// Least rate of image pulls that is computed with, in GB per second.
+/// Lower bound on the image pull rate in computations, in GB per second; avoids a division by zero.
 const MIN_IMAGE_PULL_GB_PER_S: f64 = 1e-6;
 
-/// A worker that has passed the filter, with the parts of its score that don't change while the
+/// A worker that has passed the filter, with the parts of its score that stay the same while the
 /// job's tasks are placed.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ScoredWorker {
     /// Index of the worker in the cycle's capacities.
     pub(super) index: usize,
-    /// A task of the job has failed there.
+    /// A task of the job has failed on this worker.
     failed_before: bool,
     has_image: bool,
-    /// It would have to pull the image, and the job's tasks must start sooner.
+    /// The job has urgent or production priority, and no start objective that leaves time for the image
+    /// pull which the worker needs.
     pub(super) slow_start: bool,
-    /// It is an on-demand instance, though the job may use spot instances.
+    /// The worker is an on-demand instance, although the job may use spot instances.
     on_demand: bool,
 }
 
-/// The score of a worker for one more task of a job. Of two the lesser is better, and earlier fields
-/// weigh more.
+/// The score of a worker for one more task of a job. The lower score is better; fields are compared in
+/// this order.
 struct Score {
     failed_before: bool,
     slow_start: bool,
     on_demand: bool,
-    /// The job's tasks in the zone, if they should be spread.
+    /// Number of the job's tasks in the worker's zone if the job is to be spread over zones, else 0.
     tasks_in_zone: u32,
     lacks_image: bool,
-    /// Replicas placed there that have to pull the image too. Each replica that has to should do so
-    /// on another worker, so that later ones find the image on many.
+    /// Number of replicas placed on the worker in this cycle that have to pull the image. Replicas are spread over
+    /// workers without the image, so that many workers have it for later replicas.
     replicas_pulling: u32,
-    /// Share of the worker that would stay free: the fullest is best.
+    /// Share of the worker that would stay free. The fullest worker is best.
     free_share: f64,
 }
 
@@ -67,24 +68,24 @@
     }
 }
 
-/// Requests known to fit on no worker. Free capacity only shrinks during a cycle, so requests that
-/// are at least as large need no search.
+/// Requests for which no worker had capacity. Free capacity only shrinks during a cycle, so a request
+/// that is at least as large can't be satisfied either and needs no search.
 #[derive(Debug, Default)]
 pub(super) struct UnsatisfiableRequests {
-    /// For jobs that use on-demand instances only.
+    /// The latest such request of a job that may use on-demand instances only.
     on_demand: Option<Resources>,
-    /// For jobs that may use any instance.
+    /// The latest such request of a job that may use spot instances too.
     any: Option<Resources>,
 }
 
 impl UnsatisfiableRequests {
     fn includes(&self, request: &Resources, may_use_spot: bool) -> bool {
-        let known = if may_use_spot {
+        let unsatisfiable = if may_use_spot {
             self.any
         } else {
             self.on_demand
         };
-        known.is_some_and(|known| request.fits(&known))
+        unsatisfiable.is_some_and(|unsatisfiable| request.fits(&unsatisfiable))
     }
 
     fn record(&mut self, request: Resources, may_use_spot: bool) {
@@ -97,7 +98,7 @@
 }
 
 impl SchedulingCycle<'_> {
-    /// Whether the job's tasks may run on a worker, whatever is free there.
+    /// Returns whether the job's tasks may run on a worker, regardless of its free capacity.
     pub(super) fn filter_worker(
         &self,
         placement: &JobPlacement,
@@ -116,8 +117,8 @@
             && placement.zone_allows(capacity.zone)
     }
 
-    /// The workers that have capacity for a task of the job, scored; if there are many, a random
-    /// sample of them.
+    /// Returns the workers that have capacity for a task of the job, with the constant parts of their
+    /// scores; at most a random sample of [`SAMPLE_SIZE`] workers.
     pub(super) fn score_workers(
         &mut self,
         placement: &JobPlacement,
@@ -136,7 +137,7 @@
             .collect()
     }
 
-    /// Indices of the workers that have capacity for a task of the job.
+    /// Returns the indices of the workers that have capacity for a task of the job.
     fn feasible_workers(&mut self, placement: &JobPlacement) -> Vec<usize> {
         let spec = placement.spec();
         let request = &placement.request;
@@ -177,23 +178,24 @@
         }
     }
 
-    /// Keeps the candidates of the zone with the most capacity: for a job that must stay in one zone
-    /// and has no task yet.
+    /// Keeps only the candidates in the zone that fits the most tasks. Used for a job that must run in
+    /// one zone and has no task yet.
     pub(super) fn retain_largest_zone(
         &self,
         candidates: &mut Vec<ScoredWorker>,
         request: &Resources,
     ) {
-        let mut fitting = vec![0; self.zones.len()];
+        let mut fitting_tasks = vec![0; self.zones.len()];
         for candidate in candidates.iter() {
             let capacity = &self.capacities[candidate.index];
-            fitting[capacity.zone] += capacity.free.count_fitting(request);
+            fitting_tasks[capacity.zone] += capacity.free.count_fitting(request);
         }
-        let largest = (0..fitting.len()).max_by_key(|zone| fitting[*zone]);
+        let largest = (0..fitting_tasks.len()).max_by_key(|zone| fitting_tasks[*zone]);
         candidates.retain(|candidate| Some(self.capacities[candidate.index].zone) == largest);
     }
 
-    /// The candidate with the best score for one more task.
+    /// Returns the candidate with the best score for a task. Candidates that still report an earlier attempt of the
+    /// task are left out.
     pub(super) fn best_worker(
         &self,
         candidates: &[ScoredWorker],
--- a/tests/autoscaler.rs
+++ b/tests/autoscaler.rs
@@ -1,4 +1,4 @@
-//! The scaling arithmetic, as a table.
+//! Table tests of the autoscaler's formulas and of the rate meter.
 
 use cedarladder::coordination::autoscaler::{PoolLoad, ScalingDecision, TargetReason, decide};
 use cedarladder::coordination::rate_meter::RateMeter;
@@ -42,7 +42,7 @@
             TargetReason::Little,
         ),
         (
-            "the source's example of Little's law",
+            "Little's law: the example of the article",
             PoolLoad {
                 pending: 100,
                 rate: 10.0,
@@ -55,7 +55,7 @@
             TargetReason::Little,
         ),
         (
-            "the source's example of the backlog: margin 1.23 at 91.7% of the target",
+            "backlog: the example of the article, margin 1.23 at 91.7% of the pickup target",
             PoolLoad {
                 pending: 500,
                 oldest_s: 55.0,
@@ -69,7 +69,7 @@
             TargetReason::Drain,
         ),
         (
-            "at breach the drain target is the maximum, but never beyond what waits would fill",
+            "pickup target missed: the drain target is the maximum, limited to what the waiting tasks would fill",
             PoolLoad {
                 pending: 4,
                 oldest_s: 61.0,
@@ -84,7 +84,7 @@
             TargetReason::Fill,
         ),
         (
-            "the forecast: 2 tasks a second of 30 s, 4 on a machine",
+            "forecast: 2 tasks per second of 30 s each, 4 to a machine",
             PoolLoad {
                 forecast: 2.0,
                 task_s: 30.0,
@@ -98,7 +98,7 @@
             TargetReason::Trend,
         ),
         (
-            "replicas count as they are",
+            "running replicas count as the machines that they fill",
             PoolLoad {
                 service_machines: 2.4,
                 ..load()
@@ -109,7 +109,7 @@
             TargetReason::Trend,
         ),
         (
-            "headroom comes on top of what is busy and what the waiting fill",
+            "headroom is added to the busy machines and those that the waiting tasks would fill",
             PoolLoad {
                 pending: 8,
                 oldest_s: 100.0,
@@ -126,7 +126,7 @@
             TargetReason::Headroom,
         ),
         (
-            "busy machines stay",
+            "busy machines are kept",
             PoolLoad { busy: 4, ..load() },
             parameters(),
             (0, 0, 0),
@@ -134,7 +134,7 @@
             TargetReason::Busy,
         ),
         (
-            "the minimum holds when nothing is asked",
+            "the minimum applies without load",
             load(),
             ScalingParameters {
                 min: 2,
@@ -145,7 +145,7 @@
             TargetReason::Min,
         ),
         (
-            "the maximum holds against the forecast",
+            "the maximum limits the forecast target",
             PoolLoad {
                 forecast: 100.0,
                 task_s: 100.0,
@@ -157,7 +157,7 @@
             TargetReason::Trend,
         ),
         (
-            "the maximum holds against the busy",
+            "the maximum limits the target even below the busy machines",
             PoolLoad { busy: 60, ..load() },
             parameters(),
             (0, 0, 0),
@@ -189,14 +189,30 @@
 fn meter_rates() {
     let mut meter = RateMeter::default();
     for i in 0..60 {
-        // One event a second for 30 s, then two.
+        // One event per second for 30 s, then two per second.
         meter.add(if i < 30 { 1.0 } else { 2.0 }, f64::from(i) + 0.5);
     }
     let cases = [
-        ("the latest window", meter.rate(30.0, 0.0, 60.0), 2.0),
-        ("a shorter life", meter.rate(30.0, 50.0, 60.0), 2.0),
-        ("the trend carried on", meter.forecast(30.0, 0.0, 60.0), 3.0),
-        ("no trend yet", meter.forecast(30.0, 30.0, 60.0), 2.0),
+        (
+            "rate over the latest window",
+            meter.rate(30.0, 0.0, 60.0),
+            2.0,
+        ),
+        (
+            "rate of a meter that is younger than the window",
+            meter.rate(30.0, 50.0, 60.0),
+            2.0,
+        ),
+        (
+            "forecast: the trend extrapolated",
+            meter.forecast(30.0, 0.0, 60.0),
+            3.0,
+        ),
+        (
+            "forecast without a trend: younger than two windows",
+            meter.forecast(30.0, 30.0, 60.0),
+            2.0,
+        ),
     ];
     for (name, got, expected) in cases {
         assert!((got - expected).abs() < 1e-9, "{name}: {got}");
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! Placement, quotas and preemption, as tables.
+//! Table tests of the scheduler: placement, quotas and preemption.
 
 mod common;
 
@@ -11,38 +11,38 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-struct Scene {
+struct Cluster {
     jobs: Jobs,
     workers: Workers,
     quotas: Quotas,
 }
 
-impl Scene {
-    fn new(workers: Vec<Worker>, jobs: Vec<JobSpec>) -> Scene {
-        let mut scene = Scene {
+impl Cluster {
+    fn new(workers: Vec<Worker>, jobs: Vec<JobSpec>) -> Cluster {
+        let mut cluster = Cluster {
             jobs: Jobs::default(),
             workers: Workers::default(),
             quotas: Quotas::new(&[team("t", 4.0, 12.0), team("u", 8.0, 0.0)]),
         };
-        for h in workers {
-            let name = h.name.clone();
-            scene.workers.get_or_insert_with(&name, || h);
+        for worker in workers {
+            let name = worker.name.clone();
+            cluster.workers.get_or_insert_with(&name, || worker);
         }
         for spec in jobs {
-            scene.jobs.insert(job(spec));
+            cluster.jobs.insert(job(spec));
         }
-        scene
+        cluster
     }
 
-    /// Binds a task that runs since some time.
-    fn bind(mut self, name: &str, id: &str, index: u32, since: f64) -> Scene {
+    /// Binds a task to a worker, where it has been running since `since`.
+    fn bind(mut self, name: &str, id: &str, index: u32, since: f64) -> Cluster {
         let job = self.jobs.get_mut(id).unwrap();
         let worker = self.workers.get_mut(name).unwrap();
-        let mut b = binding(&job.spec, 1);
-        b.running_since = Some(since);
+        let mut binding = binding(&job.spec, 1);
+        binding.running_since = Some(since);
         self.quotas.charge(&job.spec.team, job.spec.cpus, 0.0);
         job.bind(index, name, &worker.zone);
-        worker.bindings.insert(task(id, index), b);
+        worker.bindings.insert(task(id, index), binding);
         self
     }
 
@@ -52,7 +52,7 @@
             starvation_after_s: 50.0,
             avoid_failed_worker_s: 10.0,
         };
-        let pass = SchedulingCycle::new(
+        let cycle = SchedulingCycle::new(
             &self.jobs,
             &self.workers,
             &instance_types,
@@ -60,20 +60,20 @@
             limits,
             100.0,
         );
-        pass.run(&mut SmallRng::seed_from_u64(1))
+        cycle.run(&mut SmallRng::seed_from_u64(1))
     }
 }
 
 fn with(id: &str, tasks: u32, change: impl Fn(&mut JobSpec)) -> JobSpec {
-    let mut s = spec(id, tasks);
-    change(&mut s);
-    s
+    let mut spec = spec(id, tasks);
+    change(&mut spec);
+    spec
 }
 
-/// (name, scene, workers of the binds in order, evicted tasks, tasks without room)
+/// Name, cluster, workers that tasks are bound to, in order, preempted tasks, and number of tasks without capacity.
 type Case = (
     &'static str,
-    Scene,
+    Cluster,
     Vec<&'static str>,
     Vec<&'static str>,
     u32,
@@ -81,54 +81,54 @@
 
 #[test]
 fn placement() {
-    let ordinary = || vec![worker("o-a", "a", false), worker("o-b", "b", false)];
+    let on_demand = || vec![worker("o-a", "a", false), worker("o-b", "b", false)];
     let all = || {
-        let mut workers = ordinary();
+        let mut workers = on_demand();
         workers.push(worker("s-a", "a", true));
         workers
     };
-    let mut warned = worker("s-a", "a", true);
-    warned.reclaim_at = Some(110.0);
+    let mut reclaimed = worker("s-a", "a", true);
+    reclaimed.reclaim_at = Some(110.0);
     let mut faulty = worker("o-a", "a", false);
     for _ in 0..3 {
         faulty.failures.record_failure("j-000009", true);
     }
-    let mut silent = worker("o-a", "a", false);
-    silent.token_acknowledged = false;
-    let mut unreached = worker("o-a", "a", false);
-    unreached.unreachable_since = Some(90.0);
+    let mut unacknowledged = worker("o-a", "a", false);
+    unacknowledged.token_acknowledged = false;
+    let mut unreachable = worker("o-a", "a", false);
+    unreachable.unreachable_since = Some(90.0);
     let cases: Vec<Case> = vec![
         (
-            "spot first",
-            Scene::new(all(), vec![spec("j-1", 2)]),
+            "spot workers first",
+            Cluster::new(all(), vec![spec("j-1", 2)]),
             vec!["s-a", "s-a"],
             vec![],
             0,
         ),
         (
-            "nothing where no answer arrives",
-            Scene::new(vec![unreached], vec![spec("j-1", 1)]),
+            "no task on an unreachable worker",
+            Cluster::new(vec![unreachable], vec![spec("j-1", 1)]),
             vec![],
             vec![],
             1,
         ),
         (
-            "no spot for those who may not",
-            Scene::new(all(), vec![with("j-1", 1, |s| s.spot = false)]),
+            "no spot worker for a job that may not use them",
+            Cluster::new(all(), vec![with("j-1", 1, |s| s.spot = false)]),
             vec!["o-a"],
             vec![],
             0,
         ),
         (
-            "the only allowed zone",
-            Scene::new(all(), vec![with("j-1", 1, |s| s.zone = Some("b".into()))]),
+            "only the zone that the job allows",
+            Cluster::new(all(), vec![with("j-1", 1, |s| s.zone = Some("b".into()))]),
             vec!["o-b"],
             vec![],
             0,
         ),
         (
-            "a type that nobody has",
-            Scene::new(
+            "no worker of an allowed instance type",
+            Cluster::new(
                 all(),
                 vec![with("j-1", 1, |s| {
                     s.instance_types = Some(vec!["x".into()]);
@@ -139,8 +139,8 @@
             1,
         ),
         (
-            "spread: at most half, rounded up, in a zone",
-            Scene::new(
+            "spread: at most half of the tasks, rounded up, in a zone",
+            Cluster::new(
                 vec![worker("o-a", "a", false)],
                 vec![with("j-1", 5, |s| {
                     s.spread = true;
@@ -152,9 +152,9 @@
             2,
         ),
         (
-            "one zone: the one with more room, and only that",
-            Scene::new(
-                ordinary(),
+            "one_zone: only the zone with more free capacity",
+            Cluster::new(
+                on_demand(),
                 vec![with("j-1", 6, |s| s.one_zone = true), spec("j-2", 1)],
             )
             .bind("o-a", "j-2", 0, 0.0),
@@ -163,8 +163,8 @@
             1,
         ),
         (
-            "the team's limit counts what is bound and what is placed",
-            Scene::new(
+            "the team's limit includes bound tasks and those placed in the cycle",
+            Cluster::new(
                 vec![worker("o-a", "a", false), worker("o-b", "b", false)],
                 vec![spec("j-1", 5), spec("j-2", 9)],
             )
@@ -174,29 +174,29 @@
             0,
         ),
         (
-            "a machine about to be taken, a faulty one and one without this Epoch get nothing",
-            Scene::new(vec![warned], vec![spec("j-1", 1)]),
+            "no task on a worker that is about to be reclaimed",
+            Cluster::new(vec![reclaimed], vec![spec("j-1", 1)]),
             vec![],
             vec![],
             1,
         ),
         (
-            "faulty",
-            Scene::new(vec![faulty], vec![spec("j-1", 1)]),
+            "no task on a worker whose tasks have failed",
+            Cluster::new(vec![faulty], vec![spec("j-1", 1)]),
             vec![],
             vec![],
             1,
         ),
         (
-            "not heard",
-            Scene::new(vec![silent], vec![spec("j-1", 1)]),
+            "no task on a worker that has not acknowledged the token",
+            Cluster::new(vec![unacknowledged], vec![spec("j-1", 1)]),
             vec![],
             vec![],
             1,
         ),
         (
-            "a group goes together or not at all; what is missing is beyond the room there is",
-            Scene::new(
+            "gang: all tasks or none; only the tasks beyond the free capacity are pending demand",
+            Cluster::new(
                 vec![worker("o-a", "a", false)],
                 vec![with("j-1", 5, |s| s.kind = JobKind::Gang)],
             ),
@@ -205,8 +205,8 @@
             1,
         ),
         (
-            "higher priority stops the task that loses least",
-            Scene::new(
+            "a job of higher priority preempts the task that loses the least work",
+            Cluster::new(
                 vec![worker("o-a", "a", false)],
                 vec![
                     with("j-1", 4, |s| s.team = "u".into()),
@@ -222,8 +222,8 @@
             0,
         ),
         (
-            "the same priority stops nothing",
-            Scene::new(
+            "a job of the same priority preempts nothing",
+            Cluster::new(
                 vec![worker("o-a", "a", false)],
                 vec![
                     with("j-1", 4, |s| s.team = "u".into()),
@@ -239,8 +239,8 @@
             1,
         ),
         (
-            "a guarantee stops what another team has borrowed",
-            Scene::new(
+            "a job within its team's quota preempts a task of a team that exceeds its own",
+            Cluster::new(
                 vec![worker("o-a", "a", false)],
                 vec![spec("j-1", 4), with("j-2", 1, |s| s.team = "u".into())],
             )
@@ -253,36 +253,40 @@
             0,
         ),
     ];
-    for (name, scene, binds, halts, unplaced) in cases {
-        let plan = scene.run();
-        let got: Vec<&str> = plan
+    for (name, cluster, bound_to, preemptions, unplaced) in cases {
+        let assignments = cluster.run();
+        let got: Vec<&str> = assignments
             .bindings
             .iter()
             .map(|(_, worker)| worker.as_str())
             .collect();
-        assert_eq!(got, binds, "{name}");
-        let got: Vec<String> = plan
+        assert_eq!(got, bound_to, "{name}");
+        let got: Vec<String> = assignments
             .preemptions
             .iter()
             .map(|(_, task)| task.to_string())
             .collect();
-        assert_eq!(got, halts, "{name}");
-        let got: u32 = plan.pending_demand.iter().map(|u| u.count).sum();
+        assert_eq!(got, preemptions, "{name}");
+        let got: u32 = assignments
+            .pending_demand
+            .iter()
+            .map(|demand| demand.count)
+            .sum();
         assert_eq!(got, unplaced, "{name}");
     }
 }
 
-/// A job that has waited for long without a start goes first among its equals, ahead of neither
-/// priority nor limit, and one with large tasks gets a machine of its own to wait for.
+/// A starving job is scheduled before other jobs of its priority, but not before a higher priority. For a starving job
+/// with a large task, a worker is reserved.
 #[test]
-fn ageing() {
+fn starving_jobs_are_scheduled_first() {
     let urgent = |s: &mut JobSpec| s.priority = PriorityClass::Urgent;
     let large = |s: &mut JobSpec| s.cpus = 8.0;
-    // Each: tasks of the machine's, jobs with the time they came, and whose tasks are bound first.
+    // Name, tasks bound to the only worker, jobs with their submission times, and the jobs of the bound tasks in order.
     type Case = (&'static str, u32, Vec<(JobSpec, f64)>, Vec<&'static str>);
     let cases: Vec<Case> = vec![
         (
-            "long without a start: first, though its deadline is over",
+            "a starving job is first, although its deadline has passed",
             0,
             vec![
                 (with("j-1", 1, |s| s.deadline_s = Some(30.0)), 99.0),
@@ -291,7 +295,7 @@
             vec!["j-2", "j-1"],
         ),
         (
-            "a while without a start: those who can be on time first",
+            "not starving yet: jobs that can still meet their deadline are first",
             0,
             vec![
                 (with("j-1", 1, |s| s.deadline_s = Some(30.0)), 99.0),
@@ -300,48 +304,52 @@
             vec!["j-1", "j-2"],
         ),
         (
-            "not ahead of a higher priority",
+            "a starving job is not ahead of a higher priority",
             0,
             vec![(with("j-1", 1, urgent), 99.0), (spec("j-2", 1), 10.0)],
             vec!["j-1", "j-2"],
         ),
         (
-            "a large task keeps the machine that it waits for",
+            "a starving large task reserves the worker that it waits for",
             2,
             vec![(spec("j-1", 2), 99.0), (with("j-2", 1, large), 10.0)],
             vec![],
         ),
         (
-            "a large task that has just come does not",
+            "a large task that was just submitted reserves nothing",
             2,
             vec![(spec("j-1", 2), 99.0), (with("j-2", 1, large), 98.0)],
             vec!["j-1", "j-1"],
         ),
     ];
-    for (name, bound, jobs, expected) in cases {
-        let mut scene = Scene::new(
+    for (name, bound_tasks, jobs, expected) in cases {
+        let mut cluster = Cluster::new(
             vec![worker("o-a", "a", false)],
-            vec![spec("j-9", bound.max(1))],
+            vec![spec("j-9", bound_tasks.max(1))],
         );
-        for index in 0..bound {
-            scene = scene.bind("o-a", "j-9", index, 50.0);
+        for index in 0..bound_tasks {
+            cluster = cluster.bind("o-a", "j-9", index, 50.0);
         }
-        if bound == 0 {
-            scene.jobs.remove("j-9");
+        if bound_tasks == 0 {
+            cluster.jobs.remove("j-9");
         }
-        for (spec, since) in jobs {
-            scene.jobs.insert(Job::new(spec, 5, since));
+        for (spec, submitted_at) in jobs {
+            cluster.jobs.insert(Job::new(spec, 5, submitted_at));
         }
-        let plan = scene.run();
-        let got: Vec<&str> = plan.bindings.iter().map(|(t, _)| t.job.as_str()).collect();
+        let assignments = cluster.run();
+        let got: Vec<&str> = assignments
+            .bindings
+            .iter()
+            .map(|(task, _)| task.job.as_str())
+            .collect();
         assert_eq!(got, expected, "{name}");
     }
 }
 
-/// Replicas that should start within a second: where their image is, or where work that makes way
-/// runs beside it; else each on another machine, so that the image is on many.
+/// Replicas with a start objective of one second are placed on a worker that has their image, preempting tasks there if
+/// need be. If no worker has it, each replica is placed on another worker, so that many workers have the image later.
 #[test]
-fn images() {
+fn replicas_are_placed_by_image() {
     let replicas = |tasks| {
         let mut job = Job::new(
             with("j-1", tasks, |s| {
@@ -358,69 +366,71 @@
         job
     };
     let with_image = |name: &str| {
-        let mut h = worker(name, "a", false);
-        h.remember_image("img");
-        h
+        let mut worker = worker(name, "a", false);
+        worker.remember_image("img");
+        worker
     };
     type Case = (&'static str, Vec<Worker>, bool, Vec<&'static str>, usize);
     let cases: Vec<Case> = vec![
         (
-            "where the image is",
+            "on the worker that has the image",
             vec![worker("o-1", "a", false), with_image("o-2")],
             false,
             vec!["o-2", "o-2"],
             0,
         ),
         (
-            "work makes way at the image",
+            "preempts tasks on the worker that has the image",
             vec![worker("o-1", "a", false), with_image("o-2")],
             true,
             vec![],
             2,
         ),
         (
-            "each on another machine where it must be fetched",
+            "on different workers if the image must be pulled",
             vec![worker("o-1", "a", false), worker("o-2", "a", false)],
             false,
             vec!["o-1", "o-2"],
             0,
         ),
     ];
-    for (name, workers, full, binds, halts) in cases {
-        let mut scene = Scene::new(workers, vec![]);
-        scene.jobs.insert(replicas(2));
-        if full {
-            scene.jobs.insert(Job::new(spec("j-9", 4), 5, 0.0));
+    for (name, workers, image_worker_is_full, bound_to, preemptions) in cases {
+        let mut cluster = Cluster::new(workers, vec![]);
+        cluster.jobs.insert(replicas(2));
+        if image_worker_is_full {
+            cluster.jobs.insert(Job::new(spec("j-9", 4), 5, 0.0));
             for index in 0..4 {
-                scene = scene.bind("o-2", "j-9", index, 95.0);
+                cluster = cluster.bind("o-2", "j-9", index, 95.0);
             }
         }
-        let plan = scene.run();
-        let got: Vec<&str> = plan
+        let assignments = cluster.run();
+        let got: Vec<&str> = assignments
             .bindings
             .iter()
             .map(|(_, worker)| worker.as_str())
             .collect();
-        assert_eq!(got, binds, "{name}");
-        assert_eq!(plan.preemptions.len(), halts, "{name}");
+        assert_eq!(got, bound_to, "{name}");
+        assert_eq!(assignments.preemptions.len(), preemptions, "{name}");
     }
 }
 
-/// With many machines a pass looks at a sample of them, and still places.
+/// With thousands of workers, a cycle considers only a sample of them for each job, and still binds as many tasks as it
+/// may.
 #[test]
-fn samples() {
+fn a_cycle_samples_the_workers() {
     let workers = (0..2000)
         .map(|i| worker(&format!("h-{i:05}"), "a", false))
         .collect();
     let jobs = (0..300)
         .map(|i| with(&format!("j-{i}"), 50, |s| s.team = "u".into()))
         .collect();
-    let plan = Scene::new(workers, jobs).run();
-    assert_eq!(plan.bindings.len(), 128, "bounded work in one pass");
+    let assignments = Cluster::new(workers, jobs).run();
+    assert_eq!(assignments.bindings.len(), 128, "the maximum of one cycle");
 }
 
+/// Whether a team's limit lets a job run at all.
 #[test]
-fn limits() {
+fn team_limits() {
     let quotas = Quotas::new(&[team("t", 4.0, 12.0), team("u", 0.0, 0.0)]);
     let cases = [
         (
@@ -429,23 +439,27 @@
             false,
         ),
         (
-            "a task of an array",
+            "an array of which one task fits",
             with("j-1", 100, |s| s.cpus = 12.0),
             true,
         ),
-        ("a task too large", with("j-1", 1, |s| s.cpus = 12.5), false),
         (
-            "all replicas together",
+            "one task exceeds the limit",
+            with("j-1", 1, |s| s.cpus = 12.5),
+            false,
+        ),
+        (
+            "all replicas of a service together exceed the limit",
             with("j-1", 7, |s| s.kind = JobKind::Service),
             false,
         ),
         (
-            "replicas that fit",
+            "all replicas of a service fit",
             with("j-1", 6, |s| s.kind = JobKind::Service),
             true,
         ),
         (
-            "no limit",
+            "a team without a limit",
             with("j-1", 9, |s| {
                 s.team = "u".into();
                 s.cpus = 1e6;
