--- a/tests/combined_faults.rs
+++ b/tests/combined_faults.rs
@@ -1,5 +1,5 @@
-//! Combinations of faults. Most invariant violations were found where two faults coincide. Each case injects
-//! a combination, checks that it took place as intended, and then that all invariants held and that the system
+//! Combinations of faults. Invariants are most often violated where two faults coincide. Each case injects a
+//! combination, checks that it took place as intended, and then that all invariants held and that the system
 //! recovered.
 
 mod world;
@@ -26,9 +26,9 @@
     }
 }
 
-/// Runs the simulation until `at` seconds after the faults begin.
-fn run_until(world: &mut World, at: f64) {
-    world.run_until(FAULTS_BEGIN_S + at);
+/// Runs the simulation until `offset_s` seconds after the faults begin.
+fn run_until_offset(world: &mut World, offset_s: f64) {
+    world.run_until(FAULTS_BEGIN_S + offset_s);
 }
 
 /// Returns the number of cancellations that were confirmed between two times, in seconds after the faults begin.
@@ -44,7 +44,7 @@
         for (controllers, seed) in [(3, 1), (3, 2), (5, 3), (5, 4)] {
             let mut world = World::with_size(seed, controllers, 3);
             add_jobs(&mut world);
-            run_until(&mut world, 0.0);
+            run_until_offset(&mut world, 0.0);
             inject(&mut world);
             let faults_end = world.now.max(FAULTS_BEGIN_S + 60.0);
             world.end_faults(faults_end);
@@ -67,28 +67,28 @@
             "state service fails for the leader alone, then an outage longer than cancel_s",
             |w| {
                 assert!(w.fail_state_requests_of_leader(6.0));
-                run_until(w, 0.1);
+                run_until_offset(w, 0.1);
                 assert!(w.cancel_jobs(6, 0, 0.0) >= 4);
-                run_until(w, 1.6);
+                run_until_offset(w, 1.6);
                 assert!(
                     cancellations_confirmed(w, 0.0, 1.6) >= 2,
                     "cancellations confirmed while the state service failed for the leader"
                 );
                 w.state_service_outage_for(CANCEL_S + 8.0);
-                run_until(w, 50.0);
+                run_until_offset(w, 50.0);
             },
         ),
         ("the same, and workers of the cancelled jobs hang", |w| {
             assert!(w.fail_state_requests_of_leader(6.0));
-            run_until(w, 0.1);
+            run_until_offset(w, 0.1);
             assert!(w.cancel_jobs(6, 4, LEASE_S - 2.0) >= 4);
-            run_until(w, 1.6);
+            run_until_offset(w, 1.6);
             assert!(
                 cancellations_confirmed(w, 0.0, 1.6) >= 2,
                 "cancellations confirmed while the state service failed for the leader"
             );
             w.state_service_outage_for(CANCEL_S + 8.0);
-            run_until(w, 50.0);
+            run_until_offset(w, 50.0);
         }),
         (
             "the same, with duplicate heartbeats, and the leader pauses",
@@ -96,30 +96,30 @@
                 w.faults.duplicate_heartbeats = 0.4;
                 w.faults.delayed_heartbeats = 0.1;
                 assert!(w.fail_state_requests_of_leader(6.0));
-                run_until(w, 0.1);
+                run_until_offset(w, 0.1);
                 assert!(w.cancel_jobs(6, 2, 5.0) >= 4);
-                run_until(w, 1.6);
+                run_until_offset(w, 1.6);
                 assert!(
                     cancellations_confirmed(w, 0.0, 1.6) >= 2,
                     "cancellations confirmed while the state service failed for the leader"
                 );
                 w.state_service_outage_for(CANCEL_S + 8.0);
                 w.pause_leader(12.0);
-                run_until(w, 50.0);
+                run_until_offset(w, 50.0);
             },
         ),
         (
             "leader isolated from the state service and its peers, not from workers",
             |w| {
                 assert!(w.isolate_leader_except_workers(60.0));
-                run_until(w, 0.5);
+                run_until_offset(w, 0.5);
                 assert!(w.cancel_jobs(8, 2, 6.0) >= 4);
-                run_until(w, 20.0);
+                run_until_offset(w, 20.0);
                 assert!(
                     cancellations_confirmed(w, 0.0, 20.0) >= 4,
                     "cancellations confirmed by the new leader"
                 );
-                run_until(w, 62.0);
+                run_until_offset(w, 62.0);
             },
         ),
         (
@@ -130,14 +130,14 @@
                 // The leader can't learn of the cancellations from user requests either.
                 assert!(w.divert_users_from_leader(CANCEL_S + 18.0));
                 w.refuse_peer_connections(CANCEL_S + 18.0);
-                run_until(w, 3.0);
+                run_until_offset(w, 3.0);
                 assert!(w.cancel_jobs(8, 0, 0.0) >= 4);
-                run_until(w, 12.0);
+                run_until_offset(w, 12.0);
                 assert!(
                     cancellations_confirmed(w, 3.0, 12.0) >= 4,
                     "cancellations confirmed while the leader could not learn of them"
                 );
-                run_until(w, CANCEL_S + 20.0);
+                run_until_offset(w, CANCEL_S + 20.0);
             },
         ),
         ("the leader's watch hangs while it renews its lease", |w| {
@@ -145,45 +145,45 @@
             assert!(w.hang_leader_watch(60.0));
             // The leader can't learn of the cancellations from its peers either.
             w.refuse_peer_connections(60.0);
-            run_until(w, 3.0);
+            run_until_offset(w, 3.0);
             assert!(w.cancel_jobs(8, 0, 0.0) >= 4);
             // From here on the leader's view is too old to start tasks.
-            run_until(w, 6.0);
+            run_until_offset(w, 6.0);
             let starts = w.starts;
-            run_until(w, 12.0);
+            run_until_offset(w, 12.0);
             assert!(
                 cancellations_confirmed(w, 3.0, 12.0) >= 4,
                 "cancellations confirmed while the watch hung"
             );
             assert_eq!(w.starts, starts, "no starts on an old view");
             assert_eq!(w.leader_changes(), elections, "the leader has not changed");
-            run_until(w, 62.0);
+            run_until_offset(w, 62.0);
         }),
         ("the new leader can't list the records", |w| {
             w.hang_listings(45.0);
             assert!(w.cancel_jobs(6, 0, 0.0) >= 4);
-            run_until(w, 0.15);
+            run_until_offset(w, 0.15);
             w.restart_leader(40.0);
-            run_until(w, 10.0);
+            run_until_offset(w, 10.0);
             assert!(
                 cancellations_confirmed(w, 0.0, 10.0) >= 4,
                 "cancellations confirmed while no leader could stop the tasks"
             );
-            run_until(w, 46.0);
+            run_until_offset(w, 46.0);
         }),
         (
             "state service fails for the leader, then for all, six times",
             |w| {
                 for i in 0..6 {
-                    run_until(w, 9.0 * f64::from(i));
+                    run_until_offset(w, 9.0 * f64::from(i));
                     w.fail_state_requests_of_leader(1.2);
                     let at = 9.0 * f64::from(i) + 0.2;
-                    run_until(w, at);
+                    run_until_offset(w, at);
                     w.cancel_jobs(1, 1, 4.0);
-                    run_until(w, at + 1.0);
+                    run_until_offset(w, at + 1.0);
                     w.state_service_outage_for(4.0 + f64::from(i));
                 }
-                run_until(w, 60.0);
+                run_until_offset(w, 60.0);
                 assert!(cancellations_confirmed(w, 0.0, 60.0) >= 3);
             },
         ),
@@ -191,20 +191,20 @@
             "the state service is slow, fails for the leader, then for all",
             |w| {
                 w.faults.state_service_delay_s = 0.15;
-                run_until(w, 5.0);
+                run_until_offset(w, 5.0);
                 assert!(w.fail_state_requests_of_leader(8.0));
                 assert!(w.cancel_jobs(6, 0, 0.0) >= 4);
                 w.repeat_requests();
-                run_until(w, 8.5);
+                run_until_offset(w, 8.5);
                 assert!(
                     cancellations_confirmed(w, 5.0, 8.5) >= 2,
                     "cancellations confirmed while the state service failed for the leader"
                 );
                 w.state_service_outage_for(CANCEL_S + 5.0);
-                run_until(w, 20.0);
+                run_until_offset(w, 20.0);
                 w.repeat_requests();
                 w.send_invalid_requests();
-                run_until(w, 45.0);
+                run_until_offset(w, 45.0);
             },
         ),
     ]);
@@ -215,7 +215,7 @@
 fn changes_of_leader() {
     run_cases(&[
         (
-            "tasks of a job end long apart, before and after a change of leader",
+            "tasks of a job end before and long after a change of leader",
             |w| {
                 for n in 40..46 {
                     w.add_user(
@@ -228,12 +228,12 @@
                         user.runtime_step_s = 14.0;
                     }
                 }
-                run_until(w, 14.0);
+                run_until_offset(w, 14.0);
                 assert!(w.partly_done_jobs() >= 2, "some tasks have completed");
                 w.restart_leader(3.0);
-                run_until(w, 26.0);
+                run_until_offset(w, 26.0);
                 w.restart_leader(0.2);
-                run_until(w, 60.0);
+                run_until_offset(w, 60.0);
             },
         ),
         (
@@ -245,24 +245,24 @@
                 for nth in 3..6 {
                     w.block_traffic_to_worker(nth, LEASE_S + 4.0);
                 }
-                run_until(w, 1.0);
+                run_until_offset(w, 1.0);
                 let elections = w.leader_changes();
                 w.restart_leader(20.0);
-                run_until(w, 9.0);
+                run_until_offset(w, 9.0);
                 assert!(
                     w.leader_changes() > elections,
                     "a new leader is elected while they are unreachable"
                 );
-                run_until(w, 40.0);
+                run_until_offset(w, 40.0);
             },
         ),
         ("heartbeats are delayed until a new leader has acted", |w| {
             w.faults.delayed_heartbeats = 0.3;
             for i in 0..5 {
-                run_until(w, 6.0 * f64::from(i));
+                run_until_offset(w, 6.0 * f64::from(i));
                 w.restart_leader(0.3 + 2.0 * f64::from(i % 2));
             }
-            run_until(w, 40.0);
+            run_until_offset(w, 40.0);
             assert!(
                 w.counts.stale_heartbeats >= 5,
                 "{}",
@@ -275,19 +275,19 @@
                 for n in 70..76 {
                     w.add_user(n, FAULTS_BEGIN_S, (3, 25.0, false, n % 2 == 0), None);
                 }
-                run_until(w, 8.0);
+                run_until_offset(w, 8.0);
                 assert!(w.used_cpus() >= 32.0, "{} of 40 CPUs", w.used_cpus());
                 w.disconnect_worker(0, LEASE_S + 8.0);
                 w.block_traffic_to_worker(1, LEASE_S + 8.0);
                 w.restart_leader(4.0);
-                run_until(w, 9.0);
+                run_until_offset(w, 9.0);
                 assert!(w.cancel_jobs(5, 2, 5.0) >= 3);
-                run_until(w, 16.0);
+                run_until_offset(w, 16.0);
                 assert!(
                     cancellations_confirmed(w, 9.0, 16.0) >= 3,
                     "cancellations confirmed while workers were unreachable"
                 );
-                run_until(w, 40.0);
+                run_until_offset(w, 40.0);
             },
         ),
         (
@@ -295,22 +295,22 @@
             |w| {
                 let elections = w.leader_changes();
                 for i in 0..4 {
-                    run_until(w, 3.0 * f64::from(i));
+                    run_until_offset(w, 3.0 * f64::from(i));
                     w.restart_leader(0.4);
                 }
-                run_until(w, 12.0);
+                run_until_offset(w, 12.0);
                 let now = w.now;
                 for controller in 0..w.controllers() {
                     let back = if controller == 1 { 0.3 } else { 18.0 };
                     w.crash(controller, now, now + back);
                 }
-                run_until(w, 24.0);
+                run_until_offset(w, 24.0);
                 assert!(
                     w.leader_changes() >= elections + 4,
                     "{} elections",
                     w.leader_changes() - elections
                 );
-                run_until(w, 40.0);
+                run_until_offset(w, 40.0);
             },
         ),
         (
@@ -318,7 +318,7 @@
             |w| {
                 let elections = w.leader_changes();
                 for i in 0..10 {
-                    run_until(w, 12.0 * f64::from(i));
+                    run_until_offset(w, 12.0 * f64::from(i));
                     w.restart_leader(if i % 3 == 0 { 5.0 } else { 0.5 });
                     if i == 4 {
                         let now = w.now;
@@ -328,7 +328,7 @@
                         w.cancel_jobs(1, 1, 4.0);
                     }
                 }
-                run_until(w, 121.0);
+                run_until_offset(w, 121.0);
                 assert!(
                     w.leader_changes() >= elections + 8,
                     "{} elections",
@@ -345,12 +345,12 @@
                     now + LEASE_S + 3.0 + 0.2 * controller as f64,
                 );
             }
-            run_until(w, LEASE_S + 2.5);
+            run_until_offset(w, LEASE_S + 2.5);
             assert!(
                 w.workers_with_new_incarnation() >= 3,
                 "worker leases expired"
             );
-            run_until(w, 30.0);
+            run_until_offset(w, 30.0);
         }),
         (
             "heartbeats of workers are lost, direct calls reach them",
@@ -358,16 +358,16 @@
                 for nth in 0..4 {
                     w.block_traffic_from_worker(nth, LEASE_S + 4.0);
                 }
-                run_until(w, 3.0);
+                run_until_offset(w, 3.0);
                 w.cancel_jobs(2, 0, 0.0);
                 w.restart_leader(2.0);
-                run_until(w, LEASE_S + 2.0);
+                run_until_offset(w, LEASE_S + 2.0);
                 assert!(
                     w.workers_with_new_incarnation() >= 2,
                     "{}",
                     w.workers_with_new_incarnation()
                 );
-                run_until(w, 30.0);
+                run_until_offset(w, 30.0);
             },
         ),
     ]);
@@ -380,13 +380,13 @@
         ("transactions are applied after newer ones", |w| {
             w.faults.late_transactions = 0.25;
             for i in 0..6 {
-                run_until(w, 8.0 * f64::from(i));
+                run_until_offset(w, 8.0 * f64::from(i));
                 w.cancel_jobs(1, 0, 0.0);
                 if i % 2 == 1 {
                     w.restart_leader(0.5);
                 }
             }
-            run_until(w, 50.0);
+            run_until_offset(w, 50.0);
             assert!(w.counts.late_txns >= 8, "{}", w.counts.late_txns);
             assert!(
                 w.counts.out_of_order_txns >= 1,
@@ -399,14 +399,14 @@
             |w| {
                 w.faults.duplicate_heartbeats = 0.6;
                 for i in 0..6 {
-                    run_until(w, 7.0 * f64::from(i));
+                    run_until_offset(w, 7.0 * f64::from(i));
                     w.restart_worker(i as usize % 4, i % 3 == 2);
                     w.block_traffic_to_worker((i as usize + 1) % 4, LEASE_S + 2.0);
                     if i % 2 == 0 {
                         w.restart_leader(0.4);
                     }
                 }
-                run_until(w, 60.0);
+                run_until_offset(w, 60.0);
                 assert!(
                     w.counts.stale_heartbeats >= 20,
                     "{}",
@@ -421,12 +421,12 @@
         ),
         ("commands are delayed, and the worker goes on", |w| {
             for i in 0..5 {
-                run_until(w, 8.0 * f64::from(i));
+                run_until_offset(w, 8.0 * f64::from(i));
                 w.faults.late_requests = 0.15;
                 w.cancel_jobs(2, 2, LEASE_S - 3.0);
                 w.disconnect_worker(i as usize % 5, 6.0);
             }
-            run_until(w, 45.0);
+            run_until_offset(w, 45.0);
             assert!(cancellations_confirmed(w, 0.0, 45.0) >= 3);
         }),
         ("more tasks than capacity, over a slow network", |w| {
@@ -443,11 +443,11 @@
             w.faults.state_service_delay_s = 0.1;
             w.faults.lost_responses = 0.03;
             w.faults.late_requests = 0.03;
-            run_until(w, 15.0);
+            run_until_offset(w, 15.0);
             assert!(w.used_cpus() >= 32.0, "{} of 40 CPUs", w.used_cpus());
-            run_until(w, 60.0);
+            run_until_offset(w, 60.0);
             w.faults = NetworkFaults::default();
-            run_until(w, 160.0);
+            run_until_offset(w, 160.0);
         }),
     ]);
 }
@@ -458,14 +458,14 @@
     run_cases(&[
         ("cancelled at the end of the last task", |w| {
             w.faults.cancels_at_end = 0.5;
-            run_until(w, 70.0);
+            run_until_offset(w, 70.0);
             assert!(w.counts.cancels_at_end >= 3, "{}", w.counts.cancels_at_end);
         }),
         (
             "submitted again and polled at the end of the last task",
             |w| {
                 w.faults.requests_at_end = 0.7;
-                run_until(w, 70.0);
+                run_until_offset(w, 70.0);
                 assert!(
                     w.counts.requests_at_end >= 4,
                     "{}",
@@ -477,7 +477,7 @@
             "invalid requests during an outage and a change of leader",
             |w| {
                 for i in 0..12 {
-                    run_until(w, 4.0 * f64::from(i));
+                    run_until_offset(w, 4.0 * f64::from(i));
                     w.send_invalid_requests();
                     w.repeat_requests();
                     match i {
@@ -490,7 +490,7 @@
                         _ => {}
                     }
                 }
-                run_until(w, 55.0);
+                run_until_offset(w, 55.0);
                 for request in [
                     InvalidRequest::FitsNoInstance,
                     InvalidRequest::UnknownTeam,
@@ -519,9 +519,9 @@
             "a zone with workers and a follower is partitioned for longer than a lease",
             |w| {
                 assert!(w.partition_zone("b", false, 1, LEASE_S + 8.0));
-                run_until(w, 2.0);
+                run_until_offset(w, 2.0);
                 w.cancel_jobs(3, 0, 0.0);
-                run_until(w, 30.0);
+                run_until_offset(w, 30.0);
                 assert!(
                     cancellations_confirmed(w, 2.0, 18.0) >= 2,
                     "cancellations confirmed during the partition"
@@ -532,9 +532,9 @@
             "a zone with workers and the leader is partitioned for longer than the lease grace period",
             |w| {
                 assert!(w.partition_zone("b", true, 0, CANCEL_S + 5.0));
-                run_until(w, 2.0);
+                run_until_offset(w, 2.0);
                 w.cancel_jobs(5, 2, 4.0);
-                run_until(w, 45.0);
+                run_until_offset(w, 45.0);
                 assert!(
                     cancellations_confirmed(w, 2.0, 34.0) >= 2,
                     "cancellations confirmed during the partition"
@@ -545,7 +545,7 @@
             w.add_user_in_zone(60, FAULTS_BEGIN_S, (3, 0.0, true, false), Some("b"), None);
             w.add_user_in_zone(61, FAULTS_BEGIN_S, (6, 15.0, false, false), Some("b"), None);
             w.add_user_in_zone(62, FAULTS_BEGIN_S, (6, 15.0, false, true), Some("a"), None);
-            run_until(w, 14.0);
+            run_until_offset(w, 14.0);
             assert!(
                 w.running_tasks_of(&[60, 61, 62]) >= 3,
                 "tasks of the jobs run"
@@ -555,7 +555,7 @@
             let lost = w.lose_instances("b", 2);
             assert!(lost >= 1, "{lost} machines removed");
             w.restart_leader(2.0);
-            run_until(w, 50.0);
+            run_until_offset(w, 50.0);
         }),
     ]);
 }
@@ -594,7 +594,7 @@
             requests_at_end: random_strength(&mut rng, 0.4),
             ..NetworkFaults::default()
         };
-        run_until(&mut world, 0.0);
+        run_until_offset(&mut world, 0.0);
         for _ in 0..14 {
             let next = world.now + rng.random::<f64>() * 9.0;
             world.run_until(next);
--- a/tests/digest_regressions.rs
+++ b/tests/digest_regressions.rs
@@ -4,8 +4,8 @@
 
 use world::digest;
 
-/// Workers restart and lose their incarnations. The rules `ran_twice` and, in the first seed, `quota` were
-/// violated.
+/// Workers restarted and lost their incarnations, which violated the rule `ran_twice` and, in the first seed, also
+/// `quota`.
 /// See docs/incidents/2026-12-03-forgotten-incarnations.md.
 #[test]
 fn workers_that_lose_their_incarnations() {
--- a/tests/fault_recovery.rs
+++ b/tests/fault_recovery.rs
@@ -191,7 +191,7 @@
 /// partition heals, they are usable at once, while new ones would have to boot. With the leader inside, the zone's
 /// workers keep their incarnations.
 #[test]
-fn a_partitioned_zone() {
+fn a_partitioned_zone_keeps_its_machines() {
     for controllers in [3, 5] {
         for leader_inside in [false, true] {
             let name = format!("{controllers} controllers, leader inside: {leader_inside}");
@@ -363,7 +363,7 @@
 /// A leader that can reach only workers goes on renewing their leases, but starts no tasks. The workers then follow the
 /// next leader because of its higher epoch, and none loses its incarnation.
 #[test]
-fn a_leader_alone_with_its_workers() {
+fn a_leader_that_can_reach_only_workers() {
     for controllers in [3, 5] {
         let mut world = World::with_size(2, controllers, 3);
         world.add_mixed_jobs();
--- a/tests/permit_guards.rs
+++ b/tests/permit_guards.rs
@@ -1,14 +1,14 @@
 //! Tests of each guard of `bookkeeping::permits::freshness` in a case in which no other guard has the same effect.
 //!
-//! In the cases of `tests/combined_faults.rs`, another guard always applies as well, so that none of them failed with one
-//! of the three guards removed. Each case here does, if the invariant checks of the controllers are disabled too.
+//! In the cases of `tests/combined_faults.rs`, another guard always applies as well, so that none of them failed with
+//! one of the three guards removed. Each case here does, if the invariant checks of the controllers are disabled too.
 //!
 //! - No lease is renewed after the lease grace period. The election ends the leadership at the same time, but with a
 //!   timer: after a pause, a leader may handle the heartbeats that have arrived before its overdue timers.
 //! - No task is started on an old view. A view usually gets old because the state service fails, in which case another
 //!   guard applies. A watch that is rejected because of the rate limit does not count as a failure.
-//! - No task is started while the state service is in doubt. The age of a view shows only after two heartbeat intervals
-//!   that it is too old. A request that fails shows at once that cancellations may have been missed.
+//! - No task is started while the state service is in doubt. A view counts as old only after two heartbeat intervals,
+//!   while a failed request shows at once that cancellations may have been missed.
 
 mod world;
 
@@ -20,9 +20,9 @@
 /// Jobs that are cancelled before their starts are delivered.
 const CANCELLED_JOBS: std::ops::Range<u32> = 10..18;
 
-/// Runs the simulation until `at` seconds after the faults begin.
-fn run_until(world: &mut World, at: f64) {
-    world.run_until(FAULTS_BEGIN_S + at);
+/// Runs the simulation until `offset_s` seconds after the faults begin.
+fn run_until_offset(world: &mut World, offset_s: f64) {
+    world.run_until(FAULTS_BEGIN_S + offset_s);
 }
 
 /// Ends the faults, lets the system recover for 100 s, and checks the result.
@@ -45,14 +45,14 @@
             for n in 0..8 {
                 world.add_user(n, 0.5, (2, 0.0, true, false), None);
             }
-            run_until(&mut world, 0.0);
+            run_until_offset(&mut world, 0.0);
             assert!(world.partition_zone("a", true, 0, 2.0 * CANCEL_S));
-            run_until(&mut world, 0.1);
+            run_until_offset(&mut world, 0.1);
             assert!(world.cancel_jobs(8, 0, 0.0) >= 4);
-            run_until(&mut world, pause_at);
+            run_until_offset(&mut world, pause_at);
             world.hang_workers("a", LEASE_S - 2.2);
             assert_eq!(world.pause_partitioned_controllers(LEASE_S - 1.0), 1);
-            run_until(&mut world, 2.0 * CANCEL_S);
+            run_until_offset(&mut world, 2.0 * CANCEL_S);
             let name = format!("seed {seed}, paused from {pause_at} s");
             assert!(
                 world.cancellations_confirmed(FAULTS_BEGIN_S, FAULTS_BEGIN_S + 5.0) >= 4,
@@ -71,12 +71,12 @@
 /// Submits jobs at `at` for which there is free capacity. Their starts can't be delivered, because nothing reaches the
 /// workers for `blocked_s`.
 fn submit_with_undelivered_starts(world: &mut World, at: f64, blocked_s: f64) {
-    run_until(world, at);
+    run_until_offset(world, at);
     world.block_traffic_to_workers(blocked_s);
     for n in CANCELLED_JOBS {
         world.add_user(n, FAULTS_BEGIN_S + at, (1, 60.0, false, false), None);
     }
-    run_until(world, at + 0.6);
+    run_until_offset(world, at + 0.6);
 }
 
 /// Returns a world, at the time when the faults begin, in which completed tasks have left free capacity.
@@ -84,7 +84,7 @@
     let mut world = World::new(seed);
     world.add_user(0, 0.5, (12, 24.0, false, false), None);
     world.add_user(1, 0.5, (4, 0.0, true, false), None);
-    run_until(&mut world, 0.0);
+    run_until_offset(&mut world, 0.0);
     world
 }
 
@@ -106,7 +106,7 @@
         submit_with_undelivered_starts(&mut world, 2.4, 2.3);
         assert!(world.divert_users_from_leader(9.0));
         cancel_jobs(&mut world, 3.5);
-        run_until(&mut world, 13.0);
+        run_until_offset(&mut world, 13.0);
         let name = format!("seed {seed}");
         assert!(world.counts.rate_limited_watches > 20, "{name}");
         assert!(
@@ -129,7 +129,7 @@
         assert!(world.divert_users_from_leader(4.0));
         world.refuse_peer_connections(4.0);
         cancel_jobs(&mut world, 0.65);
-        run_until(&mut world, 5.0);
+        run_until_offset(&mut world, 5.0);
         let name = format!("seed {seed}");
         assert!(
             world.cancellations_confirmed(FAULTS_BEGIN_S + 0.6, FAULTS_BEGIN_S + 1.3) >= 4,
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -53,11 +53,12 @@
 pub const CANCEL_S: f64 = 30.0;
 /// How long a user waits for a response.
 const USER_TIMEOUT_S: f64 = 5.0;
-/// Wall-clock time at the start of the simulation, in seconds since the epoch.
+/// Wall-clock time at the start of the simulation, in seconds since 1970.
 const WALL: f64 = 1_700_000_000.0;
 
-/// An event of the simulation. Events that concern a controller begin with its index. In requests and
-/// responses, its process incarnation and the correlation id follow.
+/// An event of the simulation. In events that concern a controller, its index comes first. In the requests that a
+/// controller sends to services and workers, and their responses, its process incarnation and the correlation id
+/// follow.
 #[derive(Clone)]
 enum SimEvent {
     ControllerTicks(usize, u64),
@@ -92,13 +93,17 @@
 pub struct World {
     pub now: f64,
     next_event: u64,
+    /// Scheduled events, by time in microseconds and sequence number.
     queue: BTreeMap<(u64, u64), SimEvent>,
     settings: Vec<Rc<Settings>>,
     controllers: Vec<Option<Controller>>,
     process_incarnations: Vec<u64>,
+    /// For each HTTP request that a controller has not responded to, the event that delivers the response, by the
+    /// controller's index and the request id.
     pending_responses: BTreeMap<(usize, u64), SimEvent>,
     next_request_id: u64,
     kv: KvService,
+    /// Names of the created instances, by the idempotency key of the request.
     created_by_key: BTreeMap<String, Vec<String>>,
     instances: BTreeMap<String, Instance>,
     workers: BTreeMap<String, Worker>,
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -164,7 +164,8 @@
         self.add_user(8, 60.0, (3, 0.0, true, false), None);
     }
 
-    /// Adds a user who submits a job at a time, polls it and, if `cancel_at` is set, cancels it.
+    /// Adds a user who submits job number `n` at a time, polls it and, if `cancel_at` is set, cancels it. Each task of
+    /// an array runs for `run_s` seconds.
     pub fn add_user(
         &mut self,
         n: u32,
