--- a/tests/combined_faults.rs
+++ b/tests/combined_faults.rs
@@ -72,7 +72,7 @@
                 run_until_offset(w, 1.6);
                 assert!(
                     cancellations_confirmed(w, 0.0, 1.6) >= 2,
-                    "cancellations confirmed while the state service failed for the leader"
+                    "too few cancellations confirmed while the state service failed for the leader"
                 );
                 w.state_service_outage_for(CANCEL_S + 8.0);
                 run_until_offset(w, 50.0);
@@ -85,7 +85,7 @@
             run_until_offset(w, 1.6);
             assert!(
                 cancellations_confirmed(w, 0.0, 1.6) >= 2,
-                "cancellations confirmed while the state service failed for the leader"
+                "too few cancellations confirmed while the state service failed for the leader"
             );
             w.state_service_outage_for(CANCEL_S + 8.0);
             run_until_offset(w, 50.0);
@@ -101,7 +101,7 @@
                 run_until_offset(w, 1.6);
                 assert!(
                     cancellations_confirmed(w, 0.0, 1.6) >= 2,
-                    "cancellations confirmed while the state service failed for the leader"
+                    "too few cancellations confirmed while the state service failed for the leader"
                 );
                 w.state_service_outage_for(CANCEL_S + 8.0);
                 w.pause_leader(12.0);
@@ -117,7 +117,7 @@
                 run_until_offset(w, 20.0);
                 assert!(
                     cancellations_confirmed(w, 0.0, 20.0) >= 4,
-                    "cancellations confirmed by the new leader"
+                    "too few cancellations confirmed by the new leader"
                 );
                 run_until_offset(w, 62.0);
             },
@@ -135,7 +135,7 @@
                 run_until_offset(w, 12.0);
                 assert!(
                     cancellations_confirmed(w, 3.0, 12.0) >= 4,
-                    "cancellations confirmed while the leader could not learn of them"
+                    "too few cancellations confirmed while the leader could not learn of them"
                 );
                 run_until_offset(w, CANCEL_S + 20.0);
             },
@@ -153,10 +153,10 @@
             run_until_offset(w, 12.0);
             assert!(
                 cancellations_confirmed(w, 3.0, 12.0) >= 4,
-                "cancellations confirmed while the watch hung"
+                "too few cancellations confirmed while the watch hung"
             );
-            assert_eq!(w.starts, starts, "no starts on an old view");
-            assert_eq!(w.leader_changes(), elections, "the leader has not changed");
+            assert_eq!(w.starts, starts, "tasks were started on an old view");
+            assert_eq!(w.leader_changes(), elections, "the leader changed");
             run_until_offset(w, 62.0);
         }),
         ("the new leader can't list the records", |w| {
@@ -167,7 +167,7 @@
             run_until_offset(w, 10.0);
             assert!(
                 cancellations_confirmed(w, 0.0, 10.0) >= 4,
-                "cancellations confirmed while no leader could stop the tasks"
+                "too few cancellations confirmed while no leader could stop the tasks"
             );
             run_until_offset(w, 46.0);
         }),
@@ -198,7 +198,7 @@
                 run_until_offset(w, 8.5);
                 assert!(
                     cancellations_confirmed(w, 5.0, 8.5) >= 2,
-                    "cancellations confirmed while the state service failed for the leader"
+                    "too few cancellations confirmed while the state service failed for the leader"
                 );
                 w.state_service_outage_for(CANCEL_S + 5.0);
                 run_until_offset(w, 20.0);
@@ -229,7 +229,7 @@
                     }
                 }
                 run_until_offset(w, 14.0);
-                assert!(w.partly_done_jobs() >= 2, "some tasks have completed");
+                assert!(w.partly_done_jobs() >= 2, "no partly completed jobs");
                 w.restart_leader(3.0);
                 run_until_offset(w, 26.0);
                 w.restart_leader(0.2);
@@ -251,7 +251,7 @@
                 run_until_offset(w, 9.0);
                 assert!(
                     w.leader_changes() > elections,
-                    "a new leader is elected while they are unreachable"
+                    "no new leader was elected while workers were unreachable"
                 );
                 run_until_offset(w, 40.0);
             },
@@ -265,7 +265,7 @@
             run_until_offset(w, 40.0);
             assert!(
                 w.counts.stale_heartbeats >= 5,
-                "{}",
+                "only {} stale heartbeats",
                 w.counts.stale_heartbeats
             );
         }),
@@ -285,7 +285,7 @@
                 run_until_offset(w, 16.0);
                 assert!(
                     cancellations_confirmed(w, 9.0, 16.0) >= 3,
-                    "cancellations confirmed while workers were unreachable"
+                    "too few cancellations confirmed while workers were unreachable"
                 );
                 run_until_offset(w, 40.0);
             },
@@ -307,7 +307,7 @@
                 run_until_offset(w, 24.0);
                 assert!(
                     w.leader_changes() >= elections + 4,
-                    "{} elections",
+                    "only {} elections",
                     w.leader_changes() - elections
                 );
                 run_until_offset(w, 40.0);
@@ -331,7 +331,7 @@
                 run_until_offset(w, 121.0);
                 assert!(
                     w.leader_changes() >= elections + 8,
-                    "{} elections",
+                    "only {} elections",
                     w.leader_changes() - elections
                 );
             },
@@ -348,7 +348,7 @@
             run_until_offset(w, LEASE_S + 2.5);
             assert!(
                 w.workers_with_new_incarnation() >= 3,
-                "worker leases expired"
+                "too few worker leases expired"
             );
             run_until_offset(w, 30.0);
         }),
@@ -364,7 +364,7 @@
                 run_until_offset(w, LEASE_S + 2.0);
                 assert!(
                     w.workers_with_new_incarnation() >= 2,
-                    "{}",
+                    "only {} workers with a new incarnation",
                     w.workers_with_new_incarnation()
                 );
                 run_until_offset(w, 30.0);
@@ -387,10 +387,14 @@
                 }
             }
             run_until_offset(w, 50.0);
-            assert!(w.counts.late_txns >= 8, "{}", w.counts.late_txns);
+            assert!(
+                w.counts.late_txns >= 8,
+                "only {} late transactions",
+                w.counts.late_txns
+            );
             assert!(
                 w.counts.out_of_order_txns >= 1,
-                "{}",
+                "only {} transactions out of order",
                 w.counts.out_of_order_txns
             );
         }),
@@ -409,12 +413,12 @@
                 run_until_offset(w, 60.0);
                 assert!(
                     w.counts.stale_heartbeats >= 20,
-                    "{}",
+                    "only {} stale heartbeats",
                     w.counts.stale_heartbeats
                 );
                 assert!(
                     w.counts.heartbeats_of_old_incarnations >= 2,
-                    "{}",
+                    "only {} heartbeats of old incarnations",
                     w.counts.heartbeats_of_old_incarnations
                 );
             },
@@ -459,7 +463,11 @@
         ("cancelled at the end of the last task", |w| {
             w.faults.cancels_at_end = 0.5;
             run_until_offset(w, 70.0);
-            assert!(w.counts.cancels_at_end >= 3, "{}", w.counts.cancels_at_end);
+            assert!(
+                w.counts.cancels_at_end >= 3,
+                "only {} cancellations at the end of a job",
+                w.counts.cancels_at_end
+            );
         }),
         (
             "submitted again and polled at the end of the last task",
@@ -468,7 +476,7 @@
                 run_until_offset(w, 70.0);
                 assert!(
                     w.counts.requests_at_end >= 4,
-                    "{}",
+                    "only {} requests at the end of a job",
                     w.counts.requests_at_end
                 );
             },
@@ -504,7 +512,10 @@
                         .get(&request)
                         .copied()
                         .unwrap_or(0);
-                    assert!(answers >= 12, "{request:?}: {answers} expected responses");
+                    assert!(
+                        answers >= 12,
+                        "{request:?}: only {answers} expected responses"
+                    );
                 }
             },
         ),
@@ -524,7 +535,7 @@
                 run_until_offset(w, 30.0);
                 assert!(
                     cancellations_confirmed(w, 2.0, 18.0) >= 2,
-                    "cancellations confirmed during the partition"
+                    "too few cancellations confirmed during the partition"
                 );
             },
         ),
@@ -537,7 +548,7 @@
                 run_until_offset(w, 45.0);
                 assert!(
                     cancellations_confirmed(w, 2.0, 34.0) >= 2,
-                    "cancellations confirmed during the partition"
+                    "too few cancellations confirmed during the partition"
                 );
             },
         ),
@@ -548,12 +559,12 @@
             run_until_offset(w, 14.0);
             assert!(
                 w.running_tasks_of(&[60, 61, 62]) >= 3,
-                "tasks of the jobs run"
+                "too few tasks of the jobs run"
             );
             let before: BTreeSet<String> = w.instances_in("b", false);
             assert!(!before.is_empty());
             let lost = w.lose_instances("b", 2);
-            assert!(lost >= 1, "{lost} machines removed");
+            assert!(lost >= 1, "no machine was removed");
             w.restart_leader(2.0);
             run_until_offset(w, 50.0);
         }),
--- a/tests/fault_recovery.rs
+++ b/tests/fault_recovery.rs
@@ -219,7 +219,7 @@
             assert_eq!(
                 world.replicas_not_running(),
                 0,
-                "{name}: all replicas run again"
+                "{name}: replicas do not run again"
             );
             world.run_until(200.0);
             world.check(&name);
@@ -246,7 +246,7 @@
             .filter(|u| u.cancellation_confirmed_at.is_some());
         assert!(
             cancelled.count() >= 8,
-            "most cancellations are confirmed during the partition"
+            "too few cancellations confirmed during the partition"
         );
         world.run_until(200.0);
         world.check(&format!("{controllers} controllers"));
@@ -297,13 +297,13 @@
             world.run_until(40.0);
             assert!(
                 world.instances_in("a", true).len() >= 6,
-                "{name}: spot machines"
+                "{name}: too few spot machines"
             );
             assert!(world.isolate_leader_except_state_service(9.0), "{name}");
             world.run_until(70.0);
             assert!(
                 world.leader_changes() >= 2,
-                "{name}: another leader is elected"
+                "{name}: no other leader was elected"
             );
             assert_eq!(world.deleted_while_busy, Vec::<String>::new(), "{name}");
             world.run_until(200.0);
@@ -352,9 +352,13 @@
         world.run_until(24.0);
         let name = world.block_traffic_to_worker(0, 100.0).expect("a worker");
         world.run_until(48.0);
-        assert_eq!(world.tasks_on(&name), 0, "its lease has expired");
+        assert_eq!(
+            world.tasks_on(&name),
+            0,
+            "tasks run although the lease should have expired"
+        );
         world.run_until(75.0);
-        assert!(!world.has_instance(&name), "its machine is released");
+        assert!(!world.has_instance(&name), "the machine was not released");
         world.run_until(200.0);
         world.check(&format!("{controllers} controllers"));
     }
@@ -405,7 +409,7 @@
         assert!(started_at < 270.0, "{started_at}");
         let small = world.users.iter().filter(|u| u.tasks == 5);
         let started = small.filter(|u| u.first_started_at.is_some()).count();
-        assert!(started >= 50, "{started} small jobs have started");
+        assert!(started >= 50, "only {started} small jobs have started");
         assert_eq!(world.violations, Vec::<String>::new());
     }
 }
@@ -502,7 +506,7 @@
     // 48 replicas fill twelve machines. Some headroom is kept in both zones.
     assert!(
         before >= 24 && after <= 16,
-        "{before}, then {after} machines"
+        "{before} machines before, {after} after"
     );
     world.check("consolidated");
 }
@@ -570,7 +574,7 @@
     }
     world.run_until(20.0);
     let rented = world.instance_count();
-    assert!(rented > 2_000, "{rented} machines for 17,000 tasks");
+    assert!(rented > 2_000, "only {rented} machines for 17,000 tasks");
     world.run_until(40.0);
     let heartbeats = world.counts.heartbeats;
     world.restart_leader(1.0);
--- a/tests/forgotten_incarnations.rs
+++ b/tests/forgotten_incarnations.rs
@@ -100,11 +100,11 @@
     assert_eq!(
         harness.running_tasks(JOB),
         TASKS as usize,
-        "the tasks are started again"
+        "the tasks were not started again"
     );
     harness.clear_sent();
     harness.run_for(2.0 * LEASE_S);
-    assert_eq!(bindings_ended(&harness), 0, "its lease is renewed");
+    assert_eq!(bindings_ended(&harness), 0, "the lease was not renewed");
 }
 
 /// Tasks that disappear without an exit show that the worker has restarted after its last answered heartbeat. The
@@ -125,12 +125,12 @@
     assert_eq!(
         bindings_ended(&harness),
         0,
-        "the lease since the restart is valid"
+        "bindings ended before the lease since the restart expired"
     );
     harness.run_for(0.5 * LEASE_S);
     assert!(
         bindings_ended(&harness) > 0,
-        "the lease since the restart has expired"
+        "no binding ended after the lease since the restart"
     );
 }
 
--- a/tests/late_leader_records.rs
+++ b/tests/late_leader_records.rs
@@ -45,7 +45,7 @@
     assert!(harness.is_leader());
     harness.run_for(5.0);
     assert!(harness.is_leader());
-    assert_eq!(harness.leader_revision(), epoch, "the same leadership");
+    assert_eq!(harness.leader_revision(), epoch, "the leadership changed");
 }
 
 #[test]
--- a/tests/permit_guards.rs
+++ b/tests/permit_guards.rs
@@ -64,19 +64,19 @@
     }
     assert!(
         served_before_timers > 0,
-        "heartbeats were handled before overdue timers"
+        "no heartbeat was handled before overdue timers"
     );
 }
 
-/// Submits jobs at `at` for which there is free capacity. Their starts can't be delivered, because nothing reaches the
-/// workers for `blocked_s`.
-fn submit_with_undelivered_starts(world: &mut World, at: f64, blocked_s: f64) {
-    run_until_offset(world, at);
+/// Submits jobs at `offset_s` for which there is free capacity. Their starts can't be delivered, because nothing
+/// reaches the workers for `blocked_s`.
+fn submit_with_undelivered_starts(world: &mut World, offset_s: f64, blocked_s: f64) {
+    run_until_offset(world, offset_s);
     world.block_traffic_to_workers(blocked_s);
     for n in CANCELLED_JOBS {
-        world.add_user(n, FAULTS_BEGIN_S + at, (1, 60.0, false, false), None);
+        world.add_user(n, FAULTS_BEGIN_S + offset_s, (1, 60.0, false, false), None);
     }
-    run_until_offset(world, at + 0.6);
+    run_until_offset(world, offset_s + 0.6);
 }
 
 /// Returns a world, at the time when the faults begin, in which completed tasks have left free capacity.
@@ -88,10 +88,10 @@
     world
 }
 
-/// Cancels the jobs of [`submit_with_undelivered_starts`] at `at`.
-fn cancel_jobs(world: &mut World, at: f64) {
+/// Cancels the jobs of [`submit_with_undelivered_starts`] at `offset_s`.
+fn cancel_jobs(world: &mut World, offset_s: f64) {
     for n in CANCELLED_JOBS {
-        world.cancel_job_at(n, FAULTS_BEGIN_S + at);
+        world.cancel_job_at(n, FAULTS_BEGIN_S + offset_s);
     }
 }
 
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -425,7 +425,11 @@
         .map(|i| with(&format!("j-{i}"), 50, |s| s.team = "u".into()))
         .collect();
     let assignments = Cluster::new(workers, jobs).run();
-    assert_eq!(assignments.bindings.len(), 128, "the maximum of one cycle");
+    assert_eq!(
+        assignments.bindings.len(),
+        128,
+        "not the maximum of one cycle"
+    );
 }
 
 /// Whether a team's limit lets a job run at all.
