--- a/tests/world/checks.rs
+++ b/tests/world/checks.rs
@@ -69,7 +69,7 @@
 
 impl World {
     /// Asserts that no invariant was violated, that all jobs have ended or, as services, run completely, and that all
-    /// users have received a response lately.
+    /// users have received a response within `MAX_TIME_WITHOUT_RESPONSE_S`.
     pub fn check(&self, name: &str) {
         assert_eq!(self.violations, Vec::<String>::new(), "{name}");
         assert_eq!(self.unfinished_jobs(), Vec::<&str>::new(), "{name}");
@@ -128,8 +128,8 @@
 
     /// Returns the number of running tasks of a job in a zone.
     pub(super) fn running_in(&self, zone: &str, job: &str) -> u32 {
-        let there = self.workers.values().filter(|w| w.zone == zone);
-        let tasks = there.flat_map(Worker::running);
+        let in_zone = self.workers.values().filter(|w| w.zone == zone);
+        let tasks = in_zone.flat_map(Worker::running);
         tasks.filter(|(task_id, _)| job_of(task_id) == job).count() as u32
     }
 
@@ -219,11 +219,11 @@
 
     /// Returns the number of jobs whose cancellation was confirmed to the user in a span of time.
     pub fn cancellations_confirmed(&self, from: f64, to: f64) -> usize {
-        let told = self
+        let confirmed_at = self
             .users
             .iter()
             .filter_map(|u| u.cancellation_confirmed_at);
-        told.filter(|at| (from..to).contains(at)).count()
+        confirmed_at.filter(|at| (from..to).contains(at)).count()
     }
 
     /// Returns the number of elections so far: how often the `leader` key was put.
@@ -280,8 +280,8 @@
 
     /// Returns the number of workers of a zone that have begun a new incarnation.
     pub fn workers_with_new_incarnation_in(&self, zone: &str) -> usize {
-        let there = self.workers.values().filter(|w| w.zone == zone);
-        there.filter(|w| w.incarnation > 1).count()
+        let in_zone = self.workers.values().filter(|w| w.zone == zone);
+        in_zone.filter(|w| w.incarnation > 1).count()
     }
 
     /// Returns the number of workers that have begun a new incarnation.
@@ -301,13 +301,13 @@
             let job = job_of(task_id);
             self.users.iter().any(|u| u.is_service && job == u.id)
         };
-        let there = self
+        let running = self
             .workers
             .values()
             .filter(|w| self.now >= w.disconnected_until)
             .flat_map(Worker::running)
             .filter(|(task_id, _)| is_replica(task_id))
             .count();
-        (wanted as usize).saturating_sub(there)
+        (wanted as usize).saturating_sub(running)
     }
 }
--- a/tests/world/digest.rs
+++ b/tests/world/digest.rs
@@ -20,8 +20,8 @@
 const MEDIUM_POOL: u32 = 12;
 const LARGE_POOL: u32 = 30;
 const LARGEST_POOL: u32 = 80;
-/// A world of this size is used for one in so many seeds. The numbers are odd, so that each size is combined with both
-/// three and five controllers.
+/// One seed in this many has a world of this size. The numbers are odd, so that each size is combined with both three
+/// and five controllers.
 const LARGEST_EVERY: u64 = 35;
 const LARGE_EVERY: u64 = 15;
 const TINY_EVERY: u64 = 9;
