--- a/src/coordination/autoscaler.rs
+++ b/src/coordination/autoscaler.rs
@@ -42,7 +42,7 @@
     Trend,
     /// Machines kept free for future replicas were added.
     Headroom,
-    /// The backlog must be drained before the oldest task misses the pickup target.
+    /// All waiting tasks must start before the oldest one misses the pickup target.
     Drain,
     /// The target was limited to the busy machines and those that the waiting tasks would fill.
     Fill,
@@ -57,11 +57,11 @@
 /// The target of a pool, and the three targets that it was chosen from.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ScalingDecision {
-    /// Machines needed according to Little's law.
+    /// Machines needed to start the waiting tasks, according to Little's law.
     pub littles_law_target: u32,
-    /// Machines needed for the forecast.
+    /// Machines needed for the forecast of task starts and for the running replicas.
     pub forecast_target: u32,
-    /// Machines needed to drain the backlog in time.
+    /// Machines needed to start all waiting tasks before the oldest one misses the pickup target.
     pub drain_target: u32,
     /// The number of machines that the pool should have.
     pub target: u32,
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -167,8 +167,9 @@
         self.capacities[worker].preemptible = Some(preemptible);
     }
 
-    /// Returns whether a task may be preempted for the job. Either the task has lower priority, or the job is within its
-    /// team's quota, and the task is no replica and belongs to another team that uses its whole quota even without it.
+    /// Returns whether a task may be preempted for the job. Either the task has lower priority, or the job
+    /// is within its team's quota, and the task is no replica and belongs to another team that uses its whole
+    /// quota even without it.
     fn may_preempt(&self, victim: &PreemptionCandidate, placement: &JobPlacement) -> bool {
         let request = &victim.request;
         let borrows_quota = || {
--- a/src/coordination/scheduler/scoring.rs
+++ b/src/coordination/scheduler/scoring.rs
@@ -117,8 +117,8 @@
             && placement.zone_allows(capacity.zone)
     }
 
-    /// Returns the workers that have capacity for a task of the job, with the constant parts of their
-    /// scores; at most a random sample of [`SAMPLE_SIZE`] workers.
+    /// Returns the feasible workers for a task of the job, with the constant parts of their scores. Of more than
+    /// [`SAMPLE_SIZE`] workers, a random sample is returned.
     pub(super) fn score_workers(
         &mut self,
         placement: &JobPlacement,
@@ -137,7 +137,8 @@
             .collect()
     }
 
-    /// Returns the indices of the workers that have capacity for a task of the job.
+    /// Returns the indices of the workers that have capacity for a task of the job and pass its filter. Returns none
+    /// without a search if the request is known to be unsatisfiable.
     fn feasible_workers(&mut self, placement: &JobPlacement) -> Vec<usize> {
         let spec = placement.spec();
         let request = &placement.request;
--- a/tests/combined_faults.rs
+++ b/tests/combined_faults.rs
@@ -399,7 +399,7 @@
             );
         }),
         (
-            "late heartbeats, also of earlier incarnations and attempts",
+            "late heartbeats, also of earlier incarnations and with earlier attempts",
             |w| {
                 w.faults.duplicate_heartbeats = 0.6;
                 for i in 0..6 {
@@ -423,16 +423,19 @@
                 );
             },
         ),
-        ("commands are delayed, and the worker goes on", |w| {
-            for i in 0..5 {
-                run_until_offset(w, 8.0 * f64::from(i));
-                w.faults.late_requests = 0.15;
-                w.cancel_jobs(2, 2, LEASE_S - 3.0);
-                w.disconnect_worker(i as usize % 5, 6.0);
-            }
-            run_until_offset(w, 45.0);
-            assert!(cancellations_confirmed(w, 0.0, 45.0) >= 3);
-        }),
+        (
+            "late requests, jobs cancelled on hung workers, and disconnected workers",
+            |w| {
+                for i in 0..5 {
+                    run_until_offset(w, 8.0 * f64::from(i));
+                    w.faults.late_requests = 0.15;
+                    w.cancel_jobs(2, 2, LEASE_S - 3.0);
+                    w.disconnect_worker(i as usize % 5, 6.0);
+                }
+                run_until_offset(w, 45.0);
+                assert!(cancellations_confirmed(w, 0.0, 45.0) >= 3);
+            },
+        ),
         ("more tasks than capacity, over a slow network", |w| {
             for n in 50..80 {
                 let is_service = n % 5 == 0;
--- a/tests/fault_recovery.rs
+++ b/tests/fault_recovery.rs
@@ -23,18 +23,21 @@
             w.faults.duplicate_heartbeats = 0.0;
         }),
         (
-            "no response reaches two workers, for less than a lease",
+            "no response or command reaches two workers, for less than a lease",
             |w| {
                 w.run_until(22.0);
                 w.block_traffic_to_worker(0, 7.0);
                 w.block_traffic_to_worker(1, 9.0);
             },
         ),
-        ("no response reaches two workers, for several leases", |w| {
-            w.run_until(22.0);
-            w.block_traffic_to_worker(0, 35.0);
-            w.block_traffic_to_worker(1, 45.0);
-        }),
+        (
+            "no response or command reaches two workers, for several leases",
+            |w| {
+                w.run_until(22.0);
+                w.block_traffic_to_worker(0, 35.0);
+                w.block_traffic_to_worker(1, 45.0);
+            },
+        ),
         ("the leader can reach only workers, for a moment", |w| {
             w.run_until(25.0);
             w.isolate_leader_except_workers(1.5);
@@ -342,8 +345,8 @@
     assert_eq!(world.violations, Vec::<String>::new());
 }
 
-/// A worker that receives no responses is assigned no new tasks. If this lasts, its machine is released, and its tasks
-/// run elsewhere.
+/// A worker that receives neither responses nor commands is assigned no new tasks. If this lasts, its machine is
+/// released, and its tasks run elsewhere.
 #[test]
 fn heartbeats_without_responses() {
     for controllers in [3, 5] {
@@ -365,7 +368,7 @@
 }
 
 /// A leader that can reach only workers goes on renewing their leases, but starts no tasks. The workers then follow the
-/// next leader because of its higher epoch, and none loses its incarnation.
+/// next leader because of its higher epoch, and none has to begin a new incarnation.
 #[test]
 fn a_leader_that_can_reach_only_workers() {
     for controllers in [3, 5] {
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -66,7 +66,7 @@
     until: f64,
 }
 
-/// The state of the simulated worker.
+/// The state of the only worker.
 #[derive(Debug)]
 struct Worker {
     incarnation: u64,
@@ -74,9 +74,9 @@
     token: FencingToken,
     tasks: BTreeMap<(String, u64), TaskStatus>,
     next_heartbeat_at: f64,
-    /// The worker sends heartbeats and answers direct calls.
+    /// The worker is reachable: it answers direct calls and, unless they are stopped, sends heartbeats.
     is_connected: bool,
-    /// The worker answers direct calls, but sends no heartbeats.
+    /// The worker sends no heartbeats.
     heartbeats_stopped: bool,
 }
 
@@ -221,7 +221,7 @@
             ..
         }) = self.store.get(records::LEADER_KEY)
         else {
-            panic!("the leader key has no lease");
+            panic!("the leader key does not exist or has no lease");
         };
         self.store.revoke_lease(lease_id);
     }
--- a/tests/permit_guards.rs
+++ b/tests/permit_guards.rs
@@ -1,14 +1,15 @@
 //! Tests of each guard of `bookkeeping::permits::freshness` in a case in which no other guard has the same effect.
 //!
-//! In the cases of `tests/combined_faults.rs`, another guard always applies as well, so that none of them failed with
-//! one of the three guards removed. Each case here does, if the invariant checks of the controllers are disabled too.
+//! Each test fails if its guard is removed and the invariant checks of the controllers are disabled. The cases of
+//! `tests/combined_faults.rs` do not fail then, because in each of them another guard applies as well.
 //!
 //! - No lease is renewed after the lease grace period. The election ends the leadership at the same time, but with a
 //!   timer: after a pause, a leader may handle the heartbeats that have arrived before its overdue timers.
-//! - No task is started on an old view. A view usually gets old because the state service fails, in which case another
-//!   guard applies. A watch that is rejected because of the rate limit does not count as a failure.
-//! - No task is started while the state service is in doubt. A view counts as old only after two heartbeat intervals,
-//!   while a failed request shows at once that cancellations may have been missed.
+//! - No task is started on an old view of the open jobs. A view usually gets old because the state service fails, in
+//!   which case another guard applies. A watch that is rejected because of the rate limit does not count as a failure.
+//! - No task is started after a request to the state service has failed, until the view has been confirmed again. A view
+//!   counts as old only after two heartbeat intervals, while a failed request shows at once that cancellations may have
+//!   been missed.
 
 mod world;
 
@@ -121,7 +122,7 @@
 /// The state service fails for the leader alone, and jobs are cancelled through other controllers in the seconds for
 /// which the leader still holds its lease.
 #[test]
-fn no_task_is_started_while_the_state_service_is_in_doubt() {
+fn no_task_is_started_after_a_failed_state_request() {
     for seed in SEEDS {
         let mut world = world_with_free_capacity(seed);
         submit_with_undelivered_starts(&mut world, 0.0, 1.2);
--- a/tests/world/checks.rs
+++ b/tests/world/checks.rs
@@ -32,9 +32,9 @@
     pub latest_after_cancel: f64,
     /// Direct calls with starts that were delayed in transit.
     pub delayed_commands: u32,
-    /// Starts in such calls that arrived more than `CANCEL_S` after the confirmed cancellation of their job.
+    /// Starts in delayed calls that arrived more than `CANCEL_S` after the confirmed cancellation of their job.
     pub starts_past_cancellation: u32,
-    /// Those of them that were meant for the worker's current incarnation.
+    /// The part of `starts_past_cancellation` that was meant for the worker's current incarnation.
     pub starts_past_cancellation_in_incarnation: u32,
     /// Tasks that began to run more than `CANCEL_S` after the confirmed cancellation of their job.
     pub tasks_begun_past_cancellation: u32,
@@ -107,7 +107,8 @@
         self.workers.values().flat_map(Worker::running)
     }
 
-    /// Returns the CPUs that the running tasks use, without those of guest jobs.
+    /// Returns the CPUs that count towards the team's limit: those of all running tasks except the tasks of guest jobs,
+    /// whose team has no limit.
     pub fn used_cpus(&self) -> f64 {
         let guests: BTreeSet<&str> = self
             .users
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -64,7 +64,8 @@
     pub copies_only: bool,
 }
 
-/// A partition between a zone, with some of the controllers, and everything else.
+/// A network partition. On one side are the workers of a zone and the listed controllers, on the other side is
+/// everything else.
 pub(super) struct ZonePartition {
     pub(super) zone: &'static str,
     pub(super) controllers: Vec<usize>,
@@ -261,8 +262,8 @@
         true
     }
 
-    /// Partitions a zone from everything else. The leader is inside or outside; `other_controllers` of the
-    /// others are inside. Returns false if there is no leader.
+    /// Partitions the workers of a zone from everything else, together with the leader if `leader_inside` is set, and
+    /// with `other_controllers` of the others. Returns false if there is no leader.
     pub fn partition_zone(
         &mut self,
         zone: &'static str,
@@ -293,7 +294,7 @@
         true
     }
 
-    /// Lets the state service answer the requests of the leader alone with 503; its open watches get no response.
+    /// Makes the state service answer the requests of the leader alone with 503; its open watches get no response.
     /// Returns false if there is no leader.
     pub fn fail_state_requests_of_leader(&mut self, for_s: f64) -> bool {
         self.set_on_leader(for_s, |world| &mut world.state_requests_fail_until)
@@ -307,7 +308,7 @@
             .is_some()
     }
 
-    /// Lets the state service reject the leader's watch on the open jobs because of its rate limit. The leader's
+    /// Makes the state service reject the leader's watch on the open jobs because of its rate limit. The leader's
     /// other requests are answered. Returns false if there is no leader.
     pub fn rate_limit_leader_watch(&mut self, for_s: f64) -> bool {
         self.set_on_leader(for_s, |world| &mut world.watch_limited_until)
@@ -327,7 +328,7 @@
         inside.len()
     }
 
-    /// Pauses the workers of a zone. They go on afterwards unless their leases have expired.
+    /// Hangs the workers of a zone for `for_s` seconds. They go on afterwards unless their leases have expired.
     pub fn hang_workers(&mut self, zone: &str, for_s: f64) {
         let until = self.now + for_s;
         for worker in self.workers.values_mut().filter(|w| w.zone == zone) {
@@ -343,8 +344,8 @@
         }
     }
 
-    /// Lets the load balancer send the users' requests to controllers other than the leader. Returns false if there is
-    /// no leader.
+    /// Makes the load balancer send the users' requests to controllers other than the leader. Returns false if there
+    /// is no leader.
     pub fn divert_users_from_leader(&mut self, for_s: f64) -> bool {
         self.set_on_leader(for_s, |world| &mut world.users_avoid_until)
             .is_some()
@@ -355,8 +356,8 @@
         self.listings_hang_until = self.now + for_s;
     }
 
-    /// Cancels up to `count` running jobs within 0.2 s, and pauses up to `hung_workers` of the workers that run
-    /// them. Returns the number of cancelled jobs.
+    /// Cancels up to `count` running jobs within 0.2 s, and hangs up to `hung_workers` of the workers that run them
+    /// for `hang_s` seconds. Returns the number of cancelled jobs.
     pub fn cancel_jobs(&mut self, count: usize, hung_workers: usize, hang_s: f64) -> usize {
         let is_running = |u: &User| {
             let runs_on = |w: &Worker| w.runs_job(&u.id);
@@ -412,7 +413,7 @@
         }
     }
 
-    /// Lets users submit unfinished jobs again, and cancel jobs that are done.
+    /// Makes users submit unfinished jobs again, and cancel jobs that are done.
     pub fn repeat_requests(&mut self) {
         for n in 0..self.users.len() {
             let kind = match &self.users[n] {
@@ -433,7 +434,7 @@
         }
     }
 
-    /// Lets controllers refuse connections from their peers.
+    /// Makes all controllers refuse connections from their peers for `for_s` seconds.
     pub fn refuse_peer_connections(&mut self, for_s: f64) {
         self.peer_connections_refused_until = self.now + for_s;
     }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -326,7 +326,8 @@
                     .copied()
                     .collect();
                 for key in waiting {
-                    // The connections are reset; users and workers send their requests again.
+                    // Users notice at once that the connection was reset or, if it hangs, time out. Workers notice
+                    // that the response is missing.
                     if let Some(SimEvent::UserResponseArrives(user, user_request, ..)) =
                         self.pending_responses.remove(&key)
                     {
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -126,7 +126,8 @@
     pub cancel_at: Option<f64>,
     /// All tasks of the job fail, on every machine.
     pub always_fails: bool,
-    /// The job's team has no quota and no limit.
+    /// The job belongs to the guest team, which is guaranteed no resources (a quota of zero), and may use any number
+    /// (no limit).
     pub is_guest: bool,
     pub accepted: bool,
     pub cancellation_confirmed_at: Option<f64>,
@@ -239,7 +240,7 @@
         }
     }
 
-    /// Adds a user with a best-effort job of the guest team, which has no quota.
+    /// Adds a user with a best-effort job of the guest team, which has a quota of zero and no limit.
     pub fn add_guest_job(&mut self, n: u32, at: f64, (tasks, run_s): (u32, f64)) {
         self.add_user(n, at, (tasks, run_s, false, true), None);
         let id = format!("j-{n:06}");
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -36,7 +36,7 @@
 
 /// CPUs of each task.
 pub(super) const TASK_CPUS: f64 = 2.0;
-/// CPU limit of the team in small worlds.
+/// CPU limit of the team in worlds with at most three machines in each pool; in larger ones the team has none.
 pub(super) const TEAM_CPUS: f64 = 40.0;
 
 /// Returns the id of the job that a task belongs to.
@@ -379,8 +379,9 @@
         let now = self.now;
         let job = job_of(task_id).to_owned();
         let Some(user) = self.users.iter().find(|u| u.id == job) else {
-            self.violations
-                .push(format!("{task_id}: its job does not exist"));
+            self.violations.push(format!(
+                "{now}: {name} received a start of {task_id}, whose job does not exist"
+            ));
             return;
         };
         let index = task_id.rsplit('/').next().and_then(|n| n.parse().ok());
