--- a/tests/permit_guards.rs
+++ b/tests/permit_guards.rs
@@ -7,9 +7,9 @@
 //!   timer: after a pause, a leader may handle the heartbeats that have arrived before its overdue timers.
 //! - No task is started on an old view of the open jobs. A view usually gets old because the state service fails, in
 //!   which case another guard applies. A watch that is rejected because of the rate limit does not count as a failure.
-//! - No task is started after a request to the state service has failed, until the view has been confirmed again. A view
-//!   counts as old only after two heartbeat intervals, while a failed request shows at once that cancellations may have
-//!   been missed.
+//! - No task is started after a request to the state service has failed, until the view has been confirmed again. A
+//!   view counts as old only after two heartbeat intervals, while a failed request shows at once that cancellations may
+//!   have been missed.
 
 mod world;
 
