--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -359,7 +359,7 @@
                         accepted.status
                     }
                 };
-                let (already_aborted, already_done) = (
+                let was_final = (
                     u.cancellation_confirmed_at
                         .is_some_and(|at| user_request.sent_at > at),
                     u.completion_confirmed_at
@@ -386,7 +386,7 @@
                     }
                     _ => {}
                 }
-                let reverted = match (already_aborted, already_done) {
+                let reverted = match was_final {
                     (true, _) => status != JobStatus::Aborted,
                     (_, true) => status != JobStatus::Done,
                     _ => false,
