--- a/src/coordination/leader/binding_reconciliation.rs
+++ b/src/coordination/leader/binding_reconciliation.rs
@@ -1,5 +1,5 @@
 //! Binding reconciliation: compares a worker's bindings with the tasks in its heartbeat, and evicts tasks
-//! that can't finish before the cloud reclaims their machine.
+//! that can't finish before the cloud reclaims their instance.
 
 use super::Leader;
 use crate::bookkeeping::invariants::{self, Invariant};
@@ -169,7 +169,7 @@
         self.end_binding(name, task, attempt, newly_completed);
     }
 
-    /// Evicts the tasks that can't finish before the cloud reclaims their machine. A task gets its checkpoint
+    /// Evicts the tasks that can't finish before the cloud reclaims their instance. A task gets its checkpoint
     /// grace period if the time left is enough for it, otherwise none.
     pub(super) fn evict_before_reclaim(&mut self, name: &str, now: f64) {
         let Some(worker) = self.workers.get_mut(name) else {
--- a/src/coordination/leader/commit.rs
+++ b/src/coordination/leader/commit.rs
@@ -46,7 +46,7 @@
     in_flight: bool,
     /// No transaction before this monotonic time, in seconds.
     next_commit_at: f64,
-    /// The keys whose compares failed in the transaction of unknown outcome, until the read-back is answered.
+    /// The keys whose compares failed in the transaction of unknown outcome, until the response to the read-back.
     failed_compares: Vec<String>,
 }
 
--- a/src/coordination/leader/consolidation.rs
+++ b/src/coordination/leader/consolidation.rs
@@ -1,13 +1,13 @@
-//! Consolidation: moves the replicas of a sparsely used machine to other machines, so that it can be released.
+//! Consolidation: moves the replicas of a sparsely used worker to other workers, so that it can be released.
 
 use super::Leader;
 use crate::bookkeeping::workers::{Eviction, EvictionReason, Resources, Worker};
 
-/// A machine is sparsely used if its replicas request at most this share of it.
+/// A worker is sparsely used if its replicas request at most this share of it.
 const MAX_SPARSE_SHARE: f64 = 0.5;
 
 impl Leader {
-    /// Drains one sparsely used on-demand machine of a zone, if the other machines in use have room for its
+    /// Drains one sparsely used on-demand worker of a zone, if the other workers in use have room for its
     /// replicas in addition to `headroom_replicas` more. `request` is what one replica requests on average.
     pub(super) fn consolidate(&mut self, zone: &str, headroom_replicas: u32, request: &Resources) {
         for worker in self.workers.iter_mut() {
--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -322,7 +322,7 @@
                 let target = self.workers.get(&context.worker).map(target_incarnation);
                 if target.is_some_and(|incarnation| heartbeat.incarnation >= incarnation) {
                     // The call was for an earlier incarnation than the worker's present one, which is known
-                    // now: the next call can follow at once. A machine that shows an earlier incarnation than
+                    // now: the next call can follow at once. An instance that shows an earlier incarnation than
                     // the call was for has lost its stored incarnation, and would reject the next call too.
                     self.dispatcher.forget_last_dispatch(&context.worker);
                 }
--- a/src/coordination/leader/failure_detection.rs
+++ b/src/coordination/leader/failure_detection.rs
@@ -6,9 +6,9 @@
 use crate::bookkeeping::workers::Worker;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time after which a machine that is not up is released, in units of its usual boot time.
+/// Time after which an instance that is not up is released, in units of its usual boot time.
 const BOOT_TIMEOUT_FACTOR: f64 = 2.5;
-/// Time after which a machine that the cloud no longer lists counts as lost, in units of the list lag (the time by
+/// Time after which an instance that the cloud no longer lists counts as lost, in units of the list lag (the time by
 /// which the cloud's list may be out of date). The usual boot time is added to it.
 const LIST_LAGS_UNTIL_LOST: f64 = 4.0;
 /// Time without a heartbeat after which a worker has missed one, in heartbeat intervals. The usual variation of the
@@ -99,15 +99,15 @@
         }
     }
 
-    /// Whether the time has passed at which the cloud announced to reclaim the machine. A machine without bound tasks
-    /// counts as reclaimed from the announcement on.
+    /// Whether the time has passed at which the cloud announced to reclaim the instance, with a margin of one
+    /// heartbeat interval. An instance without bound tasks counts as reclaimed from the announcement on.
     fn is_reclaimed(&self, worker: &Worker, now: f64) -> bool {
         worker.reclaim_at.is_some_and(|at| {
             now > at + self.fleet.heartbeat_interval_s || worker.bindings.is_empty()
         })
     }
 
-    /// Whether a machine is still not up long after the usual boot time. A machine that the cloud lists as running
+    /// Whether an instance is still not up long after the usual boot time. An instance that the cloud lists as running
     /// may have booted under an earlier leader, and gets the time of a lease to find this one.
     fn has_boot_timed_out(&self, worker: &Worker, boot_time_s: f64, now: f64) -> bool {
         worker.last_heartbeat_at.is_none()
@@ -141,7 +141,7 @@
             .is_some_and(|at| now - at > self.settings.deployment.workers.lease_s)
     }
 
-    /// Whether a machine that never came up has disappeared from the cloud's list.
+    /// Whether an instance that never came up has disappeared from the cloud's list.
     fn is_no_longer_listed(&self, worker: &Worker, boot_time_s: f64, now: f64) -> bool {
         let lost_s = LIST_LAGS_UNTIL_LOST * self.fleet.list_lag_s + boot_time_s;
         worker.last_heartbeat_at.is_none()
@@ -160,7 +160,7 @@
     }
 
     /// Whether a silent worker is kept because its zone is partitioned, or was until recently. Workers of a zone
-    /// that stays partitioned for long are released, since by then waiting costs more than booting new machines.
+    /// that stays partitioned for long are released, since by then waiting costs more than booting new instances.
     /// After the partition, all workers of the zone get the time to reconnect.
     fn is_kept_during_partition(&self, worker: &Worker, now: f64) -> bool {
         let max_silence_s = PARTITION_LEASES * self.settings.deployment.workers.lease_s;
@@ -207,7 +207,7 @@
     }
 
     /// Finds the zones in which so many workers are late at once that a partition explains it better than failed
-    /// machines. Tasks there may continue to run, and their workers return with the zone; deleting the machines
+    /// instances. Tasks there may continue to run, and their workers return with the zone; deleting the instances
     /// would only add the time to boot new ones. A partition is detected before the first of the workers counts
     /// as unresponsive.
     fn detect_partitions(&self, now: f64) -> ZonePartitions {
--- a/src/coordination/leader/fleet/pool.rs
+++ b/src/coordination/leader/fleet/pool.rs
@@ -67,9 +67,9 @@
     pub(in crate::coordination::leader) starts: RateMeter,
     /// Completions of tasks.
     pub(in crate::coordination::leader) finishes: RateMeter,
-    /// Average run time of a task in seconds.
+    /// Average run time of a task in seconds; `None` before the first one has completed.
     pub(in crate::coordination::leader) task_s: Option<f64>,
-    /// Average share of an instance that a task requests.
+    /// Average share of an instance that a task requests; `None` before the first one has started.
     pub(in crate::coordination::leader) machine_share: Option<f64>,
     /// The decision that was last logged.
     pub(in crate::coordination::leader) last_decision: Option<ScalingDecision>,
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -206,7 +206,7 @@
     }
 }
 
-/// Handles a heartbeat with a lower token than the worker showed before. The machine has restarted and lost its
+/// Handles a heartbeat with a lower token than the worker showed before. The instance has restarted and lost its
 /// stored incarnation and token. The heartbeat was sent before or after that restart; its sequence number and
 /// incarnation don't tell which. Its list of tasks therefore can't be compared with the present bindings, and is
 /// ignored. If it was sent after the restart, the response gives the worker the present token and renews its
@@ -253,7 +253,7 @@
     worker.lease_renewed_at = worker.lease_renewed_at.max(now);
 }
 
-/// Counts the lease from now after the machine has restarted, lost its stored incarnation, and begun the same
+/// Counts the lease from now after the instance has restarted, lost its stored incarnation, and begun the same
 /// incarnation again. The lease runs from that second beginning, which is not later than now, but later than the
 /// heartbeats that this leader has responded to.
 fn restart_lease(worker: &mut Worker, now: f64) {
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -16,7 +16,7 @@
 //! - `failure_attribution`: decides whether a failed task is the fault of its worker or of its job;
 //!   `failure_detection`: finds workers to be released, and partitioned zones
 //! - `fleet`: provisions and deletes instances; `scaling`: decides how many are needed; `consolidation`: moves
-//!   replicas together to empty a machine
+//!   replicas together to empty a worker
 //!
 //! Times are monotonic, in seconds, unless they are called `wall`.
 
--- a/src/coordination/leader/scaling/demand.rs
+++ b/src/coordination/leader/scaling/demand.rs
@@ -124,8 +124,9 @@
 }
 
 impl BinRequest<'_> {
-    /// Whether a task waits for a spot instance. A task that may use spot instances does so as long as it could
-    /// still meet its deadline on an on-demand instance that is created later.
+    /// Whether a task waits for a spot instance instead of taking an on-demand one of this offer. A task that may
+    /// use spot instances does so as long as it could still meet its deadline on an on-demand instance that is
+    /// created later; a task without a deadline does not wait.
     fn waits_for_spot(&self, offer: &PoolOffer) -> bool {
         let boot_time_s = offer.instance_type.boot_time_s;
         self.job.spec.spot
--- a/src/coordination/leader/scheduling.rs
+++ b/src/coordination/leader/scheduling.rs
@@ -152,7 +152,7 @@
     job.gang_attempt.filter(|_| is_bound_gang)
 }
 
-/// Returns the share of a machine that a task requests, for its pool's forecast; `None` if the task does not
+/// Returns the share of an instance that a task requests, for its pool's forecast; `None` if the task does not
 /// count in it. These don't count: replicas, which run until they are cancelled; tasks that may use spot
 /// instances but spilled over to an on-demand one; and probes of a crash-looping job.
 fn forecast_share(
--- a/tests/bindings.rs
+++ b/tests/bindings.rs
@@ -212,7 +212,7 @@
             true,
         ),
         (
-            "direct call without answer, completed",
+            "direct call without response, completed",
             unanswered,
             ExitReason::Completed,
             false,
@@ -384,7 +384,7 @@
     }
 }
 
-/// The answer to a stop does not show whether the start of the same attempt, still in flight, has arrived.
+/// The response to a stop does not show whether the start of the same attempt, still in flight, has arrived.
 #[test]
 fn an_answered_stop_settles_no_start() {
     let mut worker = worker("h", "a", false);
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -295,7 +295,7 @@
     }
 }
 
-/// Creates a world with services and a stream of short arrays, on up to 48 machines.
+/// Creates a world with services and a stream of short arrays, on up to 48 workers.
 fn busy_world(seed: u64, controllers: usize) -> World {
     let mut world = World::with_size(seed, controllers, 12);
     for n in 0..4 {
@@ -316,7 +316,7 @@
 /// Maximum number of probes of a broken job within a minute and a half, including those of a new leader.
 const MAX_PROBES: u32 = 10;
 
-/// Failures of crash-looping jobs must not get machines with other tasks released. Such a job is probed with one
+/// Failures of crash-looping jobs must not get workers with other tasks released. Such a job is probed with one
 /// task at a time, status requests for it are still answered, and it can be cancelled at once.
 #[test]
 fn crash_looping_jobs_get_no_busy_worker_released() {
@@ -373,7 +373,7 @@
             assert_eq!(
                 world.deleted_while_busy,
                 Vec::<String>::new(),
-                "{name}: machines deleted while they ran tasks"
+                "{name}: workers deleted while they ran tasks"
             );
             world.run_until(120.0);
             assert!(
@@ -386,7 +386,7 @@
     }
 }
 
-/// Faulty machines are released soon, even while other jobs fail on all machines; machines without a fault are
+/// Faulty workers are released soon, even while other jobs fail on all workers; workers without a fault are
 /// kept.
 #[test]
 fn faulty_workers_are_quarantined() {
@@ -405,7 +405,7 @@
                 }
             }
             world.run_until(75.0);
-            // Four tasks fit on a machine, and each of the three broken jobs may fill it once.
+            // Four tasks fit on a worker, and each of the three broken jobs may fill it once.
             let most = if broken { 12 + 3 * 4 } else { 12 };
             let mut failed = 0;
             for machine in &faulty {
@@ -423,12 +423,12 @@
             }
             assert!(
                 failed >= 2,
-                "{name}: tasks failed on only {failed} of the faulty machines"
+                "{name}: tasks failed on only {failed} of the faulty workers"
             );
             let healthy = world.deleted_while_busy_except(&faulty);
             assert_eq!(
                 healthy, 0,
-                "{name}: healthy machines deleted while they ran tasks"
+                "{name}: healthy workers deleted while they ran tasks"
             );
             world.run_until(260.0);
             world.check(&name);
--- a/tests/late_commands.rs
+++ b/tests/late_commands.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use world::{CANCEL_S, DelayedCommands, LEASE_S, World};
 
-/// When commands begin to be delayed, in seconds: by then the machines are up and run the steady jobs.
+/// When commands begin to be delayed, in seconds: by then the workers are up and run the steady jobs.
 const DELAYS_BEGIN_AT: f64 = 30.0;
 /// When all jobs must have ended, in seconds.
 const END: f64 = 240.0;
