--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -14,7 +14,7 @@
 /// Share of the connection limit above which the table counts as crowded.
 const CROWDED_SHARE: f64 = 0.85;
 
-/// What the caller must do with a connection after it was read or written.
+/// What the caller must do with a connection after a function of [`Server`] has read or written it.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ConnectionAction {
     /// Nothing.
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// Adds jobs of a guest team: a large array, and 40 small jobs, one each 0.4 s.
+/// Adds jobs of a guest team: a large array, and 40 small jobs, one every 0.4 s.
 fn add_guest_jobs(world: &mut World, from: f64) {
     world.add_guest_job(200, from, (60, 8.0));
     for n in 0..40 {
@@ -57,7 +57,8 @@
 }
 
 /// A decision that was made before a pause of the leader must do no harm if it is sent after the pause. The leader is
-/// paused between decision and sending, for shorter than its lease up to longer than the time for a cancellation.
+/// paused between decision and sending. The pauses range from less than its lease to more than the time for a
+/// cancellation.
 #[test]
 fn pauses_between_decision_and_sending() {
     run_cases(&[
--- a/tests/soak/oracle.rs
+++ b/tests/soak/oracle.rs
@@ -161,7 +161,7 @@
         .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// Tolerance for delays of the stand-ins in addition to the measured ones, as a share of `cancel_s`.
+/// Tolerance for delays of the stand-ins in addition to the measured scheduling delay, as a share of `cancel_s`.
 const TOLERANCE: f64 = 0.01;
 
 impl Oracle {
--- a/tests/soak/users.rs
+++ b/tests/soak/users.rs
@@ -10,7 +10,7 @@
 use rand::rngs::SmallRng;
 use std::net::SocketAddr;
 
-/// Share of the jobs that are cancelled; services are cancelled always.
+/// Share of the array jobs that their users cancel. Services are always cancelled, as they do not end otherwise.
 const CANCEL_SHARE: f64 = 0.45;
 /// Share of the cancellations that follow within 3 s of the protocol after the job was accepted.
 const EARLY_CANCEL_SHARE: f64 = 0.4;
