--- a/src/bookkeeping/failure_attribution.rs
+++ b/src/bookkeeping/failure_attribution.rs
@@ -2,17 +2,18 @@
 //!
 //! A single failure does not show whether the worker or the job is at fault; a comparison of several does. A job that
 //! fails on several workers without any success is crash-looping, and its failures don't count against the workers. A
-//! worker is faulty, and is quarantined, if jobs fail on it that succeed elsewhere. Until the fault is attributed, a
-//! worker on which several jobs fail is cordoned.
+//! worker is faulty, and is quarantined, if jobs fail on it that succeed elsewhere. A worker on which several jobs fail
+//! is cordoned, which means that it gets no more tasks, until it is known whether these jobs succeed elsewhere.
 
 use std::collections::BTreeMap;
 
-/// Number of workers on which a job must fail, without a success in between, to be crash-looping.
+/// Number of workers on which a job must fail, without a success in between, to be crash-looping. A job that fails
+/// again on a worker that it had avoided is crash-looping with fewer.
 const CRASH_LOOP_WORKERS: usize = 3;
 /// Number of counted failures at which a worker is cordoned or quarantined.
 const QUARANTINE_FAILURES: u32 = 3;
-/// Maximum number of failures counted for each job that has not succeeded elsewhere. Lower than
-/// [`QUARANTINE_FAILURES`], so that no single job gets a worker cordoned.
+/// Maximum number of failures on a worker that are counted for each job that has not succeeded on other workers. Lower
+/// than [`QUARANTINE_FAILURES`], so that no single job gets a worker cordoned.
 const MAX_UNPROVEN_FAILURES: u32 = 2;
 /// Maximum number of workers recorded per job, and of jobs recorded per worker.
 const MAX_RECORDED: usize = 64;
@@ -23,16 +24,18 @@
 /// The failures of a job's tasks since one of them last succeeded.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct JobFailures {
-    /// Workers on which tasks failed, with the time of the first failure.
+    /// Workers on which tasks failed, with the time of the first failure in seconds.
     workers: BTreeMap<String, f64>,
+    /// A task of the job has ever succeeded.
     succeeded: bool,
     crash_looping: bool,
+    /// Number of failed probes since the job became crash-looping, counted up to `MAX_BACKOFF_EXPONENT + 1`.
     failed_probes: u32,
 }
 
 impl JobFailures {
-    /// Whether the failures are attributed to the job itself. If so, only one task or gang at a time is started, as a
-    /// probe.
+    /// Whether the failures are attributed to the job itself. If so, only one task or gang of the job is started at a
+    /// time, as a probe.
     pub fn is_crash_looping(&self) -> bool {
         self.crash_looping
     }
@@ -47,8 +50,9 @@
         self.workers.contains_key(worker)
     }
 
-    /// Whether further tasks of the job should be placed on other workers than this one. After `avoid_s` seconds the
-    /// job may use the worker again, as there may be no other.
+    /// Whether the job should avoid this worker, because its first failure there since the last success was less than
+    /// `avoid_s` seconds ago. Later the job may use the worker again, as there may be no other. A crash-looping job
+    /// avoids no worker.
     pub fn avoids(&self, worker: &str, avoid_s: f64, now: f64) -> bool {
         !self.crash_looping
             && self
@@ -62,8 +66,9 @@
         self.workers.keys().map(String::as_str)
     }
 
-    /// Records a failure. The job becomes crash-looping once it has failed on several workers, or has failed again on
-    /// one that it had avoided for `avoid_s` seconds. Returns whether this failure made it so.
+    /// Records a failure. The job becomes crash-looping once it has failed on `CRASH_LOOP_WORKERS` workers, or fails
+    /// on a worker `avoid_s` seconds or more after its first failure there. Returns true if this failure made the job
+    /// crash-looping.
     pub fn record_failure(&mut self, worker: &str, avoid_s: f64, now: f64) -> bool {
         let again = self
             .workers
@@ -77,7 +82,7 @@
         self.crash_looping && !before
     }
 
-    /// Marks the job as crash-looping because an earlier leader had found it to be.
+    /// Marks the job as crash-looping because an earlier leader has reported so.
     pub fn mark_crash_looping(&mut self) {
         self.crash_looping = true;
     }
@@ -90,7 +95,8 @@
         };
     }
 
-    /// Seconds to wait before the next probe: exponential back-off that starts at `shortest_s`.
+    /// Seconds to wait before the next probe: exponential back-off that starts at `shortest_s`. Each call counts one
+    /// failed probe.
     pub fn next_backoff_s(&mut self, shortest_s: f64) -> f64 {
         let exponent = self.failed_probes.min(MAX_BACKOFF_EXPONENT);
         self.failed_probes = exponent + 1;
@@ -102,18 +108,19 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct AttributedFailures {
     failures: u32,
-    /// The job has succeeded elsewhere.
+    /// The job has succeeded on another worker.
     job_works_elsewhere: bool,
 }
 
-/// The failures on a worker since a task last completed there, by job.
+/// The failures on a worker since a task last completed there, by the id of the job.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct WorkerFailures {
     jobs: BTreeMap<String, AttributedFailures>,
 }
 
 impl WorkerFailures {
-    /// Records that a task of a job failed here.
+    /// Records that a task of a job failed on this worker. `job_works_elsewhere` says whether the job has succeeded on
+    /// another worker.
     pub fn record_failure(&mut self, job: &str, job_works_elsewhere: bool) {
         if self.jobs.len() >= MAX_RECORDED && !self.jobs.contains_key(job) {
             return;
@@ -123,30 +130,31 @@
         job_failures.job_works_elsewhere |= job_works_elsewhere;
     }
 
-    /// Attributes a job's failures to this worker, because the job has succeeded elsewhere.
+    /// Attributes a job's failures to this worker, because the job has succeeded on another worker.
     pub fn attribute_to_worker(&mut self, job: &str) {
         if let Some(job_failures) = self.jobs.get_mut(job) {
             job_failures.job_works_elsewhere = true;
         }
     }
 
-    /// Stops counting a job's failures against this worker, because the job itself is or may be at fault.
+    /// Removes a job's failures from those of this worker, because the job itself is or may be at fault.
     pub fn attribute_to_job(&mut self, job: &str) {
         self.jobs.remove(job);
     }
 
-    /// Records that a task completed here: the worker is not faulty.
+    /// Records that a task completed on this worker, which is therefore not faulty.
     pub fn record_success(&mut self) {
         self.jobs.clear();
     }
 
-    /// Whether the worker may be faulty. It gets no more tasks until it is known which of the jobs that failed here
-    /// succeed elsewhere.
+    /// Whether the worker may be faulty. A cordoned worker gets no more tasks until it is known which of the jobs that
+    /// failed on it succeed elsewhere.
     pub fn is_cordoned(&self) -> bool {
         self.count_failures(MAX_UNPROVEN_FAILURES) >= QUARANTINE_FAILURES
     }
 
-    /// Whether the worker is faulty: the jobs that failed here have succeeded elsewhere.
+    /// Whether the worker is faulty: jobs that have succeeded elsewhere have failed on it `QUARANTINE_FAILURES` times
+    /// in total.
     pub fn is_quarantined(&self) -> bool {
         self.count_failures(0) >= QUARANTINE_FAILURES
     }
--- a/src/bookkeeping/invariants.rs
+++ b/src/bookkeeping/invariants.rs
@@ -1,8 +1,8 @@
-//! Safety invariants, checked at the point where a message is sent or a binding is dropped.
+//! Safety invariants, checked immediately before a message is sent or a binding is dropped.
 //!
-//! [`super::permits`] decides which actions are permitted; these checks verify the outcome independently. A violation
-//! is a bug in this program: it is logged at `error` with a count, the action is refused, and the process goes on.
-//! Builds with debug assertions, such as tests, panic.
+//! [`super::permits`] decides which actions are permitted; the checks in this module verify its decisions
+//! independently. A violation is a bug in this program: it is logged at `error` with a count, the action is refused,
+//! and the process continues. Builds with debug assertions, such as test builds, panic after logging.
 
 use std::fmt::Arguments;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,13 +10,15 @@
 /// A condition that must hold for an action.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Invariant {
-    /// No start command for a task is sent once this controller knows that the job has ended.
+    /// No start command for a task is sent once this controller knows that the task's job has ended.
     NoStartOfEndedJob,
-    /// No attempt is cleared while a start command may arrive that would run it again.
+    /// No clear command for an attempt is sent while a start command that would run the attempt again may still arrive
+    /// at the worker.
     NoClearWhileStartMayArrive,
-    /// No response to a user says that a job is aborted before that is committed.
+    /// No response to a user says that a job is aborted before the cancellation is committed to the state service.
     NoAbortedWithoutCommit,
-    /// No lease of a worker is renewed beyond the lease grace period.
+    /// No worker's lease is renewed once the leader's own lease or its view of the open jobs has not been confirmed for
+    /// longer than the lease grace period.
     NoRenewalBeyondLeaseGrace,
     /// No binding is dropped while a start command for it may still arrive.
     NoUnbindWhileStartMayArrive,
@@ -24,9 +26,11 @@
     NoBindingUnknownToItsJob,
 }
 
+/// Number of violations since the process was started.
 static VIOLATIONS: AtomicU64 = AtomicU64::new(0);
 
-/// Checks an invariant. Returns false if it does not hold: the action must not be taken.
+/// Returns `holds`, and reports a violation if it is false: the caller must then not take the action. `details` says
+/// for the log line which action it is.
 #[must_use]
 pub fn check(invariant: Invariant, holds: bool, details: Arguments) -> bool {
     if !holds {
--- a/src/bookkeeping/jobs/job.rs
+++ b/src/bookkeeping/jobs/job.rs
@@ -10,7 +10,7 @@
 pub struct BoundWorker {
     /// Name of the worker.
     pub name: String,
-    /// The task has been observed running there.
+    /// A heartbeat of the worker has listed the task as running.
     pub is_running: bool,
 }
 
@@ -25,35 +25,38 @@
     pub spec: JobSpec,
     /// Mod revision of the job's key in the state service.
     pub mod_revision: u64,
-    /// When the job was submitted.
+    /// When the job was submitted; negative if that was before the start of the monotonic clock.
     pub submitted_at: f64,
-    /// When the job should be complete, by its deadline or the objective of its class.
+    /// When the job should be complete, by its own deadline or else by the objective of its class. `None` if it has
+    /// neither.
     pub deadline: Option<f64>,
-    /// Seconds within which the job's tasks should start, by the objective of its class.
+    /// Seconds within which the job's tasks should start, by the objective of its class. `None` if there is no such
+    /// objective.
     pub start_objective_s: Option<f64>,
-    /// Before this time the job waits; from then on its tasks may preempt others.
+    /// The time from which on tasks of other jobs may be preempted for this job; until then it waits for free capacity.
     pub may_preempt_from: f64,
     /// Completed tasks, including those whose completion is not committed yet.
     completed: TaskSet,
     /// The workers to which each bound task is bound; after failures a task may be bound to several.
     bound_workers: BTreeMap<u32, Vec<BoundWorker>>,
-    /// Workers on which tasks of the job have completed while duplicates of their start commands may still arrive.
+    /// Workers on which a task of the job had completed while a duplicate of its start command could still arrive. The
+    /// end of the job revokes these duplicates.
     pub workers_with_duplicate_starts: BTreeSet<String>,
     /// Number of bindings in each zone.
     bound_per_zone: HashMap<String, u32>,
     /// Number of bound tasks that are complete already.
     bound_completed: u32,
-    /// Number of workers in `bound_workers` that are marked as running.
+    /// Number of entries of `bound_workers` with `is_running` set.
     running_tasks: u32,
     /// The end of the job has been added to the write-ahead log, but is not committed yet.
     pub finishing: bool,
     /// Failures of the job's tasks.
     pub failures: JobFailures,
-    /// Number of a gang's latest attempt, which all its tasks share.
+    /// For a gang: number of the latest attempt, which all its tasks share. `None` before the gang is first placed.
     pub gang_attempt: Option<u64>,
-    /// No task is placed before this time.
+    /// No task is placed before this time, which is in the future only while a crash-looping job is backed off.
     pub eligible_at: f64,
-    /// Since when at least one task has been waiting to be placed.
+    /// Since when at least one task has been waiting to be placed; has no meaning while no task is waiting.
     pub waiting_since: f64,
 }
 
@@ -88,7 +91,7 @@
         self.spec.kind == JobKind::Service
     }
 
-    /// The tasks that are waiting to be placed, in the order of placement.
+    /// Indices of the tasks that are neither complete nor bound, in ascending order, in which they are to be placed.
     pub fn waiting_tasks(&self) -> impl Iterator<Item = u32> + '_ {
         (0..self.spec.tasks).filter(|index| self.is_waiting(*index))
     }
@@ -97,7 +100,7 @@
         !self.completed.contains(index) && !self.bound_workers.contains_key(&index)
     }
 
-    /// Number of tasks that are waiting to be placed.
+    /// Number of tasks that are waiting to be placed; 0 while the job is finishing.
     pub fn waiting_count(&self) -> u32 {
         if self.finishing {
             return 0;
@@ -111,8 +114,8 @@
         self.is_service() && self.failures.workers().next().is_some()
     }
 
-    /// Number of tasks that may be placed now: all waiting tasks, or, if the job is crash-looping, a probe of one task
-    /// or one gang at a time.
+    /// Number of tasks that may be placed now: all waiting tasks, unless the job is crash-looping. Of a crash-looping
+    /// job, one task or the gang may be placed as a probe, but none while a probe is bound.
     pub fn startable_count(&self) -> u32 {
         let waiting = self.waiting_count();
         if !self.failures.is_crash_looping() {
@@ -141,7 +144,7 @@
         &self.bound_workers
     }
 
-    /// Number of bindings in each zone.
+    /// Number of bindings in each zone. Zones without bindings are left out.
     pub fn bound_per_zone(&self) -> &HashMap<String, u32> {
         &self.bound_per_zone
     }
@@ -151,7 +154,7 @@
         self.running_tasks
     }
 
-    /// Records that a bound task has been observed running.
+    /// Records that a heartbeat of the worker lists the task as running. Does nothing if the task is not bound to it.
     pub fn observe_running(&mut self, index: u32, worker: &str) {
         let workers = self.bound_workers.get_mut(&index);
         let bound =
@@ -164,12 +167,12 @@
         }
     }
 
-    /// Whether any task has been placed or completed.
+    /// Whether any task is bound or complete. False again if the only bound task is unbound without being complete.
     pub fn has_started(&self) -> bool {
         !self.completed.is_empty() || !self.bound_workers.is_empty()
     }
 
-    /// Records that a task is complete. Returns false if it already was.
+    /// Records that a task is complete. Returns false if the task was complete already.
     pub fn complete(&mut self, index: u32) -> bool {
         let new = self.completed.insert(index);
         if new && self.bound_workers.contains_key(&index) {
@@ -178,7 +181,7 @@
         new
     }
 
-    /// Records that a task is bound to a worker in a zone.
+    /// Records that a task is bound to a worker in this zone. Does nothing if the task is bound to the worker already.
     pub fn bind(&mut self, index: u32, worker: &str, zone: &str) {
         let workers = self.bound_workers.entry(index).or_default();
         if workers.is_empty() && self.completed.contains(index) {
@@ -193,7 +196,7 @@
         }
     }
 
-    /// Records that a binding has ended. If the job has no binding of this task to this worker, changes nothing and
+    /// Records that the binding of a task to a worker has ended. If there is no such binding, changes nothing and
     /// returns false.
     pub fn unbind(&mut self, index: u32, worker: &str, zone: &str, now: f64) -> bool {
         let Some(workers) = self.bound_workers.get_mut(&index) else {
--- a/src/bookkeeping/jobs/registry.rs
+++ b/src/bookkeeping/jobs/registry.rs
@@ -30,12 +30,12 @@
         self.jobs.get_mut(id)
     }
 
-    /// All jobs, by id.
+    /// All jobs, in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = &Job> {
         self.jobs.values()
     }
 
-    /// All jobs by id, mutably.
+    /// All jobs, mutably, in the order of their ids.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Job> {
         self.jobs.values_mut()
     }
--- a/src/bookkeeping/jobs/task_set.rs
+++ b/src/bookkeeping/jobs/task_set.rs
@@ -10,7 +10,7 @@
 }
 
 impl TaskSet {
-    /// An empty set for indices below `size`, rounded up to a multiple of 64.
+    /// An empty set that can hold the indices below `size`, rounded up to a multiple of 64.
     pub fn new(size: u32) -> TaskSet {
         TaskSet {
             words: vec![0; size.div_ceil(64) as usize],
--- a/src/bookkeeping/mod.rs
+++ b/src/bookkeeping/mod.rs
@@ -1,6 +1,7 @@
-//! The leader's records: jobs, workers, bindings and quotas, and how they are stored in the state service.
+//! Records of jobs, workers, bindings and quotas, the rules that depend on them, and their form in the state service.
 //!
-//! Nothing here opens a socket or reads a clock; times are arguments, in seconds of a monotonic clock.
+//! A binding is the assignment of a task to a worker. Nothing in this module opens a socket or reads a clock; times
+//! are arguments, in seconds of a monotonic clock.
 
 pub mod failure_attribution;
 pub mod invariants;
--- a/src/bookkeeping/permits/decision_counters.rs
+++ b/src/bookkeeping/permits/decision_counters.rs
@@ -3,14 +3,14 @@
 use super::denial::{Denial, GuardedAction};
 use std::collections::BTreeMap;
 
-/// Number of granted and denied permits, by action and reason of the denial.
+/// Number of permit decisions, by action and by the reason of the denial; a reason of `None` counts granted permits.
 #[derive(Debug, Default)]
 pub struct DecisionCounters {
     counts: BTreeMap<(GuardedAction, Option<Denial>), u64>,
 }
 
 impl DecisionCounters {
-    /// Counts a decision.
+    /// Counts one decision on an action: `Ok` if it was permitted.
     pub fn count(&mut self, action: GuardedAction, decision: Result<(), Denial>) {
         *self.counts.entry((action, decision.err())).or_default() += 1;
     }
--- a/src/bookkeeping/permits/denial.rs
+++ b/src/bookkeeping/permits/denial.rs
@@ -9,7 +9,7 @@
     RenewLease,
 }
 
-/// Why an action is denied.
+/// Why an action is not permitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Denial {
     /// This controller is not the leader.
@@ -19,28 +19,29 @@
     /// Since the view of the open jobs was last confirmed, the state service has rejected a request or left one
     /// unanswered.
     StateServiceUncertain,
-    /// The view of the open jobs is too old.
+    /// The view of the open jobs is older than the limit for the action.
     ViewStale,
     /// The transaction that creates or ends the binding, or that records the worker's termination, is not committed
     /// yet.
     NotCommitted,
     /// An earlier leader bound the task, and it is unknown whether that leader sent the start command.
     Inherited,
-    /// The task is being evicted from the worker; the end of its job is one of the possible reasons.
+    /// The task is being evicted from the worker, for example because its job has ended.
     Evicted,
-    /// The task is bound to the worker and is not being evicted.
+    /// The binding can't end: it is to stay, since the task is not being evicted.
     StillWanted,
-    /// The task was bound to another incarnation of the worker.
+    /// The task was bound to another incarnation of the worker than the current one.
     IncarnationMismatch,
     /// The worker's latest heartbeat lists the attempt already.
     AlreadyObserved,
-    /// The task has not exited.
+    /// The attempt can't be cleared, since it has not exited.
     NotExited,
     /// The worker's instance is to be deleted.
     Terminating,
     /// A start command for the attempt may still arrive at the worker.
     StartMayArrive,
-    /// The lease grace period has expired. Jobs may have been cancelled without this controller's knowledge, and so
-    /// long ago that their tasks must have stopped when the workers' current leases end.
+    /// The leader's lease or its view of the open jobs was last confirmed longer ago than the lease grace period. A job
+    /// may have been cancelled meanwhile without this controller's knowledge, so long ago that its tasks must stop by
+    /// the end of the workers' current leases.
     LeaseGraceExpired,
 }
--- a/src/bookkeeping/permits/freshness.rs
+++ b/src/bookkeeping/permits/freshness.rs
@@ -1,12 +1,12 @@
-//! The age of a controller's data, and the actions that it permits.
+//! How old a controller's data is, and which actions data of that age permits.
 
 use super::denial::Denial;
 
 /// How old a controller's data may be for each action that depends on it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FreshnessLimits {
-    /// Workers' leases are renewed only while both the leader's own lease and its view of the open jobs were
-    /// confirmed within this many seconds.
+    /// The lease grace period: workers' leases are renewed only while both the leader's own lease and its view of the
+    /// open jobs were last confirmed at most this many seconds ago.
     pub lease_grace_s: f64,
     /// Tasks are started only while the view of the open jobs is younger than this many seconds.
     pub max_start_view_age_s: f64,
@@ -19,13 +19,13 @@
     pub is_leader: bool,
     /// This controller certainly holds the leader's lease in the state service.
     pub lease_held: bool,
-    /// Seconds since that lease was last renewed.
+    /// Seconds since the leader's lease was last renewed.
     pub lease_age_s: f64,
     /// Seconds since the latest time at which the view of the open jobs is known to have been current.
     pub view_age_s: f64,
     /// Seconds since the state service last rejected a request or left one unanswered.
     pub state_failure_age_s: f64,
-    /// The greatest ages at which actions are permitted.
+    /// The maximum ages at which actions are permitted.
     pub limits: FreshnessLimits,
 }
 
@@ -49,8 +49,8 @@
         Ok(())
     }
 
-    /// Whether workers' leases may be renewed. A leader may do so only if it knows of every cancellation that
-    /// workers must have carried out by the end of the renewed lease.
+    /// Whether workers' leases may be renewed. A leader may renew them only if it knows of every cancellation that the
+    /// workers must have carried out by the end of the renewed leases.
     pub fn may_renew(&self) -> Result<(), Denial> {
         if !self.is_leader {
             return Err(Denial::NotLeader);
--- a/src/bookkeeping/permits/worker_actions.rs
+++ b/src/bookkeeping/permits/worker_actions.rs
@@ -28,9 +28,9 @@
     Ok(())
 }
 
-/// Whether an attempt that the worker's heartbeat lists may be cleared. A delayed or duplicate start command that
-/// arrives after the clear runs the attempt again. That does no harm if the task is completed, its completion is
-/// committed, and only duplicates of answered start commands can still arrive.
+/// Whether a clear command may be sent for an attempt that the worker's heartbeat lists. A delayed or duplicate start
+/// command that arrives after the clear command runs the attempt again. A second run does no harm if the attempt has
+/// completed the task, the completion is committed, and only duplicates of answered start commands can still arrive.
 pub fn may_clear(worker: &Worker, task: &TaskId, task_status: &TaskStatus) -> Result<(), Denial> {
     if task_status.state != TaskState::Exited {
         return Err(Denial::NotExited);
@@ -49,8 +49,9 @@
     Ok(())
 }
 
-/// Whether a binding may end although the worker's heartbeat does not list its task. The task is then not running;
-/// the binding may end once no start command for it can arrive any more.
+/// Whether the binding of a task that the worker's latest heartbeat does not list may end. The task is not running, so
+/// the binding may end once no start command for it can arrive any more. A binding that this leader has made must also
+/// be under eviction.
 pub fn may_unbind_absent(worker: &Worker, task: &TaskId, binding: &Binding) -> Result<(), Denial> {
     if !binding.durable || binding.unbinding {
         return Err(Denial::NotCommitted);
--- a/src/bookkeeping/quotas.rs
+++ b/src/bookkeeping/quotas.rs
@@ -1,4 +1,4 @@
-//! Resources that teams use, and the quotas and limits from their settings.
+//! The resources that teams use, and the teams' quotas and limits, which come from the settings.
 //!
 //! A team's quota (`cpus`, `gpus`) is the amount that it is guaranteed. Its limit (`cpus_max`, `gpus_max`) is the most
 //! that it may use; a limit of 0 means that there is none.
@@ -47,13 +47,13 @@
         }
     }
 
-    /// Whether a team exists.
+    /// Whether the settings contain a team with this name.
     pub fn contains_team(&self, team: &str) -> bool {
         self.teams.contains_key(team)
     }
 
     /// Whether the limit of the job's team allows the job to run if the team uses nothing else: at least one task of an
-    /// array, or all tasks of a service or a gang together.
+    /// array, or all tasks of a service or a gang together. False if there is no such team.
     pub fn can_ever_run(&self, spec: &JobSpec) -> bool {
         let Some(TeamUsage { team, .. }) = self.teams.get(&spec.team) else {
             return false;
@@ -66,7 +66,7 @@
             && is_within_limit(spec.gpus * tasks, team.gpus_max)
     }
 
-    /// Whether one more task that requests these amounts fits under the team's limit.
+    /// Whether one more task that requests these amounts fits under the team's limit. False if there is no such team.
     pub fn has_capacity(&self, team: &str, cpus: f64, gpus: f64) -> bool {
         let Some(TeamUsage { team, used }) = self.teams.get(team) else {
             return false;
@@ -75,7 +75,8 @@
             && is_within_limit(used.gpus + gpus, team.gpus_max)
     }
 
-    /// How many more tasks that each request these amounts fit under the team's limit.
+    /// How many more tasks that each request these amounts fit under the team's limit: `u32::MAX` if no limit applies,
+    /// 0 if there is no such team.
     pub fn remaining_tasks(&self, team: &str, cpus: f64, gpus: f64) -> u32 {
         let Some(TeamUsage { team, used }) = self.teams.get(team) else {
             return 0;
@@ -92,7 +93,8 @@
         count(cpus, used.cpus, team.cpus_max).min(count(gpus, used.gpus, team.gpus_max)) as u32
     }
 
-    /// Whether these amounts are within the team's quota; false if it has none.
+    /// Whether these amounts are within the team's quota. The resources that the team uses already are not added. False
+    /// if the team has no quota or there is no such team.
     pub fn is_within_quota(&self, team: &str, cpus: f64, gpus: f64) -> bool {
         let Some(TeamUsage { team, .. }) = self.teams.get(team) else {
             return false;
@@ -103,7 +105,8 @@
             && gpus <= team.gpus + ROUNDING_TOLERANCE
     }
 
-    /// Whether the team would still use all of its quota, or more, after releasing these amounts.
+    /// Whether the team would still use at least its quota of CPUs or of GPUs after releasing these amounts; of the
+    /// two, only a resource that is released counts. True if there is no such team.
     pub fn exceeds_quota_without(&self, team: &str, cpus: f64, gpus: f64) -> bool {
         let Some(TeamUsage { team, used }) = self.teams.get(team) else {
             return true;
--- a/src/bookkeeping/rate_limit.rs
+++ b/src/bookkeeping/rate_limit.rs
@@ -1,19 +1,19 @@
-//! Rate limits: token buckets, and how controllers divide a common rate budget among themselves.
+//! Rate limits: token buckets, and the share of a rate budget that one of several controllers may use.
 
-/// A token bucket: a rate limit that allows bursts.
+/// A token bucket: a rate limit that allows bursts. Times are in seconds.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
     /// Tokens per second.
     rate: f64,
     /// Maximum number of tokens in the bucket.
     burst: f64,
-    /// Number of tokens at `refilled_at`; negative while in debt.
+    /// Number of tokens at the time `refilled_at`; negative while the bucket is in debt.
     available: f64,
     refilled_at: f64,
 }
 
 impl TokenBucket {
-    /// A full bucket that gains `rate` tokens per second and holds `burst` tokens.
+    /// A full bucket that gains `rate` tokens per second and holds at most `burst` tokens.
     pub fn new(rate: f64, burst: f64) -> TokenBucket {
         TokenBucket {
             rate,
@@ -31,7 +31,7 @@
         self.available = self.available.min(burst);
     }
 
-    /// Tokens that can be taken now; negative while in debt.
+    /// Number of tokens that can be taken now; negative while the bucket is in debt.
     pub fn available(&mut self, now: f64) -> f64 {
         let elapsed_s = (now - self.refilled_at).max(0.0);
         self.available = (self.available + elapsed_s * self.rate).min(self.burst);
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Takes `count` tokens for a call that can't wait. If too few are available, the bucket goes into debt, by at most
-    /// the burst.
+    /// Takes `count` tokens even if fewer are available, for a request that can't wait. The bucket then goes into debt;
+    /// debt beyond the burst is not counted.
     pub fn take_with_debt(&mut self, count: f64, now: f64) {
         self.available(now);
         self.available = (self.available - count).max(-self.burst);
@@ -58,8 +58,8 @@
 }
 
 /// The rate that this controller may use of a budget that all controllers share: an equal part, or what the others
-/// leave unused, whichever is more. `other_rates` holds the rate that each other controller uses; one whose rate is
-/// unknown or not finite is assumed to use an equal part.
+/// leave unused, whichever is more. `other_rates` holds the rate that each other controller uses; a controller whose
+/// rate is unknown (`None`) or not finite is assumed to use an equal part.
 pub fn fair_share_rate(budget: f64, other_rates: &[Option<f64>]) -> f64 {
     let equal_part = budget / (other_rates.len() + 1) as f64;
     let in_use = |rate: &Option<f64>| match rate {
--- a/src/bookkeeping/reconciliation/commands.rs
+++ b/src/bookkeeping/reconciliation/commands.rs
@@ -4,9 +4,9 @@
 use crate::bookkeeping::workers::Worker;
 use crate::protocol::worker::{Command, CommandKind, TaskId, TaskState, TaskStatus};
 
-/// Compares the tasks in the worker's latest heartbeat with those bound to it, and returns at most `limit` commands
-/// that remove the difference. Start commands are included only if `may_start` is set, which requires a leader with a
-/// fresh view of the open jobs.
+/// Compares the tasks in the worker's latest heartbeat with those bound to the worker, and returns at most `limit`
+/// commands that remove the difference, with start commands last. Start commands are included only if `may_start` is
+/// set; the caller sets it only on a leader with a fresh view of the open jobs.
 pub fn commands(worker: &Worker, may_start: bool, limit: usize) -> Vec<Command> {
     let mut commands: Vec<Command> = worker
         .observed_tasks
@@ -21,7 +21,7 @@
     commands
 }
 
-/// The command for an attempt that the worker's heartbeat lists: clear, stop or none.
+/// The clear or stop command for an attempt that the worker's heartbeat lists; `None` if neither is to be sent.
 fn command_for_observed(worker: &Worker, task: &TaskId, status: &TaskStatus) -> Option<Command> {
     let (kind, grace_s) = if permits::may_clear(worker, task, status).is_ok() {
         (CommandKind::Clear, None)
@@ -50,8 +50,9 @@
         })
 }
 
-/// The seconds for a checkpoint in the stop command to send for an attempt. `None` if no stop command is to be sent,
-/// because the attempt has exited, is to go on, or is already saving its checkpoint within a grace period.
+/// Seconds that the stop command for an attempt gives it to save a checkpoint; 0 if the attempt is not bound. `None` if
+/// no stop command is to be sent, because the attempt has exited, is to go on running, or is already saving a
+/// checkpoint within the grace period of its eviction.
 fn stop_grace_s(worker: &Worker, task: &TaskId, status: &TaskStatus) -> Option<f64> {
     if status.state == TaskState::Exited {
         return None;
--- a/src/bookkeeping/reconciliation/revocation.rs
+++ b/src/bookkeeping/reconciliation/revocation.rs
@@ -1,10 +1,11 @@
-//! Decides when the start commands that were sent to a worker must be revoked.
+//! Decides when the start commands that were sent to a worker must be revoked, by raising the worker's fence: a counter
+//! in the token of each message. A worker executes no command with a lower fence than it has seen.
 
 use crate::bookkeeping::permits::{self, Denial};
 use crate::bookkeeping::workers::{EvictionReason, RevocationReason, Worker};
 
-/// Whether the start commands that may still arrive at a worker must be revoked, and why. A start command that was
-/// sent with a lower fence than the current one is revoked already.
+/// Why the start commands that may still arrive at a worker must be revoked; `None` if they need not be. A start
+/// command that was sent with a lower fence than the worker's current one is revoked already.
 pub fn pending_revocation(worker: &Worker) -> Option<RevocationReason> {
     let evicted = evicted_start(worker);
     if evicted == Some(RevocationReason::JobEnded) || worker.revoke_starts_of_ended_jobs {
@@ -21,8 +22,8 @@
     too_many.then_some(RevocationReason::TooManyPending)
 }
 
-/// Whether a start command may still arrive for a task that is being evicted, and why it must be revoked. The end of
-/// a job takes precedence over other reasons. Other evictions need a revocation only while the worker's heartbeat does
+/// Why a start command for a task that is being evicted must be revoked; `None` if there is no such command. The end of
+/// a job takes precedence. Evictions for other reasons need a revocation only while the worker's latest heartbeat does
 /// not list the task.
 fn evicted_start(worker: &Worker) -> Option<RevocationReason> {
     let mut reason = None;
@@ -47,7 +48,7 @@
     reason
 }
 
-/// Whether an attempt that has exited can't be cleared before the fence is raised.
+/// Whether the worker has an exited attempt that can't be cleared before the fence is raised.
 fn has_uncleared_exit(worker: &Worker) -> bool {
     worker.observed_tasks.iter().any(|(task, statuses)| {
         statuses.iter().any(|status| {
--- a/src/bookkeeping/reconciliation/revocation_counters.rs
+++ b/src/bookkeeping/reconciliation/revocation_counters.rs
@@ -1,16 +1,17 @@
-//! Counts revocations, for a periodic log line.
+//! Counts revocations of start commands, for a periodic log line.
 
 use crate::bookkeeping::workers::RevocationReason;
 use std::collections::BTreeMap;
 
-/// How often start commands that were sent to a worker have been revoked, by reason.
+/// Number of revocations on all workers together, by reason. One revocation applies to all start commands that were
+/// sent to a worker before.
 #[derive(Debug, Default)]
 pub struct RevocationCounters {
     counts: BTreeMap<RevocationReason, u64>,
 }
 
 impl RevocationCounters {
-    /// Counts a revocation.
+    /// Adds one revocation with this reason.
     pub fn count(&mut self, reason: RevocationReason) {
         *self.counts.entry(reason).or_default() += 1;
     }
--- a/src/bookkeeping/records.rs
+++ b/src/bookkeeping/records.rs
@@ -4,35 +4,35 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Key of the current leader's record.
+/// Key of the record that names the current leader. Its mod revision is the leader's epoch.
 pub const LEADER_KEY: &str = "leader";
 /// Key of the instance catalog, kept for controllers that start while the cloud is unavailable.
 pub const INSTANCE_CATALOG_KEY: &str = "catalogue";
 /// Prefix of the keys of open jobs.
 pub const OPEN_PREFIX: &str = "open/";
-/// Prefix of the keys of finished jobs.
+/// Prefix of the keys of finished jobs, which are those that are complete or were cancelled.
 pub const FINISHED_PREFIX: &str = "over/";
-/// Prefix of the keys of the write-ahead log's slots.
+/// Prefix of the keys of the write-ahead log's slots, each of which holds one segment.
 pub const LOG_PREFIX: &str = "log/";
 /// Prefix of the keys of provisioning requests.
 pub const PROVISIONING_PREFIX: &str = "rental/";
 
-/// Key of an open job.
+/// Key of the specification of the open job with this id.
 pub fn open_key(id: &str) -> String {
     format!("{OPEN_PREFIX}{id}")
 }
 
-/// Key of a finished job.
+/// Key of the [`FinishedRecord`] of the job with this id.
 pub fn finished_key(id: &str) -> String {
     format!("{FINISHED_PREFIX}{id}")
 }
 
-/// Key of a slot of the write-ahead log.
+/// Key of the slot of the write-ahead log with this number.
 pub fn log_key(slot: u32) -> String {
     format!("{LOG_PREFIX}{slot:05}")
 }
 
-/// Key of a provisioning request.
+/// Key of the [`ProvisioningRecord`] of the request with this idempotency key.
 pub fn provisioning_key(idempotency_key: &str) -> String {
     format!("{PROVISIONING_PREFIX}{idempotency_key}")
 }
@@ -43,7 +43,7 @@
     /// Label of the leading controller.
     #[serde(rename = "Label")]
     pub label: String,
-    /// Distinguishes this process from earlier ones with the same label.
+    /// Distinguishes the leading process from earlier controller processes with the same label.
     #[serde(rename = "Life")]
     pub process_incarnation: u64,
 }
@@ -64,7 +64,7 @@
     /// How the job ended.
     #[serde(rename = "Status")]
     pub outcome: JobOutcome,
-    /// Number of completed tasks, for display.
+    /// Number of tasks that were complete when the job ended; only displayed to users.
     #[serde(rename = "Done", default)]
     pub completed_tasks: u32,
 }
@@ -72,10 +72,10 @@
 /// Value of a provisioning request's key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ProvisioningRecord {
-    /// Name of the instance type.
+    /// Name of the requested instance type.
     #[serde(rename = "Flavor")]
     pub instance_type: String,
-    /// Zone of the instances.
+    /// Zone in which the instances are requested.
     #[serde(rename = "Grove")]
     pub zone: String,
     /// Whether spot instances are requested.
--- a/src/bookkeeping/workers/binding.rs
+++ b/src/bookkeeping/workers/binding.rs
@@ -19,9 +19,9 @@
     pub inherited: bool,
     /// The end of the binding has been added to the write-ahead log, but is not committed yet.
     pub unbinding: bool,
-    /// Set while the task is being evicted from the worker.
+    /// Set while the task is being evicted from the worker; `None` if the task is to stay there.
     pub eviction: Option<Eviction>,
-    /// When the task was first observed running.
+    /// When a heartbeat first listed the task as running; `None` before.
     pub running_since: Option<f64>,
 }
 
@@ -47,7 +47,7 @@
 pub enum EvictionReason {
     /// Its job has finished or was cancelled.
     JobEnded,
-    /// A job of higher priority needs its resources.
+    /// Its resources are needed for a job of higher priority, or for a job whose team is entitled to them by its quota.
     Preempted,
     /// The worker is being drained, or the cloud will reclaim its instance.
     Drained,
--- a/src/bookkeeping/workers/delivery.rs
+++ b/src/bookkeeping/workers/delivery.rs
@@ -7,15 +7,15 @@
 /// How commands are delivered to a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DeliveryPath {
-    /// In a call that the controller makes to the worker.
+    /// In a direct call, a request from the controller to the worker.
     DirectCall,
     /// In the response to the heartbeat with this sequence number.
     HeartbeatResponse(u64),
 }
 
 impl Worker {
-    /// Records commands that are sent. `view_age_s`, which is only logged, is the age of the view of the open jobs
-    /// that they are based on.
+    /// Logs commands that are sent, and records the start commands among them as pending. `view_age_s`, which is only
+    /// logged, is the age of the view of the open jobs on which the commands are based.
     pub fn record_sent(&mut self, commands: &[Command], path: DeliveryPath, view_age_s: f64) {
         for command in commands {
             tracing::debug!(
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Records the outcome of the direct call that carried these commands.
+    /// Records the outcome of the direct call that carried these commands; it matters for start commands only.
     pub fn record_call_outcome(&mut self, commands: &[Command], outcome: CallOutcome) {
         for command in commands
             .iter()
--- a/src/bookkeeping/workers/pending_starts.rs
+++ b/src/bookkeeping/workers/pending_starts.rs
@@ -1,25 +1,26 @@
 //! Start commands that may still arrive at a worker, and the fence that revokes them.
 //!
-//! A worker executes a command from a direct call whenever it arrives, as long as its token and incarnation match.
-//! Even after the worker has answered the call, a duplicate of it may still be in the network. So every start command
-//! that was sent in a direct call counts as pending until the worker has reported a higher fence than the one that the
-//! command was sent with. Start commands in heartbeat responses need no fence: a worker has one heartbeat in flight at
-//! a time, and drops the responses to earlier ones.
+//! A worker executes a command from a direct call whenever it arrives, unless the call's token is lower than the
+//! highest that the worker has seen, or the call is for another incarnation. Even after the worker has answered a call,
+//! a duplicate of the call may still be in the network. So every start command that was sent in a direct call counts as
+//! pending until the worker has reported a higher fence than the one that the command was sent with. Start commands in
+//! heartbeat responses need no fence: a worker has one heartbeat in flight at a time, and drops the responses to
+//! earlier heartbeats.
 
 use crate::protocol::token::MAX_FENCE;
 use crate::protocol::worker::TaskId;
 use std::collections::BTreeMap;
 
-/// Start commands of completed tasks stay pending until the worker reports a raised fence. With more than this many
-/// pending, the leader raises the fence, which bounds its memory use for thousands of workers.
+/// Number of pending start commands of a worker above which the leader raises the fence. Otherwise the start commands
+/// of completed tasks would accumulate; the limit bounds the leader's memory use with thousands of workers.
 const MAX_PENDING: usize = 32;
 
 /// The outcome of a direct call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The worker has answered; duplicates of the call may still arrive.
+    /// The worker has responded; duplicates of the call may still arrive.
     Answered,
-    /// There was no answer; the worker may execute the call at any later time.
+    /// There was no usable response; the worker may execute the call at any later time.
     Unanswered,
     /// The call certainly never left this controller.
     NotSent,
@@ -30,7 +31,7 @@
 struct PendingStart {
     /// Highest fence of the direct calls that carried the command, have an outcome, and may still be executed.
     finished_call_fence: Option<u32>,
-    /// At least one of these calls was not answered.
+    /// At least one of the calls that `finished_call_fence` stands for was not answered.
     unanswered: bool,
     /// Fence of the direct call that carries the command and has no outcome yet.
     in_flight_call_fence: Option<u32>,
@@ -50,10 +51,11 @@
 /// The start commands that may still arrive at the current incarnation of a worker, and the worker's fence.
 #[derive(Debug, Clone, Default)]
 pub struct PendingStarts {
-    /// Sent in the token of every message to the worker.
+    /// The worker's current fence, which is sent in the token of every message to the worker.
     fence: u32,
     /// The highest fence that the worker has reported.
     observed_fence: u32,
+    /// By the task and the number of its attempt.
     starts: BTreeMap<(TaskId, u64), PendingStart>,
 }
 
@@ -63,12 +65,12 @@
         self.fence
     }
 
-    /// Whether the worker has not reported its current fence yet.
+    /// Whether the worker has not yet reported a fence as high as the current one.
     pub fn awaits_fence_ack(&self) -> bool {
         self.observed_fence < self.fence
     }
 
-    /// Number of start commands that may still arrive.
+    /// Number of attempts for which a start command may still arrive.
     pub fn len(&self) -> usize {
         self.starts.len()
     }
@@ -121,8 +123,9 @@
         }
     }
 
-    /// Records that the worker has sent the heartbeat with this sequence number, not as the answer to a direct call:
-    /// the worker has executed or dropped the responses to its earlier heartbeats.
+    /// Records that the worker has sent the heartbeat with this sequence number as a request. The worker has therefore
+    /// executed or dropped the responses to its earlier heartbeats. Must not be called for a heartbeat in the response
+    /// to a direct call, which does not show this.
     pub fn drop_responses_before(&mut self, sequence: u64) {
         for start in self.starts.values_mut() {
             if start
@@ -178,7 +181,7 @@
         })
     }
 
-    /// Raises the fence by one. Returns false if it has reached its maximum for this leader's epoch.
+    /// Raises the fence by one. Returns false, and changes nothing, if the fence is at its maximum, [`MAX_FENCE`].
     pub fn raise_fence(&mut self) -> bool {
         let below_max = self.fence < MAX_FENCE;
         self.fence += u32::from(below_max);
--- a/src/bookkeeping/workers/registry.rs
+++ b/src/bookkeeping/workers/registry.rs
@@ -30,12 +30,12 @@
         self.workers.remove(name)
     }
 
-    /// All workers, by name.
+    /// All workers, in the order of their names.
     pub fn iter(&self) -> impl Iterator<Item = &Worker> {
         self.workers.values()
     }
 
-    /// All workers by name, mutably.
+    /// All workers, mutably, in the order of their names.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Worker> {
         self.workers.values_mut()
     }
--- a/src/bookkeeping/workers/resources.rs
+++ b/src/bookkeeping/workers/resources.rs
@@ -29,7 +29,7 @@
             && request.ram_gb <= self.ram_gb + ROUNDING_TOLERANCE
     }
 
-    /// How many times `request` fits into these resources.
+    /// How many times `request` fits into these resources. Amounts that are zero in the request don't limit the number.
     pub fn count_fitting(&self, request: &Resources) -> u32 {
         let count_of = |available: f64, requested: f64| {
             if requested > 0.0 {
@@ -50,7 +50,8 @@
         }
     }
 
-    /// The dominant share: the largest of the shares that these amounts of CPU, GPU and memory have in `total`.
+    /// The dominant share: the largest of the shares that these amounts of CPU, GPU and memory have in `total`. The
+    /// share of a resource of which `total` has none is 0.
     pub fn dominant_share(&self, total: &Resources) -> f64 {
         let share = |part: f64, total: f64| if total > 0.0 { part / total } else { 0.0 };
         share(self.cpus, total.cpus)
--- a/src/bookkeeping/workers/revocation.rs
+++ b/src/bookkeeping/workers/revocation.rs
@@ -5,13 +5,13 @@
 /// Why start commands that may still arrive at a worker are revoked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RevocationReason {
-    /// A job has ended for which start commands may still arrive.
+    /// Start commands may still arrive for tasks of a job that has ended.
     JobEnded,
-    /// A task that the worker's heartbeat does not list is being evicted.
+    /// A start command may still arrive for a task that is being evicted and that the worker's heartbeat does not list.
     Evicted,
     /// An attempt that has exited can't be cleared while a start command for it may arrive.
     Clear,
-    /// Too many start commands are pending.
+    /// More start commands are pending than [`PendingStarts`](super::PendingStarts) should hold.
     TooManyPending,
 }
 
@@ -60,7 +60,7 @@
                 fence,
                 given = self.pending_starts.fence(),
                 "Epoch: the worker reports a higher fence than this leader has issued; continuing from that \
-                 fence. Check whether a second controller runs with this label"
+                 fence. Check whether a second controller runs with the same label as this one"
             );
         }
         self.pending_starts.observe_fence(fence);
--- a/src/bookkeeping/workers/worker.rs
+++ b/src/bookkeeping/workers/worker.rs
@@ -20,19 +20,19 @@
     pub instance_type: String,
     /// Zone of the instance.
     pub zone: String,
-    /// Whether it is a spot instance.
+    /// Whether the instance is a spot instance.
     pub spot: bool,
     /// Address of the worker's server; empty while unknown.
     pub endpoint: String,
-    /// The instance is to be deleted: no more tasks are placed here.
+    /// The instance is to be deleted: no more tasks are placed on the worker.
     pub terminating: bool,
-    /// Its service replicas are being moved to other workers: no task is placed here until the worker is empty.
+    /// The worker's service replicas are being moved to other workers: no task is placed on it until it is empty.
     pub draining: bool,
     /// The termination is committed to the state service, so that the delete request may be sent.
     pub termination_recorded: bool,
     /// Latest incarnation seen; 0 before the first heartbeat.
     pub incarnation: u64,
-    /// Sequence number of the latest heartbeat of that incarnation.
+    /// Sequence number of the latest heartbeat with the incarnation in `incarnation`.
     pub sequence: u64,
     /// Highest token that the worker has reported.
     pub token: FencingToken,
@@ -40,7 +40,8 @@
     pub token_acknowledged: bool,
     /// Tasks in the latest heartbeat.
     pub observed_tasks: BTreeMap<TaskId, Vec<TaskStatus>>,
-    /// The worker's lease ends at most `lease_s` after this time.
+    /// The latest time at which the worker's lease may have been renewed. The lease ends at most `lease_s`, which is a
+    /// setting, after this time.
     pub lease_renewed_at: f64,
     /// When this leader received the worker's first heartbeat.
     pub first_heartbeat_at: Option<f64>,
@@ -56,17 +57,18 @@
     pub bindings: BTreeMap<TaskId, Binding>,
     /// Start commands that may still arrive, and the worker's fence.
     pub pending_starts: PendingStarts,
-    /// Pending start commands must be revoked because a job has ended that has no binding here any more.
+    /// Pending start commands must be revoked, because a job has ended whose tasks had completed on this worker while
+    /// duplicates of their start commands could still arrive.
     pub revoke_starts_of_ended_jobs: bool,
     /// Container images that the worker probably has in its cache, the most recently recorded last.
     pub cached_images: Vec<String>,
     /// When this leader first recorded the worker.
     pub first_seen_at: f64,
-    /// Since when no task has been bound here.
+    /// Since when no task has been bound to the worker; has no meaning while a task is bound.
     pub idle_since: f64,
     /// Failures of tasks on this worker.
     pub failures: WorkerFailures,
-    /// When the cloud's listing last contained the instance.
+    /// When the cloud's listing last contained the instance; `None` if it never has.
     pub last_listed_at: Option<f64>,
     /// The cloud's listing has reported the instance as running.
     pub listed_running: bool,
@@ -120,7 +122,7 @@
             .sum()
     }
 
-    /// Whether tasks may be placed here.
+    /// Whether the scheduler may place tasks on the worker. Failures of tasks on the worker are not considered.
     pub fn is_schedulable(&self) -> bool {
         self.token_acknowledged
             && !self.terminating
@@ -135,13 +137,14 @@
         (heartbeat.incarnation, heartbeat.sequence) > (self.incarnation, self.sequence)
     }
 
-    /// Whether a heartbeat has a lower token than an earlier one had. A worker's token never decreases. So either the
-    /// machine has restarted and lost its token in between, or this heartbeat was sent before such a restart.
+    /// Whether a heartbeat has a lower token than an earlier heartbeat. A worker's token never decreases unless the
+    /// instance restarts and the worker loses the token. So the instance has restarted, and this heartbeat was sent
+    /// either after the restart, or before the restart and was delayed.
     pub fn shows_lower_token(&self, heartbeat: &WorkerHeartbeat) -> bool {
         heartbeat.token < self.token
     }
 
-    /// The status of an attempt in the latest heartbeat, if it is there.
+    /// The status of an attempt in the latest heartbeat; `None` if the heartbeat does not list the attempt.
     pub fn observed_task(&self, task: &TaskId, attempt: u64) -> Option<&TaskStatus> {
         self.observed_tasks
             .get(task)?
@@ -149,9 +152,10 @@
             .find(|task_status| task_status.attempt == attempt)
     }
 
-    /// Whether a bound task that the latest heartbeat lists is missing from `tasks`, those of a newer one. Within an
-    /// incarnation only a clear command removes a task, and none is sent while the task is bound. So the machine has
-    /// restarted and lost its incarnation number.
+    /// Whether `tasks`, from a newer heartbeat of the same incarnation, lacks a bound task that the latest recorded
+    /// heartbeat lists. Within an incarnation only a clear command removes a task, and no clear command is sent while
+    /// the task is bound. So a missing task shows that the instance has restarted and the worker has lost its
+    /// incarnation number.
     pub fn has_lost_bound_task(&self, tasks: &BTreeMap<TaskId, Vec<TaskStatus>>) -> bool {
         self.bindings.iter().any(|(task, binding)| {
             let is_listed = |status: &TaskStatus| status.attempt == binding.attempt;
@@ -169,7 +173,8 @@
             .is_some_and(|task_status| task_status.state == TaskState::Exited)
     }
 
-    /// Records that the worker has an image in its cache, and drops the oldest record beyond the maximum.
+    /// Records that the worker has an image in its cache. Beyond the maximum number of images, drops the one that was
+    /// recorded the longest ago.
     pub fn remember_image(&mut self, image: &str) {
         self.cached_images.retain(|known| known != image);
         self.cached_images.push(image.to_owned());
