--- a/src/bookkeeping/wal/completed_tasks.rs
+++ b/src/bookkeeping/wal/completed_tasks.rs
@@ -7,7 +7,8 @@
 /// Number of tasks that one hexadecimal digit encodes.
 pub(super) const TASKS_PER_DIGIT: u32 = 4;
 
-/// Encodes a chunk of the bitmap of a job with `tasks` tasks: four tasks per digit, the lowest bit first.
+/// Encodes the chunk with this number of the bitmap of a job with `tasks` tasks: four tasks per digit, the lowest bit
+/// first.
 pub fn encode_chunk(completed: &TaskSet, chunk: u32, tasks: u32) -> String {
     let first = chunk * TASKS_PER_CHUNK;
     let end = (first + TASKS_PER_CHUNK).min(tasks);
@@ -22,8 +23,8 @@
         .collect()
 }
 
-/// Decodes the bitmap of a chunk into the indices of the completed tasks. Characters other than hexadecimal digits
-/// count as 0.
+/// Decodes the bitmap of the chunk with this number into the indices of the completed tasks. A character that is not a
+/// hexadecimal digit counts as 0.
 pub fn decode_chunk(chunk: u32, bitmap: &str) -> impl Iterator<Item = u32> + '_ {
     bitmap
         .chars()
--- a/src/bookkeeping/wal/draft.rs
+++ b/src/bookkeeping/wal/draft.rs
@@ -1,4 +1,6 @@
-//! Builds a transaction: a segment of the log, and writes to other keys.
+//! Builds a transaction from queued changes: a segment of the log, and writes to keys outside of the log. The segment
+//! also takes over the live entries of the segment that it overwrites, which are those whose binding, worker or job has
+//! not ended.
 
 use super::completed_tasks::{TASKS_PER_CHUNK, TASKS_PER_DIGIT, encode_chunk};
 use super::log_entry::LogEntry;
@@ -13,17 +15,19 @@
 
 /// Maximum share of a byte limit that a segment or a transaction uses.
 const FILL_SHARE: f64 = 0.9;
-/// Minimum write budget: lower budgets are raised to this, so that the first change always fits.
+/// Minimum write budget: lower budgets are raised to this, so that the first change always fits. The end of a job needs
+/// three writes: the segment, the delete of the open job and the put of the finished job.
 const MIN_WRITE_BUDGET: usize = 3;
 /// Maximum number of compares that one change adds.
 const COMPARES_PER_CHANGE: usize = 2;
-/// Approximate bytes of a compare.
+/// Approximate number of bytes that a compare adds to a transaction.
 const COMPARE_BYTES: usize = 64;
-/// Approximate bytes of the writes that finish a job, apart from its id, which is in each of them.
+/// Approximate number of bytes of the two writes that finish a job, apart from the job's id, which is in both.
 const FINISH_JOB_BYTES: usize = 256;
-/// Estimated maximum of the bytes of an entry for a worker that is no longer in the registry, apart from names.
+/// Estimated maximum number of bytes of an entry for a worker that is no longer in the registry, apart from the names
+/// of the worker and the job.
 const UNKNOWN_WORKER_ENTRY_BYTES: usize = 128;
-/// Bytes of the bitmap of one chunk of completed tasks.
+/// Maximum number of bytes of the bitmap of one chunk of completed tasks.
 const CHUNK_BYTES: usize = (TASKS_PER_CHUNK / TASKS_PER_DIGIT) as usize;
 
 /// Limits of a transaction.
@@ -116,12 +120,15 @@
     builder: SegmentBuilder,
     changes: Vec<LogEntry>,
     live_entries: Vec<LiveEntry>,
+    /// Names of the workers whose descriptions are in the segment.
     described_workers: BTreeSet<String>,
     /// Jobs that finish or whose tasks are bound; the transaction is conditional on each of them being open.
     jobs_required_open: BTreeSet<String>,
     /// Finished jobs, with the number of their completed tasks.
     finished_jobs: BTreeMap<String, u32>,
+    /// Writes to keys outside of the log, apart from those that finish jobs.
     key_writes: Vec<WriteOp>,
+    /// Upper bound of the size of `key_writes`.
     key_write_bytes: usize,
 }
 
@@ -146,7 +153,7 @@
         self.changes.is_empty() && self.live_entries.is_empty()
     }
 
-    /// Whether one more change fits into the limits and the budget of writes.
+    /// Whether one more change fits into the limits and into `budget`, the number of writes that the rate limit allows.
     pub fn fits(
         &self,
         change: &LogEntry,
@@ -205,7 +212,8 @@
         self.live_entries.push(entry.clone());
     }
 
-    /// Adds a change. Returns the change as the error if it is no longer valid.
+    /// Adds a change. If the change is no longer valid, because its binding or job has ended, adds nothing and returns
+    /// the change as the error.
     pub fn add(
         &mut self,
         change: LogEntry,
@@ -252,7 +260,8 @@
         Ok(())
     }
 
-    /// Returns false if the binding or its job has ended.
+    /// Adds a binding, and the description of its worker unless the log has one. If the binding or its job has ended,
+    /// adds nothing and returns false.
     fn add_binding(
         &mut self,
         name: &str,
@@ -302,7 +311,8 @@
         }
     }
 
-    /// Returns false if the job has ended.
+    /// Adds the end of a job whose tasks are all complete. If the job has ended already, adds nothing and returns
+    /// false.
     fn add_finished_job(&mut self, id: &str, registries: Registries) -> bool {
         let Some(job) = registries.jobs.get(id) else {
             return false;
@@ -344,8 +354,8 @@
         }
     }
 
-    /// The conditions of the transaction: this controller is still the leader, nobody has overwritten the slot, jobs
-    /// that finish or whose tasks are bound are open, and jobs that finish have no record as finished jobs.
+    /// The conditions of the transaction: this controller is still the leader, the slot has not been written since, the
+    /// jobs that finish or whose tasks are bound are still open, and the jobs that finish have no finished record yet.
     fn compares(&self, slot: TargetSlot, jobs: &Jobs) -> Vec<Compare> {
         let mut compares = vec![
             Compare::new(records::LEADER_KEY, self.epoch),
@@ -362,7 +372,7 @@
     }
 }
 
-/// The part of a byte limit that may be used.
+/// Number of bytes that a segment or a transaction uses at most under a limit of `max_bytes`.
 fn usable_bytes(max_bytes: usize) -> usize {
     (max_bytes as f64 * FILL_SHARE) as usize
 }
--- a/src/bookkeeping/wal/entries.rs
+++ b/src/bookkeeping/wal/entries.rs
@@ -1,6 +1,6 @@
-//! Entries of a segment. Each is stored as a list of its fields, in their order and without their names.
+//! Entries of a segment. Each entry is stored as a list of its fields, in the order of the struct and without names.
 //!
-//! An entry refers to a worker or job by its number, the index in the segment's table of worker names or of jobs.
+//! An entry refers to a worker or job by a number: the index in the segment's table of worker names or of jobs.
 
 use crate::bookkeeping::workers::Resources;
 use crate::protocol::cbor;
@@ -48,7 +48,7 @@
     }
 }
 
-/// The description of a worker.
+/// The description of a worker, which a new leader needs to put the worker into its registry.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WorkerEntry {
     /// Number of the worker.
@@ -57,9 +57,9 @@
     pub instance_type: String,
     /// Zone of the instance.
     pub zone: String,
-    /// Whether it is a spot instance.
+    /// Whether the worker's instance is a spot instance.
     pub spot: bool,
-    /// Address of the worker's server; empty if it was unknown.
+    /// Address of the worker's server; empty if it was unknown when the entry was written.
     pub endpoint: String,
     /// The worker's instance is to be deleted.
     pub terminating: bool,
@@ -98,9 +98,9 @@
 pub struct CompletedEntry {
     /// Number of the job.
     pub job: u32,
-    /// Number of the chunk.
+    /// Number of the chunk, from 0; a chunk has [`TASKS_PER_CHUNK`](super::TASKS_PER_CHUNK) tasks.
     pub chunk: u32,
-    /// The tasks, as encoded by [`encode_chunk`](super::encode_chunk).
+    /// Which tasks of the chunk are complete, as encoded by [`encode_chunk`](super::encode_chunk).
     pub bitmap: String,
 }
 
--- a/src/bookkeeping/wal/log.rs
+++ b/src/bookkeeping/wal/log.rs
@@ -17,7 +17,7 @@
     seq: u64,
     epoch: u64,
     slot: TargetSlot,
-    /// The transaction was not answered; it may have been executed, or may be executed later.
+    /// There was no usable response: the transaction may have been executed, or may be executed later.
     outcome_unknown: bool,
 }
 
@@ -55,7 +55,8 @@
         self.ring.replay_segment(key, mod_revision, segment);
     }
 
-    /// Drops the live entries with the completed tasks of a job that has ended.
+    /// Drops the completed tasks of a job that has ended from the live entries, so that they are not copied to new
+    /// segments.
     pub fn remove_job(&mut self, job: &str) {
         self.ring.remove_job(job);
     }
@@ -90,8 +91,9 @@
         Some(sent.transaction.txn.clone())
     }
 
-    /// Builds the next transaction, with at most `budget` writes, unless one is in flight or there is nothing to
-    /// write. The caller sends it and reports its outcome.
+    /// Builds the next transaction. `None` if one is in flight, if `budget` is 0, or if there is nothing to write. The
+    /// transaction has at most `budget` writes, or three if the budget is lower. The caller sends it and reports its
+    /// outcome.
     pub fn next_transaction(
         &mut self,
         epoch: u64,
@@ -126,7 +128,8 @@
         Some(txn)
     }
 
-    /// Moves as many changes as fit from the head of the queue into a draft.
+    /// Moves as many changes as fit from the head of the queue into a draft. Changes that are no longer valid are
+    /// dropped; the bindings among them are added to `rejected_bindings`.
     fn move_queued_changes(
         &mut self,
         draft: &mut SegmentDraft,
@@ -155,7 +158,8 @@
         }
     }
 
-    /// Records that the transaction in flight was committed at this revision, and returns its changes.
+    /// Records that the transaction in flight was committed at this revision, and returns its changes. Returns none if
+    /// no transaction is in flight.
     pub fn complete_in_flight(&mut self, mod_revision: u64) -> Vec<LogEntry> {
         let Some(sent) = self.in_flight.take() else {
             return Vec::new();
@@ -173,7 +177,8 @@
         changes
     }
 
-    /// Records that the transaction in flight was not answered: it may have been executed, or may be executed later.
+    /// Records that there was no usable response to the transaction in flight: it may have been executed, or may be
+    /// executed later.
     pub fn mark_outcome_unknown(&mut self) {
         if let Some(sent) = &mut self.in_flight {
             sent.outcome_unknown = true;
@@ -187,8 +192,8 @@
             .is_some_and(|sent| sent.outcome_unknown)
     }
 
-    /// The key of the slot that the transaction in flight writes: its value shows whether the transaction was
-    /// executed.
+    /// The key of the slot that the transaction in flight writes; `None` if no transaction is in flight. The value of
+    /// the key shows whether the transaction was executed.
     pub fn read_back_key(&self) -> Option<String> {
         Some(records::log_key(self.in_flight.as_ref()?.slot.number))
     }
--- a/src/bookkeeping/wal/log_entry.rs
+++ b/src/bookkeeping/wal/log_entry.rs
@@ -15,7 +15,7 @@
         /// Number of the task's attempt.
         attempt: u64,
     },
-    /// A binding ends. If the task is complete, the same transaction records this.
+    /// A binding ends. If its task has become complete, the same transaction records the completion.
     Unbind {
         /// Name of the worker.
         worker: String,
@@ -23,7 +23,7 @@
         task: TaskId,
         /// Number of the task's attempt.
         attempt: u64,
-        /// Whether the task is complete.
+        /// Whether to record the task as complete.
         completed: bool,
     },
     /// All tasks of a job are complete.
--- a/src/bookkeeping/wal/mod.rs
+++ b/src/bookkeeping/wal/mod.rs
@@ -6,9 +6,10 @@
 //! Finished jobs and provisioning requests have keys of their own, which are written in the same transaction.
 //!
 //! Every transaction is conditional on the mod revisions of `leader`, of the slot, and of `open/<id>` for every job
-//! that it finishes or whose tasks it binds. So a deposed leader can't write, and a cancellation that comes first
-//! makes the transaction fail. A condition that has failed once can never hold again, and no other transaction is sent
-//! before the outcome of the current one is known. So no transaction is ever applied late or twice.
+//! that it finishes or whose tasks it binds. So a deposed leader can't write, and a job's cancellation makes the
+//! transaction fail if the cancellation is committed first. A condition that has failed once can never hold again, and
+//! no other transaction is sent before the outcome of the current one is known. So no transaction is ever executed
+//! twice, or after the log has recorded that it failed.
 
 mod completed_tasks;
 mod draft;
--- a/src/bookkeeping/wal/ring.rs
+++ b/src/bookkeeping/wal/ring.rs
@@ -10,7 +10,7 @@
 const MIN_SLOTS: usize = 8;
 /// The ring has at least this many times the number of slots that its live entries would fill.
 const SPARE_FACTOR: usize = 3;
-/// Approximate bytes of an entry in a segment; used only to choose the size of the ring.
+/// Approximate number of bytes of an entry in a segment; used only to choose the number of slots in the ring.
 const LIVE_ENTRY_BYTES: usize = 64;
 
 /// An entry that must stay in the log until what it describes has ended.
@@ -49,9 +49,9 @@
 pub(super) struct TargetSlot {
     /// Number of the slot, which is part of its key.
     pub number: u32,
-    /// Mod revision of the slot's key; 0 if it is new.
+    /// Mod revision of the slot's key; 0 if the slot is new.
     pub mod_revision: u64,
-    /// Sequence number of the segment that is overwritten, if any.
+    /// Sequence number of the segment that is overwritten; `None` if the slot is new.
     pub overwritten_seq: Option<u64>,
 }
 
@@ -59,6 +59,7 @@
 #[derive(Debug)]
 struct Slot {
     number: u32,
+    /// Mod revision of the slot's key.
     mod_revision: u64,
     /// Live entries that are stored in this segment and in no later one.
     live_entries: BTreeSet<LiveEntry>,
@@ -92,7 +93,7 @@
         seq
     }
 
-    /// Whether an entry is live in a committed segment.
+    /// Whether some committed segment holds this live entry.
     pub fn contains(&self, entry: &LiveEntry) -> bool {
         self.location.contains_key(entry)
     }
@@ -166,8 +167,8 @@
         }
     }
 
-    /// Adds a segment that an earlier leader committed. The caller must pass segments in the order of their sequence
-    /// numbers.
+    /// Adds a segment that an earlier leader committed, with the key and mod revision of its slot. The caller must pass
+    /// segments in the order of their sequence numbers. A segment whose key is not that of a slot is ignored.
     pub fn replay_segment(&mut self, key: &str, mod_revision: u64, segment: &Segment) {
         let Some(number) = key
             .strip_prefix(records::LOG_PREFIX)
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Drops the live entries with the completed tasks of a job that has ended.
+    /// Drops the completed tasks of a job that has ended from the live entries.
     pub fn remove_job(&mut self, job: &str) {
         let first = LiveEntry::Completed {
             job: job.to_owned(),
@@ -209,7 +210,7 @@
         self.remove_while(first, |entry| entry.is_completed_of(job));
     }
 
-    /// Drops the live entries of a worker that no longer exists, including its bindings.
+    /// Drops the description and the bindings of a worker that no longer exists from the live entries.
     fn remove_worker(&mut self, worker: &str) {
         self.remove(&LiveEntry::Worker(worker.to_owned()));
         let first = LiveEntry::Binding {
@@ -231,7 +232,7 @@
         self.slots.insert(seq, slot);
     }
 
-    /// Adds a live entry to this segment. If an earlier segment holds it, moves it.
+    /// Records that the segment with this sequence number holds a live entry, and that no earlier segment does.
     fn insert(&mut self, entry: LiveEntry, seq: u64) {
         self.remove(&entry);
         if let Some(slot) = self.slots.get_mut(&seq) {
@@ -248,7 +249,7 @@
         }
     }
 
-    /// Removes live entries in their order, from `first` on, up to the first entry that doesn't match.
+    /// Removes live entries in ascending order, starting at `first`, until an entry doesn't match.
     fn remove_while(&mut self, first: LiveEntry, matches: impl Fn(&LiveEntry) -> bool) {
         let ended: Vec<LiveEntry> = self
             .location
--- a/src/bookkeeping/wal/segment.rs
+++ b/src/bookkeeping/wal/segment.rs
@@ -12,24 +12,25 @@
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// Maximum bytes of the brackets and separators of an entry.
+/// Maximum number of bytes of the brackets and separators of an entry.
 const ENTRY_FRAME_BYTES: usize = 8;
-/// Bytes of a segment without entries.
+/// Maximum number of bytes of a segment without entries.
 const EMPTY_SEGMENT_BYTES: usize = 120;
-/// Bytes of a job in the table of jobs, apart from its id, its team and the amounts of its request.
+/// Maximum number of bytes of a job in the table of jobs, apart from its id, its team and the amounts of its request.
 const JOB_FRAME_BYTES: usize = 2 * ENTRY_FRAME_BYTES + 12;
-/// Bytes of the description of a worker, apart from its strings.
+/// Maximum number of bytes of the description of a worker, apart from its strings.
 const WORKER_FRAME_BYTES: usize = 3 * ENTRY_FRAME_BYTES + 4 + 12;
-/// Maximum bytes of the numbers in an entry: three amounts, two integers of 64 bits and three of 32.
+/// Maximum number of bytes of the numbers in an entry: three amounts, two integers of 64 bits and three of 32 bits.
 const ENTRY_NUMBER_BYTES: usize = 3 * 24 + 2 * 20 + 3 * 10;
 
 /// Value of `log/<slot>`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Segment {
-    /// Sequence number, which gives the order of the log's segments; keys don't, since they are reused.
+    /// Sequence number, which gives the order of the log's segments. The order of the keys does not give it, since
+    /// slots are overwritten.
     #[serde(rename = "Seq")]
     pub seq: u64,
-    /// Epoch of the leader that wrote the segment.
+    /// Epoch of the leader that wrote the segment, which is the mod revision of the `leader` key.
     #[serde(rename = "Epoch")]
     pub epoch: u64,
     /// Table of worker names; the index of a name is the worker's number in this segment.
@@ -38,10 +39,10 @@
     /// Table of jobs; the index of a job is its number in this segment.
     #[serde(rename = "J", default)]
     pub jobs: Vec<JobEntry>,
-    /// Descriptions of workers.
+    /// Descriptions of workers. The description in the latest segment is valid.
     #[serde(rename = "K", default)]
     pub workers: Vec<WorkerEntry>,
-    /// Bindings.
+    /// Bindings, which last until a later segment contains their end or the removal of the worker.
     #[serde(rename = "B", default)]
     pub bindings: Vec<BindingEntry>,
     /// Bindings that have ended.
@@ -50,7 +51,7 @@
     /// Numbers of workers that no longer exist; all their bindings have ended.
     #[serde(rename = "G", default)]
     pub removed_workers: Vec<u32>,
-    /// Completed tasks.
+    /// Completed tasks of open jobs, a chunk in each entry.
     #[serde(rename = "D", default)]
     pub completed: Vec<CompletedEntry>,
 }
@@ -90,13 +91,13 @@
         }
     }
 
-    /// Upper bound of the size so far, in bytes.
+    /// Upper bound of the size of the segment so far as JSON, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Maximum number of bytes that one entry of any kind adds together with its names, apart from the bitmap of
-    /// completed tasks.
+    /// Maximum number of bytes that one entry of any kind for this worker and job adds, with its names but without the
+    /// bitmap of completed tasks.
     pub fn entry_bytes(worker: &Worker, job: &str, team: &str) -> usize {
         4 * ENTRY_FRAME_BYTES
             + 2 * worker.name.len()
@@ -108,7 +109,7 @@
             + ENTRY_NUMBER_BYTES
     }
 
-    /// Adds the description of a worker. Replaces an earlier description in this segment.
+    /// Adds the description of a worker, and removes an earlier one of the worker from this segment.
     pub fn describe_worker(&mut self, worker: &Worker, terminating: bool) {
         let number = self.worker_number(&worker.name);
         self.segment.workers.retain(|entry| entry.worker != number);
@@ -176,7 +177,7 @@
         self.segment
     }
 
-    /// The number of a worker; adds its name to the table if it is not there.
+    /// The number of a worker; adds its name to the table if the table doesn't contain it.
     fn worker_number(&mut self, name: &str) -> u32 {
         if let Some(number) = self.worker_numbers.get(name) {
             return *number;
@@ -188,7 +189,7 @@
         number
     }
 
-    /// The number of a job; adds it to the table if it is not there.
+    /// The number of a job; adds the job to the table, without a team and a request, if the table doesn't contain it.
     fn job_number(&mut self, id: &str) -> u32 {
         if let Some(number) = self.job_numbers.get(id) {
             return *number;
@@ -200,7 +201,7 @@
         number
     }
 
-    /// The number of a job; adds the team and the request of one of its bindings to the job's entry in the table.
+    /// The number of a job. If the job's entry in the table has no team and request yet, adds those of the binding.
     fn requesting_job_number(&mut self, id: &str, binding: &Binding) -> u32 {
         let number = self.job_number(id);
         if let Some(entry) = self.segment.jobs.get_mut(number as usize)
--- a/src/protocol/cbor.rs
+++ b/src/protocol/cbor.rs
@@ -29,8 +29,8 @@
     Ok(body)
 }
 
-/// Encodes a message of this program, which is expected to succeed always. If it fails nevertheless, logs the error and
-/// returns an empty body, which no receiver accepts.
+/// Encodes a message of this program. Such a message can always be encoded; if that fails nevertheless, logs the error
+/// and returns an empty body, which no receiver accepts.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     try_encode(message).unwrap_or_else(|error| {
         tracing::error!(%error, message = std::any::type_name::<T>(), "message could not be encoded");
@@ -38,7 +38,8 @@
     })
 }
 
-/// Decodes a message. Rejects deeply nested messages and trailing bytes.
+/// Decodes a message. Rejects a message that is nested more deeply than any message of the protocol, and bytes after
+/// the message.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, CborError> {
     let mut rest = body;
     let message = ciborium::de::from_reader_with_recursion_limit(&mut rest, MAX_DEPTH)
@@ -50,7 +51,7 @@
     }
 }
 
-/// Converts a record of this program to a value for the state service.
+/// Converts a record of this program to a value for the state service; null if the serialization fails.
 pub fn to_value<T: Serialize>(message: &T) -> Value {
     Value::serialized(message).unwrap_or(Value::Null)
 }
@@ -62,8 +63,8 @@
         .map_err(|error| CborError(error.to_string()))
 }
 
-/// Upper bound of the size of a value in JSON, in which the protocol counts its limits, for all values that this
-/// program writes. Floating-point numbers are counted with their longest form.
+/// Upper bound of the number of bytes of a value as JSON, the form in which the protocol counts its limits. Valid for
+/// all values that this program writes. Each floating-point number counts with the length of the longest one.
 pub fn json_size(value: &Value) -> usize {
     match value {
         Value::Null | Value::Bool(_) => 5,
@@ -81,6 +82,7 @@
     }
 }
 
+/// Accepts a number in floating-point or integer form.
 struct Number;
 
 impl Visitor<'_> for Number {
@@ -100,7 +102,7 @@
     }
 }
 
-/// For `serde(deserialize_with)`: a finite amount, in floating-point or integer form.
+/// For `serde(deserialize_with)`: reads a finite number in floating-point or integer form.
 pub fn amount<'de, D: Deserializer<'de>>(source: D) -> Result<f64, D::Error> {
     let number = source.deserialize_any(Number)?;
     if number.is_finite() {
@@ -110,7 +112,7 @@
     }
 }
 
-/// For `serde(deserialize_with)`: like [`amount`], but may be null.
+/// For `serde(deserialize_with)`: reads a number like [`amount`] does, or null as `None`.
 pub fn optional_amount<'de, D: Deserializer<'de>>(source: D) -> Result<Option<f64>, D::Error> {
     struct Optional;
     impl<'de> Visitor<'de> for Optional {
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,7 +1,8 @@
 //! The cloud's interface: instance types, and the creation, deletion and listing of instances.
 //!
-//! An instance runs one worker. A request to create instances carries an idempotency key: if the request is repeated,
-//! it creates no further instances and has the same response. The listing lags behind by some seconds.
+//! An instance runs one worker. A request to create instances carries an idempotency key: if the request is repeated
+//! with the same key, the cloud creates no further instances and sends the same response. The listing shows the
+//! instances as they were some seconds ago.
 
 use super::cbor;
 use super::http_status::{self, UnusableResponse, decode_body};
@@ -14,13 +15,13 @@
 pub const MAX_INSTANCES_PER_DELETE: usize = 100;
 /// Number of instances in a page of the listing.
 pub const PAGE_SIZE: u32 = 500;
-/// The error in the response to a provisioning request for which the cloud has no instances.
+/// The error text in the response to a provisioning request for which the cloud has no instances.
 const OUT_OF_CAPACITY: &str = "no capacity";
 
 /// An instance type.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct InstanceType {
-    /// Name.
+    /// Name by which requests and instances refer to the type.
     #[serde(rename = "Label")]
     pub name: String,
     /// Number of CPU cores.
@@ -66,9 +67,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceStatus {
-    /// Booting.
+    /// The instance is booting.
     Starting,
-    /// Running.
+    /// The instance has booted.
     Running,
     /// The instance has failed and stopped.
     Failed,
@@ -80,25 +81,25 @@
 /// An instance in the listing.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Instance {
-    /// Name.
+    /// Name, which is also that of the instance's worker.
     #[serde(rename = "NameId")]
     pub name: String,
     /// The worker's address for direct calls; empty while unknown.
     #[serde(rename = "Endpoint", default)]
     pub endpoint: String,
-    /// Instance type.
+    /// Name of the instance type.
     #[serde(rename = "Flavor")]
     pub instance_type: String,
-    /// Zone.
+    /// Zone in which the instance runs.
     #[serde(rename = "Grove")]
     pub zone: String,
-    /// Spot instance, rather than on-demand.
+    /// Whether the instance is a spot instance, rather than on-demand.
     #[serde(rename = "Windfall")]
     pub spot: bool,
-    /// State.
+    /// State of the instance at the time that the listing shows.
     #[serde(rename = "Status")]
     pub status: InstanceStatus,
-    /// Age in seconds, at the time whose state the listing shows.
+    /// Age of the instance in seconds, at the time that the listing shows.
     #[serde(rename = "AgeS", default, deserialize_with = "cbor::amount")]
     pub age_s: f64,
 }
@@ -123,16 +124,16 @@
     /// Idempotency key, which is unique to this request.
     #[serde(rename = "Bid")]
     pub idempotency_key: String,
-    /// Instance type.
+    /// Name of the requested instance type.
     #[serde(rename = "Flavor")]
     pub instance_type: String,
-    /// Zone.
+    /// Zone in which the instances are requested.
     #[serde(rename = "Grove")]
     pub zone: String,
-    /// Spot instances, rather than on-demand.
+    /// Whether spot instances are requested, rather than on-demand.
     #[serde(rename = "Windfall")]
     pub spot: bool,
-    /// Number of instances.
+    /// Number of instances requested, at most [`MAX_INSTANCES_PER_CREATE`].
     #[serde(rename = "Count")]
     pub count: u32,
 }
@@ -152,7 +153,8 @@
     CreateInstances(CreateInstances),
     /// Delete the instances with these names.
     DeleteInstances(Vec<String>),
-    /// List a page of instances, starting after this name; `None` for the first page.
+    /// List a page of the instances, in the order of their names, that starts after this name; `None` for the first
+    /// page.
     ListInstances(Option<String>),
 }
 
@@ -208,7 +210,8 @@
         }
     }
 
-    /// Interprets a response. If it is unusable, the outcome is unknown.
+    /// Interprets the status and body of the response to this request. If the response is unusable, the outcome of the
+    /// request is unknown.
     pub fn response(&self, status: u16, body: &[u8]) -> CloudResponse {
         self.parse_response(status, body)
             .unwrap_or(CloudResponse::OutcomeUnknown)
--- a/src/protocol/http_status.rs
+++ b/src/protocol/http_status.rs
@@ -9,7 +9,8 @@
 pub const BAD_REQUEST: u16 = 400;
 /// There is no such key, lease or job.
 pub const NOT_FOUND: u16 = 404;
-/// Not executed: a condition does not hold.
+/// Not executed: a condition of the request does not hold, such as a compare of a transaction or the token of a direct
+/// call.
 pub const CONFLICT: u16 = 409;
 /// The requested data is no longer available, such as revisions that were compacted.
 pub const GONE: u16 = 410;
@@ -29,7 +30,7 @@
     Body(#[from] CborError),
 }
 
-/// Decodes the body of a response, and applies `convert` to the result.
+/// Decodes the body of a response, and applies `convert` to the decoded message.
 pub(super) fn decode_body<T: DeserializeOwned, R>(
     body: &[u8],
     convert: impl FnOnce(T) -> R,
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -7,11 +7,12 @@
 
 /// Maximum number of tasks in a job.
 pub const MAX_TASKS: u64 = 100_000;
-/// Maximum length of a text field.
+/// Maximum length of a text field in bytes.
 const MAX_TEXT_BYTES: usize = 200;
 /// Maximum number of instance types that a job may list.
 const MAX_INSTANCE_TYPES: usize = 64;
-/// Maximum value of a numeric field; far above what any machine has, and low enough that values can safely be added.
+/// Maximum value of a field that is an amount; far above what any instance has, and low enough that amounts can safely
+/// be added.
 const MAX_AMOUNT: f64 = 1e9;
 
 /// How the tasks of a job run: to completion, independently or together, or until the job is cancelled.
@@ -46,7 +47,7 @@
 /// The specification of a job, as submitted and as stored in the state service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Id, chosen by the user.
+    /// Id, chosen by the user: `j-` and up to 20 digits.
     #[serde(rename = "NameId")]
     pub id: String,
     /// Class of the job, to which objectives in the settings refer.
@@ -55,10 +56,10 @@
     /// Team whose quota and limit apply.
     #[serde(rename = "Owner")]
     pub team: String,
-    /// Array, gang or service.
+    /// How the job's tasks run.
     #[serde(rename = "Shape")]
     pub kind: JobKind,
-    /// Priority.
+    /// Priority class. Jobs of a higher class are placed first and may preempt tasks of lower classes.
     #[serde(rename = "Rank")]
     pub priority: PriorityClass,
     /// Number of tasks.
@@ -103,7 +104,7 @@
     /// Seconds that a task needs to save a checkpoint when it is stopped.
     #[serde(rename = "FlushS", deserialize_with = "cbor::amount")]
     pub checkpoint_grace_s: f64,
-    /// Deadline, in seconds after the submission.
+    /// Seconds from the submission within which the job should be complete; `None` if the user has set no deadline.
     #[serde(rename = "DueS", default, deserialize_with = "cbor::optional_amount")]
     pub deadline_s: Option<f64>,
     /// Wall-clock time at which a controller received the job, in seconds. Not part of a submission; added to the
@@ -136,7 +137,7 @@
 /// Why a submission is malformed; the response has status 400.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidJob {
-    /// The body is not CBOR, or not a map.
+    /// The body is not CBOR, or not a map with text keys.
     #[error("the body is not a CBOR map")]
     NotAMap,
     /// A required field is missing.
@@ -201,7 +202,8 @@
     }
 }
 
-/// Parses and validates the body of a submission. `submitted_at` is the wall-clock time at which it arrived.
+/// Parses and validates the body of a submission. `submitted_at` is the wall-clock time at which the submission
+/// arrived, in seconds.
 pub fn parse_submission(body: &[u8], submitted_at: f64) -> Result<JobSpec, InvalidJob> {
     let value: Value = cbor::decode(body).map_err(|_| InvalidJob::NotAMap)?;
     let pairs = value.into_map().map_err(|_| InvalidJob::NotAMap)?;
@@ -268,23 +270,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobStatus {
-    /// No task is running.
+    /// The job is open, and none of its tasks is running.
     Queued,
-    /// At least one task is running.
+    /// The job is open, and at least one of its tasks is running.
     Running,
     /// All tasks are complete.
     Done,
-    /// Cancelled.
+    /// The job was cancelled.
     Aborted,
 }
 
 /// Response to submissions and cancellations.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct JobAccepted {
-    /// Job id.
+    /// Id of the submitted or cancelled job.
     #[serde(rename = "NameId")]
     pub id: String,
-    /// Current status.
+    /// Status of the job after the request.
     #[serde(rename = "Status")]
     pub status: JobStatus,
 }
@@ -292,10 +294,10 @@
 /// Response to status requests.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct JobView {
-    /// Job id.
+    /// Id of the requested job.
     #[serde(rename = "NameId")]
     pub id: String,
-    /// Current status.
+    /// Status of the job when the request was handled.
     #[serde(rename = "Status")]
     pub status: JobStatus,
     /// Number of completed tasks, for display.
@@ -304,9 +306,9 @@
     pub running: u32,
 }
 
-/// Body of an error response.
+/// Body of an error response, whether a controller sends it to a user or the cloud sends it to a controller.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// Description of the error.
+    /// Text that says why the request was not executed.
     pub error: String,
 }
--- a/src/protocol/kv.rs
+++ b/src/protocol/kv.rs
@@ -1,8 +1,8 @@
 //! The state service's interface: a consensus-backed key-value store with transactions, leases and watches.
 //!
 //! Each change increments the revision of the store. A key's mod revision is the revision of its last change, and 0 if
-//! the key does not exist. A transaction compares the mod revisions of some keys, and executes all of its writes if all
-//! compares hold, or none. A key may be attached to a lease, and is deleted when the lease ends. A watch waits for
+//! the key does not exist. A transaction compares the mod revisions of some keys. If all compares hold, it executes all
+//! of its writes, otherwise none. A key that is attached to a lease is deleted when the lease ends. A watch waits for
 //! changes of keys with a prefix. A request whose response is lost may have been executed, or may be executed at any
 //! later time.
 
@@ -11,7 +11,7 @@
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 
-/// Maximum size of a transaction, counted as JSON.
+/// Maximum number of bytes of a transaction as JSON.
 pub const MAX_TXN_BYTES: usize = 64 * 1024;
 /// The maximum number of compares in a transaction is this many times the maximum number of writes.
 pub const COMPARES_PER_WRITE: usize = 4;
@@ -21,10 +21,10 @@
 /// A condition of a transaction: the key has this mod revision, where 0 means that the key does not exist.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Compare {
-    /// Key.
+    /// The key whose mod revision is compared.
     #[serde(rename = "Path")]
     pub key: String,
-    /// Mod revision.
+    /// The mod revision that the key must have; 0 if the key must not exist.
     #[serde(rename = "Stamp")]
     pub mod_revision: u64,
 }
@@ -43,28 +43,28 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum WriteOp {
-    /// Put a value, attached to a lease or not.
+    /// Put a value, which creates the key or replaces its value.
     Put {
-        /// Key.
+        /// The key to put.
         #[serde(rename = "Set")]
         key: String,
-        /// Value.
+        /// The new value.
         #[serde(rename = "V")]
         value: Value,
-        /// Lease to attach the key to; without one the key stays until it is deleted.
+        /// Lease to attach the key to; with `None` the key stays until it is deleted.
         #[serde(rename = "Hold", skip_serializing_if = "Option::is_none", default)]
         lease_id: Option<u64>,
     },
-    /// Delete a key.
+    /// Delete a key with its value.
     Delete {
-        /// Key.
+        /// The key to delete.
         #[serde(rename = "Remove")]
         key: String,
     },
 }
 
 impl WriteOp {
-    /// Puts a record that is not attached to a lease.
+    /// The write that puts a record under a key that is not attached to a lease.
     pub fn put<T: Serialize>(key: impl Into<String>, value: &T) -> WriteOp {
         WriteOp::Put {
             key: key.into(),
@@ -72,11 +72,12 @@
             lease_id: None,
         }
     }
-    /// Deletes a key.
+    /// The write that deletes a key.
     pub fn delete(key: impl Into<String>) -> WriteOp {
         WriteOp::Delete { key: key.into() }
     }
-    /// Upper bound of the size in bytes, which the protocol counts as JSON.
+    /// Upper bound of the number of bytes of the write as JSON, the form in which the protocol counts the size of a
+    /// transaction.
     pub fn json_size(&self) -> usize {
         match self {
             WriteOp::Put { key, value, .. } => key.len() + 48 + cbor::json_size(value),
@@ -85,7 +86,7 @@
     }
 }
 
-/// A transaction.
+/// A transaction: writes that are executed together, under conditions.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Txn {
     /// Conditions, all of which must hold.
@@ -99,16 +100,16 @@
 /// A key with its value and mod revision.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct KeyValue {
-    /// Key.
+    /// The key as text, such as `open/j-000412`.
     #[serde(rename = "Path")]
     pub key: String,
-    /// Value.
+    /// The value that the key had when it was read.
     #[serde(rename = "V")]
     pub value: Value,
-    /// Mod revision.
+    /// Revision of the key's last change.
     #[serde(rename = "Stamp")]
     pub mod_revision: u64,
-    /// Lease that the key is attached to.
+    /// Lease that the key is attached to; `None` if it is not attached to any.
     #[serde(rename = "Hold", default)]
     pub lease_id: Option<u64>,
 }
@@ -119,19 +120,19 @@
 pub enum WatchEvent {
     /// A key was put.
     Put {
-        /// Key.
+        /// The key that was put.
         #[serde(rename = "Set")]
         key: String,
-        /// Value.
+        /// The new value.
         #[serde(rename = "V")]
         value: Value,
-        /// Mod revision.
+        /// Revision of the put.
         #[serde(rename = "Stamp")]
         mod_revision: u64,
     },
     /// A key was deleted.
     Delete {
-        /// Key.
+        /// The key that was deleted.
         #[serde(rename = "Remove")]
         key: String,
         /// Revision of the deletion.
@@ -189,7 +190,7 @@
     Get(String),
     /// Read a page of the keys with a prefix.
     List {
-        /// Prefix.
+        /// Prefix of the keys to read.
         prefix: String,
         /// Key after which the page starts; `None` for the first page.
         after: Option<String>,
@@ -204,11 +205,11 @@
     RevokeLease(u64),
     /// Wait for changes of keys with a prefix.
     Watch {
-        /// Prefix.
+        /// Prefix of the keys whose changes are reported.
         prefix: String,
         /// Report changes after this revision.
         after: u64,
-        /// Maximum time to wait, in milliseconds.
+        /// Maximum time to wait for a change, in milliseconds.
         wait_ms: u64,
     },
 }
@@ -222,7 +223,7 @@
     NotFound,
     /// A page of keys.
     Page {
-        /// Keys in order.
+        /// The keys with their values, in the order of the keys.
         items: Vec<KeyValue>,
         /// Whether more pages follow.
         more: bool,
@@ -235,15 +236,15 @@
     CompareFailed(Vec<String>),
     /// The id of the new lease.
     LeaseGranted(u64),
-    /// The lease was renewed or ended.
+    /// The lease was renewed or ended, as requested.
     LeaseOk,
-    /// The lease has expired.
+    /// The lease to renew or to end does not exist any more.
     LeaseExpired,
     /// The store no longer has the changes after the requested revision: the keys must be listed again.
     Compacted,
     /// Changes of keys with the prefix.
     Events {
-        /// Changes in order.
+        /// The changes, in the order of their revisions.
         events: Vec<WatchEvent>,
         /// The revision up to which all changes have been reported.
         revision: u64,
@@ -298,7 +299,8 @@
         }
     }
 
-    /// Interprets a response. If it is unusable, the outcome is unknown.
+    /// Interprets the status and body of the response to this request. If the response is unusable, the outcome of the
+    /// request is unknown.
     pub fn response(&self, status: u16, body: &[u8]) -> KvResponse {
         self.parse_response(status, body)
             .unwrap_or(KvResponse::OutcomeUnknown)
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -8,9 +8,10 @@
 //! | cloud | [`cloud`] | HTTP, CBOR |
 //! | other controllers | [`peer`] | frames, `rkyv` |
 //!
-//! Each request type converts itself to an HTTP request (`http_request`) and interprets the responses to it
-//! (`response`). After an unusable response, the outcome of the request counts as unknown. Names on the wire appear in
-//! this module only, mostly in `serde(rename)`. Amounts are floating-point numbers, with the unit in the field's name.
+//! Each type of request to another service converts itself to an HTTP request (`http_request`) and interprets the
+//! responses to this request (`response`). After an unusable response, the outcome of the request counts as unknown.
+//! Names on the wire appear in this module only, mostly in `serde(rename)`. Amounts are floating-point numbers, with
+//! the unit in the field's name.
 
 pub mod cbor;
 pub mod cloud;
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -5,51 +5,53 @@
 
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Maximum length of a frame; a longer one ends the connection.
+/// Maximum length of a received frame, which carries one heartbeat, in bytes. A longer frame ends the connection.
 pub const MAX_FRAME_BYTES: usize = 256 * 1024;
-/// Maximum number of jobs whose counts are sent in one message.
+/// Maximum number of jobs whose task counts are sent in one heartbeat.
 pub const MAX_JOB_COUNTS: usize = 2000;
 
-/// Maximum number of crash-looping jobs in one message. A new leader has to detect the others again.
+/// Maximum number of crash-looping jobs in one heartbeat. A new leader has to detect again that the others are
+/// crash-looping.
 pub const MAX_CRASH_LOOPING_JOBS: usize = 500;
-/// Maximum number of terminations in one message. Peers look up the others in the state service when they need them.
+/// Maximum number of terminations in one heartbeat. Peers look up other terminations in the state service when they
+/// need them.
 pub const MAX_TERMINATIONS: usize = 1000;
 
 /// Task counts of one job, for display to users.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct JobCounts {
-    /// Job id.
+    /// Id of the job.
     pub job: String,
-    /// Completed tasks.
+    /// Number of completed tasks.
     pub done: u32,
-    /// Running tasks.
+    /// Number of running tasks.
     pub running: u32,
 }
 
 /// The end of a job. A job that has ended never changes again.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct Termination {
-    /// Job id.
+    /// Id of the job that has ended.
     pub job: String,
     /// Whether the job was cancelled, rather than completed.
     pub aborted: bool,
-    /// Completed tasks.
+    /// Number of tasks that were complete when the job ended.
     pub done: u32,
 }
 
 /// Acknowledges the terminations that a controller has received from a peer.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct TerminationAck {
-    /// Label of the peer.
+    /// Label of the peer that has sent the terminations.
     pub label: String,
     /// Incarnation of the peer's process, from its [`TerminationLog`].
     pub process_incarnation: u64,
-    /// All terminations with lower sequence numbers were received.
+    /// All terminations with lower sequence numbers than this one were received.
     pub up_to: u64,
 }
 
-/// Terminations of jobs that at least one peer has not acknowledged yet. Peers that receive them need not look them up
-/// in the state service.
+/// Terminations of jobs that at least one peer has not acknowledged yet. Peers that receive these terminations need not
+/// look up the jobs in the state service.
 #[derive(Debug, Clone, Default, PartialEq, Archive, Serialize, Deserialize)]
 pub struct TerminationLog {
     /// Distinguishes the sender's process from earlier ones with the same label.
@@ -81,7 +83,7 @@
     pub crash_looping_jobs: Vec<String>,
     /// Recent rate at which the sender has written to the state service for its users.
     pub user_writes_per_s: f64,
-    /// Jobs that the sender has recently finished or cancelled.
+    /// Jobs that the sender has recently finished or cancelled, and the sender's acknowledgements to its peers.
     pub terminations: TerminationLog,
 }
 
--- a/src/protocol/token.rs
+++ b/src/protocol/token.rs
@@ -1,9 +1,9 @@
 //! The fencing token of the worker protocol (`Epoch` on the wire).
 //!
-//! A worker executes no command whose token is lower than the highest that it has seen. A token is an integer with two
-//! parts. The high bits hold the leader's epoch, so that each token of a leader is higher than all tokens of earlier
-//! leaders. The low bits hold a fence, a counter that the leader keeps for each worker. Raising a worker's fence
-//! revokes all commands that are in flight to this worker, and none to others.
+//! A worker executes no command whose token is lower than the highest token that the worker has seen. A token is an
+//! integer with two parts. The high bits hold the leader's epoch, so that each token of a leader is higher than all
+//! tokens of earlier leaders. The low bits hold a fence, a counter that the leader keeps for each worker. Raising a
+//! worker's fence revokes all commands that are in flight to this worker, but no commands to other workers.
 
 use serde::de::Error;
 use serde::{Deserialize, Deserializer, Serialize};
@@ -12,7 +12,8 @@
 const FENCE_BITS: u32 = 24;
 /// The highest fence of a worker within one epoch.
 pub const MAX_FENCE: u32 = (1 << FENCE_BITS) - 1;
-/// The highest epoch that fits into a token. An epoch is the mod revision of the leader's record in the state service.
+/// The highest epoch in a valid token; the highest bit of a token is never set. An epoch is the mod revision of the
+/// leader's record in the state service.
 pub const MAX_EPOCH: u64 = (1 << (u64::BITS - FENCE_BITS - 1)) - 1;
 
 /// A received token that no controller can have issued.
@@ -54,7 +55,7 @@
         (self.0 & u64::from(MAX_FENCE)) as u32
     }
 
-    /// Checks that a controller can have issued this token.
+    /// Checks that a controller can have issued this token, which means that its epoch is at most [`MAX_EPOCH`].
     pub fn validate(self) -> Result<(), InvalidFencingToken> {
         if self.epoch() > MAX_EPOCH {
             return Err(InvalidFencingToken { token: self.0 });
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -1,10 +1,10 @@
 //! The worker protocol: heartbeats that list a worker's tasks, responses with commands, and direct calls.
 //!
-//! A worker regularly sends a heartbeat to one controller. A response with commands renews the worker's lease. When the
-//! lease expires, the worker stops all its tasks and begins its next incarnation. A direct call from a controller
-//! carries commands too, but does not renew the lease. A worker ignores all messages whose
-//! [fencing token](FencingToken) is lower than the highest that it has seen. The messages of a worker are ordered by
-//! incarnation, then by sequence number.
+//! A worker regularly sends a heartbeat to one controller. A response with a list of commands, which may be empty,
+//! renews the worker's lease. When the lease expires, the worker stops all its tasks and begins its next incarnation. A
+//! direct call from a controller carries commands too, but does not renew the lease. A worker ignores all messages
+//! whose [fencing token](FencingToken) is lower than the highest token that the worker has seen. The heartbeats of a
+//! worker are ordered by incarnation, then by sequence number.
 
 use super::cbor;
 use super::http_status::{self, UnusableResponse, decode_body};
@@ -14,9 +14,9 @@
 /// Identifies a task by its job and its index in the job; written `j-000412/3` on the wire.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// Job id.
+    /// Id of the job.
     pub job: String,
-    /// Index of the task in the job.
+    /// Index of the task in the job, from 0.
     pub index: u32,
 }
 
@@ -52,12 +52,12 @@
 pub enum TaskState {
     /// The worker is fetching the task's container image.
     Fetching,
-    /// Running.
+    /// The task is running.
     Running,
     /// The task was told to stop and is saving a checkpoint.
     #[serde(rename = "flushing")]
     Checkpointing,
-    /// Ended, or not started; see [`ExitReason`].
+    /// The task has ended, or was not started; see [`ExitReason`].
     Exited,
     /// A state that this version does not know; the task counts as present on the worker.
     #[serde(rename = "other", other)]
@@ -68,21 +68,21 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitReason {
-    /// Completed.
+    /// The task has run to completion.
     #[serde(rename = "done")]
     Completed,
-    /// Stopped by a command.
+    /// The task was stopped by a command.
     Stopped,
-    /// Failed.
+    /// The task has ended with an error.
     #[serde(rename = "error")]
     Failed,
-    /// Not started: the worker has too few free resources.
+    /// The task was not started: the worker has too few free resources.
     #[serde(rename = "full")]
     InsufficientResources,
-    /// Not started: the worker has another attempt of the task.
+    /// The task was not started: the worker has another attempt of the task.
     #[serde(rename = "busy")]
     AttemptConflict,
-    /// Not started: there is no such job or task.
+    /// The task was not started: there is no such job or task.
     #[serde(rename = "no_such")]
     UnknownTask,
     /// A reason that this version does not know.
@@ -99,10 +99,10 @@
     /// Number of the task's attempt.
     #[serde(rename = "Try")]
     pub attempt: u64,
-    /// State.
+    /// State of the attempt on the worker.
     #[serde(rename = "Status")]
     pub state: TaskState,
-    /// Why the task has exited, if it has.
+    /// Why the task has exited; `None` in other states.
     #[serde(rename = "Cause", default)]
     pub exit_reason: Option<ExitReason>,
 }
@@ -116,19 +116,19 @@
     /// Address for direct calls.
     #[serde(rename = "Endpoint")]
     pub endpoint: String,
-    /// Instance type.
+    /// Name of the type of the worker's instance.
     #[serde(rename = "Flavor")]
     pub instance_type: String,
-    /// Zone.
+    /// Zone in which the instance runs.
     #[serde(rename = "Grove")]
     pub zone: String,
-    /// Spot instance, rather than on-demand.
+    /// Whether the instance is a spot instance, rather than on-demand.
     #[serde(rename = "Windfall")]
     pub spot: bool,
     /// Incarnation of the worker, from 1; incremented each time its lease expires.
     #[serde(rename = "Tenure")]
     pub incarnation: u64,
-    /// Sequence number of the message within the incarnation.
+    /// Sequence number of the heartbeat within the incarnation.
     #[serde(rename = "Tick")]
     pub sequence: u64,
     /// Highest token that the worker has seen.
@@ -150,12 +150,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CommandKind {
-    /// Start a task.
+    /// Start an attempt of a task.
     Start,
-    /// Stop a task.
+    /// Stop an attempt, after the time that `grace_s` gives it.
     #[serde(rename = "halt")]
     Stop,
-    /// Forget an exited task, so that heartbeats no longer list it.
+    /// Forget an exited attempt, so that heartbeats no longer list it.
     Clear,
 }
 
@@ -171,7 +171,8 @@
     /// Number of the task's attempt.
     #[serde(rename = "Try")]
     pub attempt: u64,
-    /// For a stop command: seconds that the task is given to save a checkpoint; 0 stops it at once.
+    /// For a stop command: seconds that the task is given to save a checkpoint; 0 stops it at once. `None` in other
+    /// commands.
     #[serde(rename = "DrainS", skip_serializing_if = "Option::is_none", default)]
     pub grace_s: Option<f64>,
 }
@@ -182,7 +183,8 @@
     /// Token of the leader that sends the commands.
     #[serde(rename = "Epoch")]
     pub token: FencingToken,
-    /// The incarnation of the worker that is to execute the commands; only in direct calls.
+    /// The incarnation of the worker that is to execute the commands. Set in direct calls; `None` in responses to
+    /// heartbeats.
     #[serde(rename = "Tenure", skip_serializing_if = "Option::is_none", default)]
     pub incarnation: Option<u64>,
     /// Commands, in the order of execution.
@@ -208,9 +210,10 @@
 /// The outcome of a direct call.
 #[derive(Debug, Clone)]
 pub enum WorkerResponse {
-    /// The worker has executed the commands; contains its state after them.
+    /// The worker has executed the commands; contains the worker's state afterwards.
     Executed(Box<WorkerHeartbeat>),
-    /// The worker has executed nothing, because the token is too low or the incarnation is not its own.
+    /// The worker has executed nothing, because the token is too low or the incarnation is not the worker's current
+    /// one; contains the worker's state.
     Rejected(Box<WorkerHeartbeat>),
     /// The call was never sent: no connection became free in time.
     NotSent,
@@ -230,7 +233,8 @@
         }
     }
 
-    /// Interprets a response. If it is unusable, the outcome is unknown.
+    /// Interprets the status and body of the response to a direct call. If the response is unusable, the outcome of the
+    /// call is unknown.
     pub fn response(status: u16, body: &[u8]) -> WorkerResponse {
         parse_response(status, body).unwrap_or(WorkerResponse::OutcomeUnknown)
     }
