--- a/tests/golden/controllers.rs
+++ b/tests/golden/controllers.rs
@@ -7,7 +7,7 @@
 use cedarladder::transport::frames;
 use cedarladder::transport::http;
 
-/// A heartbeat in which all fields have different values.
+/// A heartbeat in which all fields have different values, so that a mix-up of two fields is noticed.
 fn full_heartbeat() -> PeerHeartbeat {
     let counts = |job: &str, done, running| JobCounts {
         job: job.into(),
@@ -68,24 +68,32 @@
     for (case, heartbeat) in [("full", full_heartbeat()), ("empty", empty_heartbeat())] {
         let pinned = file.pin(
             case,
-            &peer::encode(&heartbeat).expect("the heartbeat can be encoded"),
+            &peer::encode(&heartbeat).expect("the heartbeat can't be encoded"),
+        );
+        assert_eq!(
+            peer::decode(&pinned).ok(),
+            Some(heartbeat),
+            "the {case} heartbeat, decoded"
         );
-        assert_eq!(peer::decode(&pinned).ok(), Some(heartbeat), "{case}");
         let cut = &pinned[..pinned.len() - 1];
-        assert_eq!(peer::decode(cut).ok(), None, "{case}, cut off");
+        assert_eq!(
+            peer::decode(cut).ok(),
+            None,
+            "the {case} heartbeat was accepted without its last byte"
+        );
     }
     file.finish();
 }
 
-/// The statuses of controllers' responses, and one that they never have.
+/// The statuses of controllers' responses, and 599, which they never have.
 const STATUSES: [u16; 14] = [
     200, 201, 400, 404, 405, 408, 413, 421, 422, 429, 431, 500, 503, 599,
 ];
-/// An arbitrary body.
+/// An arbitrary body of a request, response or frame.
 const BODY: &[u8] = b"body";
-/// Value of the `Retry-After` header.
+/// Value of the `Retry-After` header in seconds.
 const RETRY_AFTER_S: u32 = 1;
-/// Maximum frame length, which no frame here exceeds.
+/// Maximum frame length, which no frame in these tests exceeds.
 const MAX_FRAME_BYTES: usize = 100;
 
 #[test]
@@ -115,7 +123,8 @@
 fn frames_are_split_from_their_bytes() {
     let mut file = PinnedFile::open("frames");
     let mut buffer = file.pin("two frames", b"\x04\0\0\0body\0\0\0\0");
-    let frames = frames::split_frames(&mut buffer, MAX_FRAME_BYTES).expect("no frame is too long");
+    let frames = frames::split_frames(&mut buffer, MAX_FRAME_BYTES)
+        .expect("a frame within the limit was refused");
     assert_eq!(frames, [BODY, &[]]);
     assert!(buffer.is_empty());
     file.finish();
--- a/tests/golden/leaders.rs
+++ b/tests/golden/leaders.rs
@@ -11,15 +11,17 @@
 use cedarladder::transport::http;
 use std::collections::BTreeSet;
 
-/// Time between two ticks of the controller, and the number of ticks in which it becomes the leader.
+/// Time between two ticks of the controller.
 const TICK_S: f64 = 0.5;
+/// Number of ticks within which the controller becomes the leader.
 const TICKS: u32 = 40;
 /// Wall-clock time at the start, in seconds.
 const STARTED_AT: f64 = 1_700_000_000.0;
-/// Id of the lease that the state service grants, and the revision in its responses.
+/// Id of the lease that the state service grants.
 const LEASE_ID: u64 = 7;
+/// Revision of the store in all responses of the state service.
 const REVISION: u64 = 412;
-/// Id of the worker's request.
+/// Id of the request with the worker's heartbeat.
 const HEARTBEAT: u64 = 1;
 
 /// The responses of an empty state service that accepts all requests.
@@ -41,7 +43,7 @@
     }
 }
 
-/// Runs a controller for a tick, and collects its requests to the state service.
+/// Runs a controller for a tick. Adds its requests to the state service to `requests`, and responds to them.
 fn run_for_a_tick(controller: &mut Controller, requests: &mut BTreeSet<Vec<u8>>, now: Now) {
     controller.tick(now);
     for effect in respond_with_instance_types(controller) {
@@ -92,7 +94,7 @@
         });
     file.pin(
         "answer to a report",
-        &response.expect("the controller has responded"),
+        &response.expect("the controller has not responded"),
     );
     file.finish();
 }
--- a/tests/golden/operator_files.rs
+++ b/tests/golden/operator_files.rs
@@ -4,16 +4,17 @@
 use cedarladder::policy::{BUILT_IN_POLICY, Policy, PoolState};
 use cedarladder::settings::{self, Settings};
 
-/// A settings file with all keys.
+/// A settings file that sets all keys.
 const SETTINGS: &str = include_str!("settings.toml");
 /// A policy file that sets all keys, which the policy calls figures, and uses all variables.
 const POLICY: &str = include_str!("every.policy");
 
 fn parse(text: &str) -> Settings {
-    Settings::parse(text).expect("valid settings")
+    Settings::parse(text).expect("the settings were rejected")
 }
 
-/// All values of the settings, with their keys in the file.
+/// All values of the settings with their keys in the file, and two values that are not in the file: the number of
+/// sockets for direct calls and the maximum drift of clocks.
 fn values_of(settings: &Settings) -> Vec<(String, String)> {
     let deployment = &settings.deployment;
     let (workers, state) = (&deployment.workers, &deployment.state);
@@ -113,8 +114,8 @@
     file.finish();
 }
 
-/// Parses the settings without each of their lines in turn: the key is required or has a default. If several lines are
-/// equal, the first of them is left out.
+/// Removes each line with a key from the settings in turn, and pins the default or the error that results. If several
+/// lines are equal, only the first of them is removed.
 #[test]
 fn settings_without_a_key_keep_their_defaults_and_errors() {
     let mut file = PinnedFile::open("settings_without_a_key");
@@ -165,7 +166,7 @@
     for line in positive_keys {
         let (key, _) = line
             .split_once(" = ")
-            .expect("the line has a key and a value");
+            .expect("the line has no equals sign between spaces");
         for value in ["-1.0", "0.0", "nan", "inf", "\"long\""] {
             cases.push((line, format!("{key} = {value}")));
         }
@@ -198,7 +199,7 @@
     for (line, wrong) in cases {
         assert!(
             SETTINGS.contains(&format!("{line}\n")),
-            "{line} is not in the settings file"
+            "the settings file does not contain the line {line:?}"
         );
         let text = SETTINGS.replacen(&format!("{line}\n"), &format!("{wrong}\n"), 1);
         let result = match Settings::parse(&text) {
@@ -210,7 +211,7 @@
     file.finish();
 }
 
-/// Pools in which all variables have different values.
+/// A pool of on-demand instances and a pool of spot instances. Within a pool, all variables have different values.
 fn pools() -> [(&'static str, PoolState); 2] {
     let ordinary = PoolState {
         spot: false,
@@ -240,7 +241,7 @@
         ("every name", POLICY),
         ("empty", ""),
     ] {
-        let policy = Policy::parse(text, name, &settings).expect("the policy has no problems");
+        let policy = Policy::parse(text, name, &settings).expect("the policy was rejected");
         for (kind, pool) in pools() {
             let parameters = policy.parameters(&pool);
             for (figure, value) in [
@@ -274,8 +275,7 @@
         "waiting",
     ] {
         let text = format!("cooldown_s = {variable}");
-        let policy =
-            Policy::parse(&text, "my.policy", &settings).expect("the policy has no problems");
+        let policy = Policy::parse(&text, "my.policy", &settings).expect("the policy was rejected");
         for (kind, pool) in pools() {
             let value = policy.parameters(&pool).cooldown_s;
             file.pin_text(&format!("{variable}, {kind}"), &value.to_string());
--- a/tests/golden/pinned.rs
+++ b/tests/golden/pinned.rs
@@ -1,4 +1,4 @@
-//! Data files with pinned cases, and the text form of values that are compared with them.
+//! Data files with pinned cases, whose bytes the program must still produce, and the text form of decoded values.
 
 use cedarladder::protocol::cbor;
 use ciborium::Value;
@@ -10,12 +10,12 @@
 
 /// If this environment variable is set, the data files are written instead of compared.
 const WRITE_VARIABLE: &str = "GOLDEN_WRITE";
-/// Hexadecimal digits of a byte.
+/// Number of hexadecimal digits of a byte.
 const DIGITS_PER_BYTE: usize = 2;
 /// Base of hexadecimal digits.
 const HEXADECIMAL: u32 = 16;
 
-/// Names of all data files, each of which a test opens.
+/// Names of all data files. Each of them is opened by one of the golden tests.
 const DATA_FILES: [&str; 39] = [
     "answers_to_users",
     "built_segments",
@@ -61,9 +61,11 @@
 /// A data file with its pinned cases, and the cases that the program produces now.
 pub struct PinnedFile {
     path: PathBuf,
+    /// The file is to be written anew instead of compared.
     is_written: bool,
+    /// The cases in the data file; empty if the file is to be written.
     expected: BTreeMap<String, Vec<u8>>,
-    /// In the order in which the test adds them.
+    /// The cases that the test has added, in this order.
     produced: Vec<(String, Vec<u8>)>,
 }
 
@@ -78,11 +80,11 @@
         let is_written = std::env::var_os(WRITE_VARIABLE).is_some();
         let mut expected = BTreeMap::new();
         if !is_written {
-            let text = std::fs::read_to_string(&path).expect("the data file can be read");
+            let text = std::fs::read_to_string(&path).expect("the data file can't be read");
             for line in text.lines() {
                 let (case, hex) = line
                     .split_once('\t')
-                    .expect("the line has a name, a tab and hexadecimal digits");
+                    .expect("a line of the data file has no tab between name and digits");
                 let earlier = expected.insert(case.to_owned(), from_hex(hex));
                 assert!(earlier.is_none(), "{name}: two lines for {case}");
             }
@@ -95,15 +97,16 @@
         }
     }
 
-    /// Adds a case with the bytes that the program produces, and returns the pinned bytes, for tests that decode them.
+    /// Adds a case with the bytes that the program produces. Returns the pinned bytes, for tests that decode them, or
+    /// `bytes` if the data file has no such case.
     pub fn pin(&mut self, case: &str, bytes: &[u8]) -> Vec<u8> {
         assert!(
             !case.contains(['\t', '\n']),
-            "{case:?} can't be the name of a case"
+            "the name of the case {case:?} contains a tab or a line break"
         );
         assert!(
             self.produced.iter().all(|(other, _)| other != case),
-            "{case} is named twice"
+            "the test has added two cases with the name {case}"
         );
         self.produced.push((case.to_owned(), bytes.to_vec()));
         match self.expected.get(case) {
@@ -117,7 +120,7 @@
         self.pin(case, text.as_bytes());
     }
 
-    /// Adds a case for the encoding of a message, and one for the decoding of the pinned bytes.
+    /// Adds a case for the encoding of a message of this program, and one for the decoding of the pinned bytes.
     pub fn pin_message<T: Serialize + DeserializeOwned>(&mut self, case: &str, message: &T) {
         let bytes = self.pin(case, &cbor::encode(message));
         self.pin_decoded::<T>(case, &bytes);
@@ -145,7 +148,7 @@
                 .iter()
                 .map(|(case, bytes)| format!("{case}\t{}\n", to_hex(bytes)))
                 .collect();
-            std::fs::write(&self.path, lines).expect("the data file can be written");
+            std::fs::write(&self.path, lines).expect("the data file can't be written");
             return;
         }
         let file = self.path.display().to_string();
@@ -186,17 +189,17 @@
 }
 
 fn from_hex(hex: &str) -> Vec<u8> {
-    assert!(hex.is_ascii(), "{hex:?} is not hexadecimal");
+    assert!(hex.is_ascii(), "{hex:?} has characters that are not ASCII");
     assert_eq!(
         hex.len() % DIGITS_PER_BYTE,
         0,
-        "odd number of digits in {hex}"
+        "{hex} has an odd number of digits"
     );
     (0..hex.len())
         .step_by(DIGITS_PER_BYTE)
         .map(|at| u8::from_str_radix(&hex[at..at + DIGITS_PER_BYTE], HEXADECIMAL))
         .collect::<Result<_, _>>()
-        .expect("all characters are hexadecimal digits")
+        .expect("a character is not a hexadecimal digit")
 }
 
 /// Bytes in hexadecimal and as text, for the message of a failed test.
@@ -206,7 +209,7 @@
 
 /// The text form of a message, with the field names of its wire form.
 pub fn show<T: Serialize>(message: &T) -> String {
-    show_value(&Value::serialized(message).expect("the message can be encoded"))
+    show_value(&Value::serialized(message).expect("the message can't be encoded"))
 }
 
 /// The text form of a value, similar to JSON. Floating-point numbers always have a decimal point.
@@ -228,13 +231,13 @@
                 .collect();
             format!("{{{}}}", fields.join(","))
         }
-        other => panic!("no message of this program contains {other:?}"),
+        other => panic!("unexpected kind of value in a message of this program: {other:?}"),
     }
 }
 
-/// The fields of a map. Panics for any other value.
+/// The fields of a map. Panics if the value is not a map.
 pub fn fields_of(value: Value) -> Vec<(Value, Value)> {
-    value.into_map().expect("the value is a map")
+    value.into_map().expect("the value is not a map")
 }
 
 /// A map without one of its fields.
@@ -242,7 +245,11 @@
     let mut fields = fields_of(map.clone());
     let before = fields.len();
     fields.retain(|(key, _)| key.as_text() != Some(name));
-    assert_eq!(fields.len() + 1, before, "{name} is not a field");
+    assert_eq!(
+        fields.len() + 1,
+        before,
+        "the map does not have exactly one field {name}"
+    );
     Value::Map(fields)
 }
 
@@ -263,24 +270,29 @@
 pub fn names_of(map: &Value) -> Vec<String> {
     fields_of(map.clone())
         .into_iter()
-        .map(|(name, _)| name.into_text().expect("the name of the field is a text"))
+        .map(|(name, _)| name.into_text().expect("the name of a field is not a text"))
         .collect()
 }
 
-/// In the run that writes a new data file this may fail, if it lists the directory before the file exists.
+/// `DATA_FILES` lists exactly the data files that exist. In a run that writes a new data file this test may fail, if it
+/// reads the directory before the other test has written the file.
 #[test]
 fn every_data_file_is_listed() {
     let mut found: Vec<String> = std::fs::read_dir(directory())
-        .expect("the directory of the data files can be read")
-        .map(|entry| entry.expect("the directory entry can be read").path())
+        .expect("the directory of the data files can't be read")
+        .map(|entry| entry.expect("a directory entry can't be read").path())
         .filter(|path| path.extension().is_some_and(|kind| kind == "txt"))
         .filter_map(|path| Some(path.file_stem()?.to_str()?.to_owned()))
         .collect();
     found.sort();
-    assert_eq!(found, DATA_FILES);
+    assert_eq!(
+        found, DATA_FILES,
+        "the data files in the directory are not those of the list"
+    );
 }
 
-/// The comparison with a data file reports each kind of difference; one that always succeeds would pin nothing.
+/// The comparison with a data file reports each kind of difference. If it reported none, all golden tests would pass
+/// whatever the program produces.
 #[test]
 fn differences_are_reported() {
     let file = |pinned: &[(&str, &[u8])], produced: &[(&str, &[u8])]| {
@@ -313,7 +325,14 @@
         ),
     ] {
         let differences = file(&pinned, &produced).differences();
-        assert_eq!(differences.is_empty(), expected.is_empty(), "{name}");
-        assert!(differences.starts_with(expected), "{name}: {differences}");
+        assert_eq!(
+            differences.is_empty(),
+            expected.is_empty(),
+            "whether no difference is reported in the case {name:?}"
+        );
+        assert!(
+            differences.starts_with(expected),
+            "expected {expected:?} in the case {name:?}, got {differences:?}"
+        );
     }
 }
--- a/tests/golden/program.rs
+++ b/tests/golden/program.rs
@@ -9,7 +9,7 @@
 use std::process::{Command, Output};
 use std::thread::JoinHandle;
 
-/// Replaces an address that differs between runs.
+/// Stands for the server's address in pinned texts, since the address differs between runs.
 const ADDRESS: &str = "ADDRESS";
 
 /// Runs the program in the directory of the data files, so that its output contains no path of this machine.
@@ -19,13 +19,14 @@
         .current_dir(directory())
         .env_clear()
         .output()
-        .expect("the program can be run")
+        .expect("the program can't be run")
 }
 
-/// Pins the exit code, the standard output and the standard error. Replaces `address` in both, unless it is empty.
+/// Pins the exit code, the standard output and the standard error. Replaces `address` by [`ADDRESS`] in both texts,
+/// unless `address` is empty.
 fn pin_run(file: &mut PinnedFile, case: &str, output: &Output, address: &str) {
     let text = |bytes: &[u8]| {
-        let text = String::from_utf8(bytes.to_vec()).expect("the output is UTF-8");
+        let text = String::from_utf8(bytes.to_vec()).expect("the output is not UTF-8");
         match address {
             "" => text,
             address => text.replace(address, ADDRESS),
@@ -34,7 +35,7 @@
     let code = output
         .status
         .code()
-        .expect("the program was not killed by a signal");
+        .expect("the program was killed by a signal");
     file.pin_text(&format!("{case}, exit code"), &code.to_string());
     file.pin_text(&format!("{case}, output"), &text(&output.stdout));
     file.pin_text(&format!("{case}, errors"), &text(&output.stderr));
@@ -107,23 +108,26 @@
 
 /// Starts a server that sends `response` to one request. Its thread returns the request.
 fn serve_once(response: Vec<u8>) -> (SocketAddr, JoinHandle<Vec<u8>>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port can be bound");
-    let address = listener.local_addr().expect("the listener has an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("no free port can be bound");
+    let address = listener.local_addr().expect("the listener has no address");
     let server = std::thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("the program connects");
+        let (mut stream, _) = listener.accept().expect("the program has not connected");
         let mut request = Vec::new();
         let mut chunk = [0; 1024];
         loop {
-            let count = stream.read(&mut chunk).expect("the request can be read");
+            let count = stream.read(&mut chunk).expect("the request can't be read");
             request.extend_from_slice(&chunk[..count]);
             match http::parse_request(&request) {
                 Ok(Parsed::Complete(..)) => break,
-                _ => assert!(count > 0, "the request is cut off"),
+                _ => assert!(
+                    count > 0,
+                    "the connection ended before the whole request was received"
+                ),
             }
         }
         stream
             .write_all(&response)
-            .expect("the client reads the response");
+            .expect("the response can't be written");
         request
     });
     (address, server)
@@ -187,10 +191,15 @@
         let (address, server) = serve_once(http::write_response(status, &body, None, true));
         let address = address.to_string();
         let output = run(&[args[0], "--to", &address, args[1]]);
-        let request = server.join().expect("the server has received a request");
+        let request = server
+            .join()
+            .expect("the server has not received a request");
         pin_run(&mut file, case, &output, &address);
         let names_host = String::from_utf8_lossy(&request).contains(&address);
-        assert!(names_host, "{case}: the request does not name its host");
+        assert!(
+            names_host,
+            "{case}: the request does not contain the server's address"
+        );
         file.pin(
             &format!("{case}, request"),
             &replace_address(&request, &address),
@@ -199,7 +208,9 @@
     let (address, server) = serve_once(b"nonsense\r\n\r\n".to_vec());
     let address = address.to_string();
     let output = run(&["status", "--to", &address, id]);
-    server.join().expect("the server has received a request");
+    server
+        .join()
+        .expect("the server has not received a request");
     pin_run(&mut file, "no HTTP", &output, &address);
     file.finish();
 }
@@ -207,10 +218,10 @@
 #[test]
 fn a_service_that_cannot_be_reached_gives_exit_code_1() {
     let mut file = PinnedFile::open("program_unreached");
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port can be bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("no free port can be bound");
     let address = listener
         .local_addr()
-        .expect("the listener has an address")
+        .expect("the listener has no address")
         .to_string();
     drop(listener);
     let output = run(&["status", "--to", &address, "j-1"]);
--- a/tests/golden/records.rs
+++ b/tests/golden/records.rs
@@ -33,7 +33,7 @@
     let (_, _, body) = KvRequest::Txn(Txn { compares, writes }).http_request();
     file.pin(&format!("{case}, transaction"), &body);
     let bytes = file.pin(&format!("{case}, value"), &cbor::encode(record));
-    let value: Value = cbor::decode(&bytes).expect("the pinned bytes are CBOR");
+    let value: Value = cbor::decode(&bytes).expect("the pinned bytes are not CBOR");
     pin_decoded::<T>(file, case, &value);
 }
 
@@ -95,7 +95,7 @@
     };
     pin_record(&mut file, "leader", records::LEADER_KEY, &leader);
     let stored =
-        cbor!({"Label" => "rung-1", "Life" => 5}).expect("the literal is a valid CBOR value");
+        cbor!({"Label" => "rung-1", "Life" => 5}).expect("the literal is not a valid CBOR value");
     pin_decoded_variants::<LeaderRecord>(&mut file, "leader", &stored);
     let provisioning = ProvisioningRecord {
         instance_type: "g8".into(),
@@ -113,7 +113,7 @@
     pin_decoded_variants::<ProvisioningRecord>(
         &mut file,
         "rental",
-        &stored.expect("the literal is a valid CBOR value"),
+        &stored.expect("the literal is not a valid CBOR value"),
     );
     file.finish();
 }
@@ -129,11 +129,11 @@
         };
         pin_record(&mut file, case, &key, &record);
         let stored =
-            cbor!({"Status" => case, "Done" => 3}).expect("the literal is a valid CBOR value");
+            cbor!({"Status" => case, "Done" => 3}).expect("the literal is not a valid CBOR value");
         pin_decoded_variants::<FinishedRecord>(&mut file, case, &stored);
     }
     let unknown =
-        cbor!({"Status" => "lost", "Done" => 3}).expect("the literal is a valid CBOR value");
+        cbor!({"Status" => "lost", "Done" => 3}).expect("the literal is not a valid CBOR value");
     pin_decoded::<FinishedRecord>(&mut file, "unknown ending", &unknown);
     file.finish();
 }
@@ -152,7 +152,7 @@
     pin_decoded_variants::<JobSpec>(
         &mut file,
         "job",
-        &stored.expect("the literal is a valid CBOR value"),
+        &stored.expect("the literal is not a valid CBOR value"),
     );
     file.finish();
 }
@@ -180,7 +180,7 @@
     pin_decoded_variants::<InstanceType>(
         &mut file,
         "type",
-        &stored.expect("the literal is a valid CBOR value"),
+        &stored.expect("the literal is not a valid CBOR value"),
     );
     file.finish();
 }
@@ -250,12 +250,12 @@
     pin_decoded_variants::<Segment>(
         &mut file,
         "segment",
-        &stored.expect("the literal is a valid CBOR value"),
+        &stored.expect("the literal is not a valid CBOR value"),
     );
     file.finish();
 }
 
-/// The resources that the tasks here request.
+/// The resources that each task in these tests requests.
 const REQUEST: Resources = Resources {
     cpus: 8.0,
     gpus: 1.0,
@@ -341,7 +341,7 @@
     for chunk in [0, 1] {
         let bitmap = wal::encode_chunk(&completed, chunk, tasks);
         let pinned = file.pin(&format!("chunk {chunk}"), bitmap.as_bytes());
-        let bitmap = String::from_utf8(pinned).expect("the bitmap is UTF-8");
+        let bitmap = String::from_utf8(pinned).expect("the bitmap is not UTF-8");
         decoded.extend(wal::decode_chunk(chunk, &bitmap));
     }
     assert_eq!(decoded, indices);
--- a/tests/golden/services.rs
+++ b/tests/golden/services.rs
@@ -28,7 +28,7 @@
 }
 
 /// Pins the bodies of responses. For each pair of a request and a body, pins how the request interprets a response with
-/// this body, with a line of text for each status. All pairs are tested, including those that make no sense.
+/// this body, with a line of text for each status. Pairs that never occur in practice are pinned too.
 fn pin_responses<Request>(
     file: &mut PinnedFile,
     requests: &[(&'static str, Request)],
@@ -50,7 +50,8 @@
 fn kv_requests() -> Vec<(&'static str, KvRequest)> {
     let attached = WriteOp::Put {
         key: "leader".into(),
-        value: cbor!({"Label" => "n0", "Life" => 5}).expect("the literal is a valid CBOR value"),
+        value: cbor!({"Label" => "n0", "Life" => 5})
+            .expect("the literal is not a valid CBOR value"),
         lease_id: Some(7),
     };
     let list = |after: Option<&str>| KvRequest::List {
@@ -147,7 +148,7 @@
         ("error", cbor!({"error" => "no such lease"})),
     ];
     bodies
-        .map(|(name, body)| (name, body.expect("the literal is a valid CBOR value")))
+        .map(|(name, body)| (name, body.expect("the literal is not a valid CBOR value")))
         .into()
 }
 
@@ -225,19 +226,19 @@
     }
 }
 
-/// The instance type from the protocol's example as the cloud sends it, with amounts as integers.
+/// The instance type from the protocol's example as the cloud sends it, with most amounts as integers.
 fn received_type() -> Value {
     cbor!({"Label" => "g8", "Cores" => 96, "Gpus" => 8, "RamGb" => 768, "LocalGb" => 200,
         "PullGbPerS" => 1.0, "Hourly" => 12.0, "MarketPrice" => 4.5, "ReadyS" => 45,
         "Groves" => ["a", "b"]})
-    .expect("the literal is a valid CBOR value")
+    .expect("the literal is not a valid CBOR value")
 }
 
-/// The instance from the protocol's example.
+/// The instance from the protocol's example as the cloud sends it, with this status.
 fn received_instance(status: &str) -> Value {
     cbor!({"NameId" => "host-000231", "Endpoint" => "10.1.0.232:9000", "Flavor" => "g8",
         "Grove" => "a", "Windfall" => true, "Status" => status, "AgeS" => 61.5})
-    .expect("the literal is a valid CBOR value")
+    .expect("the literal is not a valid CBOR value")
 }
 
 fn cloud_bodies() -> Vec<(&'static str, Value)> {
@@ -264,7 +265,7 @@
         ("trouble", cbor!({"error" => "trouble"})),
     ];
     bodies
-        .map(|(name, body)| (name, body.expect("the literal is a valid CBOR value")))
+        .map(|(name, body)| (name, body.expect("the literal is not a valid CBOR value")))
         .into()
 }
 
--- a/tests/golden/users.rs
+++ b/tests/golden/users.rs
@@ -17,10 +17,10 @@
 use ciborium::{Value, cbor};
 use std::rc::Rc;
 
-/// Wall-clock time at which the submissions here arrive, in seconds.
+/// Wall-clock time at which the submissions in these tests arrive, in seconds.
 const SUBMITTED_AT: f64 = 1_700_000_000.5;
 
-/// Specifications with all kinds of jobs and all priorities, with and without the optional fields.
+/// Specifications that contain every kind of job and every priority class, with and without the optional fields.
 pub fn job_specs() -> Vec<(String, JobSpec)> {
     let whole = JobSpec {
         id: "j-000412".into(),
@@ -86,7 +86,7 @@
         "RamGb" => 64.0, "Bundle" => "img-07", "PullGb" => 6.2, "Flavors" => ["g8"],
         "Grove" => "a", "OneZone" => true, "Spread" => false, "Windfall" => true,
         "ExpectS" => 240.0, "SnapshotS" => 30.0, "FlushS" => 4.0, "DueS" => 900.0})
-    .expect("the literal is a valid CBOR value")
+    .expect("the literal is not a valid CBOR value")
 }
 
 fn text(word: &str) -> Value {
@@ -245,17 +245,17 @@
     Unavailable,
 }
 
-/// Id of a job that fits the settings and the instance types here.
+/// Id of the job in the tests of responses. Its specification fits the settings and the instance types of these tests.
 const JOB: &str = "j-1";
 /// Revision of the state service, and mod revision of its keys.
 const REVISION: u64 = 5;
-/// Id of the request whose response is pinned.
+/// Id under which the controller gets the request whose response is pinned.
 const REQUEST: u64 = 1;
 /// Address of the state service.
 pub const STATE_SERVICE: &str = "10.2.0.1:2379";
 /// Rounds of requests and responses after which a controller must have responded.
 const MAX_ROUNDS: usize = 10;
-/// Number of status requests after which a controller rejects further ones.
+/// Number of status requests without a response after which a controller rejects further ones.
 const MANY_STATUS_REQUESTS: u64 = 3_000;
 const START: Now = Now {
     monotonic: 0.0,
@@ -264,7 +264,7 @@
 
 pub fn controller() -> Controller {
     let text = include_str!("../world/settings.toml");
-    let settings = Rc::new(Settings::parse(text).expect("valid settings"));
+    let settings = Rc::new(Settings::parse(text).expect("the settings were rejected"));
     let policy = Rc::new(Policy::built_in(&settings));
     Controller::new(settings, policy, 1)
 }
@@ -324,7 +324,7 @@
 pub fn respond_with_instance_types(controller: &mut Controller) -> Vec<Effect> {
     let types = cbor!({"Flavors" => [{"Label" => "f", "Cores" => 8, "RamGb" => 32,
         "Hourly" => 1, "ReadyS" => 25, "Groves" => ["a", "b"]}]});
-    let body = cbor::encode(&types.expect("the literal is a valid CBOR value"));
+    let body = cbor::encode(&types.expect("the literal is not a valid CBOR value"));
     let mut others = Vec::new();
     for effect in controller.take_effects() {
         match effect {
@@ -424,7 +424,7 @@
             }
         }
     }
-    panic!("{case}: no response");
+    panic!("{case}: the controller has not responded within {MAX_ROUNDS} rounds");
 }
 
 fn small_job() -> Value {
@@ -435,7 +435,8 @@
     with(&job, "Flavors", Value::Null)
 }
 
-/// Responses to users from a controller that has received the instance types, for each state of the state service.
+/// Responses to users, for each state of the job in the state service. In the last case, the controller has not
+/// received the instance types yet.
 #[test]
 fn responses_to_users_keep_their_bytes() {
     let mut file = PinnedFile::open("user_requests");
--- a/tests/golden/workers.rs
+++ b/tests/golden/workers.rs
@@ -8,19 +8,19 @@
 };
 use ciborium::{Value, cbor};
 
-/// The token in the messages here.
+/// The token in the messages that this program encodes in these tests.
 fn token() -> FencingToken {
     FencingToken::new(41, 7)
 }
 
-/// A heartbeat as a worker sends it.
+/// A heartbeat as a worker sends it, with the names of the wire form.
 pub fn received_heartbeat() -> Value {
     cbor!({"Host" => "host-000231", "Endpoint" => "10.1.0.232:9000", "Flavor" => "g8",
         "Grove" => "a", "Windfall" => true, "Tenure" => 1, "Tick" => 88, "Epoch" => 41,
         "WarningS" => 25.5,
         "Steps" => [{"Step" => "j-000412/3", "Try" => 2, "Status" => "running"},
             {"Step" => "j-000398/0", "Try" => 1, "Status" => "exited", "Cause" => "done"}]})
-    .expect("the literal is a valid CBOR value")
+    .expect("the literal is not a valid CBOR value")
 }
 
 /// The response to a heartbeat or, with an incarnation, the body of a direct call.
@@ -45,7 +45,7 @@
 fn with_task(name: &str, value: Value) -> Value {
     let task = cbor!({"Step" => "j-000412/3", "Try" => 2, "Status" => "exited", "Cause" => "done"});
     let task = with(
-        &task.expect("the literal is a valid CBOR value"),
+        &task.expect("the literal is not a valid CBOR value"),
         name,
         value,
     );
@@ -186,13 +186,13 @@
         {"Verb" => "halt", "Step" => "j-000377/1", "Try" => 1, "DrainS" => 10.0}]});
     file.pin_received::<CommandBatch>(
         "received",
-        &received.expect("the literal is a valid CBOR value"),
+        &received.expect("the literal is not a valid CBOR value"),
     );
     let unknown = cbor!({"Epoch" => 41, "Orders" => [
         {"Verb" => "dance", "Step" => "j-000377/1", "Try" => 1}]});
     file.pin_received::<CommandBatch>(
         "received with an unknown verb",
-        &unknown.expect("the literal is a valid CBOR value"),
+        &unknown.expect("the literal is not a valid CBOR value"),
     );
     file.finish();
 }
--- a/tests/instance_catalog.rs
+++ b/tests/instance_catalog.rs
@@ -12,7 +12,7 @@
 use common::instance_type;
 use harness::{Harness, HeldResponses};
 
-/// Time within which a new leader reads the stored instance types and puts its own.
+/// Time within which a new leader reads the stored instance types and puts those that the cloud offers.
 const STORED_AFTER_S: f64 = 45.0;
 
 fn stored(harness: &Harness) -> Option<ciborium::Value> {
@@ -28,7 +28,10 @@
     harness.hold(HeldResponses::CatalogPuts);
     harness.run_for(STORED_AFTER_S);
     let late = harness.puts_of(INSTANCE_CATALOG_KEY);
-    assert!(!late.is_empty(), "the leader has put its instance types");
+    assert!(
+        !late.is_empty(),
+        "the leader has not put any instance types"
+    );
     harness.elect_other_controller();
     let newer = WriteOp::put(INSTANCE_CATALOG_KEY, &vec![instance_type("newer")]);
     harness.store.transact(&Txn {
@@ -40,7 +43,7 @@
         let response = harness.store.transact(&txn);
         assert!(
             matches!(response, KvResponse::CompareFailed(_)),
-            "{response:?}"
+            "the late put was not refused: {response:?}"
         );
     }
     assert_eq!(stored(&harness), before);
@@ -60,6 +63,6 @@
     assert_eq!(
         harness.puts_of(INSTANCE_CATALOG_KEY).len(),
         1,
-        "a stored put is not repeated"
+        "number of puts of the instance types since the state service accepts them"
     );
 }
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -52,7 +52,8 @@
 
 #[test]
 fn submissions_are_validated() {
-    let spec = parse_submission(&body(&submission()), 5.0).expect("a valid submission");
+    let spec =
+        parse_submission(&body(&submission()), 5.0).expect("the valid submission was rejected");
     assert_eq!(
         (spec.tasks, spec.gpus, spec.deadline_s),
         (16, 1.0, Some(900.0))
@@ -98,7 +99,7 @@
         assert_eq!(
             parse_submission(&body(&fields), 0.0),
             Err(expected),
-            "{field}: {value:?}"
+            "submission in which {field} is {value:?}"
         );
     }
     for bytes in [
@@ -115,7 +116,8 @@
 #[test]
 fn http_requests_are_parsed() {
     let long = format!("GET /{} HTTP/1.1\r\n", "x".repeat(9000));
-    // Method, path, body and whether the connection is kept open; `None` if more bytes are needed.
+    // Method, path, body and whether the connection is kept open. `None` if more bytes are needed; the status of the
+    // response as the error if the request is refused.
     type Expected<'a> = Result<Option<(&'a str, &'a str, &'a str, bool)>, u16>;
     let cases: Vec<(&str, Expected)> = vec![
         (
@@ -171,7 +173,7 @@
     for (bytes, expected) in cases {
         let got = match parse_request(bytes.as_bytes()) {
             Ok(Parsed::Complete(r, used)) => {
-                assert_eq!(used, bytes.len(), "{bytes:?}");
+                assert_eq!(used, bytes.len(), "bytes that were parsed of {bytes:?}");
                 let body = String::from_utf8(r.body).unwrap();
                 Ok(Some((r.method, r.path, body, r.keep_alive)))
             }
@@ -181,11 +183,11 @@
         let expected = expected.map(|request| {
             request.map(|(m, p, b, k)| (m.to_owned(), p.to_owned(), b.to_owned(), k))
         });
-        assert_eq!(got, expected, "{bytes:?}");
+        assert_eq!(got, expected, "request {bytes:?}");
     }
 }
 
-/// No parser panics on truncated or modified messages, whichever interface they are for.
+/// No parser panics on a truncated or modified message, of its own interface or another one.
 #[test]
 fn corrupted_messages_cause_no_panic() {
     let mut rng = SmallRng::seed_from_u64(3);
@@ -217,7 +219,7 @@
             }],
         },
     };
-    let frame = peer::encode(&heartbeat).expect("the heartbeat can be encoded");
+    let frame = peer::encode(&heartbeat).expect("the heartbeat can't be encoded");
     assert_eq!(peer::decode(&frame).ok(), Some(heartbeat));
     let commands = worker::CommandBatch {
         token: FencingToken::new(5, 2),
@@ -268,19 +270,23 @@
     let mut buffer = frame(b"one");
     buffer.extend(frame(b""));
     buffer.extend(&frame(b"half")[..6]);
-    let frames = split_frames(&mut buffer, 100).expect("all frames are within the limit");
+    let frames = split_frames(&mut buffer, 100).expect("frames within the limit were refused");
     assert_eq!(frames, vec![b"one".to_vec(), vec![]]);
-    assert_eq!(buffer.len(), 6, "the incomplete frame stays in the buffer");
+    assert_eq!(
+        buffer.len(),
+        6,
+        "bytes of the incomplete frame that are left in the buffer"
+    );
     assert_eq!(
         split_frames(&mut frame(&[0; 101]), 100),
         None,
-        "a frame above the limit"
+        "a frame above the limit was not refused"
     );
 }
 
 #[test]
 fn settings_are_validated() {
-    Settings::parse(SETTINGS).expect("valid settings");
+    Settings::parse(SETTINGS).expect("the valid settings were rejected");
     let cases = [
         ("label = \"n0\"", "", "label"),
         ("label = \"n0\"", "label = \"\"", "label"),
@@ -303,6 +309,9 @@
     for (from, to, field) in cases {
         let text = SETTINGS.replacen(from, to, 1);
         let error = Settings::parse(&text).expect_err(to).to_string();
-        assert!(error.contains(field), "{to}: {error}");
+        assert!(
+            error.contains(field),
+            "the error for {to:?} does not name {field}: {error}"
+        );
     }
 }
--- a/tests/tokens.rs
+++ b/tests/tokens.rs
@@ -19,8 +19,9 @@
 };
 
 fn controller() -> Controller {
-    let settings =
-        Rc::new(Settings::parse(include_str!("world/settings.toml")).expect("valid settings"));
+    let settings = Rc::new(
+        Settings::parse(include_str!("world/settings.toml")).expect("the settings were rejected"),
+    );
     let policy = Rc::new(Policy::built_in(&settings));
     Controller::new(settings, policy, 1)
 }
@@ -50,10 +51,10 @@
         let Effect::Respond { status, body, .. } = effect else {
             return None;
         };
-        let body: Value = cbor::decode(&body).expect("the body is CBOR");
+        let body: Value = cbor::decode(&body).expect("the body is not CBOR");
         Some((status, format!("{body:?}")))
     });
-    response.expect("the controller has responded")
+    response.expect("the controller has not responded")
 }
 
 /// All tokens of a later leader are higher than those of an earlier one, whatever their fences. Versions without fences
@@ -61,22 +62,27 @@
 #[test]
 fn a_later_leader_has_higher_tokens() {
     let rising = [
-        ("none", FencingToken::default()),
+        ("the default token", FencingToken::default()),
         (
             "an epoch of a version without fences",
             FencingToken::from_wire(5),
         ),
-        ("the first leader with fences", FencingToken::new(9, 0)),
-        ("a worker's first fence", FencingToken::new(9, 1)),
-        ("its last fence", FencingToken::new(9, MAX_FENCE)),
-        ("the successor", FencingToken::new(10, 0)),
+        ("epoch 9, fence 0", FencingToken::new(9, 0)),
+        ("epoch 9, fence 1", FencingToken::new(9, 1)),
+        ("epoch 9, maximum fence", FencingToken::new(9, MAX_FENCE)),
+        ("epoch 10, fence 0", FencingToken::new(10, 0)),
         (
-            "the last leader of all",
+            "maximum epoch and fence",
             FencingToken::new(MAX_EPOCH, MAX_FENCE),
         ),
     ];
     for pair in rising.windows(2) {
-        assert!(pair[0].1 < pair[1].1, "{} and {}", pair[0].0, pair[1].0);
+        assert!(
+            pair[0].1 < pair[1].1,
+            "the token ({}) is not lower than the token ({})",
+            pair[0].0,
+            pair[1].0
+        );
     }
     let high_plain_epoch = FencingToken::from_wire(20_000_000);
     assert!(high_plain_epoch < FencingToken::new(20_000_001, 0));
@@ -102,7 +108,7 @@
     );
 }
 
-/// A heartbeat with an impossible token is refused; the error names the field and a remedy.
+/// A heartbeat with a token that no controller can have issued is refused; the error names the field and a remedy.
 #[test]
 fn heartbeats_with_impossible_tokens_are_refused() {
     for (name, token, remedy) in [
@@ -111,14 +117,28 @@
         ("a text", Value::Text("41".into()), "an integer from 0"),
     ] {
         let (status, body) = response_to(token);
-        assert_eq!(status, 400, "{name}");
-        assert!(body.contains("Epoch: "), "{name}: {body}");
-        assert!(body.contains(remedy), "{name}: {body}");
+        assert_eq!(
+            status, 400,
+            "status of the response to a token that is {name}"
+        );
+        assert!(
+            body.contains("Epoch: "),
+            "the error for a token that is {name} does not name the field: {body}"
+        );
+        assert!(
+            body.contains(remedy),
+            "the error for a token that is {name} has no remedy: {body}"
+        );
     }
-    assert_eq!(response_to(Value::from(41)).0, 421, "a possible token");
+    assert_eq!(
+        response_to(Value::from(41)).0,
+        421,
+        "status of the response to a valid token"
+    );
 }
 
-/// A peer's heartbeat with an impossible epoch is ignored: workers are not redirected to the leader that it names.
+/// A peer's heartbeat with an epoch above the maximum is ignored: workers are not redirected to the leader that the
+/// heartbeat names.
 #[test]
 fn peer_heartbeats_with_impossible_epochs_are_ignored() {
     let peer_heartbeat = |epoch: u64| PeerHeartbeat {
@@ -143,11 +163,14 @@
                 Effect::Respond {
                     status: 421, body, ..
                 } => {
-                    let body: Value = cbor::decode(&body).expect("the body is CBOR");
+                    let body: Value = cbor::decode(&body).expect("the body is not CBOR");
                     format!("{body:?}").contains("n1")
                 }
                 _ => false,
             });
-        assert_eq!(is_redirected, is_accepted, "{name}");
+        assert_eq!(
+            is_redirected, is_accepted,
+            "whether the worker was redirected to the peer, whose epoch is {name}"
+        );
     }
 }
--- a/tests/write_ahead_log.rs
+++ b/tests/write_ahead_log.rs
@@ -21,7 +21,7 @@
     })
 }
 
-/// A job with eight tasks, of which four are bound.
+/// An open job with eight tasks, of which four are bound, and the three workers that they are bound to.
 fn registries() -> (Workers, Jobs) {
     let mut workers = Workers::default();
     let mut jobs = Jobs::default();
@@ -75,9 +75,9 @@
     };
     assert!(
         cbor::json_size(value) <= VALUE_BYTES,
-        "the segment is within the size of a value"
+        "the segment has more than {VALUE_BYTES} bytes: {value:?}"
     );
-    cbor::from_value(value).expect("the value is a segment")
+    cbor::from_value(value).expect("the value of the first write is not a segment")
 }
 
 #[test]
@@ -162,8 +162,8 @@
             .next_transaction(EPOCH, &workers, &jobs, 100)
             .expect(name);
         let (got_compares, got_writes) = compares_and_writes(&txn);
-        assert_eq!(got_compares, compares, "{name}");
-        assert_eq!(got_writes, writes, "{name}");
+        assert_eq!(got_compares, compares, "compares in the case {name:?}");
+        assert_eq!(got_writes, writes, "writes in the case {name:?}");
         let segment = segment(&txn);
         let got_entries = [
             segment.workers.len(),
@@ -171,15 +171,18 @@
             segment.ended_bindings.len(),
             segment.completed.len(),
         ];
-        assert_eq!(got_entries, entries, "{name}");
+        assert_eq!(
+            got_entries, entries,
+            "numbers of entries in the case {name:?}"
+        );
         assert!(
             log.next_transaction(EPOCH, &workers, &jobs, 100).is_none(),
-            "{name}: only one transaction at a time"
+            "a second transaction was built before the first had an outcome, in the case {name:?}"
         );
     }
 }
 
-/// What happens to a transaction and its changes after each outcome.
+/// By the outcome of a transaction, its changes are committed, put back into the queue, or kept in flight.
 #[test]
 fn changes_are_committed_requeued_or_kept_by_the_outcome() {
     // Reports an outcome to the log, and returns the number of committed changes.
@@ -202,7 +205,7 @@
             false,
         ),
         (
-            "outcome unknown: the same transaction is sent again, and no other",
+            "outcome unknown: the transaction is sent again, and no other is sent",
             |log| {
                 log.mark_outcome_unknown();
                 0
@@ -228,27 +231,37 @@
             .next_transaction(EPOCH, &workers, &jobs, 100)
             .expect(name);
         let in_flight = segment(&first);
-        assert!(log.is_in_flight_segment(&in_flight), "{name}");
-        assert_eq!(report(&mut log), 2 - backlog, "{name}");
-        assert_eq!(log.backlog(), backlog, "{name}");
+        assert!(
+            log.is_in_flight_segment(&in_flight),
+            "the segment in flight was not recognized, in the case {name:?}"
+        );
+        assert_eq!(
+            report(&mut log),
+            2 - backlog,
+            "committed changes in the case {name:?}"
+        );
+        assert_eq!(log.backlog(), backlog, "backlog in the case {name:?}");
         assert_eq!(
             log.transaction_to_retry(),
             is_sent_again.then_some(first),
-            "{name}"
+            "transaction to send again in the case {name:?}"
         );
         if is_sent_again {
             log.push(bind("h1", 1));
             assert!(
                 log.next_transaction(EPOCH, &workers, &jobs, 100).is_none(),
-                "{name}"
+                "another transaction was built in the case {name:?}"
             );
         }
-        // A segment of another leader is not mistaken for that of the transaction.
+        // A segment of another leader must not be mistaken for the segment in flight.
         let other = Segment {
             epoch: EPOCH + 1,
             ..in_flight.clone()
         };
-        assert!(!log.is_in_flight_segment(&other), "{name}");
+        assert!(
+            !log.is_in_flight_segment(&other),
+            "another leader's segment was taken for the one in flight, in the case {name:?}"
+        );
     }
 }
 
@@ -304,8 +317,15 @@
         }
     }
     assert_eq!(log.backlog(), 0);
-    assert!(changes > 6000, "{changes} changes");
-    assert!(log.slots() <= 32, "{} slots", log.slots());
+    assert!(
+        changes > 6000,
+        "{changes} changes were committed, expected more than 6000"
+    );
+    assert!(
+        log.slots() <= 32,
+        "the ring has {} slots, expected at most 32",
+        log.slots()
+    );
 
     // Replays the segments as a new leader does.
     let mut segments: Vec<&Segment> = written.values().collect();
