--- a/src/bookkeeping/failure_attribution.rs
+++ b/src/bookkeeping/failure_attribution.rs
@@ -10,7 +10,7 @@
 /// Number of workers on which a job must fail, without a success in between, to be crash-looping. A job that fails
 /// again on a worker that it had avoided is crash-looping with fewer.
 const CRASH_LOOP_WORKERS: usize = 3;
-/// Number of counted failures at which a worker is cordoned or quarantined.
+/// Number of failures on a worker at which it is cordoned or quarantined; see `count_failures` for those that count.
 const QUARANTINE_FAILURES: u32 = 3;
 /// Maximum number of failures on a worker that are counted for each job that has not succeeded on other workers. Lower
 /// than [`QUARANTINE_FAILURES`], so that no single job gets a worker cordoned.
--- a/src/bookkeeping/invariants.rs
+++ b/src/bookkeeping/invariants.rs
@@ -29,8 +29,8 @@
 /// Number of violations since the process was started.
 static VIOLATIONS: AtomicU64 = AtomicU64::new(0);
 
-/// Returns `holds`, and reports a violation if it is false: the caller must then not take the action. `details` says
-/// for the log line which action it is.
+/// Returns `holds`. If it is false, reports a violation of the invariant, and the caller must not take the action.
+/// `details` describes the action, for the report only.
 #[must_use]
 pub fn check(invariant: Invariant, holds: bool, details: Arguments) -> bool {
     if !holds {
--- a/src/bookkeeping/jobs/job.rs
+++ b/src/bookkeeping/jobs/job.rs
@@ -33,7 +33,8 @@
     /// Seconds within which the job's tasks should start, by the objective of its class. `None` if there is no such
     /// objective.
     pub start_objective_s: Option<f64>,
-    /// The time from which on tasks of other jobs may be preempted for this job; until then it waits for free capacity.
+    /// The time from which on tasks of other jobs may be preempted for this job; before, the job waits for free
+    /// capacity.
     pub may_preempt_from: f64,
     /// Completed tasks, including those whose completion is not committed yet.
     completed: TaskSet,
@@ -154,7 +155,8 @@
         self.running_tasks
     }
 
-    /// Records that a heartbeat of the worker lists the task as running. Does nothing if the task is not bound to it.
+    /// Records that a heartbeat of the worker lists the task as running. Does nothing if the task is not bound to the
+    /// worker.
     pub fn observe_running(&mut self, index: u32, worker: &str) {
         let workers = self.bound_workers.get_mut(&index);
         let bound =
--- a/src/bookkeeping/jobs/task_set.rs
+++ b/src/bookkeeping/jobs/task_set.rs
@@ -3,7 +3,7 @@
 /// A set of task indices of one job.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TaskSet {
-    /// Bitmap: bit `index % 64` of word `index / 64` stands for the task with this index.
+    /// Bitmap: bit `index % 64` of word `index / 64` is set if the set contains `index`.
     words: Vec<u64>,
     /// Number of bits set in `words`.
     count: u32,
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Adds an index. Returns false if the set contains it already or it is out of range.
+    /// Adds an index. Returns false if the set contains the index already, or if the index is out of range.
     pub fn insert(&mut self, index: u32) -> bool {
         let Some(word) = self.words.get_mut((index / 64) as usize) else {
             return false;
--- a/src/bookkeeping/permits/denial.rs
+++ b/src/bookkeeping/permits/denial.rs
@@ -1,6 +1,6 @@
 //! Actions that need a permit, and the reasons for denying one.
 
-/// An action that needs a permit, as counted in the log.
+/// An action whose permit decisions are counted for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum GuardedAction {
     /// Send commands that start tasks.
--- a/src/bookkeeping/permits/worker_actions.rs
+++ b/src/bookkeeping/permits/worker_actions.rs
@@ -73,8 +73,9 @@
     Ok(())
 }
 
-/// Whether the cloud may be asked to delete an instance. Its termination must be committed first: the cloud may
-/// execute the request late, and by then every later leader must know that the instance is to be deleted.
+/// Whether a request to delete the worker's instance may be sent to the cloud. The termination must be committed to the
+/// state service first: the cloud may execute the request late, and a leader that is elected in the meantime must know
+/// that the instance is to be deleted.
 pub fn may_delete(worker: &Worker) -> Result<(), Denial> {
     if worker.termination_recorded {
         Ok(())
--- a/src/bookkeeping/reconciliation/revocation.rs
+++ b/src/bookkeeping/reconciliation/revocation.rs
@@ -1,5 +1,6 @@
 //! Decides when the start commands that were sent to a worker must be revoked, by raising the worker's fence: a counter
-//! in the token of each message. A worker executes no command with a lower fence than it has seen.
+//! in the token of each message. A worker executes no command whose token is lower than the highest token that the
+//! worker has seen.
 
 use crate::bookkeeping::permits::{self, Denial};
 use crate::bookkeeping::workers::{EvictionReason, RevocationReason, Worker};
--- a/src/bookkeeping/wal/draft.rs
+++ b/src/bookkeeping/wal/draft.rs
@@ -1,6 +1,6 @@
 //! Builds a transaction from queued changes: a segment of the log, and writes to keys outside of the log. The segment
-//! also takes over the live entries of the segment that it overwrites, which are those whose binding, worker or job has
-//! not ended.
+//! also takes over the live entries of the segment that it overwrites. An entry is live as long as its binding, worker
+//! or job has not ended.
 
 use super::completed_tasks::{TASKS_PER_CHUNK, TASKS_PER_DIGIT, encode_chunk};
 use super::log_entry::LogEntry;
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Whether there is nothing to write.
+    /// Whether the draft has neither changes nor live entries, so that nothing needs to be written.
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty() && self.live_entries.is_empty()
     }
--- a/src/bookkeeping/wal/log.rs
+++ b/src/bookkeeping/wal/log.rs
@@ -92,8 +92,8 @@
     }
 
     /// Builds the next transaction. `None` if one is in flight, if `budget` is 0, or if there is nothing to write. The
-    /// transaction has at most `budget` writes, or three if the budget is lower. The caller sends it and reports its
-    /// outcome.
+    /// transaction has at most `budget` writes, or three if the budget is lower, within the limits of the log. The
+    /// caller sends the transaction and reports its outcome.
     pub fn next_transaction(
         &mut self,
         epoch: u64,
--- a/src/bookkeeping/wal/mod.rs
+++ b/src/bookkeeping/wal/mod.rs
@@ -1,8 +1,9 @@
 //! The write-ahead log, through which the leader commits its changes, batched in one transaction at a time.
 //!
 //! Bindings, ends of bindings, terminations of workers and completed tasks are stored in the log, a ring of keys
-//! `log/<slot>`. Each transaction overwrites the oldest slot with a new [`Segment`], and copies those entries of the
-//! overwritten segment to it that are still live. The ring grows only while it has too few slots for its live entries.
+//! `log/<slot>`. Each transaction writes a new [`Segment`] to the oldest slot, and copies to it the entries of the
+//! overwritten segment that are still live. If the ring has too few slots for its live entries, the transaction adds a
+//! new slot instead.
 //! Finished jobs and provisioning requests have keys of their own, which are written in the same transaction.
 //!
 //! Every transaction is conditional on the mod revisions of `leader`, of the slot, and of `open/<id>` for every job
--- a/src/bookkeeping/wal/ring.rs
+++ b/src/bookkeeping/wal/ring.rs
@@ -61,7 +61,7 @@
     number: u32,
     /// Mod revision of the slot's key.
     mod_revision: u64,
-    /// Live entries that are stored in this segment and in no later one.
+    /// Live entries that the slot's segment holds and no later segment does.
     live_entries: BTreeSet<LiveEntry>,
 }
 
--- a/src/bookkeeping/wal/segment.rs
+++ b/src/bookkeeping/wal/segment.rs
@@ -1,5 +1,6 @@
 //! Segments, the values of the log's slots. A segment holds the bindings, ends of bindings, terminations and completed
-//! tasks that one transaction commits, and the live entries that it copies from the segment that it overwrites.
+//! tasks that one transaction commits. The segment also contains the entries of the segment that it overwrites that are
+//! still live, which means that their binding, worker or job has not ended.
 //!
 //! Each name is stored once, in tables at the head. Entries refer to names by number and are stored as lists, so that
 //! many entries fit into a value.
@@ -30,7 +31,7 @@
     /// slots are overwritten.
     #[serde(rename = "Seq")]
     pub seq: u64,
-    /// Epoch of the leader that wrote the segment, which is the mod revision of the `leader` key.
+    /// Epoch of the leader that wrote the segment: the mod revision of that leader's record.
     #[serde(rename = "Epoch")]
     pub epoch: u64,
     /// Table of worker names; the index of a name is the worker's number in this segment.
--- a/src/bookkeeping/workers/mod.rs
+++ b/src/bookkeeping/workers/mod.rs
@@ -1,8 +1,8 @@
 //! The leader's records of workers, which run the tasks, one worker on each instance.
 //!
 //! [`Worker`] holds the tasks that the leader has bound to a worker and the tasks that the worker's heartbeats list.
-//! Nothing here decides which actions to take: [`super::permits`] and [`super::reconciliation`] do, based on these
-//! records.
+//! This module does not decide which actions to take: [`super::permits`] and [`super::reconciliation`] do, based on
+//! these records.
 
 mod binding;
 mod delivery;
--- a/src/bookkeeping/workers/revocation.rs
+++ b/src/bookkeeping/workers/revocation.rs
@@ -42,7 +42,8 @@
         raised
     }
 
-    /// Whether the eviction of some task can't finish before the worker has reported its current fence.
+    /// Whether the eviction of some task can't finish before the worker has reported a fence as high as the current
+    /// one.
     pub fn awaits_fence_ack(&self) -> bool {
         self.pending_starts.awaits_fence_ack()
             && self.bindings.iter().any(|(task, binding)| {
--- a/src/bookkeeping/workers/worker.rs
+++ b/src/bookkeeping/workers/worker.rs
@@ -43,15 +43,15 @@
     /// The latest time at which the worker's lease may have been renewed. The lease ends at most `lease_s`, which is a
     /// setting, after this time.
     pub lease_renewed_at: f64,
-    /// When this leader received the worker's first heartbeat.
+    /// When this leader received the worker's first heartbeat; `None` before.
     pub first_heartbeat_at: Option<f64>,
-    /// When this leader received the worker's latest heartbeat.
+    /// When this leader received the worker's latest heartbeat; `None` before the first.
     pub last_heartbeat_at: Option<f64>,
     /// Since when the worker may be unreachable, because a direct call was not answered or the worker has begun a new
-    /// incarnation although its heartbeats were answered; `None` once it answers a direct call. Heartbeats may still
-    /// arrive from a worker that receives neither responses nor commands.
+    /// incarnation although its heartbeats were answered; `None` once the worker answers a direct call. Heartbeats may
+    /// still arrive from a worker that receives neither responses nor commands.
     pub unreachable_since: Option<f64>,
-    /// When the cloud will reclaim the spot instance, if that was announced.
+    /// When the cloud will reclaim the spot instance; `None` if that has not been announced.
     pub reclaim_at: Option<f64>,
     /// Tasks bound to the worker.
     pub bindings: BTreeMap<TaskId, Binding>,
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -30,7 +30,7 @@
     /// Number of GPUs.
     #[serde(rename = "Gpus", default, deserialize_with = "cbor::amount")]
     pub gpus: f64,
-    /// Memory in GB.
+    /// Main memory in GB.
     #[serde(rename = "RamGb", deserialize_with = "cbor::amount")]
     pub ram_gb: f64,
     /// Size of the cache for container images, in GB.
@@ -63,7 +63,7 @@
     instance_types: Vec<InstanceType>,
 }
 
-/// State of an instance in the listing.
+/// State of an instance, as the listing shows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceStatus {
@@ -73,7 +73,7 @@
     Running,
     /// The instance has failed and stopped.
     Failed,
-    /// A state that this version does not know.
+    /// A state that this version of the program does not know.
     #[serde(other)]
     Other,
 }
@@ -121,7 +121,7 @@
 /// A provisioning request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CreateInstances {
-    /// Idempotency key, which is unique to this request.
+    /// Idempotency key, which no other request has; repetitions of this request have the same key.
     #[serde(rename = "Bid")]
     pub idempotency_key: String,
     /// Name of the requested instance type.
@@ -165,7 +165,8 @@
     InstanceTypes(Vec<InstanceType>),
     /// Names of the new instances, which may be fewer than requested.
     Created(Vec<String>),
-    /// Not executed: the cloud has no instance of this type in this zone, spot or on-demand as requested.
+    /// Not executed: the cloud has no instance of the requested type in the requested zone, spot or on-demand as
+    /// requested.
     InsufficientCapacity,
     /// The instances have been deleted.
     Deleted,
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -300,9 +300,9 @@
     /// Status of the job when the request was handled.
     #[serde(rename = "Status")]
     pub status: JobStatus,
-    /// Number of completed tasks, for display.
+    /// Number of completed tasks; may lag behind the job's actual progress.
     pub done: u32,
-    /// Number of running tasks, for display.
+    /// Number of running tasks; may lag behind the job's actual progress.
     pub running: u32,
 }
 
--- a/src/protocol/kv.rs
+++ b/src/protocol/kv.rs
@@ -89,7 +89,7 @@
 /// A transaction: writes that are executed together, under conditions.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Txn {
-    /// Conditions, all of which must hold.
+    /// Conditions, all of which must hold for the writes to be executed.
     #[serde(rename = "When", default)]
     pub compares: Vec<Compare>,
     /// Writes to execute if the conditions hold; empty if the transaction only compares.
