--- a/src/coordination/leader/binding_reconciliation.rs
+++ b/src/coordination/leader/binding_reconciliation.rs
@@ -11,9 +11,10 @@
 
 /// What a heartbeat shows about a bound task.
 enum TaskObservation {
-    /// The task has started: no earlier heartbeat showed it running.
+    /// The task runs or saves its checkpoint; no earlier heartbeat has shown it in either state.
     Started,
-    /// A replica of a failing service is running, for this number of seconds so far.
+    /// A replica has been running for this number of seconds. Only for services of which replicas have failed since
+    /// the last success.
     RunningFor(f64),
     /// The task has exited.
     Exited {
@@ -22,12 +23,13 @@
         /// Whether an earlier heartbeat showed it running.
         was_running: bool,
     },
-    /// The worker does not show the task, and no start command for it can still arrive.
+    /// The heartbeat does not list the task, no start command for it can still arrive, and the binding is to end: the
+    /// task was evicted, or bound by an earlier leader.
     Absent,
 }
 
-/// Returns what the worker's latest heartbeat shows about a task that is bound to it; `None` if the
-/// leader need not act on it.
+/// Returns what the worker's latest heartbeat shows about a task that is bound to it; `None` if the leader need not
+/// act on it, in particular while the binding, or its end, is not committed.
 fn observe_task(
     worker: &Worker,
     task: &TaskId,
@@ -100,8 +102,9 @@
         }
     }
 
-    /// Queues the end of a binding whose task has exited, or is not on the worker and can't start there any
-    /// more. `completed` marks the task as complete in the log.
+    /// Queues the end of a binding whose task has exited, or is not on the worker and can't start there any more.
+    /// Does nothing if a start command for it may still arrive, which violates an invariant. `completed` marks the
+    /// task as complete in the log.
     pub(super) fn end_binding(&mut self, name: &str, task: &TaskId, attempt: u64, completed: bool) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
@@ -161,16 +164,18 @@
             | ExitReason::InsufficientResources
             | ExitReason::AttemptConflict => {}
         }
-        // The end of the job is queued before the end of the binding. If only the first is written,
-        // the log still holds the binding, and the worker's next heartbeat ends it.
+        // The end of the job is queued before the end of the binding. If only the end of the job is written, the log
+        // still holds the binding, and the worker's next heartbeat, which shows that the task has exited, makes the
+        // leader end the binding.
         if newly_completed {
             self.finish_job(&task.job);
         }
         self.end_binding(name, task, attempt, newly_completed);
     }
 
-    /// Evicts the tasks that can't finish before the cloud reclaims their instance. A task gets its checkpoint
-    /// grace period if the time left is enough for it, otherwise none.
+    /// Evicts the tasks of a worker that are not expected to finish before the cloud reclaims the instance: replicas,
+    /// tasks that do not run yet, and tasks that need longer than the time left. A task gets its checkpoint grace
+    /// period if that is not longer than the time left, otherwise none.
     pub(super) fn evict_before_reclaim(&mut self, name: &str, now: f64) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
--- a/src/coordination/leader/bindings.rs
+++ b/src/coordination/leader/bindings.rs
@@ -1,5 +1,6 @@
-//! Ends bindings whose tasks stopped with their worker's lease or incarnation, and removes bindings from
-//! the tables once their end is committed.
+//! Ends bindings whose tasks have stopped because their worker's lease has expired or its incarnation has ended, and
+//! removes bindings from the tables once their end is committed or their worker's instance is deleted. A worker stops
+//! all its tasks when its incarnation ends.
 
 use super::Leader;
 use crate::bookkeeping::invariants::{self, Invariant};
@@ -7,7 +8,7 @@
 use crate::protocol::worker::TaskId;
 
 impl Leader {
-    /// Ends the bindings of workers whose lease has expired for certain: they have stopped all tasks.
+    /// Ends the bindings of workers whose lease has certainly expired: such a worker has stopped all its tasks.
     pub(super) fn expire_worker_leases(&mut self, now: f64) {
         let expired: Vec<String> = self
             .workers
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Ends the bindings that `is_lost` selects, whose tasks are certainly no longer on the worker.
+    /// Ends those bindings of a worker that `is_lost` selects. Their tasks must certainly no longer be on the worker.
     pub(super) fn end_lost_bindings(&mut self, name: &str, is_lost: impl Fn(&Binding) -> bool) {
         let Some(worker) = self.workers.get(name) else {
             return;
@@ -65,8 +66,8 @@
             if let Some(job) = self.jobs.get_mut(&task.job) {
                 let was_known = job.unbind(task.index, name, &worker.zone, now);
                 let details = format_args!("worker {name}, task {task}, attempt {attempt}");
-                // The result is not needed: the binding is removed already, and a job that did not know
-                // it has no counts to correct.
+                // The result is ignored: the binding is removed already, and a job that did not know the binding has
+                // no counts to correct.
                 let _ = invariants::check(Invariant::NoBindingUnknownToItsJob, was_known, details);
             }
             self.scheduling.request();
--- a/src/coordination/leader/commit.rs
+++ b/src/coordination/leader/commit.rs
@@ -1,5 +1,5 @@
-//! The commit pipeline: sends log entries to the state service in transactions, one at a time. An entry takes
-//! effect in the leader's tables once its transaction is committed.
+//! The commit pipeline: sends log entries to the state service in transactions, one at a time. The leader acts on an
+//! entry, for example starts the task of a new binding, only once its transaction is committed.
 
 use super::{LEADER_STATE_SHARE, Leader, LeaderEvent};
 use crate::bookkeeping::jobs::Jobs;
@@ -12,8 +12,8 @@
 use crate::protocol::kv::{KvRequest, KvResponse};
 use crate::settings::Settings;
 
-/// Determines the least time between two transactions: the time in which the leader's write budget refills by this
-/// many writes.
+/// Shortest time between two transactions, as the number of writes by which the leader's write budget refills in that
+/// time.
 const WRITES_BETWEEN_COMMITS: f64 = 2.0;
 
 /// The outcome of a transaction, from the response to it or to the read-back of its segment. The read-back
@@ -46,7 +46,8 @@
     in_flight: bool,
     /// No transaction before this monotonic time, in seconds.
     next_commit_at: f64,
-    /// The keys whose compares failed in the transaction of unknown outcome, until the response to the read-back.
+    /// The keys whose compares failed when the transaction of unknown outcome was sent again. Kept until its segment
+    /// has been read back.
     failed_compares: Vec<String>,
 }
 
@@ -103,8 +104,9 @@
         self.heartbeat_interval_s / 2.0
     }
 
-    /// Sends the next transaction if there is one and the budgets allow it, or repeats the one whose outcome
-    /// is unknown. Returns the bindings that are dropped without being written, since their jobs have ended.
+    /// Sends the next transaction if there is one and the budgets allow it, or sends the one of unknown outcome
+    /// again. Returns the new bindings that are rejected instead of being written, since they are no longer valid,
+    /// for example because their job has ended.
     pub(super) fn poll(
         &mut self,
         workers: &Workers,
@@ -148,8 +150,8 @@
             }
             KvResponse::CompareFailed(failed) => self.on_compare_failed(failed, effects, now),
             KvResponse::RateLimited | KvResponse::Unavailable => {
-                // The transaction was not executed. If it repeats one of unknown outcome, the earlier
-                // message may still be executed; otherwise all its entries are queued again.
+                // This request was not executed. If it repeats a transaction of unknown outcome, the earlier request
+                // may have been executed or may still be; otherwise the entries are queued again.
                 if !self.log.is_outcome_unknown() {
                     self.log.requeue_in_flight();
                 }
@@ -243,7 +245,7 @@
             return CommitOutcome::Deposed;
         }
         self.log.requeue_in_flight();
-        // The key of a job changes only when the job ends.
+        // A compare of a job's key fails only if the job has ended.
         let closed = failed.iter().filter_map(|key| {
             key.strip_prefix(records::OPEN_PREFIX)
                 .or_else(|| key.strip_prefix(records::FINISHED_PREFIX))
@@ -253,7 +255,8 @@
 }
 
 impl Leader {
-    /// Sends queued log entries, unless the tables are still being recovered.
+    /// Sends queued log entries, and removes from the tables the bindings that were rejected instead of being
+    /// written. Does nothing during recovery.
     pub(super) fn commit_pending(&mut self, effects: &mut Effects, now: f64) {
         if self.is_recovering() {
             return;
@@ -337,7 +340,8 @@
                 }
             }
             LogEntry::RemoveWorker { worker } => {
-                // Records that were read again since the instance was deleted may have added bindings.
+                // A record that was read again after the instance was deleted may have added bindings; these are
+                // removed as well.
                 self.drop_all_bindings(worker, now);
                 self.workers.remove(worker);
                 self.dispatcher.remove_worker(worker);
--- a/src/coordination/leader/decision_log.rs
+++ b/src/coordination/leader/decision_log.rs
@@ -1,10 +1,11 @@
-//! Counts permit decisions and revocations, and logs the counts at a fixed interval.
+//! Counts permit decisions (whether the freshness of the view allows starts or lease renewals) and revocations of
+//! start commands, and logs the counts at a fixed interval.
 
 use crate::bookkeeping::permits::{DecisionCounters, Denial, GuardedAction};
 use crate::bookkeeping::reconciliation::RevocationCounters;
 use crate::bookkeeping::workers::RevocationReason;
 
-/// Time between two log outputs, in heartbeat intervals.
+/// Time after which the counts are logged again, in heartbeat intervals.
 const HEARTBEATS_PER_LOG: f64 = 24.0;
 
 /// Counters of permit decisions and revocations, and when they are next logged.
@@ -18,7 +19,7 @@
 }
 
 impl DecisionLog {
-    /// Creates a log whose first output is due at the next poll.
+    /// Creates a log that writes its counts for the first time at the next poll.
     pub(super) fn new(heartbeat_interval_s: f64, now: f64) -> DecisionLog {
         DecisionLog {
             permits: DecisionCounters::default(),
--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -15,7 +15,7 @@
 /// heartbeats is up to a quarter longer than the interval.
 const PROBE_AFTER_HEARTBEATS: f64 = 1.3;
 
-/// Divides the limit of direct calls in flight; the quotient is the limit for workers whose response is
+/// The limit on all direct calls in flight, divided by this, is the limit on calls to workers whose response is
 /// uncertain.
 const UNCERTAIN_CALLS_DIVISOR: usize = 2;
 
@@ -23,7 +23,8 @@
 struct WorkerCall {
     worker: String,
     commands: Vec<Command>,
-    /// The call raises the worker's fence to revoke starts, which can't wait.
+    /// Start commands that may still arrive must be revoked at once. The call raises the worker's fence for that, and
+    /// is made even if the same commands were just sent.
     is_urgent: bool,
     response: ResponseExpectation,
 }
@@ -79,7 +80,7 @@
         self.in_flight.contains_key(worker)
     }
 
-    /// Records that all commands that the worker needs have been sent to it.
+    /// Records that these commands were sent to the worker, which is no longer due then.
     pub(super) fn record_sent(&mut self, worker: &str, commands: &[Command], now: f64) {
         self.due.remove(worker);
         let dispatch = LastDispatch {
@@ -89,7 +90,7 @@
         self.last_dispatches.insert(worker.to_owned(), dispatch);
     }
 
-    /// Removes the state of a worker. A call in flight to it counts against the limit until it ends.
+    /// Removes the state of a worker. A call in flight to the worker counts against the limit until the call ends.
     pub(super) fn remove_worker(&mut self, worker: &str) {
         self.due.remove(worker);
         self.last_dispatches.remove(worker);
@@ -156,8 +157,8 @@
 
 impl Leader {
     /// Makes the direct calls that workers need, as far as the dispatcher has capacity. A call carries commands,
-    /// probes a worker whose heartbeat is late, or announces this leader's epoch to a worker that does not know
-    /// it.
+    /// raises the worker's fence to revoke starts, probes a worker whose heartbeat is late, or announces this
+    /// leader's epoch to a worker that does not know the epoch.
     pub(super) fn dispatch_commands(
         &mut self,
         freshness: &ViewFreshness,
@@ -172,7 +173,7 @@
                 self.dispatcher.clear_due(&name);
                 continue;
             };
-            // Commands are not repeated before a response to the previous message could show their effect.
+            // The same commands are not sent again before the worker could have responded to the previous message.
             let just_sent =
                 self.dispatcher
                     .was_just_sent(&call.worker, &call.commands, repeat_after_s, now);
@@ -217,7 +218,7 @@
         }
     }
 
-    /// Returns the direct call that a worker needs, if it needs one.
+    /// Returns the direct call that a worker needs; `None` if the worker needs none, or its endpoint is not known.
     fn next_call(&self, name: &str, freshness: &ViewFreshness, now: f64) -> Option<WorkerCall> {
         let worker = self.workers.get(name)?;
         let late_or_unreachable = self.is_late_or_unreachable(worker, now);
@@ -295,7 +296,7 @@
         );
     }
 
-    /// Handles the response to a direct call, or its absence.
+    /// Handles the outcome of a direct call: a response, no response, or a call that was not sent.
     pub fn on_worker_response(
         &mut self,
         context: &WorkerRequestContext,
@@ -321,9 +322,9 @@
             WorkerResponse::Rejected(heartbeat) => {
                 let target = self.workers.get(&context.worker).map(target_incarnation);
                 if target.is_some_and(|incarnation| heartbeat.incarnation >= incarnation) {
-                    // The call was for an earlier incarnation than the worker's present one, which is known
-                    // now: the next call can follow at once. An instance that shows an earlier incarnation than
-                    // the call was for has lost its stored incarnation, and would reject the next call too.
+                    // The worker has now shown an incarnation that it accepts calls for, so the next call can follow
+                    // at once. If it shows an earlier incarnation than the leader's calls are for, the instance has
+                    // lost its stored incarnation, and would reject the next call too.
                     self.dispatcher.forget_last_dispatch(&context.worker);
                 }
                 heartbeat
--- a/src/coordination/leader/failure_attribution.rs
+++ b/src/coordination/leader/failure_attribution.rs
@@ -1,5 +1,6 @@
-//! Failure attribution: records failures and successes of tasks, from which it follows whether a failure is the
-//! fault of the worker or of the job.
+//! Failure attribution: records failures and successes of tasks, from which it follows whether a failure is the fault
+//! of the worker or of the job. A job that fails on several workers without a success is crash-looping: only one of
+//! its tasks at a time is then started, as a probe.
 
 use super::{AVOID_LEASES, Leader};
 use crate::bookkeeping::jobs::Job;
@@ -11,8 +12,8 @@
 
 /// The shortest back-off between two probes of a crash-looping job, in heartbeat intervals.
 const PROBE_HEARTBEATS: f64 = 1.0;
-/// Share by which the back-off varies at random, so that jobs that began to crash-loop at the same time are not
-/// probed at the same time.
+/// Share by which the back-off is shortened or lengthened at random, so that jobs that began to crash-loop at the
+/// same time are not probed at the same time.
 const BACKOFF_JITTER: f64 = 0.25;
 /// Time for which a replica must run to count as a success of its job, in heartbeat intervals.
 const STEADY_HEARTBEATS: f64 = 2.0;
@@ -35,8 +36,9 @@
         }
     }
 
-    /// Records that a task of a job has completed on a worker, so neither of the two is faulty. The job's earlier
-    /// failures are attributed to the workers on which they happened, unless the job is crash-looping.
+    /// Records that a task of a job has completed on a worker, or that a replica has run there for long enough, so
+    /// neither the worker nor the job is faulty. The job's earlier failures are attributed to the workers on which
+    /// they happened, unless the job is crash-looping.
     pub(super) fn record_success(&mut self, worker: &str, job: &str) {
         if let Some(worker) = self.workers.get_mut(worker) {
             worker.failures.record_success();
@@ -109,7 +111,8 @@
         }
     }
 
-    /// Returns the jobs that are crash-looping, for the peers: one of them may be the next leader.
+    /// Returns the jobs that are crash-looping, at most [`MAX_CRASH_LOOPING_JOBS`]. The peers are told, since one of
+    /// them may be the next leader.
     pub fn crash_looping_jobs(&self) -> Vec<String> {
         let crash_looping = self
             .jobs
@@ -119,9 +122,9 @@
         ids.take(MAX_CRASH_LOOPING_JOBS).collect()
     }
 
-    /// Takes over the jobs that an earlier leader reported as crash-looping; they are started again with a probe.
-    /// A crash-looping job that is not among them is detected again only after its tasks have failed again, up to
-    /// all of them.
+    /// Takes over the jobs that an earlier leader reported as crash-looping; they are started again with a probe. Of
+    /// a crash-looping job that is not among them, all tasks may be started and fail once more before it is detected
+    /// again.
     pub fn inherit_crash_looping(&mut self, crash_looping_jobs: BTreeSet<String>) {
         if let Some(recovery) = &mut self.recovery {
             recovery.inherit_crash_looping(crash_looping_jobs);
@@ -138,7 +141,7 @@
     }
 
     /// Stops counting the failures of a job that has ended against workers, since the job itself may have been at
-    /// fault. If any of its tasks has succeeded, the failures still count.
+    /// fault. If any of its tasks has succeeded, the failures continue to count.
     pub(super) fn withdraw_failures(&mut self, job: &Job) {
         if !job.failures.has_succeeded() {
             withdraw_failures(job, &mut self.workers);
--- a/src/coordination/leader/failure_detection.rs
+++ b/src/coordination/leader/failure_detection.rs
@@ -11,8 +11,8 @@
 /// Time after which an instance that the cloud no longer lists counts as lost, in units of the list lag (the time by
 /// which the cloud's list may be out of date). The usual boot time is added to it.
 const LIST_LAGS_UNTIL_LOST: f64 = 4.0;
-/// Time without a heartbeat after which a worker has missed one, in heartbeat intervals. The usual variation of the
-/// intervals does not explain so long a gap.
+/// Time without a heartbeat after which a worker counts as having missed one, in heartbeat intervals. The usual
+/// variation of the intervals does not explain so long a gap.
 const MISSED_HEARTBEATS: f64 = 1.5;
 /// Time without a heartbeat from any worker after which this controller counts as isolated, in heartbeat intervals.
 /// The usual variation of the intervals does not explain so long a gap.
@@ -49,12 +49,12 @@
 #[derive(Debug)]
 struct ZonePartitions {
     partitioned: BTreeSet<String>,
-    /// All zones with at least [`MIN_ZONE_WORKERS`] workers are partitioned.
+    /// There are zones with at least [`MIN_ZONE_WORKERS`] workers, and all of these zones are partitioned.
     all_partitioned: bool,
 }
 
 impl Leader {
-    /// Releases workers that have failed.
+    /// Updates which zones are partitioned, and releases the workers that have failed or were reclaimed.
     pub(super) fn remove_failed_workers(&mut self, now: f64) {
         self.update_partitioned_zones(now);
         let is_isolated = self.is_isolated(now);
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Returns the reason to release a worker, if there is one. While this controller `is_isolated`, a worker's
-    /// silence is no reason.
+    /// Returns the reason to release a worker; `None` if there is none. While this controller `is_isolated`, or while
+    /// a worker is kept because of a partition, the worker's silence is no reason.
     fn removal_reason(
         &self,
         worker: &Worker,
@@ -107,8 +107,9 @@
         })
     }
 
-    /// Whether an instance is still not up long after the usual boot time. An instance that the cloud lists as running
-    /// may have booted under an earlier leader, and gets the time of a lease to find this one.
+    /// Whether an instance is still not up long after the usual boot time. An instance that the cloud lists as
+    /// running may have booted under an earlier leader, and gets the time of a worker lease from this leader's
+    /// election to send it a heartbeat.
     fn has_boot_timed_out(&self, worker: &Worker, boot_time_s: f64, now: f64) -> bool {
         worker.last_heartbeat_at.is_none()
             && worker.bindings.is_empty()
@@ -117,8 +118,8 @@
                 || now - self.elected_at > self.settings.deployment.workers.lease_s)
     }
 
-    /// Whether a worker has missed a heartbeat and has not responded to a direct call since its last one, or has
-    /// been silent for so long that no call is needed.
+    /// Whether a worker has missed a heartbeat and a direct call since its last heartbeat has failed, or the worker
+    /// has been silent for so long that no call is needed.
     fn is_unresponsive(&self, worker: &Worker, now: f64) -> bool {
         let worker_settings = &self.settings.deployment.workers;
         self.leases.silent_since(worker).is_some_and(|since| {
@@ -134,7 +135,8 @@
         })
     }
 
-    /// Whether neither responses nor commands have reached a worker for the time of its lease.
+    /// Whether, as far as this leader knows, neither responses nor commands have reached a worker for the time of its
+    /// lease.
     fn is_unreachable(&self, worker: &Worker, now: f64) -> bool {
         worker
             .unreachable_since
@@ -149,7 +151,8 @@
             && worker.bindings.is_empty()
     }
 
-    /// Returns the usual boot time of a worker's instance type, in seconds.
+    /// Returns the usual boot time of a worker's instance type, in seconds; the heartbeat interval if the type is not
+    /// known.
     fn usual_boot_time_s(&self, worker: &Worker) -> f64 {
         self.instance_types
             .iter()
@@ -159,9 +162,10 @@
             })
     }
 
-    /// Whether a silent worker is kept because its zone is partitioned, or was until recently. Workers of a zone
-    /// that stays partitioned for long are released, since by then waiting costs more than booting new instances.
-    /// After the partition, all workers of the zone get the time to reconnect.
+    /// Whether a silent on-demand worker is kept because its zone is partitioned, or was until recently. Spot workers
+    /// are not kept. Workers of a zone that stays partitioned for long are released, since by then waiting costs more
+    /// than booting new instances. After the partition has ended, the on-demand workers of the zone are kept until
+    /// they have had the time to reconnect.
     fn is_kept_during_partition(&self, worker: &Worker, now: f64) -> bool {
         let max_silence_s = PARTITION_LEASES * self.settings.deployment.workers.lease_s;
         !worker.spot
@@ -172,9 +176,9 @@
                 .is_some_and(|since| now - since < max_silence_s)
     }
 
-    /// Whether the silence of workers is explained by a partition of this controller rather than by failed
-    /// workers. If the silence lasts for a worker lease and this controller still leads, the workers count as
-    /// failed.
+    /// Whether the silence of workers is explained by a partition of this controller rather than by failed workers.
+    /// It is while most workers are silent or unreachable, and for up to one worker lease while all zones are
+    /// partitioned or no worker sends heartbeats.
     fn is_isolated(&self, now: f64) -> bool {
         let lease_s = self.settings.deployment.workers.lease_s;
         // A partition of all zones is detected before most workers have missed a heartbeat.
@@ -182,15 +186,16 @@
             .fleet
             .all_partitioned_since
             .is_some_and(|since| now - since < lease_s);
-        // If no worker at all is heard from for longer, this controller resigns its leadership.
+        // If no worker sends heartbeats for longer, this controller resigns its leadership.
         let silence_s = self.leases.silence_s(now);
         let no_heartbeats =
             silence_s > SILENCE_HEARTBEATS * self.fleet.heartbeat_interval_s && silence_s < lease_s;
         self.are_most_workers_silent(now) || all_partitioned || no_heartbeats
     }
 
-    /// Whether most workers have missed their latest heartbeat, or can't be reached. This counts workers before
-    /// they reach the limit for a release; otherwise the first few to reach it would be released.
+    /// Whether most workers have missed their latest heartbeat, or can't be reached. A worker counts as silent before
+    /// it has been silent for long enough to be released; otherwise the first few would be released before most of
+    /// them count.
     fn are_most_workers_silent(&self, now: f64) -> bool {
         let missed_s = MISSED_HEARTBEATS * self.fleet.heartbeat_interval_s;
         let (mut up, mut silent, mut unreachable) = (0, 0, 0);
@@ -206,10 +211,10 @@
         2 * silent > up || 2 * unreachable > up
     }
 
-    /// Finds the zones in which so many workers are late at once that a partition explains it better than failed
-    /// instances. Tasks there may continue to run, and their workers return with the zone; deleting the instances
-    /// would only add the time to boot new ones. A partition is detected before the first of the workers counts
-    /// as unresponsive.
+    /// Finds the zones in which so many workers are late at once that a partition is a more likely cause than failed
+    /// instances. Tasks in a partitioned zone may continue to run, and their workers reconnect when the partition
+    /// ends; deleting the instances would only add the time to boot new ones. A partition is detected before the
+    /// first worker of the zone counts as unresponsive.
     fn detect_partitions(&self, now: f64) -> ZonePartitions {
         let late_s = LATE_HEARTBEATS * self.settings.deployment.workers.heartbeat_interval_s;
         let mut zones: BTreeMap<&str, ZoneContact> = BTreeMap::new();
@@ -233,7 +238,8 @@
         }
     }
 
-    /// Records the zones that are partitioned now, and removes those that have been reachable for long enough.
+    /// Records the zones that are partitioned now, and removes those that have been reachable for long enough for
+    /// their workers to reconnect.
     fn update_partitioned_zones(&mut self, now: f64) {
         let partitions = self.detect_partitions(now);
         let fleet = &mut self.fleet;
--- a/src/coordination/leader/fencing.rs
+++ b/src/coordination/leader/fencing.rs
@@ -14,7 +14,7 @@
 use crate::protocol::worker::{Command, CommandBatch, CommandKind, ExitReason, TaskId};
 
 impl Leader {
-    /// Returns the fencing token for the next message to a worker.
+    /// Returns the fencing token for the next message to a worker; the fence in it is 0 if the worker is not known.
     pub(super) fn fencing_token_for(&self, worker: &str) -> FencingToken {
         let fence = self
             .workers
@@ -23,8 +23,9 @@
         FencingToken::new(self.epoch, fence)
     }
 
-    /// Raises a worker's fence if start commands that were sent to it must be revoked. This also invalidates the
-    /// commands of a direct call in flight, so a revocation waits until that call has ended, unless it is urgent.
+    /// Raises a worker's fence if start commands that were sent to the worker must be revoked. A raised fence also
+    /// invalidates the commands of a direct call in flight, so a revocation that is not urgent waits until that call
+    /// has ended. If the fence can't be raised any further, the worker is released.
     pub(super) fn revoke_pending_starts(&mut self, name: &str) {
         let call_in_flight = self.dispatcher.is_in_flight(name);
         let Some(worker) = self.workers.get_mut(name) else {
@@ -43,7 +44,7 @@
     }
 
     /// Builds the message that carries these commands, and records the commands as sent. Commands that violate an
-    /// invariant are left out.
+    /// invariant are left out, and so are all commands to a worker that is not known.
     pub(super) fn prepare_commands(
         &mut self,
         name: &str,
@@ -74,16 +75,17 @@
     }
 }
 
-/// Returns the incarnation that the commands of a direct call to the worker are for.
+/// Returns the incarnation that the commands of a direct call to the worker are for: the latest one that the worker
+/// has shown or a task is bound for, and at least 1.
 pub(super) fn target_incarnation(worker: &Worker) -> u64 {
     let bound = worker.bindings.values().map(|binding| binding.incarnation);
     worker.incarnation.max(bound.max().unwrap_or(1)).max(1)
 }
 
-/// Checks that a command upholds the invariants, independently of the code that decided on it.
+/// Checks that a command upholds the invariants, independently of the code that decided to send the command.
 fn upholds_invariants(command: &Command, worker: &Worker, jobs: &Jobs) -> bool {
     let Ok(task) = TaskId::parse(&command.task) else {
-        // A worker may show a task whose id can't be parsed. It may be stopped and cleared, not started.
+        // A worker may list a task whose id can't be parsed. Such a task can be stopped and cleared, but not started.
         return command.kind != CommandKind::Start;
     };
     let attempt = command.attempt;
--- a/src/coordination/leader/fleet/inventory.rs
+++ b/src/coordination/leader/fleet/inventory.rs
@@ -12,7 +12,7 @@
     call: CallSchedule,
     /// Instances on the pages of the list that were read so far.
     partial_listing: Vec<Instance>,
-    /// When the list was last read completely.
+    /// When the list was last read completely; `None` before the first time.
     pub(super) listed_at: Option<f64>,
 }
 
@@ -37,7 +37,8 @@
     }
 
     /// Handles the response to a request for a page of the list. The last page completes the list, and the workers
-    /// are updated from it.
+    /// are updated from the list. If the response contains no page, the list is read again from the beginning after a
+    /// heartbeat interval.
     pub fn on_instances_listed(&mut self, response: CloudResponse, now: f64) {
         let fleet = &mut self.fleet;
         let inventory = &mut fleet.inventory;
@@ -62,7 +63,8 @@
         self.complete_provisioning();
     }
 
-    /// Updates the worker of a listed instance; adds the worker if it is not known yet.
+    /// Updates the worker of a listed instance; adds the worker if it is not known yet, and releases it if the cloud
+    /// lists the instance as failed. Deleted instances are ignored.
     fn observe_instance(&mut self, instance: &Instance, now: f64) {
         if self.fleet.is_deleted(&instance.name) {
             return;
--- a/src/coordination/leader/fleet/mod.rs
+++ b/src/coordination/leader/fleet/mod.rs
@@ -21,16 +21,17 @@
 /// Share of the cloud's rate limit that the leader uses; the rest is left to the requests for the instance
 /// catalog and to a leader that has just been deposed and may still send requests.
 const CLOUD_SHARE: f64 = 0.8;
-/// Burst of the leader's requests to the cloud, in seconds of its share of the rate limit.
+/// Number of requests to the cloud that the leader may send at once, as the seconds in which its share of the rate
+/// limit allows that many.
 const CLOUD_BURST_S: f64 = 1.5;
 /// Timeout of calls to the cloud, in heartbeat intervals.
 const CALL_TIMEOUT_HEARTBEATS: f64 = 2.0;
 /// Time after which an instance that is not up is overdue and no longer counts as future capacity, in units of its
 /// usual boot time. Most instances are up by then.
 pub(super) const BOOT_OVERDUE_FACTOR: f64 = 1.5;
-/// Checks for failed workers in a heartbeat interval.
+/// Number of checks for failed workers in a heartbeat interval.
 const CHECKS_PER_HEARTBEAT: f64 = 8.0;
-/// Rounds of the autoscaler in the boot time of the instance type that boots fastest.
+/// Number of rounds of the autoscaler in the boot time of the instance type that boots fastest.
 const ROUNDS_PER_BOOT: f64 = 5.0;
 /// Upper bound on the boot time that determines the interval between rounds of the autoscaler.
 const MAX_BOOT_TIME_S: f64 = 60.0;
@@ -67,7 +68,7 @@
     pub(super) runtime_bias: f64,
     /// Zones that are or were recently partitioned, with the time at which the partition was last detected.
     pub(super) partitioned_zones: BTreeMap<String, f64>,
-    /// Since when all zones have been partitioned at once.
+    /// Since when all zones with enough workers to tell have been partitioned at once; `None` while one is not.
     pub(super) all_partitioned_since: Option<f64>,
     /// Seconds by which the cloud's list of instances may be out of date.
     pub(super) list_lag_s: f64,
@@ -107,7 +108,7 @@
         self.partitioned_zones.contains_key(zone)
     }
 
-    /// Whether a zone was partitioned at the last check.
+    /// Whether a zone was partitioned at the last check or the one before.
     pub(super) fn is_partitioned(&self, zone: &str, now: f64) -> bool {
         let last_seen = self.partitioned_zones.get(zone);
         last_seen
--- a/src/coordination/leader/fleet/pool.rs
+++ b/src/coordination/leader/fleet/pool.rs
@@ -8,16 +8,18 @@
 
 /// Weight of the latest value in a running average.
 const SMOOTHING: f64 = 0.1;
-/// Divides the weight of the latest value in the average of the runtime bias, which is taken over all jobs.
+/// [`SMOOTHING`] divided by this is the weight of the latest value in the average of the runtime bias. The weight is
+/// lower there since the average is taken over the tasks of all jobs.
 const BIAS_DAMPING: f64 = 10.0;
 /// Lower and upper bound on the ratio of a single task's run time to its estimate.
 const RUNTIME_BIAS_RANGE: (f64, f64) = (0.2, 5.0);
-/// Least share of an instance that counts for a task in the average of its pool.
+/// Lower bound on the share of an instance with which a task counts in the average of its pool; the average is used
+/// as a divisor.
 const MIN_INSTANCE_SHARE: f64 = 1e-3;
-/// Shortest time for which a pool is blocked after the cloud could not create all requested instances, in boot
-/// times.
+/// Shortest time for which a pool is blocked after the cloud could not create all requested instances, in units of
+/// the usual boot time of its instance type.
 const MIN_BLOCK_BOOTS: f64 = 0.5;
-/// Longest time for which a pool is blocked, in boot times.
+/// Longest time for which a pool is blocked, in units of the usual boot time of its instance type.
 const MAX_BLOCK_BOOTS: f64 = 4.0;
 
 /// Identifies a pool: all instances of one type in one zone, either spot or on-demand.
@@ -63,13 +65,14 @@
     blocked_until: f64,
     /// Duration of the last block in seconds; 0 once the cloud has created all instances of a request.
     block_s: f64,
-    /// Starts of tasks that count in the forecast.
+    /// Bindings of tasks that count in the forecast.
     pub(in crate::coordination::leader) starts: RateMeter,
     /// Completions of tasks.
     pub(in crate::coordination::leader) finishes: RateMeter,
-    /// Average run time of a task in seconds; `None` before the first one has completed.
+    /// Average run time of a task in seconds; `None` before the first task has completed.
     pub(in crate::coordination::leader) task_s: Option<f64>,
-    /// Average share of an instance that a task requests; `None` before the first one has started.
+    /// Average share of an instance that a task requests; `None` before the first task that counts in the forecast
+    /// was bound.
     pub(in crate::coordination::leader) machine_share: Option<f64>,
     /// The decision that was last logged.
     pub(in crate::coordination::leader) last_decision: Option<ScalingDecision>,
@@ -85,7 +88,8 @@
         self.block_s = 0.0;
     }
 
-    /// Blocks the pool for twice as long as the last time, within bounds.
+    /// Blocks the pool for twice as long as the last time, but for at least [`MIN_BLOCK_BOOTS`] and at most
+    /// [`MAX_BLOCK_BOOTS`] boot times.
     fn block(&mut self, boot_time_s: f64, now: f64) {
         self.block_s = (self.block_s * 2.0)
             .clamp(boot_time_s * MIN_BLOCK_BOOTS, boot_time_s * MAX_BLOCK_BOOTS);
@@ -98,13 +102,15 @@
 }
 
 impl Fleet {
-    /// Whether a pool is blocked, because the cloud recently lacked capacity for it.
+    /// Whether a pool is blocked, because the cloud recently could not create all instances that were requested from
+    /// it.
     pub(in crate::coordination::leader) fn is_blocked(&self, key: &PoolKey, now: f64) -> bool {
         self.pools.get(key).is_some_and(|pool| pool.is_blocked(now))
     }
 
     /// Returns how many instances of a pool may be requested in one round. After the cloud could not create all
-    /// requested instances, it is no more than a single call may request.
+    /// requested instances, until it has created all instances of a later request, the number is what a single call
+    /// may request.
     pub(in crate::coordination::leader) fn request_limit(&self, key: &PoolKey) -> u32 {
         match self.pools.get(key) {
             Some(pool) if pool.block_s > 0.0 => MAX_INSTANCES_PER_CREATE,
@@ -122,8 +128,8 @@
             .min(now + self.heartbeat_interval_s / 5.0);
     }
 
-    /// Records the start of a task that requests `share` of its worker; `None` if the task does not count in
-    /// forecasts.
+    /// Records that a task was bound to a worker. `share` is the share of the instance that the task requests; `None`
+    /// if the task does not count in forecasts.
     pub(in crate::coordination::leader) fn record_start(
         &mut self,
         worker: &Worker,
@@ -137,8 +143,8 @@
         }
     }
 
-    /// Records that a task has completed after `ran_s` seconds. Its owner's estimate was `expected_runtime_s`; 0
-    /// if there is none.
+    /// Records that a task has completed after `ran_s` seconds. `expected_runtime_s` is the estimate of the task's
+    /// owner; 0 if there is none.
     pub(in crate::coordination::leader) fn record_finish(
         &mut self,
         worker: &Worker,
--- a/src/coordination/leader/fleet/provisioning.rs
+++ b/src/coordination/leader/fleet/provisioning.rs
@@ -23,15 +23,15 @@
 /// The state of a provisioning request.
 #[derive(Debug, Clone, PartialEq)]
 enum ProvisioningState {
-    /// Its record is being committed to the state service.
+    /// The record of the request is being committed to the state service.
     Recording,
-    /// It is to be sent, or sent again, from this time on.
+    /// The request is to be sent, or sent again, from `not_before` on.
     Ready { not_before: f64 },
-    /// It was sent, and the response has not arrived yet.
+    /// The request was sent, and the response has not arrived yet.
     InFlight,
-    /// These instances were created; not all of them have been listed or have sent a heartbeat yet.
+    /// These instances were created. At least one of them has neither been listed nor sent a heartbeat yet.
     Created { instances: Vec<String> },
-    /// Its record is being removed from the state service.
+    /// The record of the request is being removed from the state service.
     Completing,
 }
 
@@ -49,7 +49,7 @@
     record: ProvisioningRecord,
     state: ProvisioningState,
     order: SendOrder,
-    /// It was sent at least once, and may have reached the cloud.
+    /// The request was sent at least once, and may have reached the cloud.
     sent: bool,
 }
 
@@ -66,7 +66,7 @@
         matches!(self.state, ProvisioningState::Ready { not_before } if now >= not_before)
     }
 
-    /// Returns the number of instances that it may create and that are not known as workers yet.
+    /// Returns the number of instances that the request may create and that are not known as workers yet.
     fn instances_expected(&self) -> u32 {
         match self.state {
             ProvisioningState::Created { .. } | ProvisioningState::Completing => 0,
@@ -85,7 +85,7 @@
 }
 
 impl Fleet {
-    /// Adds a provisioning request that an earlier leader has recorded and may have sent.
+    /// Adds a provisioning request that an earlier leader has recorded and may have sent; it is sent again.
     pub(in crate::coordination::leader) fn inherit_provisioning(
         &mut self,
         idempotency_key: &str,
@@ -148,8 +148,8 @@
 }
 
 impl Leader {
-    /// Records requests for `count` more instances of a pool. `priority` is the highest priority of the tasks that
-    /// need them.
+    /// Records requests for `count` more instances of a pool, but for at most [`MAX_INSTANCES_PER_ROUND`]. `priority`
+    /// is the highest priority of the tasks that need them.
     pub(in crate::coordination::leader) fn scale_out(
         &mut self,
         key: &PoolKey,
@@ -185,7 +185,8 @@
         }
     }
 
-    /// Sends the next provisioning request, if one is ready.
+    /// Sends the next provisioning request, if one is ready and no other is in flight. A request that was never sent
+    /// and whose pool is blocked is dropped instead.
     pub(super) fn send_provisioning_request(&mut self, effects: &mut Effects, now: f64) {
         let fleet = &mut self.fleet;
         let timeout_s = fleet.call_timeout_s();
@@ -269,7 +270,8 @@
         }
     }
 
-    /// Adds the workers of created instances. Blocks the pool if fewer instances were created than requested.
+    /// Adds the workers of created instances. Blocks the pool if fewer instances were created than requested, and
+    /// resets its back-off otherwise.
     fn record_created(&mut self, pool: &PoolKey, wanted: u32, instances: &[String], now: f64) {
         if instances.len() < wanted as usize {
             self.block_pool(pool, now);
@@ -297,8 +299,8 @@
         self.fleet.block(pool, boot_time_s, now);
     }
 
-    /// Removes the records of provisioning requests whose instances have all been listed or have sent a
-    /// heartbeat.
+    /// Removes the records of provisioning requests whose instances have each been listed, sent a heartbeat, or been
+    /// deleted.
     pub(super) fn complete_provisioning(&mut self) {
         for (idempotency_key, request) in &mut self.fleet.provisioning.requests {
             let ProvisioningState::Created { instances } = &request.state else {
--- a/src/coordination/leader/fleet/scale_in.rs
+++ b/src/coordination/leader/fleet/scale_in.rs
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 
 /// Time for which confirmed deletions are remembered, in units of the list lag (the time by which the cloud's list
-/// may be out of date) or the heartbeat interval, whichever is longer. Until then, a late list or heartbeat may
+/// may be out of date) or the heartbeat interval, whichever is longer. Before that, a late list or heartbeat may
 /// still show the deleted instance.
 const DELETION_RETENTION_FACTOR: f64 = 60.0;
 
@@ -18,15 +18,15 @@
 pub(in crate::coordination::leader) enum ScaleInReason {
     /// The cloud reclaims it.
     Reclaimed,
-    /// It was not up long after its usual boot time.
+    /// It was still not up long after the usual boot time of its instance type.
     BootTimedOut,
     /// It has sent no heartbeat for too long, or has missed one and not responded to a direct call.
     Unresponsive,
     /// Its heartbeats arrive, but neither responses nor commands reach it.
     Unreachable,
-    /// Tasks fail on it whose jobs succeed elsewhere.
+    /// Tasks of jobs that succeed on other workers fail on it.
     FailsTasks,
-    /// The cloud no longer lists it.
+    /// It never sent a heartbeat to this leader, and the cloud no longer lists it.
     NotListed,
     /// The cloud lists it as failed.
     Failed,
@@ -60,7 +60,7 @@
 }
 
 impl Leader {
-    /// Marks a worker as terminating; its instance may be deleted once the mark is committed.
+    /// Marks a worker as terminating; its instance may be deleted once that is committed.
     pub(in crate::coordination::leader) fn scale_in(&mut self, name: &str, reason: ScaleInReason) {
         if let Some(worker) = self.workers.get_mut(name)
             && !worker.terminating
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Heartbeats of workers: updates the table of workers from them, and responds with commands.
+//! Heartbeats of workers: updates the table of workers from them, and responds with commands. A heartbeat lists the
+//! tasks on the worker and the highest fencing token that the worker has received.
 
 use super::{Leader, LeaderEvent};
 use crate::bookkeeping::permits::{GuardedAction, ViewFreshness};
@@ -9,15 +10,15 @@
 };
 use std::collections::BTreeMap;
 
-/// Maximum number of commands in one message; keeps it well below the size limit of messages.
+/// Maximum number of commands in one message; keeps a message well below the size limit of messages.
 pub(super) const MAX_COMMANDS: usize = 300;
 
 /// How a heartbeat reached the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum HeartbeatPath {
-    /// The worker sent it as a request; the response renews the worker's lease.
+    /// The worker sent it as a request; a response with status 200 renews the worker's lease.
     Request,
-    /// The worker sent it in the response to a direct call, which renews no lease.
+    /// The worker sent it in its response to a direct call; direct calls renew no lease.
     DirectResponse,
 }
 
@@ -26,17 +27,18 @@
 pub enum HeartbeatOutcome {
     /// Status 200 with these commands; renews the worker's lease.
     Commands(CommandBatch),
-    /// A response that does not renew the worker's lease, because jobs whose tasks run there may have been
-    /// cancelled, or recovery can't buffer the heartbeat.
+    /// A response that does not renew the worker's lease, because this controller does not lead or may not know of
+    /// all cancelled jobs. During recovery, also because the worker runs a task of a job that has ended, or because
+    /// too many heartbeats are buffered.
     LeaseNotRenewed,
     /// Status 421: the worker has seen a higher epoch than this leader's.
     NewerLeaderExists,
 }
 
 impl Leader {
-    /// Handles a heartbeat that a worker sent as a request. The response renews the worker's lease if
-    /// `freshness` allows it. `is_open` returns whether the controller's view shows a job as open; it is
-    /// needed during recovery, while the leader's table of jobs is not complete.
+    /// Handles a heartbeat that a worker sent as a request. The response renews the worker's lease if `freshness`
+    /// allows it. `is_open` returns whether the controller's view shows a job as open; it is used only during
+    /// recovery, while the leader's table of jobs is not complete.
     pub fn on_heartbeat(
         &mut self,
         heartbeat: &WorkerHeartbeat,
@@ -78,8 +80,8 @@
         let is_newest = self.apply_heartbeat(heartbeat, HeartbeatPath::Request, now);
         self.revoke_pending_starts(&heartbeat.worker);
         let Some(worker) = self.workers.get(&heartbeat.worker).filter(|_| is_newest) else {
-            // The heartbeat was ignored, for example since a newer one is known. Its list of tasks may
-            // be out of date, so no commands are derived from it.
+            // The heartbeat was ignored, for example because a newer one is known. Its list of tasks may be out of
+            // date, so no commands are derived from it.
             return self.respond_to_heartbeat(heartbeat, Vec::new(), freshness);
         };
         let may_start = freshness.may_start().is_ok();
@@ -104,8 +106,9 @@
         HeartbeatOutcome::Commands(batch)
     }
 
-    /// Updates the worker from a heartbeat that arrived by either path. Returns false if the heartbeat was
-    /// ignored: a newer one is known, it shows a lower token than before, or the instance was deleted.
+    /// Updates the worker from a heartbeat that arrived by either path. Returns false if the heartbeat was ignored:
+    /// it is not newer than the newest one known, it shows a lower token than before, or its worker was removed after
+    /// the instance had been deleted.
     pub(super) fn apply_heartbeat(
         &mut self,
         heartbeat: &WorkerHeartbeat,
@@ -160,8 +163,9 @@
         true
     }
 
-    /// Marks the worker as knowing this epoch if its heartbeat shows it. Such a worker receives this
-    /// leader's messages, and it accepts no lease renewal or command from an earlier leader any more.
+    /// Marks the worker as knowing this epoch if its heartbeat shows the epoch. Such a worker receives this leader's
+    /// messages, and accepts no lease renewal or command from an earlier leader any more, so its lease counts as
+    /// renewed now and not at a later time.
     fn acknowledge_token(&mut self, heartbeat: &WorkerHeartbeat, now: f64) {
         if heartbeat.token.epoch() != self.epoch {
             return;
@@ -179,7 +183,7 @@
     }
 }
 
-/// Creates the entry of a worker that was not known before this heartbeat. An earlier leader may have renewed its
+/// Creates the entry of a worker that was not known before this heartbeat. An earlier leader may renew the worker's
 /// lease until `previous_leader_deadline`.
 fn registered_worker(
     heartbeat: &WorkerHeartbeat,
@@ -197,9 +201,10 @@
     worker
 }
 
-/// Handles a heartbeat that is older than the newest one: a duplicate, or a request that the response to a direct
-/// call has overtaken. If the worker still waits for the response to it, that response renews its lease from
-/// the time at which the worker sent this heartbeat, which is before the newest one arrived.
+/// Handles a heartbeat that is not newer than the newest one known: a duplicate, or a request that was overtaken by a
+/// heartbeat in the response to a direct call. If it is a request and the worker still waits for the response, the
+/// response renews the worker's lease from the time at which the worker sent the request. That time is before the
+/// newest heartbeat arrived, so the lease counts as renewed then.
 fn renew_by_late_heartbeat(worker: &mut Worker, path: HeartbeatPath) {
     if let (HeartbeatPath::Request, Some(last)) = (path, worker.last_heartbeat_at) {
         worker.lease_renewed_at = worker.lease_renewed_at.max(last);
@@ -208,9 +213,10 @@
 
 /// Handles a heartbeat with a lower token than the worker showed before. The instance has restarted and lost its
 /// stored incarnation and token. The heartbeat was sent before or after that restart; its sequence number and
-/// incarnation don't tell which. Its list of tasks therefore can't be compared with the present bindings, and is
-/// ignored. If it was sent after the restart, the response gives the worker the present token and renews its
-/// lease, from now at the latest; the worker's next heartbeat is then processed as usual.
+/// incarnation don't tell which. The list of tasks in it therefore can't be compared with the present bindings, and
+/// is ignored. If the heartbeat was sent after the restart, the response gives the worker the present token and
+/// renews its lease, counted from a time that is not later than now; the worker's next heartbeat is then processed as
+/// usual.
 fn ignore_lower_token(worker: &mut Worker, heartbeat: &WorkerHeartbeat, now: f64) {
     tracing::warn!(
         worker = worker.name,
@@ -225,7 +231,8 @@
     worker.lease_renewed_at = worker.lease_renewed_at.max(now);
 }
 
-/// Records that the response to a worker's request renews its lease. The response to a direct call does not.
+/// Records that the response to a worker's heartbeat renews the worker's lease. A heartbeat that came in the response
+/// to a direct call gets no response and renews no lease.
 fn renew_lease(worker: &mut Worker, path: HeartbeatPath, now: f64) {
     if path == HeartbeatPath::DirectResponse {
         return;
@@ -233,8 +240,8 @@
     worker.lease_renewed_at = if worker.token_acknowledged {
         now
     } else {
-        // The worker may still accept renewals by an earlier leader. `lease_renewed_at` may lie in the
-        // future then: it is the time until which that leader may renew leases.
+        // The worker may still accept renewals by an earlier leader. `lease_renewed_at` lies in the future as long as
+        // that leader may renew leases: it is then the time until which it may.
         worker.lease_renewed_at.max(now)
     };
 }
@@ -242,20 +249,20 @@
 /// Resets what depends on the worker's incarnation, after a heartbeat of a new one.
 fn begin_incarnation(worker: &mut Worker, now: f64) {
     if worker.last_heartbeat_at.is_some() {
-        // Its incarnation ended although the leader responded to its heartbeats: the responses may
-        // not reach it.
+        // The worker's previous incarnation ended although the leader responded to its heartbeats: the responses may
+        // not reach the worker.
         worker.unreachable_since = Some(now);
     }
     worker.pending_starts.clear_for_new_incarnation();
     worker.idle_since = now;
-    // The lease runs from the beginning of the incarnation, which is not later than now. A response to a
-    // direct call does not renew the lease, but it may be the first message that shows the incarnation.
+    // The lease runs from the beginning of the incarnation, which is not later than now. This is also needed if the
+    // first heartbeat of the incarnation came in the response to a direct call, which does not renew the lease.
     worker.lease_renewed_at = worker.lease_renewed_at.max(now);
 }
 
-/// Counts the lease from now after the instance has restarted, lost its stored incarnation, and begun the same
-/// incarnation again. The lease runs from that second beginning, which is not later than now, but later than the
-/// heartbeats that this leader has responded to.
+/// Counts the lease from now, after a heartbeat has shown that the instance has restarted, lost its stored
+/// incarnation, and begun the same incarnation again. The lease runs from that second beginning, which is not later
+/// than now, but later than the heartbeats that this leader has responded to.
 fn restart_lease(worker: &mut Worker, now: f64) {
     tracing::warn!(
         worker = worker.name,
@@ -265,7 +272,7 @@
     worker.lease_renewed_at = worker.lease_renewed_at.max(now);
 }
 
-/// Updates a worker from its newest heartbeat, which lists these `tasks`.
+/// Updates a worker from its newest heartbeat; `tasks` are the statuses in that heartbeat, by task.
 fn record_heartbeat(
     worker: &mut Worker,
     heartbeat: &WorkerHeartbeat,
--- a/src/coordination/leader/jobs.rs
+++ b/src/coordination/leader/jobs.rs
@@ -10,7 +10,8 @@
 use std::collections::BTreeSet;
 
 impl Leader {
-    /// Adds a job that was opened, as shown by the watch, the job API or a record that recovery has read.
+    /// Adds a job that was opened, as shown by the watch, the job API or a record that recovery has read. Does
+    /// nothing if the job is known.
     pub fn on_job_opened(&mut self, mod_revision: u64, spec: &JobSpec, now: f64, wall: f64) {
         if self.jobs.get(&spec.id).is_some() {
             return;
@@ -31,8 +32,8 @@
         self.scheduling.request();
     }
 
-    /// Returns the shortest time, in seconds, that the objectives of a kind set for jobs of a class: to finish
-    /// the job (`finished`), or to start its tasks (`wait`).
+    /// Returns the shortest time, in seconds, that the objectives of this kind allow jobs of this class: to finish
+    /// the job (kind `finished`), or to start its tasks (kind `wait`). `None` if there is no such objective.
     fn objective(&self, kind: &str, class: &str) -> Option<f64> {
         self.settings
             .deployment
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Evicts the bound tasks of a job that has ended.
+    /// Evicts the bound tasks of a job that has ended, and stops counting its failures against workers.
     pub(super) fn evict_tasks_of(&mut self, job: &Job) {
         for (index, workers) in job.bound_workers() {
             let task = TaskId {
@@ -92,9 +93,9 @@
         self.scheduling.request();
     }
 
-    /// Closes the jobs that are missing from a listing of the open jobs at this revision. The records that the
-    /// leader has read may be older than the listing; for a job that was closed between the two, the watch
-    /// delivers no event.
+    /// Handles jobs as closed that are missing from a listing of the open jobs at this revision and were opened no
+    /// later. The records that the leader has read may be older than the listing; for a job that was closed after its
+    /// record was read and before the listing, the watch delivers no event.
     pub fn on_open_jobs_listed(&mut self, revision: u64, listed: BTreeSet<String>) {
         let closed: Vec<String> = self
             .jobs
@@ -137,8 +138,7 @@
         }
     }
 
-    /// Returns the numbers of completed and running tasks of the open jobs, for display, of at most
-    /// [`MAX_JOB_COUNTS`] jobs.
+    /// Returns the numbers of completed and running tasks for at most [`MAX_JOB_COUNTS`] open jobs, for display.
     pub fn job_counts(&self) -> Vec<JobCounts> {
         self.jobs
             .iter()
--- a/src/coordination/leader/leases.rs
+++ b/src/coordination/leader/leases.rs
@@ -6,18 +6,18 @@
 use crate::settings::{MAX_CLOCK_DRIFT, Settings};
 use std::collections::BTreeSet;
 
-/// Clock drift between this controller and a worker that is added to the worker's lease, in units of
-/// [`MAX_CLOCK_DRIFT`].
+/// Allowance for the clock drift between this controller and a worker, by which the worker's lease is taken to be
+/// longer, in units of [`MAX_CLOCK_DRIFT`].
 const DRIFT_MARGIN: f64 = 4.0;
-/// Divides the heartbeat interval; the quotient is added to a worker's lease as a safety margin.
+/// The heartbeat interval, divided by this, is added to a worker's lease as a safety margin.
 const EXPIRY_MARGIN_DIVISOR: f64 = 5.0;
 /// Time that workers need to find a new leader, in heartbeat intervals.
 const FAILOVER_HEARTBEATS: f64 = 2.0;
 /// Time without a poll after which the event loop counts as stalled, in heartbeat intervals.
 const STALL_HEARTBEATS: f64 = 0.25;
 
-/// Tracks which controllers and workers know this leader's epoch, and the worker leases that it and earlier
-/// leaders have renewed.
+/// Tracks which controllers know this leader's epoch, when a worker that knows it last sent a heartbeat, and until
+/// when earlier leaders may renew worker leases.
 #[derive(Debug)]
 pub(super) struct LeaseTracker {
     peers: Vec<String>,
@@ -31,8 +31,8 @@
     /// When a worker that knows this epoch last sent a heartbeat.
     last_heartbeat_at: Option<f64>,
     last_polled_at: f64,
-    /// The end of the last stall of the event loop. Time during which this controller did not receive
-    /// heartbeats does not count as a worker's silence.
+    /// The end of the last stall of the event loop, or the election if there was none. The time before it does not
+    /// count as a worker's silence, since this controller may not have received heartbeats.
     receiving_since: f64,
 }
 
@@ -68,8 +68,8 @@
         self.previous_leader_deadline
     }
 
-    /// Records that a peer knows this epoch or a higher one. Returns true if all peers do as a result, so that no
-    /// earlier leader renews leases from now on.
+    /// Records that a peer knows this epoch or a higher one. Returns true if this was the last peer to know one, so
+    /// that no earlier leader renews leases from now on.
     pub(super) fn on_epoch_acknowledged(&mut self, label: &str, now: f64) -> bool {
         if !self.acknowledged_by.insert(label.to_owned())
             || !self
@@ -102,8 +102,8 @@
         self.last_heartbeat_at.map_or(0.0, |at| now - at)
     }
 
-    /// Returns the time from which a worker's silence counts: its last heartbeat, or later if the event loop has
-    /// stalled since. `None` if the worker may still be booting.
+    /// Returns the time from which a worker's silence counts: its last heartbeat, or the end of the last stall of the
+    /// event loop if that is later. `None` if the worker may still be booting.
     pub(super) fn silent_since(&self, worker: &Worker) -> Option<f64> {
         // A worker that has bindings but has sent no heartbeat to this leader was bound tasks by an earlier one.
         let inherited = (!worker.bindings.is_empty()).then_some(self.elected_at);
@@ -111,8 +111,8 @@
         Some(last.max(self.receiving_since))
     }
 
-    /// Returns the seconds for which no worker has shown that it receives this leader's responses; zero if no
-    /// worker is expected to.
+    /// Returns the seconds for which no worker has shown that it receives this leader's responses; zero or less if no
+    /// worker is expected to have done so yet.
     pub(super) fn worker_contact_lost_s(&self, workers: &Workers, now: f64) -> f64 {
         // A worker can show this leader's epoch only after it has received a response to its first heartbeat.
         let first_contact = workers
@@ -132,9 +132,9 @@
         now - last.max(reachable_from).max(first_contact)
     }
 
-    /// Returns the time at which a worker's incarnation has ended for certain if it receives no further response:
-    /// its lease has expired since the last response that may have renewed it, even if the worker's clock runs
-    /// slower than this controller's.
+    /// Returns the time by which a worker's incarnation has certainly ended if the worker receives no further
+    /// response: its lease, counted from the last response that may have renewed it, has expired by then, even if the
+    /// worker's clock runs slower than this controller's.
     pub(super) fn expires_at(&self, worker: &Worker) -> f64 {
         worker.lease_renewed_at
             + self.worker_lease_s * (1.0 + DRIFT_MARGIN * MAX_CLOCK_DRIFT)
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -1,10 +1,10 @@
-//! The leader: the controller that binds tasks to workers and scales the fleet; there is one at a time.
+//! The leader: the controller that was elected to bind tasks to workers and to scale the fleet.
 //!
-//! `Leader` holds the tables of jobs, workers and quotas for one epoch, and connects the components that hold the
-//! rest of its state:
+//! `Leader` holds the tables of jobs, workers and quotas for one epoch, which is the number of an election: a later
+//! leader has a higher one. It connects the components that hold the rest of its state:
 //!
-//! - `recovery`: reads all records after the election, and buffers heartbeats and job events until then;
-//!   `replay`: rebuilds the tables from the write-ahead log
+//! - `recovery`: reads all records after the election, and buffers heartbeats and job events until the tables are
+//!   rebuilt; `replay`: rebuilds the tables of workers and bindings from the write-ahead log
 //! - `commit`: commits the write-ahead log in transactions on the state service
 //! - `leases`: tracks worker leases, including those that an earlier leader may have renewed
 //! - `heartbeats`: handles heartbeats of workers, and responds with commands
@@ -14,11 +14,13 @@
 //! - `scheduling`: runs cycles of the scheduler, and creates the bindings that follow
 //! - `binding_reconciliation`: compares bindings with the tasks that workers report; `bindings`: ends bindings
 //! - `failure_attribution`: decides whether a failed task is the fault of its worker or of its job;
-//!   `failure_detection`: finds workers to be released, and partitioned zones
+//!   `failure_detection`: finds failed workers, which are then released, and partitioned zones
 //! - `fleet`: provisions and deletes instances; `scaling`: decides how many are needed; `consolidation`: moves
 //!   replicas together to empty a worker
+//! - `decision_log`: counts permitted and denied actions, and logs the counts
 //!
-//! Times are monotonic, in seconds, unless they are called `wall`.
+//! Names that end in `_s` are durations in seconds. Other times are readings of the monotonic clock in seconds,
+//! unless they are called `wall` (wall-clock time).
 
 mod binding_reconciliation;
 mod bindings;
@@ -59,7 +61,8 @@
 
 pub use heartbeats::HeartbeatOutcome;
 
-/// Share of the state service's limits that the leader's own writes may use.
+/// Share of the state service's limits on requests and on writes per second that the leader may use to read records
+/// and write the log. The requests of users have the rest.
 pub const LEADER_STATE_SHARE: f64 = 0.5;
 /// Factor on a task's estimated run time that allows for wrong estimates, which are often off by half.
 const RUNTIME_ESTIMATE_MARGIN: f64 = 1.5;
@@ -73,21 +76,21 @@
     JobFinished {
         /// Id of the job.
         job: String,
-        /// The record of its end.
+        /// The job's outcome and the number of its completed tasks.
         record: FinishedRecord,
     },
-    /// A transaction failed because another writer had closed a job.
+    /// A transaction failed because another writer had closed a job, for example by a cancellation.
     JobClosed {
         /// Id of the job.
         job: String,
     },
-    /// A worker has shown the epoch of a later leader.
+    /// A worker has shown this epoch, which is higher than the one of this leader: a later leader exists.
     HigherEpochSeen(u64),
     /// A transaction failed because another controller had written the leader's key or the log.
     Deposed,
 }
 
-/// What a leader is created with.
+/// The parameters of a new leader.
 pub struct LeaderConfig {
     /// The leader's epoch, assigned by the election.
     pub epoch: u64,
@@ -115,14 +118,15 @@
     /// `None` once the tables are rebuilt.
     recovery: Option<Recovery>,
     scheduling: SchedulingTrigger,
-    /// Counter for the numbers of attempts in this epoch.
+    /// Number of attempts made in this epoch; the number of the next attempt is derived from it.
     attempts: u64,
     /// Whether start commands were allowed at the last poll.
     may_start: bool,
     dispatcher: CommandDispatcher,
     fleet: Fleet,
     events: Vec<LeaderEvent>,
-    /// No earlier leader has written a log segment or a provisioning request, so no instances exist yet.
+    /// No earlier leader has written a log segment or a provisioning request, so no instances exist yet. False until
+    /// recovery completes.
     is_first_leader: bool,
     leases: LeaseTracker,
     decisions: DecisionLog,
@@ -169,8 +173,9 @@
         self.epoch
     }
 
-    /// Records that a peer knows this epoch or a higher one: it no longer responds to heartbeats as the leader of
-    /// an earlier epoch. Once all peers know it, no earlier leader renews worker leases any more.
+    /// Records that a peer knows this epoch or a higher one: the peer no longer responds to heartbeats as the leader
+    /// of an earlier epoch. Once all peers do, no earlier leader renews worker leases any more, and leases count as
+    /// renewed now at the latest.
     pub fn on_epoch_acknowledged(&mut self, label: &str, now: f64) {
         if self.leases.on_epoch_acknowledged(label, now) {
             for worker in self.workers.iter_mut() {
@@ -183,12 +188,12 @@
         self.events.push(event);
     }
 
-    /// Returns the events since the last call, in order.
+    /// Returns the events that were emitted since the last call of this function, the oldest first.
     pub fn take_events(&mut self) -> Vec<LeaderEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Replaces the instance catalog.
+    /// Replaces the instance catalog, and requests a scheduling cycle.
     pub fn set_instance_types(&mut self, instance_types: Rc<Vec<InstanceType>>) {
         self.instance_types = instance_types;
         self.scheduling.request();
@@ -199,8 +204,8 @@
         self.recovery.is_some()
     }
 
-    /// Returns the seconds for which no worker has shown that it receives this leader's responses; zero if no
-    /// worker is expected to, and during recovery.
+    /// Returns the seconds for which no worker has shown that it receives this leader's responses; zero or less if no
+    /// worker is expected to have done so yet, and during recovery.
     pub fn worker_contact_lost_s(&self, now: f64) -> f64 {
         if self.is_recovering() {
             return 0.0;
@@ -208,7 +213,8 @@
         self.leases.worker_contact_lost_s(&self.workers, now)
     }
 
-    /// Does the work that is due, as far as `freshness` allows it.
+    /// Does the work that is due, as far as `freshness` allows it, which tells how recently the leader's lease and
+    /// the view of the open jobs were confirmed.
     pub fn poll(&mut self, freshness: &ViewFreshness, effects: &mut Effects, now: f64) {
         self.leases.on_poll(now);
         if self.is_recovering() {
@@ -226,8 +232,8 @@
         self.decisions.poll(now);
     }
 
-    /// Updates whether start commands are allowed. Once they are, all workers are due, since start commands may
-    /// have been held back.
+    /// Updates whether start commands are allowed. Once they become allowed, all workers are marked as due for a
+    /// direct call, since start commands for them may have been withheld.
     fn update_start_permission(&mut self, freshness: &ViewFreshness) {
         let starts = freshness.may_start();
         self.decisions.count(GuardedAction::StartTasks, starts);
--- a/src/coordination/leader/recovery.rs
+++ b/src/coordination/leader/recovery.rs
@@ -23,17 +23,19 @@
     /// Key prefixes that have not been read completely; the last element is read first.
     remaining_prefixes: Vec<&'static str>,
     records: Vec<KeyValue>,
-    /// The last key that was read under the current prefix; the next page begins after it.
+    /// The last key that was read under the current prefix; the next page begins after it. `None` before the first
+    /// page.
     after: Option<String>,
     in_flight: bool,
     /// No request before this monotonic time, in seconds.
     retry_at: f64,
-    /// The latest heartbeat of each worker.
+    /// The heartbeat of each worker that arrived last.
     buffered_heartbeats: BTreeMap<String, WorkerHeartbeat>,
     /// Jobs that were closed during recovery; the records that were read may still show them as open.
     closed_jobs: ClosedJobs,
-    /// The latest complete listing of the open jobs, with which the watch on them begins or begins anew. After
-    /// recovery, jobs that are missing from it are closed.
+    /// The latest complete listing of the open jobs; the watch on these jobs begins or restarts with one. Once the
+    /// records are read, the jobs in them that are missing from the listing and not newer than it are handled as
+    /// closed.
     listing: Option<OpenJobsListing>,
     /// Jobs that were crash-looping under an earlier leader.
     crash_looping: BTreeSet<String>,
@@ -101,8 +103,8 @@
         })
     }
 
-    /// Handles the response to a request for a page; if it is no page, the request is repeated from `retry_at`
-    /// on. Returns whether all records are read.
+    /// Handles the response to a request for a page; if the response contains no page, the request is sent again from
+    /// `retry_at` on. Returns whether all records are read.
     fn on_page(&mut self, response: KvResponse, retry_at: f64) -> bool {
         self.in_flight = false;
         let KvResponse::Page { items, more, .. } = response else {
@@ -119,8 +121,8 @@
         self.remaining_prefixes.is_empty()
     }
 
-    /// Buffers a worker's latest heartbeat until the tables are rebuilt. Returns false if heartbeats of too many
-    /// workers are buffered.
+    /// Buffers a worker's heartbeat until the tables are rebuilt, in place of an earlier one. Returns false if the
+    /// heartbeats of too many other workers are buffered already.
     pub(super) fn buffer_heartbeat(&mut self, heartbeat: &WorkerHeartbeat) -> bool {
         let buffered = &mut self.buffered_heartbeats;
         if !buffered.contains_key(&heartbeat.worker) && buffered.len() >= MAX_BUFFERED_HEARTBEATS {
@@ -145,7 +147,8 @@
         self.crash_looping = jobs;
     }
 
-    /// Decodes the records for a leader of this epoch; those that can't be decoded are logged and left out.
+    /// Decodes the records for a leader of this epoch; those that can't be decoded are logged and left out. Jobs that
+    /// were closed during recovery are left out too.
     fn take_records(&mut self, epoch: u64) -> RecoveredRecords {
         let mut recovered = RecoveredRecords::default();
         for item in std::mem::take(&mut self.records) {
--- a/src/coordination/leader/replay.rs
+++ b/src/coordination/leader/replay.rs
@@ -1,4 +1,5 @@
-//! Replay: rebuilds the tables of workers and bindings from the write-ahead log during recovery.
+//! Replay: rebuilds the tables of workers and bindings, and the completed tasks of jobs, from the write-ahead log
+//! during recovery. The log consists of segments, one for each transaction.
 
 use super::Leader;
 use super::recovery::RecoveredSegment;
@@ -22,9 +23,9 @@
         }
     }
 
-    /// Replays a segment's entries of workers.
+    /// Adds the workers that a segment describes to the table, or updates them.
     fn replay_workers(&mut self, segment: &Segment, now: f64) {
-        // An earlier leader may have renewed worker leases until its lease grace period ended.
+        // An earlier leader may renew worker leases until its lease grace period has ended.
         let previous_leader_deadline = self.leases.previous_leader_deadline();
         for entry in &segment.workers {
             let Some(name) = segment.worker_name(entry.worker) else {
@@ -42,8 +43,8 @@
         }
     }
 
-    /// Replays a segment's entries of bindings, removed workers and completed tasks, in the order in which the
-    /// log records them.
+    /// Replays a segment's new bindings, then its ended bindings, removed workers and completed tasks, which is the
+    /// order in which the entries of a segment take effect.
     fn replay_bindings(&mut self, segment: &Segment) {
         for entry in &segment.bindings {
             self.replay_binding(segment, entry);
@@ -114,7 +115,8 @@
         }
     }
 
-    /// Counts the replayed bindings in their jobs and in the teams' quotas.
+    /// Counts the replayed bindings in their jobs and in the teams' quotas, and marks all workers as due for a direct
+    /// call.
     pub(super) fn charge_inherited_bindings(&mut self) {
         for worker in self.workers.iter() {
             for (task, binding) in &worker.bindings {
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Finishes the jobs whose tasks are all recorded as completed, but whose end is not recorded.
+    /// Queues the end of the jobs whose tasks are all recorded as completed, but whose end is not recorded.
     pub(super) fn finish_completed_jobs(&mut self) {
         let complete: Vec<String> = self
             .jobs
--- a/src/coordination/leader/scaling/demand.rs
+++ b/src/coordination/leader/scaling/demand.rs
@@ -8,27 +8,27 @@
 use crate::protocol::job::{JobSpec, PriorityClass};
 use std::collections::HashMap;
 
-/// Factor on the estimated time until workers in use have capacity for a pending task, for many running tasks.
+/// Factor on the estimated time until workers in use have capacity for a pending task, when many tasks are running.
 const QUEUE_WAIT_MARGIN: f64 = 1.2;
-/// Relative increase of [`QUEUE_WAIT_MARGIN`] when a single task is running. With more running tasks it is divided
-/// by the square root of their number.
+/// Relative increase of [`QUEUE_WAIT_MARGIN`] when a single task is running. With more running tasks the increase is
+/// divided by the square root of their number.
 const QUEUE_WAIT_UNCERTAINTY: f64 = 4.0;
 /// Maximum number of pending tasks that are fitted in a round, several times what a thousand instances run. It
 /// bounds the work of a round; further tasks are left for the next round.
 const MAX_FITTED: u32 = 50_000;
-/// Lower bound on the rate of released CPUs, to avoid a division by zero.
+/// Lower bound on the rate at which running tasks release CPUs, to avoid a division by zero.
 const MIN_CPUS_FREED_PER_S: f64 = 1e-6;
 
 /// The pending tasks that are fitted onto instances of a pool.
 #[derive(Debug, Default, Clone)]
 pub(super) struct Demand {
-    /// The highest priority among them.
+    /// The highest priority of these tasks; `None` if there are none.
     pub(super) priority: Option<PriorityClass>,
-    /// Number of tasks.
+    /// Number of these tasks.
     pub(super) pending: u32,
-    /// Seconds for which the oldest of them has been pending.
+    /// Seconds for which the oldest of these tasks has been pending.
     pub(super) oldest_s: f64,
-    /// Sum of their expected run times in seconds.
+    /// Sum of the expected run times of these tasks, in seconds.
     pub(super) expected_runtime_s: f64,
     /// Sum of the shares of an instance that the tasks request.
     pub(super) machine_share: f64,
@@ -67,13 +67,14 @@
 
 /// The pending tasks, fitted onto instances that are being provisioned, are booting, or would be created.
 pub(super) struct DemandFit {
-    /// The demand on each pool.
+    /// The demand on each pool, in the order of the offers.
     pub(super) demand: Vec<Demand>,
     bins: Vec<Bin>,
 }
 
 impl DemandFit {
-    /// Returns the number of instances of a pool that pending tasks were fitted onto.
+    /// Returns the number of instances of a pool that pending tasks were fitted onto, including those that would be
+    /// created.
     pub(super) fn machines_to_fill(&self, pool: usize) -> u32 {
         self.count_bins(pool, true)
     }
@@ -90,8 +91,8 @@
             .count() as u32
     }
 
-    /// Returns the index of a bin for one more task: an existing bin, searched from index `first` on, or a new one
-    /// from the best offer.
+    /// Returns the index of a bin for one more task: an existing bin, searched from index `first` on, or a new bin
+    /// from the best offer. `None` if no offer allows a new bin.
     fn find_bin(
         &mut self,
         offers: &mut [PoolOffer],
@@ -118,15 +119,15 @@
     resources: Resources,
     /// Number of the job's tasks in each zone: the bound ones, and those fitted so far.
     tasks_per_zone: HashMap<String, u32>,
-    /// Estimated run time of a task in seconds, with its margin.
+    /// Estimated run time of a task in seconds, including a margin for wrong estimates.
     task_s: f64,
     now: f64,
 }
 
 impl BinRequest<'_> {
-    /// Whether a task waits for a spot instance instead of taking an on-demand one of this offer. A task that may
-    /// use spot instances does so as long as it could still meet its deadline on an on-demand instance that is
-    /// created later; a task without a deadline does not wait.
+    /// Whether a task waits for a spot instance instead of taking an on-demand one of this offer. A task that may use
+    /// spot instances waits as long as an on-demand instance that is created now would be up early enough for the
+    /// task's deadline; a task without a deadline does not wait.
     fn waits_for_spot(&self, offer: &PoolOffer) -> bool {
         let boot_time_s = offer.instance_type.boot_time_s;
         self.job.spec.spot
@@ -152,8 +153,9 @@
             && self.tasks_in_zone(zone) < spec.zone_limit()
     }
 
-    /// Returns the index of the offer to create an instance from. It prefers the zone with the fewest replicas if
-    /// the job spreads them, then the lowest price per task.
+    /// Returns the index of the offer to create an instance from; `None` if no offer is suitable. If the job spreads
+    /// its replicas, offers in the zone with the fewest replicas come first; among these, the one with the lowest
+    /// price per task.
     fn best_offer(&self, offers: &[PoolOffer]) -> Option<usize> {
         let replicas = |offer: &PoolOffer| {
             if self.job.spec.spread {
@@ -184,7 +186,7 @@
     }
 }
 
-/// The rate at which running tasks release capacity, and the pending tasks that claim it first.
+/// The rate at which bound tasks release capacity, and how much of that capacity pending tasks have claimed so far.
 struct ReleaseForecast {
     /// CPUs released each second.
     cpus_freed_per_s: f64,
@@ -192,13 +194,13 @@
     margin: f64,
     /// The shortest usual boot time of all pools, in seconds.
     quickest_boot_s: f64,
-    /// CPUs that the tasks considered so far request.
+    /// CPUs that the pending tasks considered so far request, including the one that is being considered.
     cpus_ahead: f64,
 }
 
 impl ReleaseForecast {
-    /// Whether the next task needs no new instance: the workers in use will have capacity for it in time for its
-    /// deadline, or sooner than a new instance would be up.
+    /// Whether the task being considered needs no new instance: the workers in use will have capacity for the task in
+    /// time for its deadline, or sooner than a new instance would be up. Replicas always need capacity now.
     fn serves(&self, request: &BinRequest) -> bool {
         let job = request.job;
         let queue_wait_s =
@@ -291,7 +293,8 @@
     }
 }
 
-/// Fits up to `limit` pending tasks of one job. Returns how many were considered.
+/// Fits up to `limit` pending tasks of one job; stops at the first task for which there is no bin. Returns how many
+/// tasks were considered.
 fn fit_job(
     mut request: BinRequest,
     pending: &PendingDemand,
@@ -301,7 +304,7 @@
     fit: &mut DemandFit,
 ) -> u32 {
     let spec = &request.job.spec;
-    // Bins that have no capacity for one task of the job have none for the next one.
+    // Bins that are not suitable for one task of the job are not suitable for the next one either.
     let mut first = 0;
     for considered in 0..limit {
         forecast.cpus_ahead += spec.cpus;
--- a/src/coordination/leader/scaling/headroom.rs
+++ b/src/coordination/leader/scaling/headroom.rs
@@ -17,7 +17,7 @@
 
 /// The replicas of a zone.
 struct ZoneReplicas {
-    /// Replicas bound in the zone, plus the zone's equal share of the replicas that may be placed now.
+    /// Replicas bound in the zone, plus the replicas that may be placed now, divided equally among all zones.
     count: f64,
     /// What a replica requests on average.
     request: Resources,
@@ -79,7 +79,8 @@
             let pools: Vec<usize> = (0..offers.len())
                 .filter(|i| !offers[*i].key.spot && offers[*i].key.zone == *zone)
                 .collect();
-            // Idle instances are kept first, and those being provisioned or booting that no task needs.
+            // First, idle instances are kept, and instances being provisioned or booting that no pending task was
+            // fitted onto.
             for i in &pools {
                 let fitting = offers[*i].resources().count_fitting(request);
                 let unused = inventories[*i].idle + fit.unused_bins(*i);
@@ -92,8 +93,8 @@
             for i in &pools {
                 let fitting = offers[*i].resources().count_fitting(request);
                 if fitting > 0 && !offers[*i].blocked {
-                    // The number is rounded down: in a small zone, an instance for the remainder would be
-                    // expensive.
+                    // The number of instances is rounded down: in a small zone, another instance for the remaining
+                    // replicas would be expensive.
                     kept[*i] += missing / fitting;
                     missing = 0;
                 }
--- a/src/coordination/leader/scaling/mod.rs
+++ b/src/coordination/leader/scaling/mod.rs
@@ -65,7 +65,8 @@
             .collect()
     }
 
-    /// Consolidates the replicas of each zone, unless replicas wait for capacity.
+    /// Consolidates the replicas of each zone, unless replicas wait for capacity or this leader was elected less than
+    /// a worker lease ago. Zones that are or were recently partitioned are left out.
     fn consolidate_zones(
         &mut self,
         offers: &[PoolOffer],
--- a/src/coordination/leader/scaling/pool.rs
+++ b/src/coordination/leader/scaling/pool.rs
@@ -11,11 +11,11 @@
     pub(super) instance_type: &'a InstanceType,
     /// Price per hour.
     pub(super) price: f64,
-    /// No instances are requested from the pool in this round.
+    /// No instances may be requested from the pool in this round.
     pub(super) blocked: bool,
-    /// Number of instances that may still be requested in this round. It is low after the cloud could not create
-    /// all requested instances, so that most of the demand goes to other pools and does not wait for a second
-    /// rejection.
+    /// Number of instances that may still be requested in this round. The initial number is low after the cloud could
+    /// not create all requested instances of the pool, so that most of the demand goes to other pools and does not
+    /// wait for a second rejection.
     pub(super) remaining: u32,
 }
 
@@ -29,7 +29,8 @@
         self.price / self.instance_type.cpus.max(1.0)
     }
 
-    /// Whether an instance that was first seen at this time and is not up yet is overdue.
+    /// Whether an instance that was first seen at `first_seen_at` and is not up yet is overdue: it no longer counts
+    /// as future capacity.
     pub(super) fn is_overdue(&self, first_seen_at: f64, now: f64) -> bool {
         now - first_seen_at > fleet::BOOT_OVERDUE_FACTOR * self.instance_type.boot_time_s
     }
@@ -98,7 +99,7 @@
         };
         PoolOffer {
             remaining: self.fleet.request_limit(&key),
-            // This controller could not reach new instances in a partitioned zone.
+            // This controller can't reach instances in a partitioned zone, so new ones there would be of no use.
             blocked: self.fleet.is_blocked(&key, now) || self.fleet.is_partitioned(zone, now),
             price,
             key,
@@ -107,7 +108,7 @@
     }
 
     /// Counts a pool's instances and the resources in use on them. Instances that are terminating, announced to be
-    /// reclaimed, or overdue are left out. The needs are left at zero.
+    /// reclaimed, or overdue are left out. `machines_to_fill` and `headroom_machines` are left at zero.
     pub(super) fn pool_inventory(&self, offer: &PoolOffer, now: f64) -> PoolInventory {
         let mut inventory = PoolInventory::default();
         for worker in self.workers.iter() {
--- a/src/coordination/leader/scaling/target.rs
+++ b/src/coordination/leader/scaling/target.rs
@@ -9,7 +9,7 @@
 
 impl Leader {
     /// Measures a pool's load and returns the autoscaler's decision on its target. A decision that differs from the
-    /// last one is logged.
+    /// pool's previous one is logged.
     pub(super) fn set_target(
         &mut self,
         offer: &PoolOffer,
@@ -94,7 +94,8 @@
         }
     }
 
-    /// Requests the instances that a pool lacks, unless the pool is blocked or an earlier request is pending.
+    /// Requests the instances that a pool lacks, unless the pool is blocked or instances from an earlier request are
+    /// still being provisioned.
     pub(super) fn scale_out_pool(
         &mut self,
         offer: &PoolOffer,
@@ -108,8 +109,9 @@
         }
     }
 
-    /// Returns the workers to release from a pool that has more instances than its target. Only workers that have been
-    /// idle for the cooldown are among them, those idle for longest first.
+    /// Returns the workers to release from a pool that has more instances than its target. Only workers that have
+    /// been idle for longer than the cooldown are returned, those idle for longest first. None are returned while the
+    /// pool's zone is partitioned, or was until recently.
     pub(super) fn surplus_workers(
         &self,
         offer: &PoolOffer,
--- a/src/coordination/leader/scheduling.rs
+++ b/src/coordination/leader/scheduling.rs
@@ -1,4 +1,5 @@
-//! Scheduling: decides when a scheduling cycle runs, and turns its assignments into bindings and evictions.
+//! Scheduling: decides when a cycle of the scheduler runs, and turns the resulting assignments into bindings and
+//! evictions.
 
 use super::{AVOID_LEASES, Leader};
 use crate::bookkeeping::jobs::Job;
@@ -9,12 +10,13 @@
 use crate::protocol::job::JobKind;
 use crate::protocol::worker::TaskId;
 
-/// Low bits of an attempt's number, which count the attempts of an epoch; the bits above hold the epoch.
+/// Number of the low bits of an attempt's number, which count the attempts of an epoch; the bits above hold the
+/// epoch.
 const ATTEMPT_COUNTER_BITS: u32 = 24;
 /// No scheduling cycle runs while more log entries than this are not durable.
 const MAX_BACKLOG: usize = 600;
-/// Time without a start after which a job goes ahead of the other jobs of the same priority and quota status, in
-/// units of the worker lease.
+/// Time from its submission after which a job that has not started any task goes ahead of the other jobs of the same
+/// priority and quota status, in units of the worker lease.
 const AGEING_LEASES: f64 = 6.0;
 /// Maximum number of scheduling cycles in a heartbeat interval.
 const CYCLES_PER_HEARTBEAT: f64 = 25.0;
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Requests a cycle, after a change that may allow other assignments.
+    /// Requests a cycle; called after changes that may allow other assignments.
     pub(super) fn request(&mut self) {
         self.is_requested = true;
     }
@@ -57,7 +59,8 @@
 }
 
 impl Leader {
-    /// Runs a scheduling cycle if one is due, unless too many entries wait to be committed.
+    /// Runs a scheduling cycle if one is due, unless the instance types are not known or too many entries wait to be
+    /// committed.
     pub(super) fn run_scheduling_cycle(&mut self, now: f64) {
         if !self.scheduling.is_due(now)
             || self.instance_types.is_empty()
@@ -103,7 +106,8 @@
         }
     }
 
-    /// Binds a task to a worker; the binding takes effect once it is committed.
+    /// Binds a task to a worker; the task is started once the binding is committed. Does nothing if the worker
+    /// already has an attempt of the task.
     fn bind(&mut self, task: &TaskId, name: &str, now: f64) {
         let (Some(worker), Some(job)) = (self.workers.get_mut(name), self.jobs.get_mut(&task.job))
         else {
@@ -145,16 +149,16 @@
 }
 
 /// Returns the attempt number that the bound tasks of a gang share, so that further tasks are bound with the same
-/// number. A gang's tasks can tell by it which of them run together. `None` for other jobs; `None` while no
-/// task of the gang is bound, since the next one then begins a new attempt.
+/// number. A gang is a job whose tasks all run at the same time; they can tell by the number which of them run
+/// together. `None` for other jobs, and while no task of the gang is bound: the next one then begins a new attempt.
 fn gang_attempt(job: &Job) -> Option<u64> {
     let is_bound_gang = job.spec.kind == JobKind::Gang && !job.bound_workers().is_empty();
     job.gang_attempt.filter(|_| is_bound_gang)
 }
 
-/// Returns the share of an instance that a task requests, for its pool's forecast; `None` if the task does not
-/// count in it. These don't count: replicas, which run until they are cancelled; tasks that may use spot
-/// instances but spilled over to an on-demand one; and probes of a crash-looping job.
+/// Returns the share of an instance that a task requests, for its pool's forecast; `None` if the instance type is not
+/// known or the task does not count in the forecast. These don't count: replicas, which run until they are cancelled;
+/// tasks that may use spot instances but spilled over to an on-demand one; and probes of a crash-looping job.
 fn forecast_share(
     job: &Job,
     worker: &Worker,
