--- a/tests/bindings.rs
+++ b/tests/bindings.rs
@@ -1,4 +1,5 @@
-//! The commands that follow from a worker's bindings and its latest heartbeat, and the revocation of starts.
+//! The commands that follow from a worker's bindings and its latest heartbeat, and the revocation of starts. A start
+//! is pending while a message that carries it may still arrive; raising the worker's fence revokes it.
 
 mod common;
 
@@ -9,7 +10,9 @@
 use cedarladder::protocol::worker::{Command, CommandKind, ExitReason, TaskState};
 use common::{binding, freshness, spec, task, task_status, worker};
 
+/// Brings a new worker into the state that a case is about.
 type Setup = fn(&mut Worker);
+/// What happens to a worker after these commands were derived for it.
 type Steps = fn(&mut Worker, &[Command]);
 
 /// Binds attempt 7 of a task to a worker, with a binding that `change` modifies.
@@ -19,7 +22,8 @@
     worker.bindings.insert(task("j-1", 0), binding);
 }
 
-/// Adds an attempt of the task to the worker's latest heartbeat; one that has exited is completed.
+/// Adds an attempt of the task that [`bind`] binds to the worker's latest heartbeat. If its state is `Exited`, its
+/// exit reason is `Completed`.
 fn observe(worker: &mut Worker, attempt: u64, state: TaskState) {
     let task = task("j-1", 0);
     let exit_reason = (state == TaskState::Exited).then_some(ExitReason::Completed);
@@ -177,7 +181,7 @@
             .into_iter()
             .map(|command| (command.kind, command.attempt))
             .collect();
-        assert_eq!(got, expected, "{name}");
+        assert_eq!(got, expected, "{name}: commands with their attempts");
     }
 }
 
@@ -187,9 +191,9 @@
     worker.record_call_outcome(commands, outcome);
 }
 
-/// A duplicate of a direct start may arrive until the worker shows a higher fence, whether or not the call was
-/// answered. A stopped attempt must not be cleared before that: the duplicate would start it again, beside its
-/// successor.
+/// A duplicate of a direct call with a start may arrive until the worker shows a higher fence, whether or not the
+/// call got a response. An attempt that was stopped or rejected must not be cleared before that: the duplicate would
+/// start it again, beside the next attempt of the task.
 #[test]
 fn a_stopped_attempt_is_cleared_only_after_its_starts_are_revoked() {
     use cedarladder::protocol::worker::TaskState::Exited;
@@ -241,9 +245,17 @@
             task.clone(),
             vec![task_status(&task, 7, Exited, Some(cause))],
         );
-        assert_eq!(!commands(&worker, true, 10).is_empty(), cleared, "{name}");
+        assert_eq!(
+            !commands(&worker, true, 10).is_empty(),
+            cleared,
+            "{name}: whether the attempt is cleared before any revocation"
+        );
         let reason = (!cleared).then_some(RevocationReason::Clear);
-        assert_eq!(pending_revocation(&worker), reason, "{name}");
+        assert_eq!(
+            pending_revocation(&worker),
+            reason,
+            "{name}: reason to revoke starts"
+        );
         // Once the worker shows a higher fence, the attempt may be cleared and no pending start is kept.
         assert!(worker.revoke_starts(RevocationReason::Clear));
         assert_eq!(
@@ -262,7 +274,10 @@
             1,
             "{name}: number of commands after the worker shows the raised fence"
         );
-        assert!(worker.pending_starts.is_empty(), "{name}");
+        assert!(
+            worker.pending_starts.is_empty(),
+            "{name}: starts still pending after the worker shows the raised fence"
+        );
     }
 }
 
@@ -270,7 +285,7 @@
 #[derive(Debug, PartialEq)]
 enum PendingMessages {
     None,
-    /// Only duplicates of direct calls that the worker has answered, so that it has processed the start already.
+    /// Only duplicates of direct calls to which the worker has responded; it has processed the start already.
     AnsweredDuplicates,
     /// A start command that the worker may not have processed yet.
     Start,
@@ -380,11 +395,12 @@
             }
             true => PendingMessages::Start,
         };
-        assert_eq!(pending, expected, "{name}");
+        assert_eq!(pending, expected, "{name}: messages that may still arrive");
     }
 }
 
-/// The response to a stop does not show whether the start of the same attempt, still in flight, has arrived.
+/// The response to a stop command does not show whether the start command of the same attempt, whose direct call is
+/// still in flight, has arrived.
 #[test]
 fn an_answered_stop_settles_no_start() {
     let mut worker = worker("h", "a", false);
@@ -394,7 +410,10 @@
     let mut stop = sent.clone();
     stop[0].kind = CommandKind::Stop;
     worker.record_call_outcome(&stop, CallOutcome::Answered);
-    assert!(worker.pending_starts.may_arrive(&task("j-1", 0), 7));
+    assert!(
+        worker.pending_starts.may_arrive(&task("j-1", 0), 7),
+        "start counted as settled by the response to a stop"
+    );
     assert!(
         !worker
             .pending_starts
@@ -414,8 +433,8 @@
             reason,
         });
     }
-    // Each case: what happens after a start was sent in an unanswered direct call, and the reason to revoke it
-    // with its urgency.
+    // Each case: what happens after a start was sent in a direct call without response, the expected reason to revoke
+    // the start, and whether the revocation is urgent.
     type Case = (&'static str, Setup, Option<(RevocationReason, bool)>);
     let cases: [Case; 7] = [
         ("its task is still bound", |_| {}, None),
@@ -470,12 +489,15 @@
         setup(&mut worker);
         let revocation = pending_revocation(&worker);
         let got = revocation.map(|reason| (reason, reason.is_urgent()));
-        assert_eq!(got, expected, "{name}");
+        assert_eq!(
+            got, expected,
+            "{name}: reason to revoke starts, and its urgency"
+        );
     }
 }
 
-/// Pending starts of answered direct calls are kept until the worker shows a higher fence. If too many are kept, they
-/// are revoked, so that they don't accumulate without bound.
+/// Pending starts from direct calls that got a response are kept until the worker shows a higher fence. If too many
+/// are kept, all are revoked, so that they don't accumulate without bound.
 #[test]
 fn pending_starts_are_bounded() {
     let mut worker = worker("h", "a", false);
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -70,7 +70,11 @@
                 None => failures.record_success(),
             }
         }
-        assert_eq!(failures.is_crash_looping(), crash_looping, "{name}");
+        assert_eq!(
+            failures.is_crash_looping(),
+            crash_looping,
+            "{name}: whether the job is crash-looping"
+        );
     }
 }
 
@@ -188,7 +192,7 @@
             (true, false) => Cordoned,
             (false, false) => Healthy,
         };
-        assert_eq!(verdict, expected, "{name}");
+        assert_eq!(verdict, expected, "{name}: verdict on the worker");
     }
 }
 
@@ -196,9 +200,17 @@
 fn probes_of_a_crash_looping_job_back_off() {
     let mut failures = JobFailures::default();
     let waits: Vec<f64> = (0..7).map(|_| failures.next_backoff_s(2.0)).collect();
-    assert_eq!(waits, [2.0, 4.0, 8.0, 16.0, 32.0, 32.0, 32.0]);
+    assert_eq!(
+        waits,
+        [2.0, 4.0, 8.0, 16.0, 32.0, 32.0, 32.0],
+        "back-off in seconds after each probe"
+    );
     failures.record_success();
-    assert_eq!(failures.next_backoff_s(2.0), 2.0);
+    assert_eq!(
+        failures.next_backoff_s(2.0),
+        2.0,
+        "back-off in seconds after a success"
+    );
 }
 
 /// Runs a scheduling cycle with `workers` that are empty, for a job of six tasks that has failed on `failed_on` at
@@ -285,7 +297,11 @@
             .iter()
             .map(|demand| demand.count)
             .sum();
-        assert_eq!((assignments.bindings.len(), unplaced), expected, "{name}");
+        assert_eq!(
+            (assignments.bindings.len(), unplaced),
+            expected,
+            "{name}: numbers of bindings and of tasks that were not placed"
+        );
         for (_, worker) in &assignments.bindings {
             assert!(
                 !none_on.contains(&worker.as_str()),
@@ -313,16 +329,17 @@
     world.counts.failures_per_job.get(&id).copied().unwrap_or(0)
 }
 
-/// Maximum number of probes of a broken job within a minute and a half, including those of a new leader.
+/// Maximum number of probes of a failing job from its submission until it is checked, at most 78 s later, including
+/// the probes by a new leader.
 const MAX_PROBES: u32 = 10;
 
-/// Failures of crash-looping jobs must not get workers with other tasks released. Such a job is probed with one
-/// task at a time, status requests for it are still answered, and it can be cancelled at once.
+/// Failures of crash-looping jobs must not get workers with other tasks released. A crash-looping job is probed with
+/// one task at a time, status requests for the job still get responses, and the job can be cancelled within seconds.
 #[test]
 fn crash_looping_jobs_get_no_busy_worker_released() {
     type Fault = fn(&mut World);
-    // Each case: the number of tasks, whether the job is a service, how often all its tasks may fail before the
-    // job is found to be crash-looping, and a fault of the leader.
+    // Each case: the number of tasks, whether the job is a service, how often each of its tasks may fail before the
+    // job is found to be crash-looping, and a fault that is injected into the leader.
     let cases: [(&str, u32, bool, u32, Fault); 5] = [
         ("an array", 40, false, 1, |_| {}),
         ("an array of one task", 1, false, 3, |_| {}),
@@ -335,12 +352,12 @@
             1,
             |world| {
                 world.run_until(60.0);
-                assert!(world.restart_leader(5.0));
+                assert!(world.restart_leader(5.0), "no leader to restart");
             },
         ),
         ("an array, and the leader pauses", 40, false, 1, |world| {
             world.run_until(60.0);
-            assert!(world.pause_leader(9.0));
+            assert!(world.pause_leader(9.0), "no leader to pause");
         }),
     ];
     for (name, tasks, is_service, full_failures, inject_fault) in cases {
@@ -356,7 +373,7 @@
             assert_eq!(
                 world.unanswered_jobs(10.0),
                 Vec::<&str>::new(),
-                "{name}: users without an answer"
+                "{name}: jobs whose status requests got no response for 10 s"
             );
             for n in 100..104 {
                 let failures = failures_of(&world, n);
@@ -378,7 +395,7 @@
             world.run_until(120.0);
             assert!(
                 world.cancellations_confirmed(108.0, 120.0) >= 4,
-                "{name}: broken jobs not cancelled in time"
+                "{name}: fewer than 4 cancellations of failing jobs confirmed within 12 s"
             );
             world.run_until(260.0);
             world.check(&name);
@@ -386,13 +403,13 @@
     }
 }
 
-/// Faulty workers are released soon, even while other jobs fail on all workers; workers without a fault are
-/// kept.
+/// Faulty workers on which at least three tasks have failed are released within 45 s, even while there are jobs that
+/// fail on all workers; workers without a fault are kept while they run tasks.
 #[test]
 fn faulty_workers_are_quarantined() {
     for broken in [false, true] {
         for controllers in [3, 5] {
-            let name = format!("broken jobs: {broken}, {controllers} controllers");
+            let name = format!("failing jobs: {broken}, {controllers} controllers");
             let mut world = busy_world(22, controllers);
             world.run_until(30.0);
             let faulty: Vec<String> = (0..4)
@@ -405,20 +422,21 @@
                 }
             }
             world.run_until(75.0);
-            // Four tasks fit on a worker, and each of the three broken jobs may fill it once.
+            // The failing jobs add to the limit: four tasks fit on a worker, and each of the three failing jobs may
+            // fill the worker once.
             let most = if broken { 12 + 3 * 4 } else { 12 };
             let mut failed = 0;
-            for machine in &faulty {
-                let failures = world.failures_on(machine);
+            for worker in &faulty {
+                let failures = world.failures_on(worker);
                 failed += u32::from(failures >= 3);
                 assert!(
                     failures <= most,
-                    "{name}: {failures} failures on {machine}, at most {most} expected"
+                    "{name}: {failures} failures on {worker}, at most {most} expected"
                 );
-                let gone = !world.has_instance(machine);
+                let gone = !world.has_instance(worker);
                 assert!(
                     gone || failures < 3,
-                    "{name}: {machine} is not deleted after {failures} failures"
+                    "{name}: {worker} is not deleted after {failures} failures"
                 );
             }
             assert!(
--- a/tests/late_commands.rs
+++ b/tests/late_commands.rs
@@ -1,5 +1,6 @@
 //! Direct calls that arrive long after the leader has stopped waiting for a response. A worker still executes a start
-//! command in them if its token and incarnation match, which may be after the cancellation of the job.
+//! command in such a call if the token is not lower than the highest that the worker has seen and the incarnation is
+//! the worker's own. That may be after the cancellation of the job.
 
 mod world;
 
@@ -10,9 +11,10 @@
 const DELAYS_BEGIN_AT: f64 = 30.0;
 /// When all jobs must have ended, in seconds.
 const END: f64 = 240.0;
-/// For how long starts are delayed, in the shorter and in the longer variant.
+/// For how long starts are delayed, in seconds, in the shorter and in the longer variant. Both are longer than
+/// `CANCEL_S`, the time within which the tasks of a cancelled job must have stopped.
 const DELAYS_S: [f64; 2] = [CANCEL_S + 8.0, 2.0 * CANCEL_S];
-/// A service and a long array, which run throughout the delays.
+/// A service and a long array, which run during all of the delays.
 const SERVICE: u32 = 1;
 const LONG_ARRAY: u32 = 2;
 /// A short array, which ends before the delays begin.
@@ -28,8 +30,9 @@
     world.add_user(LONG_ARRAY, 1.0, (4, 110.0, false, false), None);
 }
 
-/// Begins to delay starts by `delay_s`, or only duplicates of them, for three seconds; submits arrays and services
-/// meanwhile, and cancels each of them within two seconds.
+/// Delays the starts that are sent in the next three seconds by `delay_s`; if `copies_only`, delivers them in time,
+/// and duplicates of them with the delay. Submits arrays and services meanwhile, and cancels each of them within two
+/// seconds.
 fn submit_cancelled_jobs(world: &mut World, delay_s: f64, copies_only: bool) {
     world.delayed_commands = DelayedCommands {
         until: DELAYS_BEGIN_AT + 3.0,
@@ -44,7 +47,8 @@
     }
 }
 
-/// Creates a world in which starts, or only duplicates of them, begin to be delayed by the shorter time.
+/// Creates a world with steady jobs and runs it until starts, or only duplicates of them, begin to be delayed by the
+/// shorter time. Submits the jobs that are cancelled.
 fn with_delayed_starts(seed: u64, copies_only: bool) -> World {
     let mut world = World::new(seed);
     submit_steady_jobs(&mut world);
@@ -53,16 +57,17 @@
     world
 }
 
-fn surviving_attempts(world: &World) -> (BTreeMap<String, u64>, BTreeMap<String, u64>) {
+/// Returns the running attempts of the service and of the long array.
+fn attempts_of_steady_jobs(world: &World) -> (BTreeMap<String, u64>, BTreeMap<String, u64>) {
     (
         world.running_attempts_of(SERVICE),
         world.running_attempts_of(LONG_ARRAY),
     )
 }
 
-/// Starts that were delayed for longer than `cancel_s` arrive at workers that have received responses to their
-/// heartbeats all the time, so that no lease has expired. No task of a cancelled job may run then, and other tasks
-/// must not be disturbed.
+/// Starts that were delayed for longer than `CANCEL_S` arrive at workers that have received responses to all their
+/// heartbeats, so that no lease has expired. No task of a cancelled job may run then, and other tasks must not be
+/// disturbed.
 #[test]
 fn starts_delayed_beyond_the_cancellation() {
     for (seed, variant) in [(1, 0), (2, 1), (3, 0), (4, 1), (5, 0), (6, 1)] {
@@ -70,8 +75,12 @@
         let mut world = World::new(seed);
         submit_steady_jobs(&mut world);
         world.run_until(DELAYS_BEGIN_AT);
-        let before = surviving_attempts(&world);
-        assert_eq!((before.0.len(), before.1.len()), (4, 4), "{name}");
+        let before = attempts_of_steady_jobs(&world);
+        assert_eq!(
+            (before.0.len(), before.1.len()),
+            (4, 4),
+            "{name}: running tasks of the service and the long array before the delays"
+        );
         submit_cancelled_jobs(&mut world, DELAYS_S[variant], false);
         world.run_until(DELAYS_BEGIN_AT + DELAYS_S[variant] + 10.0);
         assert!(
@@ -86,13 +95,26 @@
             world.counts.tasks_begun_past_cancellation, 0,
             "{name}: tasks of cancelled jobs started after they had to be stopped"
         );
-        assert_eq!(world.violations, Vec::<String>::new(), "{name}");
-        assert_eq!(surviving_attempts(&world), before, "{name}");
-        assert_eq!(world.workers_with_new_incarnation(), 0, "{name}");
+        assert_eq!(
+            world.violations,
+            Vec::<String>::new(),
+            "{name}: invariants violated"
+        );
+        assert_eq!(
+            attempts_of_steady_jobs(&world),
+            before,
+            "{name}: attempts of the steady jobs changed"
+        );
+        assert_eq!(
+            world.workers_with_new_incarnation(),
+            0,
+            "{name}: workers that began a new incarnation"
+        );
     }
 }
 
-/// The leader restarts while starts are delayed: its commands arrive when the workers have seen a higher token.
+/// The leader restarts while starts that it has sent are delayed: they arrive after the workers have seen the higher
+/// token of the next leader.
 #[test]
 fn starts_delayed_beyond_a_change_of_leader() {
     for seed in 1..5 {
@@ -100,7 +122,10 @@
         let mut world = with_delayed_starts(seed, false);
         world.run_until(DELAYS_BEGIN_AT + 3.0);
         let leader_changes = world.leader_changes();
-        assert!(world.restart_leader(LEASE_S), "{name}");
+        assert!(
+            world.restart_leader(LEASE_S),
+            "{name}: no leader to restart"
+        );
         world.run_until(END);
         assert!(
             world.leader_changes() > leader_changes,
@@ -134,8 +159,9 @@
     }
 }
 
-/// Starts are delayed to workers that can't reach any controller, and to workers that no response or command
-/// reaches. The leader can't revoke these starts there; the workers' leases limit for how long they can be executed.
+/// Starts are delayed to workers that can't reach any controller, and to workers that no response or command reaches.
+/// The leader can't revoke the starts on these workers, but the workers' leases expire, and they execute no start for
+/// an earlier incarnation.
 #[test]
 fn starts_delayed_to_unreachable_workers() {
     for seed in 1..5 {
--- a/tests/permits.rs
+++ b/tests/permits.rs
@@ -1,4 +1,5 @@
-//! Permits: which actions the age of the view allows, the reason of each denial, and the check of invariants.
+//! Permits: which actions the age of the view (what the controller knows of the open jobs) and of the leader's lease
+//! allow, the reason of each denial, and the check of invariants.
 
 mod common;
 
@@ -6,8 +7,9 @@
 use cedarladder::bookkeeping::permits::{Denial, ViewFreshness};
 use common::freshness;
 
-/// A view allows starts for 4 s and lease renewals for the lease grace period of 10 s. Each case: what differs
-/// from a leader whose lease and view have just been confirmed, the denial of starts, and the denial of renewals.
+/// A view allows starts until it is 4 s old, and lease renewals until it is older than the lease grace period of 10
+/// s. Each case: what differs from a leader whose lease and view have just been confirmed, the expected denial of
+/// starts, and the expected denial of renewals; `None` if they are permitted.
 #[test]
 fn starts_and_renewals_are_permitted_by_the_freshness_of_the_view() {
     type Case = (
@@ -61,13 +63,21 @@
     for (name, change, start, renew) in cases {
         let mut freshness = freshness();
         change(&mut freshness);
-        assert_eq!(freshness.may_start().err(), start, "{name}: start");
-        assert_eq!(freshness.may_renew().err(), renew, "{name}: renew");
+        assert_eq!(
+            freshness.may_start().err(),
+            start,
+            "{name}: denial of starts"
+        );
+        assert_eq!(
+            freshness.may_renew().err(),
+            renew,
+            "{name}: denial of lease renewals"
+        );
     }
 }
 
-/// An action is allowed if its invariant holds, and refused otherwise. Builds with debug assertions, such as this
-/// one, panic on a violation.
+/// An action is allowed if its invariant holds, and refused otherwise. Builds with debug assertions panic on a
+/// violation instead.
 #[test]
 #[cfg_attr(
     debug_assertions,
--- a/tests/worker_heartbeats.rs
+++ b/tests/worker_heartbeats.rs
@@ -22,7 +22,7 @@
 
 const EPOCH: u64 = 10;
 
-/// A leader that has completed its recovery and found no records.
+/// Creates a leader that has completed its recovery and found no records.
 fn recovered_leader() -> Leader {
     let mut leader = recovering_leader();
     for _ in 0..3 {
@@ -40,7 +40,7 @@
     leader
 }
 
-/// A leader that has not read any record yet.
+/// Creates a leader that has not read any record yet.
 fn recovering_leader() -> Leader {
     let settings = Rc::new(Settings::parse(include_str!("world/settings.toml")).expect("settings"));
     let policy = Rc::new(Policy::built_in(&settings));
@@ -71,7 +71,7 @@
     }
 }
 
-/// The outcome 200 with these commands and the leader's token.
+/// Returns the outcome for a response with status 200, which carries these commands and the leader's token.
 fn ok_with(commands: Vec<Command>) -> HeartbeatOutcome {
     HeartbeatOutcome::Commands(CommandBatch {
         token: FencingToken::new(EPOCH, 0),
@@ -84,7 +84,7 @@
 /// second 30.
 #[test]
 fn only_new_heartbeats_of_this_epoch_show_that_responses_arrive() {
-    // Each case: heartbeats with the times at which they arrive, and the seconds without contact.
+    // Each case: heartbeats with the seconds at which they arrive, and the expected time without contact in seconds.
     type Case = (&'static str, Vec<(f64, WorkerHeartbeat)>, f64);
     let cases: Vec<Case> = vec![
         (
@@ -137,9 +137,13 @@
         let mut leader = recovered_leader();
         for (at, heartbeat) in heartbeats {
             let got = leader.on_heartbeat(&heartbeat, &freshness(), |_| true, at);
-            assert_eq!(got, ok_with(Vec::new()), "{name}");
+            assert_eq!(got, ok_with(Vec::new()), "{name}: response at second {at}");
         }
-        assert_eq!(leader.worker_contact_lost_s(30.0), lost_s, "{name}");
+        assert_eq!(
+            leader.worker_contact_lost_s(30.0),
+            lost_s,
+            "{name}: seconds without contact"
+        );
     }
 }
 
@@ -156,7 +160,7 @@
         assert_eq!(
             outcome == HeartbeatOutcome::NewerLeaderExists,
             expected,
-            "{name}"
+            "{name}: whether the worker is redirected"
         );
     }
 }
@@ -236,7 +240,7 @@
         } else {
             HeartbeatOutcome::LeaseNotRenewed
         };
-        assert_eq!(got, expected, "{name}");
+        assert_eq!(got, expected, "{name}: response to the heartbeat");
     }
     // After recovery, tasks of jobs that are not open are stopped by a command in the response that renews
     // the lease.
@@ -249,11 +253,15 @@
         attempt: 7,
         grace_s: Some(0.0),
     };
-    assert_eq!(got, ok_with(vec![stop]));
+    assert_eq!(
+        got,
+        ok_with(vec![stop]),
+        "response to a heartbeat with a task of a job that is not open"
+    );
 }
 
 /// A log segment of a higher epoch than the leader's should not exist. If one does, its bindings are kept all the
-/// same, so that no task is stopped or started twice because of it.
+/// same, so that no task is stopped or started a second time because of the segment.
 #[test]
 fn bindings_in_a_segment_of_a_later_epoch_are_kept() {
     let page = |key: &str, value: Value| {
@@ -299,5 +307,9 @@
         exit_reason: None,
     }];
     let got = leader.on_heartbeat(&heartbeat, &freshness(), |_| true, 1.0);
-    assert_eq!(got, ok_with(Vec::new()), "the bound task is not stopped");
+    assert_eq!(
+        got,
+        ok_with(Vec::new()),
+        "response to a heartbeat that shows the bound task running"
+    );
 }
