--- a/src/coordination/leader/consolidation.rs
+++ b/src/coordination/leader/consolidation.rs
@@ -7,9 +7,10 @@
 const MAX_SPARSE_SHARE: f64 = 0.5;
 
 impl Leader {
-    /// Drains one sparsely used on-demand worker of a zone that runs only replicas, if the zone's other on-demand
-    /// workers in use have room for these and for `headroom_replicas` more. `request` is what one replica requests on
-    /// average. Workers that have become empty are no longer marked as draining.
+    /// Drains the least used on-demand worker of a zone among those on which all tasks are running replicas, if it is
+    /// sparsely used and the zone's other on-demand workers in use have room for its replicas and for
+    /// `headroom_replicas` more. `request` is what one replica requests on average. Workers that have become empty
+    /// are no longer marked as draining.
     pub(super) fn consolidate(&mut self, zone: &str, headroom_replicas: u32, request: &Resources) {
         for worker in self.workers.iter_mut() {
             worker.draining &= !worker.bindings.is_empty();
--- a/src/coordination/leader/fencing.rs
+++ b/src/coordination/leader/fencing.rs
@@ -1,7 +1,7 @@
 //! Fencing of messages to workers, in direct calls and in responses to heartbeats. Each message carries a fencing
 //! token, which consists of the leader's epoch and the worker's fence. A worker executes no command with a token
-//! below the highest it has seen, so raising its fence revokes start commands that were sent before. Each command
-//! is also checked against [`invariants`] before it is sent.
+//! below the highest it has seen, so raising the worker's fence revokes start commands that were sent to it before.
+//! Each command is also checked against [`invariants`] before it is sent.
 
 use super::Leader;
 use super::fleet::ScaleInReason;
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -204,7 +204,7 @@
 /// Handles a heartbeat that is not newer than the newest one known: a duplicate, or a request that was overtaken by a
 /// heartbeat in the response to a direct call. If it is a request and the worker still waits for the response, the
 /// response renews the worker's lease from the time at which the worker sent the request. That time is before the
-/// newest heartbeat arrived, so the lease counts as renewed then.
+/// newest heartbeat arrived, so the lease counts as renewed at the time of that arrival.
 fn renew_by_late_heartbeat(worker: &mut Worker, path: HeartbeatPath) {
     if let (HeartbeatPath::Request, Some(last)) = (path, worker.last_heartbeat_at) {
         worker.lease_renewed_at = worker.lease_renewed_at.max(last);
--- a/src/coordination/leader/jobs.rs
+++ b/src/coordination/leader/jobs.rs
@@ -64,7 +64,7 @@
     }
 
     /// Revokes start commands that may still arrive for completed tasks of a job that has ended. The job may have
-    /// been cancelled, and then none of its tasks may be started again, even if it would exit at once.
+    /// been cancelled, and then no task of the job may be started again, even one that would exit at once.
     fn revoke_duplicate_starts(&mut self, job: &Job) {
         for name in &job.workers_with_duplicate_starts {
             if let Some(worker) = self.workers.get_mut(name) {
@@ -93,9 +93,9 @@
         self.scheduling.request();
     }
 
-    /// Handles jobs as closed that are missing from a listing of the open jobs at this revision and were opened no
-    /// later. The records that the leader has read may be older than the listing; for a job that was closed after its
-    /// record was read and before the listing, the watch delivers no event.
+    /// Handles as closed the jobs that are missing from a listing of the open jobs at this revision and were opened
+    /// at that revision or before. The records that the leader has read may be older than the listing; for a job that
+    /// was closed after its record was read and before the listing, the watch delivers no event.
     pub fn on_open_jobs_listed(&mut self, revision: u64, listed: BTreeSet<String>) {
         let closed: Vec<String> = self
             .jobs
--- a/src/coordination/leader/leases.rs
+++ b/src/coordination/leader/leases.rs
@@ -1,6 +1,7 @@
-//! Lease tracking: until when an earlier leader may have renewed worker leases, when a worker's lease has
-//! expired for certain, and for how long this leader has had no contact with any worker. All times are
-//! monotonic, in seconds.
+//! Lease tracking: until when an earlier leader may have renewed worker leases, when a worker's lease has expired for
+//! certain, and for how long this leader has had no contact with any worker. A worker stops all its tasks when its
+//! lease expires, unless a response to one of its heartbeats has renewed the lease before. All times are monotonic,
+//! in seconds.
 
 use crate::bookkeeping::workers::{Worker, Workers};
 use crate::settings::{MAX_CLOCK_DRIFT, Settings};
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -12,7 +12,7 @@
 //!   commands in them
 //! - `jobs`: handles jobs that are opened, closed or finished
 //! - `scheduling`: runs cycles of the scheduler, and creates the bindings that follow
-//! - `binding_reconciliation`: compares bindings with the tasks that workers report; `bindings`: ends bindings
+//! - `binding_reconciliation`: compares bindings with the tasks that heartbeats list; `bindings`: ends bindings
 //! - `failure_attribution`: decides whether a failed task is the fault of its worker or of its job;
 //!   `failure_detection`: finds failed workers, which are then released, and partitioned zones
 //! - `fleet`: provisions and deletes instances; `scaling`: decides how many are needed; `consolidation`: moves
--- a/src/coordination/leader/scaling/demand.rs
+++ b/src/coordination/leader/scaling/demand.rs
@@ -127,7 +127,7 @@
 impl BinRequest<'_> {
     /// Whether a task waits for a spot instance instead of taking an on-demand one of this offer. A task that may use
     /// spot instances waits as long as an on-demand instance that is created now would be up early enough for the
-    /// task's deadline; a task without a deadline does not wait.
+    /// task to meet its deadline; a task without a deadline does not wait.
     fn waits_for_spot(&self, offer: &PoolOffer) -> bool {
         let boot_time_s = offer.instance_type.boot_time_s;
         self.job.spec.spot
--- a/src/coordination/leader/scaling/headroom.rs
+++ b/src/coordination/leader/scaling/headroom.rs
@@ -17,7 +17,8 @@
 
 /// The replicas of a zone.
 struct ZoneReplicas {
-    /// Replicas bound in the zone, plus the replicas that may be placed now, divided equally among all zones.
+    /// Number of replicas that are bound in the zone, plus an equal share for each zone of the replicas that may be
+    /// placed now.
     count: f64,
     /// What a replica requests on average.
     request: Resources,
@@ -103,8 +104,8 @@
         kept
     }
 
-    /// Returns how many of the headroom's replicas don't fit onto the on-demand workers in use. Capacity that
-    /// tasks other than replicas use counts as free, since these can be preempted.
+    /// Returns how many of the headroom's replicas don't fit onto the on-demand workers in use. Capacity that other
+    /// tasks than replicas use counts as free, since those tasks can be preempted.
     fn replicas_beyond_workers(
         &self,
         offers: &[PoolOffer],
