--- a/src/coordination/leader/scaling/target.rs
+++ b/src/coordination/leader/scaling/target.rs
@@ -27,7 +27,7 @@
             busy = inventory.busy,
             used = inventory.allocated.dominant_share(&offer.resources()),
             ?load,
-            "pool load measured"
+            "pool"
         );
         let pool = self.fleet.pools.entry(offer.key.clone()).or_default();
         if pool.last_decision != Some(decision) {
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -426,17 +426,17 @@
             // fill the worker once.
             let most = if broken { 12 + 3 * 4 } else { 12 };
             let mut failed = 0;
-            for worker in &faulty {
-                let failures = world.failures_on(worker);
+            for faulty_worker in &faulty {
+                let failures = world.failures_on(faulty_worker);
                 failed += u32::from(failures >= 3);
                 assert!(
                     failures <= most,
-                    "{name}: {failures} failures on {worker}, at most {most} expected"
+                    "{name}: {failures} failures on {faulty_worker}, at most {most} expected"
                 );
-                let gone = !world.has_instance(worker);
+                let gone = !world.has_instance(faulty_worker);
                 assert!(
                     gone || failures < 3,
-                    "{name}: {worker} is not deleted after {failures} failures"
+                    "{name}: {faulty_worker} is not deleted after {failures} failures"
                 );
             }
             assert!(
