--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -39,8 +39,8 @@
 use std::rc::Rc;
 use write_budget::WriteBudget;
 
-/// Number of watch requests on the open jobs per heartbeat interval. A request that returns no changes ends
-/// after this part of the interval, and the view of the open jobs may be out of date by as much.
+/// Number of watch requests on the open jobs per heartbeat interval. Each waits for changes for the heartbeat
+/// interval divided by this number. Until it returns, the view of the open jobs is not confirmed to be current.
 const WATCHES_PER_HEARTBEAT: f64 = 4.0;
 /// Timeout of requests to the state service, in heartbeat intervals of workers.
 const REQUEST_TIMEOUT_HEARTBEATS: f64 = 0.5;
@@ -126,7 +126,8 @@
         std::mem::take(&mut self.effects.queue)
     }
 
-    /// Whether this controller leads, including during the lease grace period.
+    /// Whether this controller leads. After failed renewals of its lease it still does so for the lease grace period
+    /// (see [`ElectionTimeouts::new`]).
     pub fn is_leader(&self) -> bool {
         self.leader.is_some()
     }
--- a/src/coordination/effects.rs
+++ b/src/coordination/effects.rs
@@ -29,7 +29,7 @@
         /// Seconds for the `Retry-After` header.
         retry_after_s: Option<u32>,
     },
-    /// Call the state service.
+    /// Send a request to the state service.
     CallKv {
         /// Correlation id for the response.
         correlation_id: CorrelationId,
@@ -38,7 +38,7 @@
         /// Seconds without a response after which the outcome is treated as unknown.
         timeout_s: f64,
     },
-    /// Call the cloud.
+    /// Send a request to the API of the cloud provider.
     CallCloud {
         /// Correlation id for the response.
         correlation_id: CorrelationId,
@@ -47,7 +47,7 @@
         /// Seconds without a response after which the outcome is treated as unknown.
         timeout_s: f64,
     },
-    /// Call a worker.
+    /// Send commands to a worker directly, rather than in the response to its next heartbeat.
     CallWorker {
         /// Correlation id for the response.
         correlation_id: CorrelationId,
--- a/src/coordination/job_api/batches.rs
+++ b/src/coordination/job_api/batches.rs
@@ -5,13 +5,14 @@
 use crate::protocol::kv::KvResponse;
 use std::collections::HashMap;
 
-/// Maximum number of transactions of one kind in flight.
+/// Maximum number of transactions in flight, counted separately for revision checks and for job writes.
 const MAX_BATCHES_IN_FLIGHT: usize = 6;
 /// Fraction of the request timeout after which the next transaction is sent although the previous one has not been
 /// answered. This keeps requests moving while the state service is slow.
 const SLOW_RESPONSE_SHARE: f64 = 1.0 / 50.0;
 
-/// Transactions of one kind in flight, with the user requests that each of them serves.
+/// Transactions in flight, with the user requests that each of them serves. Revision checks and job writes are kept
+/// in separate instances.
 #[derive(Debug, Default)]
 pub(super) struct InFlightBatches {
     last_id: u64,
--- a/src/coordination/job_api/lookups.rs
+++ b/src/coordination/job_api/lookups.rs
@@ -54,7 +54,7 @@
 /// State of a lookup after the response to one of its reads.
 #[derive(Debug)]
 pub(super) enum LookupProgress {
-    /// The next key is being read, or there is no such lookup.
+    /// No request can be answered now: either the next key is being read, or no lookup of this job is in progress.
     Pending,
     /// The result is older than an update received meanwhile. The requests wait for another lookup.
     Requeued,
--- a/src/coordination/job_api/mod.rs
+++ b/src/coordination/job_api/mod.rs
@@ -502,7 +502,8 @@
     }
 }
 
-/// Burst of a rate limit: the volume of one second, as the state service allows, but at least [`MIN_BURST`].
+/// Burst of a rate limit. The state service accepts bursts of up to one second's worth of its rate, so this is also
+/// the burst here, but at least [`MIN_BURST`].
 fn burst_size(per_s: f64) -> f64 {
     per_s.max(MIN_BURST)
 }
--- a/src/coordination/job_api/open_jobs.rs
+++ b/src/coordination/job_api/open_jobs.rs
@@ -55,8 +55,8 @@
         tracked.filter(|tracked| tracked.progress.is_some()).count()
     }
 
-    /// Ids of the jobs that were opened at or before `revision`, in order. A complete listing at that revision
-    /// contains all of them that are still open.
+    /// Ids of the jobs that were opened at or before `revision`, sorted by id. If a complete listing at that revision
+    /// lacks one of them, that job has been closed.
     pub fn ids_opened_up_to(&self, revision: u64) -> impl Iterator<Item = &str> {
         self.jobs
             .iter()
--- a/src/coordination/job_api/terminal_states.rs
+++ b/src/coordination/job_api/terminal_states.rs
@@ -15,7 +15,8 @@
     order: VecDeque<String>,
     /// Jobs that this controller has finished or aborted, to be announced to the peers.
     unannounced: Vec<Termination>,
-    /// Jobs whose states were recorded recently, for the leader if it runs on this controller.
+    /// Jobs whose states were recorded since the last call of `take_newly_finished`. If this controller leads, it
+    /// closes these jobs in its tables.
     newly_finished: Vec<String>,
 }
 
--- a/src/coordination/routes.rs
+++ b/src/coordination/routes.rs
@@ -20,7 +20,7 @@
 /// Why a request matches no route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum RouteError {
-    /// The path is unknown.
+    /// No route has this path, whatever the method.
     #[error("no such path")]
     NoSuchPath,
     /// The path does not support this method.
--- a/src/coordination/terminations.rs
+++ b/src/coordination/terminations.rs
@@ -3,7 +3,8 @@
 //! A leader that the state service does not serve learns of cancellations only in this way. Correctness does not depend
 //! on it: a leader that misses a cancellation stops renewing workers' leases in time (see
 //! [`ElectionTimeouts::lease_grace_s`](super::election::ElectionTimeouts::lease_grace_s)). Therefore the queue may drop
-//! terminations that are older than any task of a cancelled job can be, and the oldest ones if there are too many.
+//! terminations after `retention_s`, by when all tasks of a cancelled job must have stopped, and the oldest ones if
+//! there are too many.
 
 use crate::protocol::peer::{MAX_TERMINATIONS, Termination, TerminationAck, TerminationLog};
 use std::collections::{BTreeMap, VecDeque};
--- a/src/coordination/watch.rs
+++ b/src/coordination/watch.rs
@@ -49,13 +49,14 @@
     current_as_of: f64,
 }
 
-/// A watch is caught up if it was current at most this many waits and one request timeout ago.
+/// A watch counts as caught up if it was current no longer ago than this many times `wait_s` plus one request timeout.
 const CAUGHT_UP_WAITS: f64 = 2.0;
 
 /// After an unusable response, the watch retries after the request timeout divided by this.
 const RETRIES_PER_TIMEOUT: f64 = 4.0;
 
-/// Maximum number of keys in a listing. A listing with more keys ends here as incomplete, to bound memory.
+/// Maximum number of keys in a listing, to bound memory. Once a listing has so many keys, no more pages are read, and
+/// it counts as incomplete.
 const MAX_ITEMS: usize = 50_000;
 
 impl Watch {
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -10,7 +10,8 @@
 use cedarladder::settings::WorkerSettings;
 
 const LEASE_S: f64 = 10.0;
-/// `cancel_s` minus a worker's lease, measured by the slower of two clocks, and minus half a heartbeat interval.
+/// The expected lease grace period for [`workers`]: `cancel_s` minus a worker's lease, measured by the slower of two
+/// clocks, and minus half a heartbeat interval.
 const LEASE_GRACE_S: f64 = 18.98;
 
 fn workers() -> WorkerSettings {
@@ -294,8 +295,8 @@
 }
 
 /// If another controller is elected while this one's lease is being granted, this one must not replace the key.
-/// Using the latest observed mod revision in the transaction, whoever owned the key, replaced a leader that had been
-/// elected a few milliseconds earlier.
+/// An earlier version used the latest observed mod revision in the transaction, whoever owned the key. It replaced a
+/// leader that had been elected a few milliseconds earlier.
 #[test]
 fn a_leader_elected_during_the_lease_grant_is_not_replaced() {
     let mut harness = Harness::new();
--- a/tests/job_api.rs
+++ b/tests/job_api.rs
@@ -162,7 +162,10 @@
             let (status, body) = serve_until_response(&mut job_api, &mut effects, stored);
             let name = format!("{request}, job {stored:?}, controller's view {view:?}");
             assert_eq!(status, expected_status, "{name}: {body}");
-            assert!(body.contains(expected_text), "{name}: {body}");
+            assert!(
+                body.contains(expected_text),
+                "{name}: expected {expected_text:?} in {body}"
+            );
         }
     }
 }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -123,13 +123,20 @@
             "{name}: {} requests without a response",
             unanswered.len()
         );
-        assert!(accepted > 20, "{name}: {accepted} accepted");
-        // Five seconds, one second's worth of burst, and a last transaction that may exceed the available budget.
+        assert!(
+            accepted > 20,
+            "{name}: {accepted} submissions accepted, expected more than 20"
+        );
+        // The test runs for five seconds. Another second's worth may be sent as the initial burst, and one more because
+        // a transaction may put the budget into debt by up to a burst.
         assert!(
             f64::from(calls) <= 7.0 * limits.rps,
-            "{name}: {calls} calls"
+            "{name}: {calls} requests sent, which exceeds the rate limit"
+        );
+        assert!(
+            writes as f64 <= 7.0 * write_rps,
+            "{name}: {writes} writes sent, which exceeds the limit of {write_rps} per second"
         );
-        assert!(writes as f64 <= 7.0 * write_rps, "{name}: {writes} writes");
     }
 }
 
@@ -233,7 +240,7 @@
                         assert_eq!(status, 200, "finished: {is_finished}, at {now} s");
                         assert!(
                             now - sent_at < 1.0,
-                            "{} s, finished: {is_finished}",
+                            "poll took {} s, expected less than 1 s (finished job: {is_finished})",
                             now - sent_at
                         );
                     }
@@ -251,7 +258,11 @@
             "{} requests without a response",
             unanswered.len()
         );
-        assert_eq!(lookups == 0, announced_by_peer, "{lookups} lookups");
+        assert_eq!(
+            lookups == 0,
+            announced_by_peer,
+            "{lookups} lookups, terminations announced by a peer: {announced_by_peer}"
+        );
     }
 }
 
@@ -436,14 +447,20 @@
                 }
             }
         }
-        assert!(writes <= max_writes, "{name}: {writes} writes");
+        assert!(
+            writes <= max_writes,
+            "{name}: {writes} writes sent, expected at most {max_writes}"
+        );
         if others[0].is_some() {
             assert!(
                 unanswered.len() <= 1,
-                "{name}: {} submissions without a response",
+                "{name}: {} submissions without a response, expected at most one",
                 unanswered.len()
             );
-            assert!(slowest_s < 0.1, "{name}: {slowest_s} s");
+            assert!(
+                slowest_s < 0.1,
+                "{name}: slowest response after {slowest_s} s, expected less than 0.1 s"
+            );
         }
     }
 }
--- a/tests/stale_records.rs
+++ b/tests/stale_records.rs
@@ -2,10 +2,10 @@
 //!
 //! A controller learns that a job has ended from its own transaction, from a peer or from a failed comparison, often
 //! long before the watch reports it. A paged listing that began before the end, or a late response to the controller's
-//! own submission, still contains the record of the open job. Such a record reopened the job in the leader's tables
-//! with no bound and no completed tasks. All its tasks counted as pending, urgent ones preempted other tasks, and
-//! instances were rented for them. When a remaining binding of the job ended, the number of running tasks was
-//! decremented below zero, which panicked.
+//! own submission, still contains the record of the open job. In an earlier version such a record reopened the job in
+//! the leader's tables with no bound and no completed tasks. All its tasks counted as pending, urgent ones preempted
+//! other tasks, and instances were rented for them. When a remaining binding of the job ended, the number of running
+//! tasks was decremented below zero, which panicked.
 //!
 //! Log of such a failure, from the simulation in `tests/determinism.rs` (seed 2, controller 2 leads):
 //!
@@ -106,7 +106,7 @@
     )
 }
 
-/// Describes what the controller does as if the ended job were open.
+/// Lists the signs that the controller treats the ended job as open, as texts for the failure message.
 fn signs_of_reopening(harness: &mut Harness) -> Vec<String> {
     let mut found = Vec::new();
     if harness
@@ -279,7 +279,10 @@
         harness.release(HeldResponses::OpenJobWatches);
         harness.run_for(8.0);
         let status = harness.answer(submission).map(|(status, _)| status);
-        assert!(matches!(status, Some(200 | 201)), "{name}: {status:?}");
+        assert!(
+            matches!(status, Some(200 | 201)),
+            "{name}: submission answered with {status:?}, expected 200 or 201"
+        );
         signs_of_reopening(&mut harness)
     });
     assert_eq!(failing, []);
--- a/tests/stale_updates.rs
+++ b/tests/stale_updates.rs
@@ -1,7 +1,7 @@
 //! Stale updates must not change newer state. This file has the cases that concern neither records of closed jobs (see
 //! `tests/stale_records.rs`) nor the `leader` key (see `tests/late_leader_records.rs`).
 //!
-//! The tests guard against these failures:
+//! The tests guard against these failures of earlier versions:
 //!
 //! - A lookup that found no keys removed a job that the watch had added in the meantime, and left its progress in
 //!   memory for ever.
@@ -47,8 +47,8 @@
     assert_eq!(mod_revision, Some(7));
 }
 
-/// Lookups of unknown ids and cancelled jobs must not leave entries in memory, apart from the bounded list of closed
-/// jobs.
+/// Neither lookups of unknown ids nor jobs that were cancelled may leave entries in memory, apart from the bounded list
+/// of closed jobs.
 #[test]
 fn unknown_and_cancelled_jobs_leave_no_entries() {
     let (mut job_api, mut effects) = (job_api(), Effects::default());
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -1,9 +1,9 @@
 //! A watch must ignore inconsistent responses of the state service and log an error.
 //!
-//! Two failures are guarded against. An incomplete listing (of more than 50,000 keys, or with an empty page that
-//! announces more) counted as complete, so all jobs missing from it were closed and their tasks evicted. And revisions
-//! were not checked, so a state service that was restored from an older state, or a proxy that served one, could reopen
-//! jobs that had ended.
+//! The tests guard against two failures of an earlier version. It treated an incomplete listing (of more than 50,000
+//! keys, or with an empty page that announces more) as complete, closed all jobs missing from it and evicted their
+//! tasks. And it did not check revisions, so a state service that was restored from an older state, or a proxy that
+//! served one, could reopen jobs that had ended.
 
 use cedarladder::coordination::effects::KvRequestContext;
 use cedarladder::coordination::watch::{Watch, WatchUpdate};
@@ -159,7 +159,10 @@
     );
     let updates = watch.on_response(page(Vec::new(), true, 9), 0.6, 0.7);
     assert_eq!(job_numbers(&updates), [1]);
-    assert!(!is_complete(&updates), "an empty page that announces more");
+    assert!(
+        !is_complete(&updates),
+        "an empty page that announces more must not complete a listing"
+    );
     watch.on_response(KvResponse::Compacted, 0.8, 0.9);
     let mut updates = Vec::new();
     for n in 0..60 {
@@ -170,5 +173,8 @@
         }
     }
     assert_eq!(job_numbers(&updates).len(), 50_000);
-    assert!(!is_complete(&updates), "too many keys");
+    assert!(
+        !is_complete(&updates),
+        "a listing with too many keys must not count as complete"
+    );
 }
