--- a/src/coordination/rate_meter.rs
+++ b/src/coordination/rate_meter.rs
@@ -2,30 +2,30 @@
 
 use std::collections::VecDeque;
 
-/// Maximum number of events that a meter keeps; beyond it the oldest are dropped.
+/// Maximum number of events that a meter keeps. When another event is added, the oldest is dropped.
 const MAX_EVENTS: usize = 4096;
 /// Number of windows for which events are kept: the current one and, for the trend, the one before it.
 const WINDOWS_KEPT: f64 = 2.0;
-/// Shortest time span over which a rate is computed, in seconds.
+/// Shortest time span over which a rate is computed, in seconds. Applies when counting has just begun.
 const MIN_SPAN_S: f64 = 1.0;
 /// Lower bound of a forecast, as a share of the current rate.
 const MIN_FORECAST_SHARE: f64 = 0.5;
 
-/// An event with its time, in seconds, and its weight.
+/// An event with its time, in seconds, and its weight in the rate.
 #[derive(Debug, Clone, Copy)]
 struct Event {
     at: f64,
     weight: f64,
 }
 
-/// Adds up the weights of events over a sliding window.
+/// Keeps recent events with their weights. A rate is the total weight of a window's events, divided by the window.
 #[derive(Debug, Clone, Default)]
 pub struct RateMeter {
     events: VecDeque<Event>,
 }
 
 impl RateMeter {
-    /// Records an event that takes place now.
+    /// Records an event with a weight that takes place at `now`, which must not be earlier than the previous event.
     pub fn add(&mut self, weight: f64, now: f64) {
         self.events.push_back(Event { at: now, weight });
         if self.events.len() > MAX_EVENTS {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Drops events that are older than two windows.
+    /// Drops events that are older than two windows of `window_s` seconds, which no rate or forecast uses.
     pub fn trim(&mut self, window_s: f64, now: f64) {
         let is_old = |event: &Event| now - event.at > WINDOWS_KEPT * window_s;
         while self.events.front().is_some_and(is_old) {
@@ -42,14 +42,15 @@
     }
 
     /// Returns the rate per second over the last window, or over the time since counting began at
-    /// `started_at` if that is shorter.
+    /// `started_at` if that is shorter, but over at least one second.
     pub fn rate(&self, window_s: f64, started_at: f64, now: f64) -> f64 {
         let span_s = window_s.min(now - started_at).max(MIN_SPAN_S);
         self.total_weight(now - span_s, now) / span_s
     }
 
     /// Returns the rate extrapolated by one window: the current rate plus its change since the window
-    /// before. A forecast is at least half of the current rate.
+    /// before, but at least half of the current rate. Returns the current rate if less than two windows have passed
+    /// since counting began at `started_at`.
     pub fn forecast(&self, window_s: f64, started_at: f64, now: f64) -> f64 {
         let rate = self.rate(window_s, started_at, now);
         if now - started_at < WINDOWS_KEPT * window_s {
--- a/src/coordination/scheduler/assignments.rs
+++ b/src/coordination/scheduler/assignments.rs
@@ -2,24 +2,25 @@
 
 use crate::protocol::worker::TaskId;
 
-/// The waiting tasks of a job that a scheduling cycle found no capacity for.
+/// The waiting tasks of a job for which a scheduling cycle found no worker. The autoscaler provisions instances for them.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PendingDemand {
-    /// Job id.
+    /// Id of the job.
     pub job: String,
-    /// Number of tasks without capacity.
+    /// Number of tasks for which no worker was found, without those that the team's limit does not allow.
     pub count: u32,
-    /// Seconds for which the job has had waiting tasks.
+    /// Seconds since the job last began to have waiting tasks.
     pub oldest_wait_s: f64,
 }
 
-/// The decisions of a scheduling cycle.
+/// The decisions of a scheduling cycle. The cycle itself carries none of them out.
 #[derive(Debug, Default, PartialEq)]
 pub struct Assignments {
-    /// Tasks to bind, each with the worker to bind it to.
+    /// Tasks to bind, each with the name of the worker to bind it to.
     pub bindings: Vec<(TaskId, String)>,
-    /// Bound tasks to stop so that others can run in their place, each with its worker.
+    /// Bound tasks to stop so that other tasks can run in their place, each with the name of the worker that it is bound
+    /// to.
     pub preemptions: Vec<(String, TaskId)>,
-    /// Tasks for which there was no capacity, one entry per job.
+    /// Tasks for which no worker was found, one entry per job.
     pub pending_demand: Vec<PendingDemand>,
 }
--- a/src/coordination/scheduler/capacity.rs
+++ b/src/coordination/scheduler/capacity.rs
@@ -22,7 +22,7 @@
 }
 
 impl<'a> ZoneIndex<'a> {
-    /// Returns the number of a zone, and assigns the next number if the zone is new.
+    /// Returns the number of a zone. A zone that is not in the index yet is added with the next number.
     pub(super) fn number_of(&mut self, zone: &'a str) -> usize {
         match self.names.iter().position(|name| *name == zone) {
             Some(number) => number,
@@ -39,7 +39,7 @@
     }
 }
 
-/// A schedulable worker and the capacity that the cycle has not assigned yet.
+/// A schedulable worker, and the part of its capacity that the cycle has not assigned yet.
 pub(super) struct WorkerCapacity<'a> {
     pub(super) worker: &'a Worker,
     /// Number of the worker's zone in the cycle's [`ZoneIndex`].
@@ -48,7 +48,8 @@
     /// Rate at which the worker pulls images, in GB per second.
     pub(super) image_pull_gb_per_s: f64,
     pub(super) free: Resources,
-    /// Resources that tasks being stopped will release, less what this cycle has claimed of them for other tasks.
+    /// Resources that tasks being stopped will release, minus all resources that this cycle has claimed for other tasks.
+    /// An amount is negative if a claim also needs resources that are free already.
     pub(super) releasing: Resources,
     /// The worker's tasks that may be preempted; `None` until the list is first needed.
     pub(super) preemptible: Option<Vec<PreemptionCandidate<'a>>>,
@@ -69,7 +70,8 @@
     }
 }
 
-/// Returns the capacity of all workers that may be assigned tasks. Workers whose instance type is unknown are left out.
+/// Returns the capacity of all schedulable workers, except those that are cordoned because tasks failed on them, and
+/// those whose instance type is unknown.
 pub(super) fn worker_capacities<'a>(
     workers: &'a Workers,
     instance_types: &[InstanceType],
--- a/src/coordination/scheduler/cycle.rs
+++ b/src/coordination/scheduler/cycle.rs
@@ -1,4 +1,5 @@
-//! A scheduling cycle, which goes through the queue of jobs once.
+//! A scheduling cycle: goes through the queue of jobs once, and decides for each job which of its waiting tasks are
+//! bound to which workers. See the parent module for *quota* and *limit*.
 
 use super::assignments::{Assignments, PendingDemand};
 use super::capacity::{WorkerCapacity, ZoneIndex, worker_capacities};
@@ -17,10 +18,12 @@
 /// Time limits that a cycle applies to each job.
 #[derive(Debug, Clone, Copy)]
 pub struct CycleLimits {
-    /// Seconds after its submission from which a job that has started no task counts as starving. It is then scheduled
-    /// before the other jobs of its priority and quota state.
+    /// A job counts as starving if none of its tasks has been placed within this number of seconds after its submission,
+    /// unless the job is crash-looping. A starving job is scheduled before jobs of the same priority that are not
+    /// starving, except that jobs within their team's quota always come before jobs beyond it.
     pub starvation_after_s: f64,
-    /// Seconds for which a job's tasks are not placed on a worker where one of them has failed.
+    /// Seconds for which a job's tasks are not placed on a worker after one of them has failed there. Does not apply to
+    /// crash-looping jobs.
     pub avoid_failed_worker_s: f64,
 }
 
@@ -33,14 +36,16 @@
     pub(super) assignments: Assignments,
     pub(super) jobs_within_quota: HashSet<String>,
     pub(super) unsatisfiable: UnsatisfiableRequests,
-    /// The lowest priority of any job with bound tasks.
+    /// The lowest priority of all jobs with bound tasks, or `Production` if no job has any. Lower priorities are greater
+    /// values of the enum.
     pub(super) lowest_bound_priority: PriorityClass,
     pub(super) limits: CycleLimits,
     pub(super) now: f64,
 }
 
 impl<'a> SchedulingCycle<'a> {
-    /// Prepares a cycle over these jobs and workers.
+    /// Prepares a cycle that places the waiting tasks of `jobs` on `workers`. `now` is in seconds, on the clock of the
+    /// times in `jobs`.
     pub fn new(
         jobs: &'a Jobs,
         workers: &'a Workers,
@@ -71,7 +76,7 @@
         }
     }
 
-    /// Schedules all jobs of the queue, and returns the resulting assignments.
+    /// Schedules all jobs of the queue, and returns the resulting assignments. `rng` selects the samples of workers.
     pub fn run(mut self, rng: &mut impl Rng) -> Assignments {
         let queue = scheduling_queue(self.jobs, &self.jobs_within_quota, self.limits, self.now);
         for queued in queue {
@@ -85,8 +90,8 @@
         let waiting = job.startable_count();
         let mut placement = JobPlacement::new(job, &mut self.zones);
         let outcome = self.place_tasks(&mut placement, rng);
-        if outcome.quota_exhausted {
-            // The team's limit holds the job back, so preemption or more workers would not help it.
+        if outcome.limit_reached {
+            // The team's limit allows no further task, so neither preemption nor more workers would help the job.
             return;
         }
         let mut unplaced = waiting - outcome.placed - outcome.still_observed;
@@ -97,8 +102,8 @@
         self.record_pending_demand(job, unplaced + outcome.still_observed);
     }
 
-    /// Claims capacity that is being released, or preempts tasks, for up to `count` tasks of a job. Returns the number
-    /// of tasks for which there will be capacity.
+    /// Claims capacity that other tasks are releasing, or preempts tasks, for up to `count` tasks of a job. Returns the
+    /// number of tasks for which there will be capacity. These tasks are bound in a later cycle.
     fn preempt_for_tasks(
         &mut self,
         placement: &JobPlacement,
@@ -114,7 +119,7 @@
         };
         let mut placed = 0;
         while placed < count
-            && self.quota_allows(&job.spec)
+            && self.limit_allows(&job.spec)
             && self.claim_or_preempt(placement, scope, rng)
         {
             self.charge_quota(&job.spec);
@@ -123,7 +128,7 @@
         placed
     }
 
-    /// Adds the unplaced tasks to the pending demand, up to the number that the team's limit still allows.
+    /// Adds a job's unplaced tasks to the pending demand, but no more than the team's limit still allows.
     fn record_pending_demand(&mut self, job: &Job, unplaced: u32) {
         let spec = &job.spec;
         let allowed = self
@@ -140,7 +145,7 @@
     }
 
     /// Returns whether the team's limit allows one more task of a job.
-    pub(super) fn quota_allows(&self, spec: &JobSpec) -> bool {
+    pub(super) fn limit_allows(&self, spec: &JobSpec) -> bool {
         self.quotas.has_capacity(&spec.team, spec.cpus, spec.gpus)
     }
 
--- a/src/coordination/scheduler/placement.rs
+++ b/src/coordination/scheduler/placement.rs
@@ -20,9 +20,10 @@
     pub(super) job: &'a Job,
     /// The resources that one task of the job requests.
     pub(super) request: Resources,
-    /// Number of the job's tasks in each zone, indexed by the zone's number.
+    /// Number of the job's tasks that were bound before the cycle or placed in it, for each zone, indexed by the zone's
+    /// number in the cycle's [`ZoneIndex`].
     tasks_per_zone: Vec<u32>,
-    /// Number of the job's tasks placed on each worker in this cycle, by the worker's index.
+    /// Number of the job's tasks placed on each worker in this cycle, by the worker's index in the cycle's capacities.
     placed_per_worker: HashMap<usize, u32>,
 }
 
@@ -46,7 +47,7 @@
         &self.job.spec
     }
 
-    /// Returns the number of the job's tasks in a zone.
+    /// Returns the number of the job's tasks that are bound to, or have been placed on, workers in a zone.
     pub(super) fn tasks_in_zone(&self, zone: usize) -> u32 {
         self.tasks_per_zone.get(zone).copied().unwrap_or(0)
     }
@@ -86,24 +87,25 @@
 /// The result of placing a job's tasks.
 #[derive(Debug, Default)]
 pub(super) struct PlacementOutcome {
-    /// Tasks that were bound, or for which capacity that is being released was claimed.
+    /// Number of tasks that were bound, or for which capacity was claimed that other tasks will release.
     pub(super) placed: u32,
-    /// Tasks that could not be placed because each worker that fits still reports an earlier attempt of them.
+    /// Number of tasks that could not be placed while at least one of the considered workers still reports an earlier
+    /// attempt of the task.
     pub(super) still_observed: u32,
-    /// Placement stopped because the team's limit is reached.
-    pub(super) quota_exhausted: bool,
+    /// Placement stopped because the team's limit does not allow another task.
+    pub(super) limit_reached: bool,
 }
 
 /// The state to restore if not all tasks of a gang can be placed.
 struct GangCheckpoint {
-    /// Number of bindings before the gang.
+    /// Number of bindings before the first task of the gang was placed.
     bindings: usize,
     quotas: Quotas,
 }
 
 impl<'a> SchedulingCycle<'a> {
-    /// Places the job's tasks on workers with free capacity. The tasks of a gang are placed all
-    /// together or not at all.
+    /// Places the job's startable tasks on workers with free capacity, at most [`MAX_BINDS`] in the cycle. The tasks of
+    /// a gang are placed all together or not at all.
     pub(super) fn place_tasks(
         &mut self,
         placement: &mut JobPlacement<'a>,
@@ -118,7 +120,8 @@
         };
         let outcome = self.place_each_task(placement, rng);
         if outcome.placed < placement.job.startable_count() {
-            // The counts in the outcome are kept: only the tasks that found no capacity become pending demand.
+            // The outcome still counts the tasks that were placed before the roll-back, so that only the tasks for
+            // which there was no capacity become pending demand.
             self.roll_back(checkpoint, placement);
         }
         outcome
@@ -153,8 +156,8 @@
             if self.assignments.bindings.len() >= MAX_BINDS {
                 break;
             }
-            if !self.quota_allows(spec) {
-                outcome.quota_exhausted = true;
+            if !self.limit_allows(spec) {
+                outcome.limit_reached = true;
                 break;
             }
             let task = TaskId {
@@ -163,7 +166,7 @@
             };
             let mut best = self.best_worker(&candidates, placement, &task);
             if best.is_none() && candidates.len() >= SAMPLE_SIZE {
-                // No worker of the sample has capacity left; others may have.
+                // No worker of the sample can take the task. A worker outside the sample may.
                 candidates = self.score_workers(placement, rng);
                 best = self.best_worker(&candidates, placement, &task);
             }
@@ -171,7 +174,7 @@
                 && best.is_none_or(|worker| worker.slow_start)
                 && self.claim_or_preempt(placement, PreemptionScope::WorkersWithImage, rng)
             {
-                // Preempting on a worker that has the image is faster than pulling the image elsewhere.
+                // Preempting a task on a worker that has the image is faster than pulling the image on another worker.
                 self.charge_quota(spec);
                 outcome.placed += 1;
                 continue;
@@ -189,8 +192,9 @@
         outcome
     }
 
-    /// Returns whether a service's start objective can still be met by preempting tasks on workers that have its image:
-    /// less than half of the objective has passed, and the job is not crash-looping.
+    /// Returns whether tasks on workers that have the job's image may be preempted so that the job meets its start
+    /// objective. This is so if the job is a service with a start objective, is not crash-looping, and has waited for
+    /// less than half of the objective.
     fn may_preempt_for_image(&self, job: &Job) -> bool {
         job.spec.kind == JobKind::Service
             && !job.failures.is_crash_looping()
@@ -207,7 +211,7 @@
         })
     }
 
-    /// Reserves capacity of a worker, and quota of the team, for one task.
+    /// Reserves capacity of a worker for one task, and counts the task towards the team's limit.
     fn reserve(&mut self, worker: usize, placement: &mut JobPlacement) {
         let capacity = &mut self.capacities[worker];
         capacity.free -= placement.request;
@@ -215,14 +219,16 @@
         self.charge_quota(placement.spec());
     }
 
-    /// Assigns a task to a worker.
+    /// Adds the binding of a task to a worker to the assignments.
     fn bind(&mut self, worker: usize, task: TaskId) {
         let name = self.capacities[worker].worker.name.clone();
         self.assignments.bindings.push((task, name));
     }
 
-    /// Reserves capacity for one task of a starving job on the worker with the largest free share. Without this, small
-    /// tasks of other jobs would fill each gap before a large task fits.
+    /// Reserves capacity for one task of a starving job, so that the remaining jobs of the cycle can't use it. Without
+    /// the reservation, small tasks of other jobs would fill each gap before a large task fits. Of the workers that the
+    /// task may run on and that are large enough for it when empty, the one is chosen of which the largest share is
+    /// free or being released. If there is no such worker, nothing is reserved.
     pub(super) fn reserve_freest_worker(&mut self, placement: &JobPlacement) {
         let free_share = |index: usize| {
             let capacity = &self.capacities[index];
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -1,4 +1,5 @@
-//! Preemption: for tasks that can't wait, claims capacity that is being released, or stops other tasks.
+//! Preemption: for tasks that found no suitable free capacity, claims capacity that other tasks are releasing, or
+//! chooses tasks to stop.
 
 use super::cycle::SchedulingCycle;
 use super::placement::JobPlacement;
@@ -11,21 +12,23 @@
 
 /// Maximum number of tasks preempted in one cycle.
 const MAX_PREEMPTIONS: usize = 32;
-/// Lower bound on the CPUs that the lost work of a task is computed with.
+/// Lower bound on a task's CPUs when the work that it would lose is computed, so that the run time counts even if the
+/// task requests no CPUs.
 const MIN_WORK_CPUS: f64 = 0.1;
 
 /// The workers on which tasks may be preempted for a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PreemptionScope {
-    /// Nothing is preempted, but capacity that is being released may be claimed on any worker.
+    /// No task is preempted, but capacity that tasks are releasing may be claimed on any worker.
     NoWorkers,
-    /// Workers that have the job's image in their cache. Capacity that is being released is also
-    /// claimed only there.
+    /// Workers that have the job's image in their cache. Capacity that tasks are releasing is also
+    /// claimed only on these workers.
     WorkersWithImage,
+    /// All workers that pass the job's filter.
     AllWorkers,
 }
 
-/// A bound task that may be preempted.
+/// A bound task that is not being stopped yet. Whether it may be preempted depends on the job that needs its capacity.
 pub(super) struct PreemptionCandidate<'a> {
     task: &'a TaskId,
     priority: PriorityClass,
@@ -34,19 +37,20 @@
     request: Resources,
     /// CPU seconds of work that preemption would lose.
     work_lost: f64,
-    /// This cycle has already preempted the task.
+    /// The task has already been preempted in this cycle.
     preempted: bool,
 }
 
-/// The tasks to preempt on one worker: the first of its candidates, which lose the least work.
+/// The tasks to preempt on one worker. The worker's candidates are ordered by the work that they would lose; the plan
+/// takes those that may be preempted for the job, from the first, until one task of the job fits.
 struct PreemptionPlan {
     /// Index of the worker in the cycle's capacities.
     worker: usize,
     /// Number of tasks to preempt.
     victims: usize,
-    /// CPU seconds of work that would be lost.
+    /// CPU seconds of work that all preempted tasks together would lose.
     work_lost: f64,
-    /// The worker would have to pull the job's image.
+    /// The worker would have to pull the job's image. Plans without an image pull are better.
     needs_image_pull: bool,
 }
 
@@ -57,8 +61,8 @@
 }
 
 impl SchedulingCycle<'_> {
-    /// Provides capacity for one task: claims capacity that is being released or, failing that,
-    /// preempts tasks on the workers of `scope`. Returns whether there will be capacity.
+    /// Provides capacity for one task: claims capacity that other tasks are releasing or, if there is not enough,
+    /// preempts tasks on the workers of `scope`. Returns whether there will be capacity for the task.
     pub(super) fn claim_or_preempt(
         &mut self,
         placement: &JobPlacement,
@@ -82,7 +86,8 @@
         true
     }
 
-    /// Returns the indices of the workers that pass the job's filter and from which `scope` lets it claim capacity.
+    /// Returns the indices of the workers that pass the job's filter and on which `scope` allows the job to claim
+    /// capacity.
     fn usable_workers(&self, placement: &JobPlacement, scope: PreemptionScope) -> Vec<usize> {
         let image_required = scope == PreemptionScope::WorkersWithImage;
         (0..self.capacities.len())
@@ -94,7 +99,8 @@
             .collect()
     }
 
-    /// Claims capacity that tasks being stopped will release on one of the workers. Returns whether there was enough.
+    /// Claims capacity for a request on the first worker where the free capacity, together with the capacity that tasks
+    /// are releasing, is sufficient. Returns false if there is no such worker among `usable`.
     fn claim_releasing(&mut self, usable: &[usize], request: &Resources) -> bool {
         for index in usable {
             let capacity = &mut self.capacities[*index];
@@ -108,17 +114,17 @@
         false
     }
 
-    /// Returns whether the job fits into its team's quota together with the team's earlier jobs.
+    /// Returns whether all tasks of the job fit into its team's quota, together with those of the team's earlier jobs.
     fn is_within_quota(&self, placement: &JobPlacement) -> bool {
         self.jobs_within_quota.contains(&placement.spec().id)
     }
 
-    /// Returns whether there can be any task to preempt for the job; if not, the search is skipped.
+    /// Returns false if certainly no bound task may be preempted for the job, so that no search is needed.
     fn may_preempt_any(&self, placement: &JobPlacement) -> bool {
         placement.spec().priority < self.lowest_bound_priority || self.is_within_quota(placement)
     }
 
-    /// Returns the best plan over a random sample of the usable workers.
+    /// Returns the best plan for a random sample of the usable workers, or `None` if there is no plan for any of them.
     fn best_preemption(
         &mut self,
         usable: &[usize],
@@ -140,7 +146,8 @@
         best
     }
 
-    /// Lists a worker's bound tasks that are not being stopped yet, ordered by the work that preemption would lose.
+    /// Sets `preemptible` of a worker, unless it is set already: the bound tasks that are not being stopped, ordered by
+    /// the work that they would lose, least work first.
     fn list_preemptible(&mut self, worker: usize) {
         if self.capacities[worker].preemptible.is_some() {
             return;
@@ -167,9 +174,10 @@
         self.capacities[worker].preemptible = Some(preemptible);
     }
 
-    /// Returns whether a task may be preempted for the job. Either the task has lower priority, or the job
-    /// is within its team's quota, and the task is no replica and belongs to another team that uses its whole
-    /// quota even without it.
+    /// Returns whether a task may be preempted for the job. A task that this cycle has already preempted may not. Any
+    /// other task may be preempted if its priority is lower than the job's. A task of the same or a higher priority
+    /// may be preempted only if all of this holds: the job is within its team's quota; the task is not a replica of a
+    /// service; the task belongs to another team, which uses its whole quota even without this task.
     fn may_preempt(&self, victim: &PreemptionCandidate, placement: &JobPlacement) -> bool {
         let request = &victim.request;
         let borrows_quota = || {
@@ -183,7 +191,8 @@
         !victim.preempted && (victim.priority > placement.spec().priority || borrows_quota())
     }
 
-    /// Returns the tasks of a worker to preempt for one task of the job, or `None` if that can't free enough.
+    /// Returns the plan for preempting tasks on a worker for one task of the job. Returns `None` if preemption would not
+    /// free enough capacity, or if the task will fit without preemption.
     fn plan_preemption(&self, worker: usize, placement: &JobPlacement) -> Option<PreemptionPlan> {
         let capacity = &self.capacities[worker];
         let mut available = capacity.free_after_release();
--- a/src/coordination/scheduler/queue.rs
+++ b/src/coordination/scheduler/queue.rs
@@ -7,8 +7,10 @@
 use std::cmp::Ordering;
 use std::collections::{HashMap, HashSet};
 
-/// The sort key of a job in the queue. Jobs are ordered by priority; among equals, jobs within their team's
-/// quota come first, then starving jobs, then jobs whose deadline has not passed, then the earliest deadline.
+/// The sort key of a job in the queue. The fields are compared in their order, and of two truth values `false` comes
+/// first. So jobs of a higher priority come first; at the same priority, jobs within their team's quota come before
+/// jobs beyond it, starving jobs before others, jobs whose deadline has not passed before late ones, and then jobs with
+/// earlier deadlines before those with later ones.
 struct QueuePosition {
     priority: PriorityClass,
     beyond_quota: bool,
@@ -58,13 +60,15 @@
 }
 
 impl QueuedJob<'_> {
-    /// Returns whether the job has waited without starting a task for at least `starvation_after_s`.
+    /// Returns whether the job counts as starving: it is not crash-looping, and none of its tasks has been placed within
+    /// `starvation_after_s` of its submission.
     pub(super) fn is_starving(&self) -> bool {
         !self.position.not_starving
     }
 }
 
-/// Returns the jobs with tasks to start, in the order in which they are scheduled. Gangs with bound tasks are left out.
+/// Returns the jobs that may start tasks now, in the order in which they are scheduled. Jobs that are backed off until
+/// after `now` and gangs with bound tasks are left out. Jobs with equal sort keys are ordered by their ids.
 pub(super) fn scheduling_queue<'a>(
     jobs: &'a Jobs,
     jobs_within_quota: &HashSet<String>,
@@ -88,15 +92,15 @@
     queue
 }
 
-/// Sum of the resources that all tasks of a team's jobs request, over the jobs added so far.
+/// Sum of the resources that all tasks of some jobs of a team request, whether the tasks wait, run or are completed.
 #[derive(Default)]
 struct TeamRequest {
     cpus: f64,
     gpus: f64,
 }
 
-/// Returns the ids of the jobs of which all tasks fit into the team's quota, together with all tasks of the
-/// team's unfinished jobs that were submitted earlier.
+/// Returns the ids of the jobs within quota: all tasks of the job, together with all tasks of the same team's unfinished
+/// jobs that were submitted earlier, fit into the team's quota. A team whose quota is zero has no such jobs.
 pub(super) fn jobs_within_quota(jobs: &Jobs, quotas: &Quotas) -> HashSet<String> {
     let mut by_age: Vec<&Job> = jobs.iter().collect();
     by_age.sort_by(|a, b| {
--- a/src/coordination/scheduler/scoring.rs
+++ b/src/coordination/scheduler/scoring.rs
@@ -10,7 +10,8 @@
 use rand::seq::index::sample;
 use std::cmp::Ordering;
 
-/// Maximum number of workers considered for one job. If more are feasible, a random sample of this size is considered.
+/// Maximum number of workers that are scored, or searched for tasks to preempt, at a time. Of more workers, a random
+/// sample of this size is taken.
 pub(super) const SAMPLE_SIZE: usize = 64;
 /// Factor on the nominal time of an image pull: workers may pull a third slower than their instance
 /// type says, and the start of the task takes time too.
@@ -24,11 +25,11 @@
 pub(super) struct ScoredWorker {
     /// Index of the worker in the cycle's capacities.
     pub(super) index: usize,
-    /// A task of the job has failed on this worker.
+    /// A task of the job has failed on this worker since the job's last success.
     failed_before: bool,
     has_image: bool,
-    /// The job has urgent or production priority, and no start objective that leaves time for the image
-    /// pull which the worker needs.
+    /// The worker does not have the job's image, the job's priority is urgent or production, and the job has no
+    /// start objective that is longer than the estimated image pull.
     pub(super) slow_start: bool,
     /// The worker is an on-demand instance, although the job may use spot instances.
     on_demand: bool,
@@ -46,7 +47,8 @@
     /// Number of replicas placed on the worker in this cycle that have to pull the image. Replicas are spread over
     /// workers without the image, so that many workers have it for later replicas.
     replicas_pulling: u32,
-    /// Share of the worker that would stay free. The fullest worker is best.
+    /// Share of the worker's resources that would stay free, for the resource with the largest such share. The
+    /// worker that would be fullest is best.
     free_share: f64,
 }
 
@@ -68,13 +70,13 @@
     }
 }
 
-/// Requests for which no worker had capacity. Free capacity only shrinks during a cycle, so a request
-/// that is at least as large can't be satisfied either and needs no search.
+/// Requests for which no worker had capacity. The cycle assumes that free capacity does not grow, so it does not search
+/// again for requests that are at least as large.
 #[derive(Debug, Default)]
 pub(super) struct UnsatisfiableRequests {
-    /// The latest such request of a job that may use on-demand instances only.
+    /// The latest unsatisfied request of a job that may use on-demand instances only.
     on_demand: Option<Resources>,
-    /// The latest such request of a job that may use spot instances too.
+    /// The latest unsatisfied request of a job that may use both spot and on-demand instances.
     any: Option<Resources>,
 }
 
@@ -98,7 +100,8 @@
 }
 
 impl SchedulingCycle<'_> {
-    /// Returns whether the job's tasks may run on a worker, regardless of its free capacity.
+    /// Returns whether a worker passes the job's filter: the job does not avoid the worker because of a failure, and the
+    /// job's constraints on instance types, zones and spot instances allow the worker. Its capacity is not considered.
     pub(super) fn filter_worker(
         &self,
         placement: &JobPlacement,
@@ -117,8 +120,8 @@
             && placement.zone_allows(capacity.zone)
     }
 
-    /// Returns the feasible workers for a task of the job, with the constant parts of their scores. Of more than
-    /// [`SAMPLE_SIZE`] workers, a random sample is returned.
+    /// Returns the feasible workers for a task of the job, with the parts of their scores that stay the same while the
+    /// job's tasks are placed. Of more than [`SAMPLE_SIZE`] feasible workers, a random sample of this size is returned.
     pub(super) fn score_workers(
         &mut self,
         placement: &JobPlacement,
@@ -137,8 +140,8 @@
             .collect()
     }
 
-    /// Returns the indices of the workers that have capacity for a task of the job and pass its filter. Returns none
-    /// without a search if the request is known to be unsatisfiable.
+    /// Returns the indices of the feasible workers: those that pass the job's filter and have free capacity for one of
+    /// its tasks. If no worker had capacity for the same or a smaller request before, the list is empty without a search.
     fn feasible_workers(&mut self, placement: &JobPlacement) -> Vec<usize> {
         let spec = placement.spec();
         let request = &placement.request;
@@ -179,8 +182,8 @@
         }
     }
 
-    /// Keeps only the candidates in the zone that fits the most tasks. Used for a job that must run in
-    /// one zone and has no task yet.
+    /// Keeps only the candidates in the zone where the most tasks fit on the candidates. Used for a job whose tasks must
+    /// all run in one zone, while none of them is bound or placed yet.
     pub(super) fn retain_largest_zone(
         &self,
         candidates: &mut Vec<ScoredWorker>,
@@ -195,8 +198,9 @@
         candidates.retain(|candidate| Some(self.capacities[candidate.index].zone) == largest);
     }
 
-    /// Returns the candidate with the best score for a task. Candidates that still report an earlier attempt of the
-    /// task are left out.
+    /// Returns the candidate with the best score for a task, or `None` if no candidate can take the task. Candidates
+    /// without enough free capacity, in a zone that allows no further task of the job, or that still report an earlier
+    /// attempt of the task can't take it.
     pub(super) fn best_worker(
         &self,
         candidates: &[ScoredWorker],
