--- a/src/coordination/autoscaler.rs
+++ b/src/coordination/autoscaler.rs
@@ -15,7 +15,7 @@
     pub pending: u32,
     /// Seconds for which the oldest waiting task has waited.
     pub oldest_s: f64,
-    /// Task starts and finishes per second on each busy instance. Zero if unknown.
+    /// Task starts and finishes per second on each busy instance, or an estimate as long as none were measured.
     pub rate: f64,
     /// Forecast of task starts per second on the whole pool.
     pub forecast: f64,
@@ -85,8 +85,9 @@
     }
 }
 
-/// Returns the number of instances needed according to Little's law: the number of pending tasks, divided by the pickup
-/// target and by the rate of an instance. Without pending tasks or a known rate, returns the pool's minimum.
+/// Returns the number of instances needed according to Little's law: the number of pending tasks, divided by the
+/// pickup target and by the rate of an instance. Without pending tasks, or if the rate is not positive, returns the
+/// pool's minimum.
 pub fn littles_law_target(load: &PoolLoad, parameters: &ScalingParameters) -> u32 {
     if load.pending == 0 || load.rate <= 0.0 {
         return parameters.min;
@@ -109,7 +110,7 @@
 
 /// Returns the number of instances needed to start all pending tasks before the oldest one misses the pickup target.
 /// Returns the pool's maximum if the oldest task has missed the pickup target already, and the pool's minimum if there
-/// are no pending tasks or the rate is unknown.
+/// are no pending tasks or the rate is not positive.
 pub fn drain_target(load: &PoolLoad, parameters: &ScalingParameters) -> u32 {
     if load.pending == 0 {
         return parameters.min;
--- a/src/coordination/scheduler/capacity.rs
+++ b/src/coordination/scheduler/capacity.rs
@@ -44,14 +44,17 @@
     pub(super) worker: &'a Worker,
     /// Number of the worker's zone in the cycle's [`ZoneIndex`].
     pub(super) zone: usize,
+    /// All resources of the worker, free or not.
     pub(super) total: Resources,
     /// Rate at which the worker pulls images, in GB per second.
     pub(super) image_pull_gb_per_s: f64,
+    /// Resources that no bound task takes and this cycle has not reserved. A reservation for a starving job may make
+    /// amounts negative.
     pub(super) free: Resources,
     /// Resources that tasks being stopped will release, minus all resources that this cycle has claimed for other
     /// tasks. An amount is negative if a claim also needs resources that are free already.
     pub(super) releasing: Resources,
-    /// The worker's tasks that may be preempted; `None` until the list is first needed.
+    /// The worker's bound tasks that are not being stopped; `None` until the list is first needed.
     pub(super) preemptible: Option<Vec<PreemptionCandidate<'a>>>,
 }
 
--- a/src/coordination/scheduler/cycle.rs
+++ b/src/coordination/scheduler/cycle.rs
@@ -34,6 +34,7 @@
     pub(super) capacities: Vec<WorkerCapacity<'a>>,
     pub(super) zones: ZoneIndex<'a>,
     pub(super) assignments: Assignments,
+    /// Ids of the jobs within their team's quota, see `queue::jobs_within_quota`.
     pub(super) jobs_within_quota: HashSet<String>,
     pub(super) unsatisfiable: UnsatisfiableRequests,
     /// The lowest priority of all jobs with bound tasks, or `Production` if no job has any. Lower priorities are
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -73,7 +73,7 @@
 }
 
 /// Like [`freshness`], for a leader that has confirmed neither its lease nor its view of the open jobs for `age_s`
-/// seconds and whose lease has expired.
+/// seconds and may no longer hold the lease.
 pub fn freshness_of_age(age_s: f64) -> ViewFreshness {
     ViewFreshness {
         lease_held: false,
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -111,8 +111,10 @@
 /// A user with one job, and what the user knows of it.
 pub struct User {
     pub id: String,
+    /// Body of the submission.
     pub body: Vec<u8>,
     pub tasks: u32,
+    /// Run time of the first task of an array, in seconds. Ignored for services.
     pub run_s: f64,
     pub is_service: bool,
     /// The job may use spot instances besides on-demand instances.
@@ -125,12 +127,14 @@
     pub runtime_step_s: f64,
     /// The only zone in which the job may run, if it is restricted.
     pub zone: Option<&'static str>,
+    /// When the user cancels the job, if ever.
     pub cancel_at: Option<f64>,
     /// All tasks of the job fail, on every instance.
     pub always_fails: bool,
     /// The job belongs to the guest team, which is guaranteed no resources (a quota of zero), and may use any number
     /// (no limit).
     pub is_guest: bool,
+    /// The user has received a response that the job is accepted.
     pub accepted: bool,
     pub cancellation_confirmed_at: Option<f64>,
     pub completion_confirmed_at: Option<f64>,
@@ -156,7 +160,7 @@
 }
 
 impl World {
-    /// Adds eight users with array jobs and services, two of which are cancelled.
+    /// Adds eight users with array jobs and services. Two of the jobs are cancelled.
     pub fn add_mixed_jobs(&mut self) {
         self.add_user(1, 0.5, (3, 4.0, false, true), None);
         self.add_user(2, 1.0, (6, 6.0, false, false), None);
@@ -168,9 +172,9 @@
         self.add_user(8, 60.0, (3, 0.0, true, false), None);
     }
 
-    /// Adds a user who submits job number `n` at the time `at`, polls it and, if `cancel_at` is set, cancels it at
-    /// the first poll after that time. The job has `tasks` tasks and may use spot instances if `spot` is set. It is a
-    /// service, or an array whose tasks each run for `run_s` seconds.
+    /// Adds a user who submits job number `n` at the time `at`, polls it and, if `cancel_at` is set, cancels it
+    /// instead of polling it once that time has passed. The job has `tasks` tasks and may use spot instances if
+    /// `spot` is set. It is a service, or an array whose tasks each run for `run_s` seconds.
     pub fn add_user(
         &mut self,
         n: u32,
@@ -221,8 +225,8 @@
         self.schedule_at(at, SimEvent::UserActs(index));
     }
 
-    /// Lets the user of job number `n` cancel it at exactly the time `at`, instead of at the first poll after that
-    /// time.
+    /// Lets the user of job number `n` cancel it at exactly the time `at`, instead of when the user would next
+    /// poll it.
     pub fn cancel_job_at(&mut self, n: u32, at: f64) {
         let id = format!("j-{n:06}");
         if let Some(index) = self.users.iter().position(|u| u.id == id) {
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -2,14 +2,17 @@
 
 use super::*;
 
+/// An attempt of a task that a worker runs, or has run and not cleared yet.
 #[derive(Debug, Clone)]
 pub(super) struct Task {
     pub(super) attempt: u64,
     pub(super) state: TaskState,
     pub(super) exit_reason: Option<ExitReason>,
+    /// When the task completes, infinity for replicas of services.
     pub(super) until: f64,
 }
 
+/// A worker and what it knows.
 pub(super) struct Worker {
     pub(super) name: String,
     pub(super) zone: String,
@@ -17,10 +20,15 @@
     pub(super) cpus: f64,
     pub(super) incarnation: u64,
     pub(super) sequence: u64,
+    /// The highest token that the worker has seen.
     pub(super) token: FencingToken,
+    /// When the heartbeat was sent whose response last renewed the lease. The lease expires `LEASE_S` later.
     pub(super) lease_renewed_at: f64,
+    /// The attempts of each task, by the task's id.
     pub(super) tasks: BTreeMap<String, Vec<Task>>,
+    /// Index of the controller to which the worker sends its heartbeats.
     pub(super) controller: usize,
+    /// Sequence and sending time of the heartbeat for whose response the worker waits.
     pub(super) awaiting_response: Option<(u64, f64)>,
     pub(super) next_heartbeat_at: f64,
     pub(super) disconnected_until: f64,
