--- a/src/coordination/scheduler/capacity.rs
+++ b/src/coordination/scheduler/capacity.rs
@@ -59,7 +59,8 @@
 }
 
 impl WorkerCapacity<'_> {
-    /// Returns the resources that will be free once the tasks being stopped have exited.
+    /// Returns the resources that will be free once the tasks being stopped have exited, without those that this cycle
+    /// has claimed.
     pub(super) fn free_after_release(&self) -> Resources {
         self.free + self.releasing
     }
--- a/tests/combined_faults.rs
+++ b/tests/combined_faults.rs
@@ -12,7 +12,8 @@
 /// When the faults begin, in simulated seconds. By then, the instances and the first jobs are running.
 const FAULTS_BEGIN_S: f64 = 30.0;
 
-/// Adds services, long arrays and short arrays, which together want to run more tasks than the team's limit of twenty.
+/// Adds services, long arrays and a sequence of short arrays. The number of tasks that run at a time stays below the
+/// team's limit of twenty.
 fn add_jobs(world: &mut World) {
     for n in 0..4 {
         world.add_user(n, 0.5, (2, 0.0, true, false), None);
@@ -271,7 +272,7 @@
             run_until_offset(w, 40.0);
             assert!(
                 w.counts.stale_heartbeats >= 5,
-                "only {} stale heartbeats",
+                "only {} stale heartbeats, instead of at least 5",
                 w.counts.stale_heartbeats
             );
         }),
@@ -284,7 +285,7 @@
                 run_until_offset(w, 8.0);
                 assert!(
                     w.used_cpus() >= 32.0,
-                    "only {} of 40 CPUs are in use",
+                    "only {} of 40 CPUs are in use, instead of at least 32",
                     w.used_cpus()
                 );
                 w.disconnect_worker(0, LEASE_S + 8.0);
@@ -317,7 +318,7 @@
                 run_until_offset(w, 24.0);
                 assert!(
                     w.leader_changes() >= elections + 4,
-                    "only {} elections",
+                    "only {} elections, instead of at least 4",
                     w.leader_changes() - elections
                 );
                 run_until_offset(w, 40.0);
@@ -341,7 +342,7 @@
                 run_until_offset(w, 121.0);
                 assert!(
                     w.leader_changes() >= elections + 8,
-                    "only {} elections",
+                    "only {} elections, instead of at least 8",
                     w.leader_changes() - elections
                 );
             },
@@ -374,7 +375,7 @@
                 run_until_offset(w, LEASE_S + 2.0);
                 assert!(
                     w.workers_with_new_incarnation() >= 2,
-                    "only {} workers with a new incarnation",
+                    "only {} workers with a new incarnation, instead of at least 2",
                     w.workers_with_new_incarnation()
                 );
                 run_until_offset(w, 30.0);
@@ -399,12 +400,12 @@
             run_until_offset(w, 50.0);
             assert!(
                 w.counts.late_txns >= 8,
-                "only {} late transactions",
+                "only {} late transactions, instead of at least 8",
                 w.counts.late_txns
             );
             assert!(
                 w.counts.out_of_order_txns >= 1,
-                "only {} transactions out of order",
+                "only {} transactions out of order, instead of at least 1",
                 w.counts.out_of_order_txns
             );
         }),
@@ -423,12 +424,12 @@
                 run_until_offset(w, 60.0);
                 assert!(
                     w.counts.stale_heartbeats >= 20,
-                    "only {} stale heartbeats",
+                    "only {} stale heartbeats, instead of at least 20",
                     w.counts.stale_heartbeats
                 );
                 assert!(
                     w.counts.heartbeats_of_old_incarnations >= 2,
-                    "only {} heartbeats of old incarnations",
+                    "only {} heartbeats of old incarnations, instead of at least 2",
                     w.counts.heartbeats_of_old_incarnations
                 );
             },
@@ -463,7 +464,7 @@
             run_until_offset(w, 15.0);
             assert!(
                 w.used_cpus() >= 32.0,
-                "only {} of 40 CPUs are in use",
+                "only {} of 40 CPUs are in use, instead of at least 32",
                 w.used_cpus()
             );
             run_until_offset(w, 60.0);
@@ -484,7 +485,7 @@
                 run_until_offset(w, 70.0);
                 assert!(
                     w.counts.cancels_at_end >= 3,
-                    "only {} cancellations at the end of a job",
+                    "only {} cancellations at the end of a job, instead of at least 3",
                     w.counts.cancels_at_end
                 );
             },
@@ -496,7 +497,7 @@
                 run_until_offset(w, 70.0);
                 assert!(
                     w.counts.requests_at_end >= 4,
-                    "only {} requests at the end of a job",
+                    "only {} requests at the end of a job, instead of at least 4",
                     w.counts.requests_at_end
                 );
             },
--- a/tests/fault_recovery.rs
+++ b/tests/fault_recovery.rs
@@ -327,7 +327,7 @@
             world.run_until(40.0);
             assert!(
                 world.instances_in("a", true).len() >= 6,
-                "{name}: too few spot instances"
+                "{name}: fewer than 6 spot instances in zone a"
             );
             assert!(
                 world.isolate_leader_except_state_service(9.0),
@@ -368,7 +368,8 @@
         dead.iter().all(|name| world.has_instance(name)),
         "an instance was released within 1.5 s of its disconnection"
     );
-    // 1.3 heartbeat intervals until the heartbeat is overdue, a direct call, and half a second for the release.
+    // A heartbeat is overdue after 1.3 intervals of two seconds. The direct call that follows takes up to a second, and
+    // the release of the instance about half a second.
     world.run_until(40.0 + 1.3 * 2.0 + 1.0 + 0.6);
     assert!(
         dead.iter().all(|name| !world.has_instance(name)),
@@ -597,12 +598,12 @@
     let changes: u32 = counts.writes.values().sum();
     assert!(
         changes < world.starts,
-        "{changes} writes to the state service for {} starts",
+        "{changes} writes to the state service for {} starts, instead of fewer writes than starts",
         world.starts
     );
     assert!(
         counts.worker_calls < 3 * world.starts,
-        "{} direct calls to workers for {} starts",
+        "{} direct calls to workers for {} starts, instead of less than three for each start",
         counts.worker_calls,
         world.starts
     );
@@ -638,7 +639,7 @@
     // All workers have switched to the new leader. Each may send two heartbeats more than without the change of leader.
     assert!(
         world.counts.heartbeats - heartbeats < 9 * world.instance_count() as u32,
-        "{} heartbeats in the ten seconds after the restart of the leader",
+        "{} heartbeats in the ten seconds after the restart of the leader, instead of less than 9 per instance",
         world.counts.heartbeats - heartbeats
     );
     assert_eq!(
@@ -665,7 +666,7 @@
     let changes: u32 = counts.writes.values().sum();
     assert!(
         changes < world.starts / 8,
-        "{changes} writes to the state service for {} starts",
+        "{changes} writes to the state service for {} starts, instead of less than one for eight starts",
         world.starts
     );
     assert!(
@@ -691,7 +692,7 @@
         world.run_until(40.0);
         assert!(
             world.instance_count() > 240,
-            "{name}: only {} instances",
+            "{name}: only {} instances, instead of more than 240",
             world.instance_count()
         );
         for _ in 0..40 {
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -320,8 +320,7 @@
         self.answer_watches();
     }
 
-    /// Puts the `leader` key as another controller does that is elected, so that the controller under test is not
-    /// elected.
+    /// Puts the `leader` key as if another controller was elected, so that the controller under test is not elected.
     pub fn elect_other_controller(&mut self) {
         let record = LeaderRecord {
             label: PEER.to_owned(),
--- a/tests/permit_guards.rs
+++ b/tests/permit_guards.rs
@@ -116,7 +116,7 @@
         let name = format!("seed {seed}");
         assert!(
             world.counts.rate_limited_watches > 20,
-            "{name}: only {} rejected watches",
+            "{name}: only {} rejected watches, instead of more than 20",
             world.counts.rate_limited_watches
         );
         assert!(
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -101,7 +101,7 @@
     unreachable.unreachable_since = Some(90.0);
     let cases: Vec<Case> = vec![
         (
-            "spot workers first",
+            "tasks are placed on spot workers before on-demand workers",
             Cluster::new(all(), vec![spec("j-1", 2)]),
             vec!["s-a", "s-a"],
             vec![],
@@ -122,7 +122,7 @@
             0,
         ),
         (
-            "only the zone that the job allows",
+            "tasks are placed only in the zone that the job allows",
             Cluster::new(all(), vec![with("j-1", 1, |s| s.zone = Some("b".into()))]),
             vec!["o-b"],
             vec![],
@@ -380,21 +380,21 @@
     type Case = (&'static str, Vec<Worker>, bool, Vec<&'static str>, usize);
     let cases: Vec<Case> = vec![
         (
-            "on the worker that has the image",
+            "replicas are placed on the worker that has the image",
             vec![worker("o-1", "a", false), with_image("o-2")],
             false,
             vec!["o-2", "o-2"],
             0,
         ),
         (
-            "preempts tasks on the worker that has the image",
+            "replicas preempt tasks on the worker that has the image",
             vec![worker("o-1", "a", false), with_image("o-2")],
             true,
             vec![],
             2,
         ),
         (
-            "on different workers if the image must be pulled",
+            "replicas are placed on different workers if the image must be pulled",
             vec![worker("o-1", "a", false), worker("o-2", "a", false)],
             false,
             vec!["o-1", "o-2"],
@@ -454,7 +454,7 @@
             false,
         ),
         (
-            "an array of which one task fits",
+            "an array that does not fit completely, but of which one task fits",
             with("j-1", 100, |s| s.cpus = 12.0),
             true,
         ),
--- a/tests/world/checks.rs
+++ b/tests/world/checks.rs
@@ -18,7 +18,7 @@
     pub max_pending_worker_calls: usize,
     /// Heartbeats of workers.
     pub heartbeats: u32,
-    /// Transactions that were applied late, and got no response.
+    /// Transactions that were applied 2 to 12 s late, usually when their sender had timed out.
     pub late_txns: u32,
     /// Transactions that were applied after newer ones of the same controller.
     pub out_of_order_txns: u32,
@@ -246,7 +246,7 @@
         confirmed_at.filter(|at| (from..to).contains(at)).count()
     }
 
-    /// Returns the number of elections so far: how often the `leader` key was put.
+    /// Returns the number of elections so far, which is the number of committed puts of the `leader` key.
     pub fn leader_changes(&self) -> usize {
         self.counts.leader_key_puts
     }
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -17,7 +17,7 @@
     pub repeated_requests: f64,
     /// Additional response time of the state service, in seconds.
     pub state_service_delay_s: f64,
-    /// A transaction gets no response, and is applied 2 to 12 s later.
+    /// A transaction is applied only 2 to 12 s after it was sent, usually when its sender has timed out.
     pub late_transactions: f64,
     /// A heartbeat arrives only when the worker no longer waits for its response, between 4 s and `2 * LEASE_S + 4` s
     /// after it was sent, and at a random controller.
@@ -113,8 +113,8 @@
         partition.is_some_and(|partition| partition.controllers.contains(&controller))
     }
 
-    /// Sends a request. Depending on the network faults, it may arrive late, arrive twice or, if it is a transaction,
-    /// arrive when its sender has timed out.
+    /// Sends a request. Depending on the network faults, it may arrive late or twice. For transactions there is a
+    /// separate probability of arriving late.
     pub(super) fn send_request(&mut self, event: SimEvent) {
         if self.faults.repeated_requests > 0.0
             && self.rng.random::<f64>() < self.faults.repeated_requests
@@ -128,7 +128,7 @@
             && self.faults.late_transactions > 0.0
             && self.rng.random::<f64>() < self.faults.late_transactions
         {
-            // When the transaction is applied, its sender has timed out.
+            // When the transaction is applied, its sender has usually timed out.
             let delay = 2.0 + self.rng.random::<f64>() * 10.0;
             self.counts.late_txns += 1;
             self.schedule_after(delay, event);
