--- a/src/coordination/scheduler/scoring.rs
+++ b/src/coordination/scheduler/scoring.rs
@@ -70,8 +70,8 @@
     }
 }
 
-/// Requests for which no worker had capacity. The cycle assumes that free capacity does not grow, so it does not search
-/// again for requests that are at least as large.
+/// Requests of jobs without constraints on instance types or zones for which no worker was feasible. The cycle assumes
+/// that free capacity does not grow, so it does not search again for requests that are at least as large.
 #[derive(Debug, Default)]
 pub(super) struct UnsatisfiableRequests {
     /// The latest unsatisfied request of a job that may use on-demand instances only.
@@ -142,8 +142,8 @@
     }
 
     /// Returns the indices of the feasible workers: those that pass the job's filter and have free capacity for one
-    /// of its tasks. If no worker had capacity for the same or a smaller request before, the list is empty without a
-    /// search.
+    /// of its tasks. If the request is at least as large as one recorded in `unsatisfiable`, the list is empty
+    /// without a search.
     fn feasible_workers(&mut self, placement: &JobPlacement) -> Vec<usize> {
         let spec = placement.spec();
         let request = &placement.request;
