--- a/src/coordination/controller/health.rs
+++ b/src/coordination/controller/health.rs
@@ -5,12 +5,14 @@
 /// Times of the latest successful and the latest failed request to the state service.
 #[derive(Debug)]
 pub(super) struct StateServiceHealth {
+    /// When the latest successful response arrived, if any.
     ok_at: Option<f64>,
+    /// When the latest request was found to have failed; negative infinity if none has.
     failed_at: f64,
 }
 
 impl StateServiceHealth {
-    /// Creates the state before the first request.
+    /// Creates the health before the first request: none has succeeded or failed.
     pub(super) fn new() -> StateServiceHealth {
         StateServiceHealth {
             ok_at: None,
@@ -18,7 +20,8 @@
         }
     }
 
-    /// Records the outcome of any request to the state service.
+    /// Records the outcome of a request to the state service. A rejection by the state service for other reasons
+    /// than its unavailability counts as a success.
     pub(super) fn observe_response(&mut self, response: &KvResponse, now: f64) {
         match response {
             KvResponse::Unavailable | KvResponse::OutcomeUnknown => self.failed_at = now,
@@ -31,7 +34,8 @@
         self.ok_at.is_some_and(|at| now - at < window_s)
     }
 
-    /// When the state service last rejected a request of this controller, or left one unanswered.
+    /// When a request of this controller last failed because the state service was unavailable or did not respond.
+    /// Negative infinity if none has.
     pub(super) fn failed_at(&self) -> f64 {
         self.failed_at
     }
@@ -44,7 +48,8 @@
     pub(super) open_jobs_known: bool,
     /// The state service has served this controller within the last heartbeat interval.
     pub(super) state_service_ok: bool,
-    /// The state service has served at least one peer within the last heartbeat interval.
+    /// A peer has said in a heartbeat, received within the last heartbeat interval, that the state service serves
+    /// this peer.
     pub(super) peer_state_service_ok: bool,
 }
 
@@ -52,8 +57,8 @@
     /// Whether the load balancer may send users to this controller.
     ///
     /// A controller that the state service does not serve is unready only while a peer is served. The load
-    /// balancer stays away from an unready controller for a long time, and in an outage that affects all
-    /// controllers it gains nothing by switching.
+    /// balancer sends no users to a controller for a long time after it was unready, and in an outage that affects
+    /// all controllers the users gain nothing by being sent to another one.
     pub(super) fn is_ready(self) -> bool {
         let served_as_well_as_peers = self.state_service_ok || !self.peer_state_service_ok;
         self.instance_types_known && self.open_jobs_known && served_as_well_as_peers
--- a/src/coordination/controller/leader_key.rs
+++ b/src/coordination/controller/leader_key.rs
@@ -11,7 +11,8 @@
 #[error("not a leader record: {0}")]
 struct LeaderRecordError(#[from] CborError);
 
-/// Applies one watch update. `jitter` in 0..1 spreads the campaigns that follow a deletion of the key.
+/// Applies one watch update to the election. If the key was deleted, `jitter` (from 0 to 1) sets the delay of this
+/// controller's next campaign.
 pub(super) fn apply(
     update: WatchUpdate,
     election: &mut Election,
--- a/src/coordination/controller/leadership.rs
+++ b/src/coordination/controller/leadership.rs
@@ -7,7 +7,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// Silence of all workers after which they count as unable to reach this leader, in heartbeat intervals.
+/// Silence of all workers, in heartbeat intervals, after which the leader may conclude that they cannot reach it.
 /// A shorter silence can occur by chance.
 const UNREACHABLE_HEARTBEATS: f64 = 1.6;
 
@@ -57,8 +57,8 @@
             .view_freshness(view_current_as_of, self.state_service.failed_at(), now)
     }
 
-    /// Performs the leader's work that is due, and applies the events that it emits. Does nothing on a controller
-    /// that does not lead, except for polling the watches.
+    /// Polls the watches. If this controller leads, also performs the leader's work that is due, and applies the
+    /// events that the leader emits.
     pub(super) fn poll_leader(&mut self, now: f64) {
         self.jobs_watch.poll(&mut self.effects, now);
         self.leader_watch.poll(&mut self.effects, now);
@@ -85,7 +85,7 @@
     }
 
     /// Notifies the leader of finished jobs that the job API has discovered through its own transactions, a
-    /// lookup or a peer. The watch may report them much later.
+    /// lookup or a peer. The watch may deliver the deletions of their `open/` keys much later.
     pub(super) fn notify_leader_of_finished_jobs(&mut self) {
         for id in self.job_api.take_newly_finished() {
             if let Some(leader) = &mut self.leader {
@@ -94,8 +94,10 @@
         }
     }
 
-    /// Resigns if workers cannot reach this leader. It concludes this if all workers are silent and a peer has
-    /// redirected workers or, after half a worker's lease of silence, if all peers are silent too.
+    /// Resigns if this leader concludes that workers cannot reach it. It does so if all workers have been silent
+    /// for [`UNREACHABLE_HEARTBEATS`] and a peer has recently redirected workers, or if all workers have been silent
+    /// for half the duration of a worker's lease too and no peer has sent a recent heartbeat. A leader without
+    /// peers does not resign.
     pub(super) fn resign_if_partitioned(&mut self, now: f64) {
         let Some(leader) = &self.leader else { return };
         let silent_s = leader.worker_contact_lost_s(now);
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -39,15 +39,15 @@
 use std::rc::Rc;
 use write_budget::WriteBudget;
 
-/// Number of watch requests on the open jobs per heartbeat interval. Each waits for changes for the heartbeat
-/// interval divided by this number. Until it returns, the view of the open jobs is not confirmed to be current.
+/// Number of watch requests on the open jobs per heartbeat interval of workers. Each waits for changes for the
+/// heartbeat interval divided by this number. Only its response confirms that the view of the open jobs is current.
 const WATCHES_PER_HEARTBEAT: f64 = 4.0;
 /// Timeout of requests to the state service, in heartbeat intervals of workers.
 const REQUEST_TIMEOUT_HEARTBEATS: f64 = 0.5;
-/// Age up to which a peer's heartbeat is used, in heartbeat intervals of workers.
+/// Age below which a peer's heartbeat counts as recent, in heartbeat intervals of workers.
 const PEER_FRESHNESS_HEARTBEATS: f64 = 2.0;
 
-/// The current time of an input, by two clocks.
+/// The time at which an input is processed, by two clocks.
 #[derive(Debug, Clone, Copy)]
 pub struct Now {
     /// Monotonic clock, in seconds since the controller started.
@@ -56,7 +56,7 @@
     pub wall: f64,
 }
 
-/// A controller of the cluster. One of the controllers is the leader.
+/// A controller of the cluster. The controllers elect one of them as the leader; all of them serve users.
 pub struct Controller {
     settings: Rc<Settings>,
     policy: Rc<Policy>,
@@ -126,7 +126,7 @@
         std::mem::take(&mut self.effects.queue)
     }
 
-    /// Whether this controller leads. After failed renewals of its lease it still does so for the lease grace period
+    /// Whether this controller leads. If the renewals of its lease fail, it still leads for the lease grace period
     /// (see [`ElectionTimeouts::new`]).
     pub fn is_leader(&self) -> bool {
         self.leader.is_some()
@@ -136,7 +136,7 @@
         self.settings.deployment.workers.heartbeat_interval_s
     }
 
-    /// Age up to which a peer's heartbeat is used.
+    /// Age in seconds below which a peer's heartbeat counts as recent.
     fn peer_freshness_s(&self) -> f64 {
         self.heartbeat_interval_s() * PEER_FRESHNESS_HEARTBEATS
     }
@@ -287,7 +287,8 @@
         }
     }
 
-    /// Passes a response to the leader, unless its epoch has changed since the request.
+    /// Passes a response to the leader. Ignores the response if this controller no longer leads with the epoch in
+    /// which the request was sent.
     fn on_leader_kv_response(
         &mut self,
         context: &KvRequestContext,
@@ -327,7 +328,7 @@
         }
     }
 
-    /// Passes the instance types to the leader if they have changed.
+    /// Passes the instance types to the leader, if this controller leads and `changed` is true.
     fn update_leader_instance_types(&mut self, changed: bool) {
         if changed
             && let Some(leader) = &mut self.leader
@@ -372,7 +373,7 @@
         self.poll_leader(t);
     }
 
-    /// Processes the outcome of a direct call to a worker.
+    /// Processes the outcome of a direct call, which sends commands to a worker without waiting for its heartbeat.
     pub fn on_worker_response(
         &mut self,
         correlation_id: CorrelationId,
--- a/src/coordination/controller/open_jobs.rs
+++ b/src/coordination/controller/open_jobs.rs
@@ -91,7 +91,7 @@
                 return;
             }
         };
-        // The job may have been closed after this record was written. The job API rejects such records.
+        // The job may have been closed after this record was written. `on_job_opened` then returns false.
         if self.job_api.on_job_opened(item.mod_revision, spec)
             && let Some(leader) = &mut self.leader
             && let Some(job) = self.job_api.open_jobs().get(id)
--- a/src/coordination/controller/peer_heartbeats.rs
+++ b/src/coordination/controller/peer_heartbeats.rs
@@ -26,7 +26,8 @@
             Some(leader) if heartbeat.epoch >= leader.epoch() => {
                 leader.on_epoch_acknowledged(&heartbeat.label, now);
             }
-            // A former leader that has not noticed its successor yet still sends job counts, which are out of date.
+            // Job counts with a lower epoch are out of date: they come from a former leader that has not noticed its
+            // successor yet.
             None if heartbeat.epoch >= self.election.highest_epoch() => {
                 self.job_api.on_job_counts(&heartbeat.counts);
             }
@@ -53,7 +54,7 @@
         true
     }
 
-    /// Sends a heartbeat to the peers if one is due.
+    /// Sends a heartbeat to the peers if one is due, and then also logs the requests rejected since the previous one.
     pub(super) fn poll_heartbeats(&mut self, now: f64) {
         if now < self.heartbeat_at {
             return;
--- a/src/coordination/controller/redirected_workers.rs
+++ b/src/coordination/controller/redirected_workers.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-/// Maximum number of workers tracked; further workers are not counted.
+/// Maximum number of tracked workers. Once it is reached, no heartbeats are recorded until a worker has expired.
 const MAX_REDIRECTED: usize = 4096;
 
-/// Recently redirected workers, with the time of their last heartbeat to this controller.
+/// Recently redirected workers, with the time of their last recorded heartbeat to this controller.
 #[derive(Debug, Default)]
 pub(super) struct RedirectedWorkers {
     redirected_at: BTreeMap<String, f64>,
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Removes the workers whose last heartbeat here is `window_s` seconds old or older.
+    /// Removes the workers whose last recorded heartbeat is `window_s` seconds old or older.
     pub(super) fn expire(&mut self, window_s: f64, now: f64) {
         self.redirected_at.retain(|_, at| now - *at < window_s);
     }
--- a/src/coordination/controller/worker_heartbeats.rs
+++ b/src/coordination/controller/worker_heartbeats.rs
@@ -1,4 +1,4 @@
-//! Worker heartbeats: the leader answers them, the other controllers redirect them to the leader.
+//! Worker heartbeats: the leader responds with commands, the other controllers redirect the workers to the leader.
 
 use super::Controller;
 use crate::bookkeeping::invariants::{self, Invariant};
@@ -8,7 +8,7 @@
 use crate::protocol::token::InvalidFencingToken;
 use crate::protocol::worker::{NotLeader, WorkerHeartbeat};
 
-/// Why a heartbeat is rejected.
+/// Why the body of a worker's heartbeat is rejected.
 #[derive(Debug, thiserror::Error)]
 enum HeartbeatError {
     #[error("not a report: {0}")]
@@ -36,7 +36,7 @@
             Some(HeartbeatOutcome::Commands(commands)) => {
                 self.effects.respond(request_id, 200, &commands);
             }
-            // An error response does not renew the lease. The worker will send another heartbeat.
+            // An error response does not renew the worker's lease. The worker will send another heartbeat.
             Some(HeartbeatOutcome::LeaseNotRenewed) => {
                 self.effects
                     .respond_error(request_id, 503, "the open jobs aren't known", None);
@@ -69,8 +69,9 @@
         Some(outcome)
     }
 
-    /// Label of the controller to which workers are redirected: the leader, as far as known. There is no hint if
-    /// the latest known leader is this controller, which can no longer be sure that it leads.
+    /// Label of the controller to which workers are redirected: the leader, as far as known. Returns `None` if the
+    /// latest known leader is this controller itself: it redirects workers only if it does not lead or has seen a
+    /// higher epoch than its own.
     fn leader_hint(&self, now: f64) -> Option<String> {
         let known = match self.peers.latest_leader(self.heartbeat_interval_s(), now) {
             Some(latest) if latest.epoch >= self.election.highest_epoch() => latest.label,
@@ -87,8 +88,8 @@
     Ok(heartbeat)
 }
 
-/// Whether a response that renews a worker's lease may be sent. This checks the decision of the permit
-/// independently of the code that made it.
+/// Whether a response that renews a worker's lease may be sent. The permit to renew the lease has been checked
+/// before; this second check does not depend on the code of the first.
 fn is_within_lease_grace(freshness: &ViewFreshness, heartbeat: &WorkerHeartbeat) -> bool {
     let age_s = freshness.lease_age_s.max(freshness.view_age_s);
     let within = age_s <= freshness.limits.lease_grace_s;
--- a/src/coordination/election/mod.rs
+++ b/src/coordination/election/mod.rs
@@ -3,9 +3,11 @@
 //! The leader owns the `leader` key in the state service, which is attached to the leader's lease. The mod
 //! revision of the key is the leader's epoch.
 //!
-//! A controller campaigns in two calls. It first requests a lease, and then puts the key in a transaction that
-//! fails if another controller has put the key in the meantime. The elected leader keeps renewing its lease.
-//! If renewals fail, it stays leader for the lease grace period (see [`ElectionTimeouts::new`]).
+//! A controller campaigns with two requests. The first requests a lease. The second is a transaction that puts
+//! the key, and fails if the key has changed since the controller last observed it. The elected leader keeps
+//! renewing its lease. If its renewals fail, it stays leader until the lease grace period (see
+//! [`ElectionTimeouts::new`]) has passed since the last successful one, unless the state service responds that
+//! the lease has expired.
 
 mod state;
 mod timeouts;
@@ -78,8 +80,9 @@
             .is_some_and(|leadership| leadership.holds_lease(&self.timeouts, now))
     }
 
-    /// Returns the freshness of this controller's state. The view of the open jobs is current as of
-    /// `view_current_as_of`; the state service last rejected a call, or left one unanswered, at `failed_at`.
+    /// Returns how old the information is on which this controller's permits depend. The view of the open jobs
+    /// is current as of `view_current_as_of`. A request to the state service last failed, or had no response,
+    /// at `failed_at`.
     pub fn view_freshness(
         &self,
         view_current_as_of: f64,
@@ -107,7 +110,8 @@
         self.highest_epoch
     }
 
-    /// Label of the leader, if this controller knows one.
+    /// Label of the leader as far as this controller knows: its own label while it leads, otherwise the one in
+    /// the observed `leader` key.
     pub fn leader(&self) -> Option<&str> {
         if self.leadership().is_some() {
             return Some(&self.own_record.label);
@@ -121,7 +125,8 @@
     /// Processes the content of the `leader` key as reported by the watch, or `None` if the key is absent.
     ///
     /// The watch may lag behind, so an older leader record than the known one is ignored, and an absent key
-    /// does not end this controller's leadership. `jitter` in 0..1 spreads the campaigns that follow.
+    /// does not end this controller's leadership. If the key has disappeared, `jitter` (from 0 to 1) sets the
+    /// delay of this controller's next campaign, so that the controllers do not all campaign at once.
     pub fn observe_leader(
         &mut self,
         observed: Option<ObservedLeader>,
@@ -139,7 +144,8 @@
         self.observe_epoch(epoch)
     }
 
-    /// Processes the observation that the `leader` key does not exist at `revision`.
+    /// Processes the observation that the `leader` key does not exist at `revision`. Has no effect if the known
+    /// key was put after `revision`.
     pub fn observe_no_leader(&mut self, revision: u64, jitter: f64, now: f64) -> LeadershipChange {
         if self.observed_revision() <= revision {
             self.forget_leader(jitter, now);
@@ -180,7 +186,8 @@
         }
     }
 
-    /// Steps down after a transaction has failed because the `leader` key is no longer this controller's.
+    /// Processes the failure of a leader's transaction whose comparison shows that the `leader` key is no longer
+    /// this controller's. Steps down if this controller leads.
     pub fn on_deposed(&mut self) -> LeadershipChange {
         match self.state {
             ElectionState::Leader(_) => self.step_down(),
@@ -190,8 +197,9 @@
 
     // ---- periodic work
 
-    /// Renews the lease, campaigns or resigns if that is due. `leader_key_known` tells whether the watch has
-    /// read the `leader` key; the view of the open jobs is current as of `view_current_as_of`.
+    /// Starts a campaign or a renewal of the lease if one is due. A leader steps down at the end of the lease
+    /// grace period, and resigns if its view of the open jobs is too old. `leader_key_known` tells whether the
+    /// watch has read the `leader` key; the view is current as of `view_current_as_of`.
     pub fn poll(
         &mut self,
         leader_key_known: bool,
@@ -226,8 +234,8 @@
         if leadership.is_lease_grace_over(&self.timeouts, now) {
             return self.step_down();
         }
-        // With so old a view this leader can neither start tasks nor renew workers' leases, although it still
-        // holds its own lease. Resigning lets a controller with a current view take over.
+        // With a view older than the lease grace period this leader can neither start tasks nor renew workers'
+        // leases, even while it holds its own lease. Resigning lets a controller with a current view take over.
         if leadership.is_view_too_old(view_current_as_of, &self.timeouts, now) {
             tracing::info!("leadership resigned: the open jobs cannot be watched");
             return self.resign(effects, now);
@@ -243,8 +251,8 @@
         LeadershipChange::None
     }
 
-    /// Gives up leadership: revokes the lease and stays out of elections for a while, so that another
-    /// controller can take over.
+    /// Gives up leadership: revokes the lease and does not campaign for `campaign_backoff_s`, so that another
+    /// controller can take over. Does nothing if this controller does not lead.
     pub fn resign(&mut self, effects: &mut Effects, now: f64) -> LeadershipChange {
         let ElectionState::Leader(leadership) = self.state else {
             return LeadershipChange::None;
@@ -262,11 +270,11 @@
     // ---- campaign
 
     /// Returns the mod revision that the `leader` key must have for this controller to replace it, or `None`
-    /// if another controller leads.
+    /// if the key names another controller.
     ///
     /// An absent key (revision 0) may be replaced, and so may a key with this controller's own label. The
-    /// latter was put by an earlier process of this controller, or by a campaign whose response was lost. No
-    /// other controller leads with that key, so there is no need to wait until its lease expires.
+    /// latter was put by an earlier process of this controller, or by a campaign whose response was lost. While
+    /// the key has this label no other controller leads, so there is no need to wait until its lease expires.
     fn replaceable_revision(&self) -> Option<u64> {
         match &self.observed_leader {
             None => Some(0),
@@ -384,8 +392,8 @@
                 LeadershipChange::Elected(epoch)
             }
             _ => {
-                // If there was no response, the transaction may still be applied later. Once its lease is
-                // revoked, it cannot be.
+                // If there was no response, the transaction may still be applied later. The revocation of the
+                // lease, to which the transaction attaches the key, prevents this.
                 self.revoke_lease(campaign.lease_id, effects, now);
                 self.back_off(now);
                 LeadershipChange::None
@@ -400,7 +408,7 @@
         sent_at: f64,
         now: f64,
     ) -> LeadershipChange {
-        // This response is about the lease of an earlier term of this controller.
+        // A renewal that was sent before the election was for the lease of an earlier term of this controller.
         if sent_at < leadership.elected_at {
             return LeadershipChange::None;
         }
--- a/src/coordination/election/state.rs
+++ b/src/coordination/election/state.rs
@@ -12,7 +12,7 @@
     pub mod_revision: u64,
 }
 
-/// Result of an election step for this controller's leadership.
+/// How an input to the election has changed this controller's leadership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeadershipChange {
     /// Leadership has not changed.
@@ -32,7 +32,8 @@
     AcquiringLease,
     /// Has sent the transaction that puts the `leader` key.
     Campaigning(Campaign),
-    /// Leads, with a lease that was last renewed at most one lease grace period ago.
+    /// Leads. This state ends at the latest when the controller is first polled after the lease grace period,
+    /// which starts at the last successful renewal.
     Leader(Leadership),
 }
 
@@ -40,8 +41,8 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Campaign {
     pub(super) lease_id: u64,
-    /// When the lease was requested. Its lifetime is counted from then, because the state service may have
-    /// granted it at any time since.
+    /// When the lease was requested. The lifetime of the lease is counted from this time, because the state
+    /// service may have granted the lease at any time since.
     pub(super) lease_requested_at: f64,
 }
 
@@ -50,8 +51,9 @@
 pub(super) struct Leadership {
     pub(super) epoch: u64,
     pub(super) lease_id: u64,
+    /// When the response to the campaign's transaction arrived.
     pub(super) elected_at: f64,
-    /// When the latest successful renewal was sent.
+    /// When the latest successful renewal was sent, or the request for the lease if there was no renewal yet.
     pub(super) renewed_at: f64,
     /// When the next renewal is due.
     pub(super) keep_alive_at: f64,
@@ -78,7 +80,7 @@
         leadership
     }
 
-    /// Records that a renewal of the lease, sent at `sent_at`, has succeeded.
+    /// Records that the grant or a renewal of the lease, requested at `sent_at`, has succeeded.
     pub(super) fn renewed(&mut self, sent_at: f64, timeouts: &ElectionTimeouts) {
         self.renewed_at = sent_at;
         self.keep_alive_at = sent_at + timeouts.keep_alive_interval_s();
--- a/src/coordination/election/timeouts.rs
+++ b/src/coordination/election/timeouts.rs
@@ -10,12 +10,12 @@
 const MAX_START_VIEW_HEARTBEATS: f64 = 2.0;
 /// Part of `cancel_s` that is reserved for message delays, in heartbeat intervals.
 const MESSAGE_DELAY_HEARTBEATS: f64 = 0.5;
-/// Clock drift to allow for during a worker's lease, in multiples of `MAX_CLOCK_DRIFT`. Two clocks diverge by less;
-/// the rest is a safety margin.
+/// Clock drift to allow for during a worker's lease, in multiples of `MAX_CLOCK_DRIFT`. The clocks of the worker and
+/// the leader diverge by less than this; the difference is a safety margin.
 const LEASE_DRIFT_FACTOR: f64 = 4.0;
 /// Interval between renewals, as a fraction of the leader's lease.
 const KEEP_ALIVE_SHARE: f64 = 1.0 / 4.0;
-/// A failed renewal is retried after the renewal interval divided by this.
+/// A failed renewal is retried after the renewal interval divided by this number.
 const KEEP_ALIVE_RETRY_DIVISOR: f64 = 4.0;
 /// Timeout of election requests, as a fraction of the leader's lease.
 const REQUEST_TIMEOUT_SHARE: f64 = 1.0 / 3.0;
@@ -25,8 +25,8 @@
 pub struct ElectionTimeouts {
     /// Duration of the leader's lease.
     pub leader_lease_s: f64,
-    /// How long a leader keeps renewing workers' leases after its own lease was last renewed, and after its
-    /// view of the open jobs was last known to be current.
+    /// Lease grace period: a leader renews workers' leases only while no more than this time has passed since
+    /// its own lease was last renewed, and since its view of the open jobs was last known to be current.
     pub lease_grace_s: f64,
     /// Maximum age of the view of the open jobs at which tasks may be started.
     pub max_start_view_age_s: f64,
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Time after the sending of a successful renewal during which the lease cannot expire. It is shorter than
-    /// the lease to allow for clock drift between this controller and the state service.
+    /// How long after the sending of a successful renewal the leader's lease cannot expire. This is less than
+    /// the duration of the lease, to allow for clock drift between this controller and the state service.
     pub(super) fn guaranteed_lease_s(&self) -> f64 {
         self.leader_lease_s * (1.0 - 2.0 * MAX_CLOCK_DRIFT)
     }
@@ -90,8 +90,8 @@
         self.request_timeout_s() / 2.0
     }
 
-    /// Delay from the deletion of the `leader` key to a campaign. `jitter` in 0..1 scales it, so that the
-    /// controllers do not all campaign at once.
+    /// Delay from the observed deletion of the `leader` key to a campaign. `jitter`, from 0 to 1, scales the
+    /// delay, so that the controllers do not all campaign at once.
     pub(super) fn campaign_delay_s(&self, jitter: f64) -> f64 {
         jitter * self.leader_lease_s * REQUEST_TIMEOUT_SHARE / 2.0
     }
--- a/src/coordination/job_api/admission.rs
+++ b/src/coordination/job_api/admission.rs
@@ -11,11 +11,11 @@
 
 /// Maximum number of waiting requests; further requests are rejected.
 const MAX_WAITING: usize = 2_000;
-/// Seconds after which a poll is given up, because users do not wait longer for an answer.
+/// Maximum seconds for which a poll waits, because users do not wait longer for a response.
 const POLL_TIMEOUT_S: f64 = 2.0;
-/// Maximum time that a request waits, as a multiple of the timeout of requests to the state service.
+/// Maximum time for which a user request waits, as a multiple of the timeout of requests to the state service.
 const REQUEST_TIMEOUTS: f64 = 1.5;
-/// How long requests are rejected after the state service was unavailable, as a multiple of the timeout of requests
+/// How long user requests are rejected after the state service was unavailable, as a multiple of the timeout of requests
 /// to it.
 const REJECTION_TIMEOUTS: f64 = 0.5;
 
--- a/src/coordination/job_api/batches.rs
+++ b/src/coordination/job_api/batches.rs
@@ -7,12 +7,12 @@
 
 /// Maximum number of transactions in flight, counted separately for revision checks and for job writes.
 const MAX_BATCHES_IN_FLIGHT: usize = 6;
-/// Fraction of the request timeout after which the next transaction is sent although the previous one has not been
-/// answered. This keeps requests moving while the state service is slow.
+/// Fraction of the request timeout after which the next transaction is sent although the previous one has had no
+/// response. This keeps requests moving while the state service is slow.
 const SLOW_RESPONSE_SHARE: f64 = 1.0 / 50.0;
 
-/// Transactions in flight, with the user requests that each of them serves. Revision checks and job writes are kept
-/// in separate instances.
+/// Transactions in flight, with the user requests that each of them serves. Revision checks and job writes each have
+/// their own value of this type.
 #[derive(Debug, Default)]
 pub(super) struct InFlightBatches {
     last_id: u64,
@@ -37,7 +37,7 @@
         self.last_id
     }
 
-    /// Removes a batch whose transaction was answered, and returns its requests.
+    /// Removes a batch whose transaction has a response or has timed out, and returns its requests.
     pub(super) fn complete(&mut self, id: u64) -> Vec<PendingRequest> {
         self.batches.remove(&id).unwrap_or_default()
     }
@@ -48,13 +48,14 @@
 pub(super) enum BatchOutcome {
     /// The transaction was committed at this revision.
     Committed { mod_revision: u64 },
-    /// A comparison failed, and it may have been one of this job's keys.
+    /// The transaction was not applied because a comparison failed, possibly that of a key of this job.
     Conflict,
-    /// The transaction was not applied because of another job's keys or because of rate limiting.
+    /// The transaction was not applied because of rate limiting, or because only comparisons of other jobs' keys
+    /// failed.
     NotApplied,
-    /// The transaction may have been applied.
+    /// The transaction may or may not have been applied.
     Unknown,
-    /// The state service did not process the transaction.
+    /// The state service was unavailable, or its response does not fit a transaction.
     Unavailable,
 }
 
--- a/src/coordination/job_api/lookups.rs
+++ b/src/coordination/job_api/lookups.rs
@@ -13,7 +13,7 @@
 
 /// Maximum number of lookups in flight.
 const MAX_LOOKUPS: usize = 8;
-/// Maximum number of requests to the state service per lookup.
+/// Maximum number of requests to the state service per lookup. A lookup takes this many from the request budget.
 const REQUESTS_PER_LOOKUP: f64 = 2.0;
 
 /// The lookup of one job.
@@ -203,7 +203,7 @@
     }
 }
 
-/// Decodes the record under a job's `open/` or `over/` key.
+/// Decodes the record under a job's `open/` or `over/` key. Returns `Undetermined` if that fails.
 fn read_record(job: &str, item: &KeyValue) -> JobRecordState {
     let state = if item.key == records::open_key(job) {
         cbor::from_value::<JobSpec>(&item.value).map(|spec| {
--- a/src/coordination/job_api/mod.rs
+++ b/src/coordination/job_api/mod.rs
@@ -1,9 +1,10 @@
 //! The user API, served by every controller: users submit, poll and cancel jobs.
 //!
-//! The terminal state of a job never changes and is served from memory. Every other answer is first confirmed by
-//! the state service, in a batch with others. The key of an open job is never rewritten, so an unchanged mod
-//! revision proves that the job is still open. Therefore no controller can return an older state of a job than
-//! another controller has already returned.
+//! The terminal state of a job never changes and is served from memory once it is known. Any other state of a job is
+//! confirmed by the state service before it is returned: by a transaction that serves many requests, or by a read of
+//! the job's keys. The key of an open job is never rewritten, so an unchanged mod revision proves that the job is
+//! still open. Therefore no controller can return an older state of a job (not found, open or finished) than another
+//! controller has already returned. The task counts of an open job come from the leader and may be out of date.
 //!
 //! `Admission` rejects requests that cannot be served in time. The others wait in `RevisionChecks` (polls),
 //! `JobWrites` (submissions and cancellations) or `JobLookups` (requests that a comparison of mod revisions
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Records the progress of jobs as reported by the leader.
+    /// Records the progress of jobs as received from the leader. Ignores jobs that are not known to be open.
     pub fn on_job_counts(&mut self, counts: &[JobCounts]) {
         for job in counts {
             let progress = JobProgress {
@@ -219,8 +220,8 @@
         self.admit(request_id, id, RequestKind::Cancel, effects, now);
     }
 
-    /// Answers a request from memory if the job is known to have finished. Otherwise enqueues the request for the
-    /// state service, or rejects it.
+    /// Responds to a request from memory if the job is known to have finished. Otherwise enqueues the request for the
+    /// state service, or rejects it if admission control does.
     fn admit(
         &mut self,
         request_id: u64,
@@ -248,7 +249,7 @@
         self.send_due_requests(effects, now);
     }
 
-    /// Number of requests that have not been sent yet or wait for a lookup.
+    /// Number of requests that are queued or wait for a lookup. Requests in a transaction in flight are not counted.
     fn waiting_requests(&self) -> usize {
         self.revision_checks.polls.len() + self.writes.queue.len() + self.lookups.waiting_requests()
     }
@@ -268,7 +269,8 @@
 
     // ---- requests to the state service
 
-    /// Rejects the requests whose deadline has passed, and sends the calls to the state service that are due.
+    /// Rejects the queued polls and writes whose deadline has passed, and sends the requests to the state service
+    /// that are due. The deadline of a request that waits for a lookup is checked when the lookup completes.
     ///
     /// Lookups have priority over revision checks in the use of the request budget. A delayed revision check
     /// loses nothing, because it then answers more polls at once. If revision checks came first, a controller with
@@ -320,7 +322,7 @@
     }
 
     /// Processes the response to a transaction of submissions and cancellations. Returns the jobs that the
-    /// transaction has opened.
+    /// transaction has opened and that have not been closed since.
     pub fn on_writes_completed(
         &mut self,
         batch: u64,
@@ -336,7 +338,7 @@
                     opened.extend(self.on_write_committed(pending, mod_revision, effects));
                 }
                 BatchOutcome::NotApplied => self.writes.queue.enqueue(pending),
-                // A write of unknown outcome may have been applied, so the user gets the state that is stored.
+                // After a conflict or an unknown outcome, a lookup reads which state of the job is stored.
                 BatchOutcome::Conflict | BatchOutcome::Unknown => self.lookups.enqueue(pending),
                 BatchOutcome::Unavailable => {
                     let error = RequestError::StateServiceUnavailable;
@@ -380,7 +382,7 @@
             "job accepted"
         );
         match self.terminal_states.get(id) {
-            // The job has finished before this response to its submission arrived.
+            // The job finished before the response to the transaction of its submission arrived.
             Some(record) => {
                 self.respond_finished(pending.request_id, id, &pending.kind, record, effects);
             }
@@ -427,9 +429,9 @@
 
     // ---- responses
 
-    /// Answers a poll after its revision check has succeeded. Updates that arrived after the check was sent are
+    /// Responds to a poll after its revision check has succeeded. Updates that arrived after the check was sent are
     /// newer and take precedence. A job that was open in the check and has been closed since is looked up, so that
-    /// the user is never told that it does not exist.
+    /// the user is never told that this job does not exist.
     fn respond_to_poll(&mut self, poll: PendingRequest, effects: &mut Effects) {
         let request_id = poll.request_id;
         if let Some(record) = self.terminal_states.get(&poll.job) {
@@ -443,7 +445,7 @@
         }
     }
 
-    /// Answers a request with the result of a lookup, or enqueues it for a write.
+    /// Responds to a request with the result of a lookup, or enqueues the request for a write.
     fn respond_after_lookup(
         &mut self,
         pending: PendingRequest,
--- a/src/coordination/job_api/open_jobs.rs
+++ b/src/coordination/job_api/open_jobs.rs
@@ -17,9 +17,7 @@
 /// Progress of a job, for display only.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct JobProgress {
-    /// Completed tasks.
     pub(super) completed_tasks: u32,
-    /// Running tasks.
     pub(super) running_tasks: u32,
 }
 
@@ -84,7 +82,8 @@
 
     /// Removes a closed job and its progress. `revision` is the revision at which the job was closed, if known.
     ///
-    /// A lookup that finds no key must not remove a job: it may have read the keys before the job was opened.
+    /// Must not be called because a lookup has found no key: the lookup may have read the keys before the job was
+    /// opened.
     pub(super) fn close(&mut self, id: &str, revision: Option<u64>) {
         self.closed.insert(id, revision);
         self.jobs.remove(id);
@@ -105,7 +104,8 @@
             .unwrap_or_default()
     }
 
-    /// The view of an open job that is returned to users.
+    /// The view of an open job that is returned to users. A job without running tasks, or without known progress, is
+    /// shown as queued.
     pub(super) fn view(&self, id: &str) -> JobView {
         let progress = self.progress(id);
         let status = if progress.running_tasks > 0 {
--- a/src/coordination/job_api/pending_request.rs
+++ b/src/coordination/job_api/pending_request.rs
@@ -27,9 +27,9 @@
     pub(super) kind: RequestKind,
     /// When the request times out.
     pub(super) deadline: f64,
-    /// Whether the revision check in flight compares the job as open.
+    /// For a poll: whether the latest revision check that contains it compares the job as open.
     pub(super) checked_as_open: bool,
-    /// The terminal state that the cancellation in flight writes.
+    /// For a cancellation whose transaction has been sent: the terminal state that the transaction writes.
     pub(super) written_state: Option<FinishedRecord>,
 }
 
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Removes and returns the requests whose deadline has passed, in order.
+    /// Removes and returns the requests whose deadline has passed, in the order of the queue.
     pub(super) fn take_expired(&mut self, now: f64) -> Vec<PendingRequest> {
         let expired = |pending: &PendingRequest| now >= pending.deadline;
         if !self.requests.iter().any(expired) {
--- a/src/coordination/job_api/responses.rs
+++ b/src/coordination/job_api/responses.rs
@@ -59,8 +59,9 @@
     );
 }
 
-/// Responds with the terminal state of a job. Checks that the state service has recorded this outcome: users must
-/// not see an outcome before it is recorded.
+/// Responds with the terminal state of a job. Users must not see an outcome before the state service has recorded it,
+/// so an outcome that differs from the cached terminal state, or is not cached, is not returned: the response is then
+/// an error.
 pub(super) fn respond_finished(
     request_id: u64,
     job: &str,
--- a/src/coordination/job_api/revision_checks.rs
+++ b/src/coordination/job_api/revision_checks.rs
@@ -10,8 +10,8 @@
 use crate::settings::StateServiceLimits;
 use std::collections::HashSet;
 
-/// Fraction of a controller's request rate that revision checks may use. Each of them answers many polls. The rest
-/// is left for lookups.
+/// Fraction of a controller's request rate that revision checks may use. This suffices because each check serves
+/// many polls. The rest is left for lookups and job writes.
 const CHECK_SHARE: f64 = 0.5;
 
 /// Polls that wait for the next revision check, and the checks in flight.
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Sends the next check if one is due and the request budget permits it.
+    /// Sends the next check if polls are waiting, a check is due and the request budget suffices.
     pub(super) fn send_due(
         &mut self,
         open: &OpenJobs,
@@ -70,7 +70,7 @@
         effects.call_kv(context, KvRequest::Txn(txn), request_timeout_s, now);
     }
 
-    /// Removes a check that was answered, and returns its polls.
+    /// Removes a check that has a response or has timed out, and returns its polls.
     pub(super) fn complete(&mut self, check: u64) -> Vec<PendingRequest> {
         self.in_flight.complete(check)
     }
--- a/src/coordination/job_api/terminal_states.rs
+++ b/src/coordination/job_api/terminal_states.rs
@@ -4,7 +4,8 @@
 use crate::protocol::peer::{MAX_TERMINATIONS, Termination};
 use std::collections::{HashMap, VecDeque};
 
-/// Maximum number of cached terminal states. Evicted ones are looked up when a user asks for them.
+/// Maximum number of cached terminal states. An evicted state is read from the state service when a user
+/// requests it.
 const MAX_TERMINAL_STATES: usize = 20_000;
 
 /// The most recently recorded terminal states.
@@ -15,8 +16,7 @@
     order: VecDeque<String>,
     /// Jobs that this controller has finished or aborted, to be announced to the peers.
     unannounced: Vec<Termination>,
-    /// Jobs whose states were recorded since the last call of `take_newly_finished`. If this controller leads, it
-    /// closes these jobs in its tables.
+    /// Jobs whose states were recorded since the last call of `take_newly_finished`. The leader is notified of them.
     newly_finished: Vec<String>,
 }
 
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Queues a job that this controller has finished or aborted for announcement to the peers.
+    /// Queues a job that this controller has finished or aborted for announcement to the peers. Drops it if
+    /// `MAX_TERMINATIONS` jobs are queued already.
     pub(super) fn announce(&mut self, id: &str, record: FinishedRecord) {
         if self.unannounced.len() < MAX_TERMINATIONS {
             self.unannounced.push(Termination {
--- a/src/coordination/job_api/writes.rs
+++ b/src/coordination/job_api/writes.rs
@@ -25,8 +25,9 @@
     operations_sent: f64,
 }
 
-/// The writes of one request, and the mod revision of the job's `open/` key that they require.
+/// The writes of one request.
 struct RequestedWrites {
+    /// Mod revision that the job's `open/` key must have, or 0 if the key must not exist.
     open_mod_revision: u64,
     operations: Vec<WriteOp>,
     /// The terminal state of the job, if these writes finish it.
@@ -92,7 +93,9 @@
         not_open
     }
 
-    /// Moves requests from the queue into a transaction with at most `max_operations` writes.
+    /// Moves requests from the queue into a transaction with at most `max_operations` writes. Cancellations of jobs
+    /// that are not known to be open are moved to `not_open`. A request waits for a later transaction if this one
+    /// contains its job already or has no capacity for it.
     fn fill_batch(
         &mut self,
         open: &OpenJobs,
@@ -120,7 +123,7 @@
         draft
     }
 
-    /// Removes a batch whose transaction was answered, and returns its requests.
+    /// Removes a batch whose transaction has a response or has timed out, and returns its requests.
     pub(super) fn complete(&mut self, batch: u64) -> Vec<PendingRequest> {
         self.in_flight.complete(batch)
     }
