--- a/src/coordination/controller/write_budget.rs
+++ b/src/coordination/controller/write_budget.rs
@@ -21,8 +21,8 @@
     }
 
     /// Sets the write rate of the job API to this controller's part of the budget: what the peers leave unused, but
-    /// at least an equal part. `peer_rates` has the write operations per second of each peer, or `None` for a peer without a
-    /// recent heartbeat.
+    /// at least an equal part. `peer_rates` has the write operations per second of each peer, or `None` for a peer
+    /// without a recent heartbeat.
     ///
     /// Returns this controller's own write operations per second since the previous call.
     pub(super) fn share(
--- a/src/coordination/effects.rs
+++ b/src/coordination/effects.rs
@@ -22,18 +22,18 @@
     Respond {
         /// Id that the event loop has assigned to the request.
         request_id: u64,
-        /// HTTP status.
+        /// HTTP status of the response.
         status: u16,
-        /// Encoded body.
+        /// Body of the response, encoded as CBOR.
         body: Vec<u8>,
-        /// Seconds for the `Retry-After` header.
+        /// Seconds for the `Retry-After` header, or `None` for a response without that header.
         retry_after_s: Option<u32>,
     },
     /// Send a request to the state service.
     CallKv {
         /// Correlation id for the response.
         correlation_id: CorrelationId,
-        /// The request.
+        /// The request to encode and send.
         request: KvRequest,
         /// Seconds without a response after which the outcome is treated as unknown.
         timeout_s: f64,
@@ -42,18 +42,18 @@
     CallCloud {
         /// Correlation id for the response.
         correlation_id: CorrelationId,
-        /// The request.
+        /// The request to encode and send.
         request: CloudRequest,
         /// Seconds without a response after which the outcome is treated as unknown.
         timeout_s: f64,
     },
-    /// Send commands to a worker directly, rather than in the response to its next heartbeat.
+    /// Make a direct call: send commands to a worker at once, rather than in the response to its next heartbeat.
     CallWorker {
         /// Correlation id for the response.
         correlation_id: CorrelationId,
         /// Address of the worker.
         endpoint: String,
-        /// The request.
+        /// The commands; there may be none, to find out whether the worker responds.
         request: WorkerRequest,
         /// Seconds without a response after which the outcome is treated as unknown.
         timeout_s: f64,
@@ -77,9 +77,9 @@
     KeepAlive,
     /// The revocation of a lease.
     RevokeLease,
-    /// A batch of revision checks for polls, with the id of the batch.
+    /// A revision check, which confirms the state of the jobs of many polls, with the id of its batch of polls.
     RevisionCheck(u64),
-    /// A batch of submissions and cancellations, with the id of the batch.
+    /// A transaction for a batch of submissions and cancellations, with the id of the batch.
     JobWrites(u64),
     /// A read for the lookup of a job, with the id of the job.
     JobLookup(String),
@@ -87,8 +87,8 @@
     RecoveryRead(u64),
     /// A transaction that appends to the write-ahead log, with the leader's epoch.
     LogAppend(u64),
-    /// A read of a log segment, which shows whether a transaction of unknown outcome was applied, with the
-    /// leader's epoch.
+    /// A read of a segment of the write-ahead log, which shows whether a transaction of unknown outcome was applied,
+    /// with the leader's epoch.
     LogReadBack(u64),
     /// A read or put of the stored instance types.
     InstanceCatalog,
@@ -121,12 +121,12 @@
     DeleteInstances(u64, Vec<String>),
 }
 
-/// What a direct call to a worker is for.
+/// The sender, the receiver and the content of a direct call.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WorkerRequestContext {
-    /// The leader's epoch.
+    /// Epoch of the leader that sent the call.
     pub epoch: u64,
-    /// Name of the worker.
+    /// Name of the worker that receives the call.
     pub worker: String,
     /// The commands in the call.
     pub commands: Vec<Command>,
@@ -139,10 +139,10 @@
 }
 
 impl RejectionCounters {
-    /// Number of reasons that are counted separately between two log lines. Malformed requests may give any
-    /// number of different reasons.
+    /// Maximum number of pairs of status and reason that are counted separately between two calls of `log`. Malformed
+    /// requests can be rejected for any number of different reasons.
     const MAX_REASONS: usize = 16;
-    /// Reason under which all further ones are counted.
+    /// Reason under which all further reasons are counted together.
     const OTHER_REASONS: &str = "others";
 
     fn count(&mut self, status: u16, reason: &str) {
@@ -274,7 +274,7 @@
         self.pending.worker.remove(&correlation_id)
     }
 
-    /// Queues a response with `message` as its body.
+    /// Queues a response with `message`, encoded as CBOR, as its body.
     pub fn respond<T: serde::Serialize>(&mut self, request_id: u64, status: u16, message: &T) {
         self.queue.push(Effect::Respond {
             request_id,
@@ -284,7 +284,7 @@
         });
     }
 
-    /// Queues a response with the status of a job.
+    /// Queues the response to a submission or cancellation: the id and the status of the job.
     pub fn respond_job_status(
         &mut self,
         request_id: u64,
@@ -299,7 +299,7 @@
         self.respond(request_id, status, &accepted);
     }
 
-    /// Queues an error response. `retry_after_s` tells the client when to retry.
+    /// Queues an error response. `retry_after_s` tells the client after how many seconds to retry, if that may help.
     pub fn respond_error(
         &mut self,
         request_id: u64,
@@ -307,7 +307,7 @@
         reason: &str,
         retry_after_s: Option<u32>,
     ) {
-        // A request for an unknown job or path is not counted: it is a normal occurrence.
+        // Requests for unknown jobs or paths are not counted, because they are normal.
         if status != http_status::NOT_FOUND {
             self.rejections.count(status, reason);
         }
--- a/src/coordination/instance_catalog.rs
+++ b/src/coordination/instance_catalog.rs
@@ -1,5 +1,5 @@
-//! The available instance types. They are read from the cloud, and a copy is stored in the state service for
-//! controllers that start while the cloud is unavailable.
+//! The available instance types. They are read from the cloud, and also stored in the state service for controllers
+//! that start while the cloud is unavailable.
 
 use super::effects::{CloudRequestContext, Effects, KvRequestContext};
 use crate::bookkeeping::records;
@@ -9,23 +9,23 @@
 use crate::settings::WorkerSettings;
 use std::rc::Rc;
 
-/// Interval after a successful read from the cloud until the next one, as a multiple of the workers' lease.
+/// Interval from a successful read from the cloud to the next read, as a multiple of the duration of a worker's lease.
 const LEASES_PER_CATALOG_REFRESH: f64 = 2.0;
-/// Timeout of requests, in heartbeat intervals.
+/// Timeout of requests to the cloud and the state service, in heartbeat intervals of workers.
 const REQUEST_TIMEOUT_HEARTBEATS: f64 = 2.0;
 
-/// The known instance types, and the state of their stored copy.
+/// The known instance types, and those stored in the state service.
 #[derive(Debug)]
 pub struct InstanceCatalog {
     lease_s: f64,
     heartbeat_interval_s: f64,
     instance_types: Option<Rc<Vec<InstanceType>>>,
-    /// The copy in the state service, as far as known.
+    /// The instance types stored in the state service, as far as known.
     stored: Option<Rc<Vec<InstanceType>>>,
-    /// The copy that a put in flight writes.
+    /// The instance types that a put in flight writes.
     being_stored: Option<Rc<Vec<InstanceType>>>,
     refresh_at: f64,
-    /// The stored copy has been read, or there is none.
+    /// The stored instance types have been read, or the state service has responded that there are none.
     stored_read: bool,
 }
 
@@ -48,8 +48,9 @@
         self.instance_types.as_ref()
     }
 
-    /// Refreshes the catalog if that is due: lists the types of the cloud, and reads the stored copy if that has not
-    /// been done yet. Otherwise the leader, whose epoch is `epoch`, updates the stored copy.
+    /// Refreshes the catalog if that is due: requests the instance types from the cloud, and the stored ones if they
+    /// have not been read yet. If they have been read and this controller leads with `epoch`, stores the known types
+    /// if they differ from the stored ones.
     pub fn poll(&mut self, epoch: Option<u64>, effects: &mut Effects, now: f64) {
         if now < self.refresh_at {
             return;
@@ -69,8 +70,8 @@
         }
     }
 
-    /// Stores the types in the state service unless it already has the same ones. The put may be applied late, so it
-    /// is conditional on the `leader` key: it must not overwrite what a later leader has stored.
+    /// Stores the types in the state service unless it has the same ones apart from spot prices. The put may be applied
+    /// late, so it is conditional on the `leader` key: it must not overwrite what a later leader has stored.
     fn store_types(&mut self, epoch: u64, timeout_s: f64, effects: &mut Effects, now: f64) {
         let Some(instance_types) = &self.instance_types else {
             return;
@@ -91,7 +92,7 @@
         effects.call_kv(context, KvRequest::Txn(txn), timeout_s, now);
     }
 
-    /// Processes the response of the cloud. Returns true if the types may have changed.
+    /// Processes the response of the cloud. Returns true if it contains the types, which may have changed.
     pub fn on_cloud_response(&mut self, response: CloudResponse, now: f64) -> bool {
         let CloudResponse::InstanceTypes(instance_types) = response else {
             self.refresh_at = now + self.heartbeat_interval_s;
@@ -102,8 +103,8 @@
         true
     }
 
-    /// Processes the response of the state service to a read or put of the stored copy. Returns true if the types
-    /// were unknown before.
+    /// Processes the response of the state service to a read or put of the stored types. Returns true if the types were
+    /// unknown before and have now been read.
     pub fn on_kv_response(&mut self, response: &KvResponse) -> bool {
         match response {
             KvResponse::Value(item) => return self.on_stored_types(item),
@@ -132,7 +133,8 @@
     }
 }
 
-/// Whether two lists of instance types are equal apart from their spot prices.
+/// Whether two lists of instance types are equal apart from the amounts of spot prices. A spot price that only one of
+/// the lists has is a difference.
 fn equal_except_spot_prices(a: &[InstanceType], b: &[InstanceType]) -> bool {
     let without_spot_prices = |instance_types: &[InstanceType]| {
         instance_types
--- a/src/coordination/job_api/admission.rs
+++ b/src/coordination/job_api/admission.rs
@@ -15,8 +15,8 @@
 const POLL_TIMEOUT_S: f64 = 2.0;
 /// Maximum time for which a user request waits, as a multiple of the timeout of requests to the state service.
 const REQUEST_TIMEOUTS: f64 = 1.5;
-/// How long user requests are rejected after the state service was unavailable, as a multiple of the timeout of requests
-/// to it.
+/// How long user requests are rejected after the state service was unavailable, as a multiple of the timeout of
+/// requests to the state service.
 const REJECTION_TIMEOUTS: f64 = 0.5;
 
 /// Why a job can never be scheduled.
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -10,12 +10,12 @@
     received_at: f64,
 }
 
-/// The highest epoch that the peers have reported, and its leader.
+/// The highest epoch in the fresh heartbeats, and its leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LatestLeader<'a> {
-    /// The epoch.
+    /// The highest epoch; never 0, which stands for no leader.
     pub epoch: u64,
-    /// Label of the leader with this epoch, if the peer knows it.
+    /// Label of the leader that the peer with this epoch knows, if any.
     pub label: Option<&'a str>,
 }
 
@@ -42,20 +42,20 @@
         self.fresh(window_s, now).next().is_none()
     }
 
-    /// Whether the state service serves at least one peer.
+    /// Whether the state service serves at least one peer, according to the heartbeat of that peer.
     pub fn any_served(&self, window_s: f64, now: f64) -> bool {
         self.fresh(window_s, now)
             .any(|heartbeat| heartbeat.state_service_ok)
     }
 
-    /// Whether at least one peer has redirected workers to the leader. If this controller leads, these workers could
-    /// not reach it.
+    /// Whether at least one peer has redirected workers to the leader. If this controller leads, the reason is probably
+    /// that these workers could not reach this controller.
     pub fn any_redirected(&self, window_s: f64, now: f64) -> bool {
         self.fresh(window_s, now)
             .any(|heartbeat| heartbeat.redirected_workers > 0)
     }
 
-    /// The highest epoch that the peers have reported, with its leader. Returns `None` if no peer knows of a leader.
+    /// The highest epoch in the heartbeats of the peers, with its leader. Returns `None` if no peer has seen an epoch.
     pub fn latest_leader(&self, window_s: f64, now: f64) -> Option<LatestLeader<'_>> {
         let with_leader = self
             .fresh(window_s, now)
@@ -67,14 +67,16 @@
         })
     }
 
-    /// Jobs that a leader among the peers has reported as crash-looping.
+    /// Jobs that a leader among the peers considers crash-looping, which means that they fail on several workers
+    /// without any success.
     pub fn crash_looping_jobs(&self, window_s: f64, now: f64) -> BTreeSet<String> {
         self.fresh(window_s, now)
             .flat_map(|heartbeat| heartbeat.crash_looping_jobs.iter().cloned())
             .collect()
     }
 
-    /// Write operations per second of a peer on behalf of its users. Returns `None` if there is no fresh heartbeat.
+    /// Write operations per second of a peer on behalf of its users. Returns `None` if there is no fresh
+    /// heartbeat of this peer.
     pub fn user_writes_per_s(&self, label: &str, window_s: f64, now: f64) -> Option<f64> {
         let peer = self.latest.get(label)?;
         let is_fresh = now - peer.received_at < window_s;
--- a/src/coordination/routes.rs
+++ b/src/coordination/routes.rs
@@ -2,10 +2,10 @@
 
 use crate::protocol::job;
 
-/// The operation that a request asks for.
+/// The operation that is requested by method and path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Route<'a> {
-    /// Health check of the load balancer.
+    /// Health check, by which the load balancer finds out whether it may send users to this controller.
     Health,
     /// Heartbeat of a worker.
     Report,
@@ -26,7 +26,7 @@
     /// The path does not support this method.
     #[error("wrong method")]
     WrongMethod,
-    /// The path contains an invalid job id.
+    /// The method and path match a poll or cancellation, but the job id in the path is not valid.
     #[error("no such job")]
     NoSuchJob,
 }
--- a/src/coordination/terminations.rs
+++ b/src/coordination/terminations.rs
@@ -1,10 +1,10 @@
 //! Terminations of jobs. They are sent to the peers with every heartbeat until all peers have acknowledged them.
 //!
-//! A leader that the state service does not serve learns of cancellations only in this way. Correctness does not depend
-//! on it: a leader that misses a cancellation stops renewing workers' leases in time (see
+//! A leader that the state service does not serve learns of cancellations only from its peers. Correctness does not
+//! depend on the peers: a leader that misses a cancellation stops renewing workers' leases in time (see
 //! [`ElectionTimeouts::lease_grace_s`](super::election::ElectionTimeouts::lease_grace_s)). Therefore the queue may drop
-//! terminations after `retention_s`, by when all tasks of a cancelled job must have stopped, and the oldest ones if
-//! there are too many.
+//! terminations: those older than `retention_s`, when all tasks of a cancelled job must have stopped, and the oldest
+//! ones if there are too many.
 
 use crate::protocol::peer::{MAX_TERMINATIONS, Termination, TerminationAck, TerminationLog};
 use std::collections::{BTreeMap, VecDeque};
@@ -16,9 +16,10 @@
     termination: Termination,
 }
 
-/// The terminations that have been received from a peer.
+/// Which terminations have been received from a peer.
 #[derive(Debug)]
 struct ReceivedTerminations {
+    /// The process of the peer that has sent them.
     process_incarnation: u64,
     /// All terminations with a sequence number below this one have been received.
     up_to: u64,
@@ -33,7 +34,7 @@
     /// Sequence number of the first termination in the queue.
     first_sequence: u64,
     queue: VecDeque<QueuedTermination>,
-    /// Seconds after which a termination is of no more use to the peers.
+    /// Seconds after which a termination is dropped even if peers have not acknowledged it.
     retention_s: f64,
     /// For each peer, the sequence number below which it has acknowledged all terminations.
     acknowledged: BTreeMap<String, u64>,
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Queues terminations for the peers, and drops the oldest ones beyond the limit.
+    /// Queues terminations for the peers, and drops the oldest ones if there are more than `MAX_TERMINATIONS`.
     pub fn push(&mut self, terminations: Vec<Termination>, now: f64) {
         for termination in terminations {
             self.queue.push_back(QueuedTermination {
@@ -72,7 +73,8 @@
         }
     }
 
-    /// Builds the terminations and acknowledgements for the next heartbeat to the peers.
+    /// Drops the terminations that are older than the retention period, and builds the message with the others and the
+    /// acknowledgements for the next heartbeat to the peers.
     pub fn next_message(&mut self, now: f64) -> TerminationLog {
         self.drop_expired(now);
         let acks = self
--- a/src/coordination/watch.rs
+++ b/src/coordination/watch.rs
@@ -3,10 +3,10 @@
 use super::effects::{Effects, KvRequestContext};
 use crate::protocol::kv::{KeyValue, KvRequest, KvResponse, WatchEvent};
 
-/// An update from a watch.
+/// A change of the watched keys.
 #[derive(Debug)]
 pub enum WatchUpdate {
-    /// A listing has replaced the known content.
+    /// The keys have been listed, which replaces the known content.
     Reset {
         /// The listed keys under the prefix.
         items: Vec<KeyValue>,
@@ -15,7 +15,7 @@
         /// Whether these are all keys. If not, a key that is not listed may still exist.
         is_complete: bool,
     },
-    /// A key was put.
+    /// A key was created or its value replaced.
     Put(KeyValue),
     /// A key was deleted.
     Deleted {
@@ -41,27 +41,29 @@
     /// Revision of the first page of the unfinished listing.
     listing_revision: Option<u64>,
     in_flight: bool,
-    /// A listing has been completed.
+    /// A listing has ended, although it may have been incomplete.
     complete: bool,
-    /// A recent request had an unknown outcome, and no events have been received since.
+    /// The latest response, apart from those with pages of a listing, had an unknown outcome, and the keys have not
+    /// been listed again because of it.
     outcome_unknown: bool,
     retry_at: f64,
     current_as_of: f64,
 }
 
-/// A watch counts as caught up if it was current no longer ago than this many times `wait_s` plus one request timeout.
+/// A watch counts as caught up if less than this many times `wait_s`, plus one request timeout, has passed since
+/// [`Watch::current_as_of`].
 const CAUGHT_UP_WAITS: f64 = 2.0;
 
-/// After an unusable response, the watch retries after the request timeout divided by this.
+/// After an unusable response, the watch sends the next request after the request timeout divided by this number.
 const RETRIES_PER_TIMEOUT: f64 = 4.0;
 
-/// Maximum number of keys in a listing, to bound memory. Once a listing has so many keys, no more pages are read, and
-/// it counts as incomplete.
+/// Number of keys in a listing after which no more pages are read, to bound memory. If there are more pages, the
+/// listing counts as incomplete.
 const MAX_ITEMS: usize = 50_000;
 
 impl Watch {
-    /// Creates a watch whose requests wait up to `wait_s` for changes. Requests that do not wait have the timeout
-    /// `request_timeout_s`.
+    /// Creates a watch whose requests wait up to `wait_s` for changes. `request_timeout_s` is the timeout of a listing
+    /// request, and of a watch request in addition to its wait.
     ///
     /// Shorter waits confirm more often that the content is current, at the cost of more requests.
     pub fn new(
@@ -86,13 +88,14 @@
         }
     }
 
-    /// Whether the content has been listed. It may be out of date.
+    /// Whether the keys have been listed once, to the end or up to the maximum number of keys. The known content may
+    /// be out of date.
     pub fn is_complete(&self) -> bool {
         self.complete
     }
 
     /// The time as of which the content is known to be current: every earlier change is known. This is the time
-    /// when the latest successful watch request was sent.
+    /// when the latest successful watch request was sent; listings do not count. Negative infinity if there was none.
     pub fn current_as_of(&self) -> f64 {
         self.current_as_of
     }
@@ -149,8 +152,8 @@
                 self.revision = None;
                 Vec::new()
             }
-            // The response may have been too large to accept. The first failure is retried; after the second in a
-            // row the keys are listed again, which splits them into pages.
+            // The response may have been too large to accept. After a first unknown outcome the request is repeated.
+            // After a second one in a row the keys are listed again, because a listing is split into pages.
             KvResponse::OutcomeUnknown if self.revision.is_some() && self.outcome_unknown => {
                 self.outcome_unknown = false;
                 self.revision = None;
@@ -168,7 +171,8 @@
         self.retry_at = now + self.request_timeout_s / RETRIES_PER_TIMEOUT;
     }
 
-    /// Processes a page of the listing. The last page completes the listing.
+    /// Processes a page of the listing. Returns the listing as a [`WatchUpdate::Reset`] after the last page, after an
+    /// empty page, or once there are [`MAX_ITEMS`] keys, and no updates before that.
     fn on_page(
         &mut self,
         items: Vec<KeyValue>,
@@ -205,7 +209,7 @@
         }
         let mut items = std::mem::take(&mut self.partial);
         let keys_listed = items.len();
-        // Each page has its own revision, and the last page has the highest. No item can be newer than that.
+        // Each page has its own revision. No item can be newer than the revision of the last page.
         items.retain(|item| is_in_range(&item.key, item.mod_revision, 0, revision));
         self.listing_revision = None;
         self.revision = Some(first_revision);
@@ -262,7 +266,8 @@
 }
 
 impl WatchUpdate {
-    /// Whether the mod revision of a change is above `after` and at most `latest`.
+    /// Whether the mod revision of a put or deletion is above `after` and at most `latest`. Always true for a listing,
+    /// whose items are checked when it ends.
     fn is_in_range(&self, after: u64, latest: u64) -> bool {
         match self {
             WatchUpdate::Reset { .. } => true,
