--- a/tests/election.rs
+++ b/tests/election.rs
@@ -135,7 +135,9 @@
             1.1,
         );
         let [KvRequest::Txn(txn)] = &harness.take_requests()[..] else {
-            panic!("{name}: expected one transaction");
+            panic!(
+                "{name}: the requests after the grant of the lease are not a single transaction"
+            );
         };
         assert_eq!(txn.compares[0].mod_revision, mod_revision, "{name}");
     }
@@ -144,7 +146,7 @@
 #[test]
 fn events_that_end_leadership() {
     type Steps = fn(&mut Harness) -> LeadershipChange;
-    // (name, steps, leadership change of the last step, whether it still leads afterwards)
+    // (name, steps, leadership change of the last step, whether the controller still leads afterwards)
     let cases: [(&str, Steps, LeadershipChange, bool); 12] = [
         (
             "the lease is renewed",
@@ -241,7 +243,7 @@
             false,
         ),
         (
-            "just elected, with an old view: it has one lease grace period to bring the view up to date",
+            "just elected, with an old view: the leader has one lease grace period to bring the view up to date",
             |harness| poll(harness, -100.0, 1.0),
             LeadershipChange::None,
             true,
@@ -254,16 +256,25 @@
     }
 }
 
-/// A leader may rely on its lease for the lease duration, counted from the sending of the renewal.
+/// A leader may rely on its lease for the lease duration, less a small margin for clock drift, counted from the sending
+/// of the renewal.
 #[test]
 fn the_lease_duration_counts_from_the_sending_of_the_renewal() {
     let mut harness = Harness::new().elected();
     for (now, held) in [(0.1, true), (1.9, true), (2.0, false), (5.0, false)] {
-        assert_eq!(harness.election.holds_lease(now), held, "at {now}");
+        assert_eq!(
+            harness.election.holds_lease(now),
+            held,
+            "whether the lease, requested at 0 s, is held at {now} s"
+        );
     }
     harness.respond(KvRequestContext::KeepAlive, KvResponse::LeaseOk, 1.5, 5.0);
     for (now, held) in [(3.4, true), (3.5, false)] {
-        assert_eq!(harness.election.holds_lease(now), held, "renewed, at {now}");
+        assert_eq!(
+            harness.election.holds_lease(now),
+            held,
+            "whether the lease is held at {now} s, after a renewal sent at 1.5 s"
+        );
     }
 }
 
@@ -288,15 +299,15 @@
             .election
             .view_freshness(view_current_as_of, f64::NEG_INFINITY, now);
         let may_renew = freshness.may_renew().is_ok();
-        assert_eq!(may_renew, expected, "{name}");
+        assert_eq!(may_renew, expected, "{name}: may renew");
     }
     let follower = Harness::new().election.view_freshness(10.0, 10.0, 10.0);
     assert_eq!(follower.may_renew(), Err(Denial::NotLeader));
 }
 
 /// If another controller is elected while this one's lease is being granted, this one must not replace the key.
-/// An earlier version used the latest observed mod revision in the transaction, whoever owned the key. It replaced a
-/// leader that had been elected a few milliseconds earlier.
+/// In an earlier version the transaction compared the key with the latest observed mod revision, whoever owned the key.
+/// It replaced the key of a leader that had been elected a few milliseconds earlier.
 #[test]
 fn a_leader_elected_during_the_lease_grant_is_not_replaced() {
     let mut harness = Harness::new();
@@ -315,8 +326,8 @@
     assert_eq!(harness.election.leader(), Some("n1"));
 }
 
-/// The transaction of a campaign may still be applied after its response was lost. The lease is revoked to prevent
-/// that.
+/// The transaction of a campaign may still be applied after its response was lost. The controller revokes the lease, so
+/// that the transaction fails.
 #[test]
 fn an_unanswered_campaign_revokes_its_lease() {
     let mut harness = Harness::new();
--- a/tests/job_api.rs
+++ b/tests/job_api.rs
@@ -41,7 +41,8 @@
     }
 }
 
-/// Plays the state service, which stores the job in the given state, until the job API responds to the user.
+/// Plays the state service, which stores the job in the given state, until the job API responds to the user. Returns
+/// the status and the body of this response.
 fn serve_until_response(
     job_api: &mut JobApi,
     effects: &mut Effects,
@@ -78,7 +79,7 @@
             }
         }
     }
-    panic!("no response to the user");
+    panic!("no response to the user after ten rounds of requests to the state service");
 }
 
 fn kv_response(request: &KvRequest, stored: StoredState) -> KvResponse {
@@ -170,7 +171,7 @@
     }
 }
 
-/// A poll of a job that is closed while its revision check is in flight must not be answered with "no such job".
+/// The response to a poll must not be "no such job" if the job is closed while the revision check is in flight.
 #[test]
 fn a_job_closed_during_a_revision_check_is_looked_up() {
     let mut job_api = JobApi::new(&limits(), 1.0, 1.0);
@@ -210,7 +211,11 @@
             _ => None,
         })
         .collect();
-    assert_eq!(answered, vec![1]);
+    assert_eq!(
+        answered,
+        vec![1],
+        "requests with a response after one lookup"
+    );
     effects
         .queue
         .retain(|effect| !matches!(effect, Effect::Respond { .. }));
@@ -226,7 +231,7 @@
     type Steps = fn(&mut JobApi, &mut Effects);
     let cases: [(&str, Steps, u16); 3] = [
         (
-            "the state service is unavailable",
+            "the state service is unavailable for this request",
             |job_api, effects| {
                 job_api.on_submit(1, spec(ID, 1), Ok(()), effects, 0.0);
                 effects.queue.clear();
@@ -270,9 +275,9 @@
             },
         ] = &effects.queue[..]
         else {
-            panic!("{name}: expected one response");
+            panic!("{name}: expected one response, got {:?}", effects.queue);
         };
-        assert_eq!(*status, expected, "{name}");
-        assert_eq!(*retry_after_s, Some(1), "{name}");
+        assert_eq!(*status, expected, "{name}: HTTP status");
+        assert_eq!(*retry_after_s, Some(1), "{name}: seconds of Retry-After");
     }
 }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -16,8 +16,8 @@
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 
-/// Users submit, poll and cancel jobs at many times the rate that the limits of the state service allow. Every request
-/// gets a timely response, every rejection has a `Retry-After` header, and the limits are respected.
+/// Users submit, poll and cancel jobs, at up to many times the rate that the limits of the state service allow. Every
+/// request gets a timely response, every rejection has a `Retry-After` header, and the limits are respected.
 #[test]
 fn overload_gets_prompt_responses_within_the_limits() {
     const REQUEST_TIMEOUT_S: f64 = 1.0;
@@ -62,13 +62,19 @@
                         } => {
                             let sent_at = unanswered
                                 .remove(&request_id)
-                                .expect("a request without a response yet");
+                                .expect("response to a request that is unknown or already has one");
                             assert!(
                                 now - sent_at <= 2.0 * REQUEST_TIMEOUT_S,
-                                "{name}: response too late"
+                                "{name}: response after {} s, expected at most {} s",
+                                now - sent_at,
+                                2.0 * REQUEST_TIMEOUT_S
                             );
                             let rejected = status == 503 || status == 429;
-                            assert_eq!(retry_after_s.is_some(), rejected, "{name}");
+                            assert_eq!(
+                                retry_after_s.is_some(),
+                                rejected,
+                                "{name}: Retry-After is {retry_after_s:?} with status {status}"
+                            );
                             accepted += u32::from(status == 201);
                         }
                         Effect::CallKv {
@@ -79,10 +85,15 @@
                             calls += 1;
                             let context = effects
                                 .take_kv_request(correlation_id)
-                                .expect("a pending request")
+                                .expect("the request is not pending")
                                 .context;
                             if let KvRequest::Txn(txn) = &request {
-                                assert!(txn.writes.len() <= limits.txn_ops, "{name}");
+                                assert!(
+                                    txn.writes.len() <= limits.txn_ops,
+                                    "{name}: {} writes in a transaction, expected at most {}",
+                                    txn.writes.len(),
+                                    limits.txn_ops
+                                );
                                 writes += txn.writes.len();
                             }
                             match context {
@@ -110,10 +121,10 @@
                                         now,
                                     );
                                 }
-                                other => panic!("{name}: {other:?}"),
+                                other => panic!("{name}: unexpected request for {other:?}"),
                             }
                         }
-                        other => panic!("{name}: {other:?}"),
+                        other => panic!("{name}: unexpected effect {other:?}"),
                     }
                 }
             }
@@ -131,11 +142,13 @@
         // a transaction may put the budget into debt by up to a burst.
         assert!(
             f64::from(calls) <= 7.0 * limits.rps,
-            "{name}: {calls} requests sent, which exceeds the rate limit"
+            "{name}: {calls} requests sent, expected at most {}",
+            7.0 * limits.rps
         );
         assert!(
             writes as f64 <= 7.0 * write_rps,
-            "{name}: {writes} writes sent, which exceeds the limit of {write_rps} per second"
+            "{name}: {writes} writes sent, expected at most {}",
+            7.0 * write_rps
         );
     }
 }
@@ -156,7 +169,8 @@
         for i in 0..600 {
             job_api.on_job_opened(1, spec(&format!("j-{i}"), 5));
         }
-        let is_finished = |id: &str| id[2..].parse::<u32>().expect("a number") >= 600;
+        let is_finished =
+            |id: &str| id[2..].parse::<u32>().expect("job id without a number") >= 600;
         let mut unanswered: BTreeMap<u64, (f64, bool)> = BTreeMap::new();
         let mut in_flight: std::collections::VecDeque<(f64, u64, KvRequest)> = Default::default();
         let (mut next_id, mut lookups, mut next_finished) = (0u64, 0, 600);
@@ -187,10 +201,10 @@
             }
             while in_flight.front().is_some_and(|(at, ..)| *at <= now) {
                 let (_, correlation_id, request) =
-                    in_flight.pop_front().expect("a pending request");
+                    in_flight.pop_front().expect("the request is not pending");
                 let context = effects
                     .take_kv_request(correlation_id)
-                    .expect("a pending request")
+                    .expect("the request is not pending")
                     .context;
                 match (context, request) {
                     (KvRequestContext::RevisionCheck(check), KvRequest::Txn(txn)) => {
@@ -236,8 +250,11 @@
                     } => {
                         let (sent_at, is_finished) = unanswered
                             .remove(&request_id)
-                            .expect("a request without a response yet");
-                        assert_eq!(status, 200, "finished: {is_finished}, at {now} s");
+                            .expect("response to a request that is unknown or already has one");
+                        assert_eq!(
+                            status, 200,
+                            "status of a poll at {now} s (finished job: {is_finished})"
+                        );
                         assert!(
                             now - sent_at < 1.0,
                             "poll took {} s, expected less than 1 s (finished job: {is_finished})",
@@ -261,12 +278,12 @@
         assert_eq!(
             lookups == 0,
             announced_by_peer,
-            "{lookups} lookups, terminations announced by a peer: {announced_by_peer}"
+            "{lookups} lookups, expected some exactly if no peer has announced the terminations (announced: {announced_by_peer})"
         );
     }
 }
 
-/// The number of terminal states in memory is bounded. Evicted ones are looked up again.
+/// The number of terminal states in memory is bounded. An evicted state is read again from the state service.
 #[test]
 fn the_terminal_state_cache_is_bounded() {
     let limits = StateServiceLimits {
@@ -288,41 +305,43 @@
         effects.queue.clear();
         job_api.on_status_request(1, id, &mut effects, 0.0);
         let answered = matches!(&effects.queue[..], [Effect::Respond { status: 200, .. }]);
-        assert_eq!(answered, from_memory, "{id}");
+        assert_eq!(answered, from_memory, "{id}: served from memory");
     }
 }
 
 /// At the connection limit an idle connection is evicted, but never one that waits for a response.
 #[test]
 fn connections_are_bounded() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("its address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("no port could be bound");
+    let address = listener.local_addr().expect("the listener has no address");
     let mut server = Server::new(3, 60.0, 10.0);
     let mut users = Vec::new();
     let mut first = 0;
     for i in 0..8 {
-        let mut user = TcpStream::connect(address).expect("a connection");
-        let (stream, _) = listener.accept().expect("a connection");
-        stream.set_nonblocking(true).expect("non-blocking");
+        let mut user = TcpStream::connect(address).expect("the connection failed");
+        let (stream, _) = listener.accept().expect("the connection failed");
+        stream
+            .set_nonblocking(true)
+            .expect("the stream could not be made non-blocking");
         let now = f64::from(i);
         let (id, evicted) = server.accept(stream, now);
         if let Some(old) = evicted {
             assert_ne!(
                 old, first,
-                "a connection that waits for a response must not be evicted"
+                "the connection that waits for a response was evicted"
             );
             server.close(old);
         }
         if i == 0 {
             first = id;
             user.write_all(b"GET /healthz HTTP/1.1\r\n\r\n")
-                .expect("sent");
+                .expect("the request could not be sent");
             let mut action = ConnectionAction::Keep;
             while action == ConnectionAction::Keep {
                 action = server.on_ready(id, now);
             }
             let ConnectionAction::Serve(request, received) = action else {
-                panic!("expected a complete request");
+                panic!("the server did not receive a complete request");
             };
             assert_eq!(received.path, "/healthz");
             users.push((user, Some(request)));
@@ -332,24 +351,25 @@
         assert!(server.len() <= 3);
     }
     let (user, request) = &mut users[0];
-    let request = request.expect("a request that waits");
+    let request = request.expect("the first connection has no request");
     let (id, action, _) = server
         .answer(request, 200, b"", None, 8.0)
-        .expect("an open connection");
+        .expect("the connection is not open");
     assert_eq!((id, action), (first, ConnectionAction::Keep));
     let mut bytes = [0; 15];
-    user.read_exact(&mut bytes).expect("a response");
+    user.read_exact(&mut bytes)
+        .expect("no response could be read");
     assert_eq!(&bytes, b"HTTP/1.1 200 OK");
     let mut timed_out = server.timed_out(100.0);
     timed_out.sort_unstable();
     assert_eq!(
         timed_out.len(),
         3,
-        "all connections have been idle for too long"
+        "number of connections that have timed out"
     );
 }
 
-/// A controller may use the part of a shared budget that the others leave unused, and at least an equal part.
+/// A controller may use the part of a shared budget that the others leave unused, but always at least an equal part.
 #[test]
 fn fair_shares_of_a_budget() {
     let idle = Some(0.0);
@@ -418,7 +438,7 @@
                     } => {
                         let sent_at = unanswered
                             .remove(&request_id)
-                            .expect("a request without a response yet");
+                            .expect("response to a request that is unknown or already has one");
                         slowest_s = slowest_s.max(now - sent_at);
                     }
                     Effect::CallKv {
@@ -433,7 +453,7 @@
                             continue;
                         };
                         let KvRequest::Txn(txn) = &request else {
-                            panic!("{request:?}");
+                            panic!("job writes are not a transaction: {request:?}");
                         };
                         writes += txn.writes.len();
                         job_api.on_writes_completed(
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -46,13 +46,13 @@
     assert_eq!(
         jobs(&a.next_message(2.0)),
         ["j-000001", "j-000002"],
-        "no peer has acknowledged"
+        "terminations were not resent although no acknowledgement has arrived"
     );
     a.on_message("b", &b.next_message(2.0));
     assert_eq!(
         jobs(&a.next_message(3.0)),
         ["j-000001", "j-000002"],
-        "one peer has not acknowledged"
+        "terminations were not resent although peer c has not acknowledged them"
     );
     a.push(vec![termination(3)], 3.0);
     c.on_message("a", &message);
@@ -60,7 +60,7 @@
     assert_eq!(
         jobs(&a.next_message(5.0)),
         ["j-000003"],
-        "terminations that both peers have acknowledged are dropped"
+        "expected only the termination that was not acknowledged by both peers"
     );
     // A restarted peer receives what its previous process has not acknowledged.
     let message = a.next_message(6.0);
@@ -78,7 +78,8 @@
     assert_eq!(jobs(&a.next_message(10.0)), ["j-000004"]);
 }
 
-/// Unacknowledged terminations are dropped beyond a maximum number and age. Acknowledgements still match afterwards.
+/// Unacknowledged terminations are dropped beyond a maximum number and age. Acknowledgements of the terminations that
+/// are queued afterwards are still matched to them.
 #[test]
 fn unacknowledged_terminations_are_bounded() {
     let (mut a, mut b, mut c) = (queue("a", 1), queue("b", 2), queue("c", 3));
@@ -94,7 +95,7 @@
     assert_eq!(
         jobs(&message),
         ["j-009999"],
-        "the others have exceeded the retention period"
+        "expected only the termination that is not older than the retention period"
     );
     b.on_message("a", &message);
     c.on_message("a", &message);
@@ -119,7 +120,7 @@
         events: Vec::new(),
         revision: 9,
     };
-    // (name, responses with the times of the request and of the response, time as of which the watch is current)
+    // (name, [(response, when its request was sent, when the response arrived)], time as of which the watch is current)
     type Case = (&'static str, Vec<(KvResponse, f64, f64)>, f64);
     let cases: Vec<Case> = vec![
         (
@@ -192,7 +193,11 @@
         1.0,
         1.1,
     );
-    assert_eq!(wait_ms(&mut watch, 1.2), Some(0), "after the listing");
+    assert_eq!(
+        wait_ms(&mut watch, 1.2),
+        Some(0),
+        "wait_ms of the first request after the listing"
+    );
     watch.on_response(
         KvResponse::Events {
             events: Vec::new(),
@@ -201,7 +206,15 @@
         1.2,
         1.3,
     );
-    assert_eq!(wait_ms(&mut watch, 1.3), Some(1_000), "caught up");
+    assert_eq!(
+        wait_ms(&mut watch, 1.3),
+        Some(1_000),
+        "wait_ms of a request while the watch is caught up"
+    );
     watch.on_response(KvResponse::Unavailable, 1.3, 20.0);
-    assert_eq!(wait_ms(&mut watch, 20.2), Some(0), "after an outage");
+    assert_eq!(
+        wait_ms(&mut watch, 20.2),
+        Some(0),
+        "wait_ms of the first request after an outage"
+    );
 }
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Parsing of request methods and paths, and the statuses for unknown ones.
+//! Parsing of request methods and paths, and the HTTP statuses of requests that match no route.
 
 use cedarladder::coordination::routes::{Route, RouteError};
 
--- a/tests/stale_records.rs
+++ b/tests/stale_records.rs
@@ -3,9 +3,9 @@
 //! A controller learns that a job has ended from its own transaction, from a peer or from a failed comparison, often
 //! long before the watch reports it. A paged listing that began before the end, or a late response to the controller's
 //! own submission, still contains the record of the open job. In an earlier version such a record reopened the job in
-//! the leader's tables with no bound and no completed tasks. All its tasks counted as pending, urgent ones preempted
-//! other tasks, and instances were rented for them. When a remaining binding of the job ended, the number of running
-//! tasks was decremented below zero, which panicked.
+//! the leader's tables, with none of its tasks bound or completed. All its tasks counted as pending, urgent ones
+//! preempted other tasks, and instances were provisioned for them. When a remaining binding of the job ended, the
+//! number of running tasks was decremented below zero, which panicked.
 //!
 //! Log of such a failure, from the simulation in `tests/determinism.rs` (seed 2, controller 2 leads):
 //!
@@ -61,7 +61,7 @@
     }),
 ];
 
-/// A leader with one worker.
+/// Creates a controller that leads and has one worker.
 fn leading_harness() -> Harness {
     let mut harness = Harness::default();
     harness.run_until("an election", Harness::is_leader);
@@ -71,7 +71,8 @@
 /// Submits an urgent or a normal job: [`Harness::submit_urgent`] or [`Harness::submit`].
 type Submit = fn(&mut Harness, &str, u32) -> u64;
 
-/// Both jobs run. A paged listing has begun, and its first page, with the job that is going to end, has arrived.
+/// Creates a leader with both jobs running. A paged listing has begun, and its first page, which contains the job that
+/// is going to end, has arrived. The responses with the later pages are delayed.
 fn harness_with_partial_listing(submit: Submit) -> Harness {
     let mut harness = leading_harness();
     submit(&mut harness, ENDED_JOB, TASKS);
@@ -90,7 +91,7 @@
     harness
 }
 
-/// Completes the listing. The responses of the following watch requests are held back.
+/// Completes the listing. The responses to the following watch requests on the open jobs are delayed.
 fn complete_listing(harness: &mut Harness) {
     harness.clear_sent();
     harness.hold(HeldResponses::OpenJobWatches);
@@ -167,7 +168,7 @@
     let failing = failing_cases(&JOB_ENDS, |end| {
         let mut harness = harness_with_partial_listing(Harness::submit);
         end.1(&mut harness);
-        assert!(is_ended(&harness), "{}: the job must have ended", end.0);
+        assert!(is_ended(&harness), "{}: the job has not ended", end.0);
         complete_listing(&mut harness);
         harness.run_for(3.0);
         let mut found = signs_of_reopening(&mut harness);
@@ -176,11 +177,16 @@
         harness.clear_sent();
         harness.run_for(3.0);
         found.extend(signs_of_reopening(&mut harness));
-        assert_eq!(harness.running_tasks(ENDED_JOB), 0, "{}", end.0);
+        assert_eq!(
+            harness.running_tasks(ENDED_JOB),
+            0,
+            "{}: running tasks of the ended job",
+            end.0
+        );
         assert_eq!(
             harness.running_tasks(RUNNING_JOB),
             TASKS as usize,
-            "{}",
+            "{}: running tasks of the other job",
             end.0
         );
         found
@@ -188,8 +194,8 @@
     assert_eq!(failing, []);
 }
 
-/// When the listing completes, the tasks of the ended job are still bound to a worker that cannot be reached. The
-/// worker returns and the ends of the bindings are committed before the watch reports the end of the job.
+/// When the listing completes, the tasks of the ended job are still bound to a disconnected worker. The worker
+/// reconnects and the ends of the bindings are committed before the watch reports the end of the job.
 #[test]
 fn a_binding_that_outlasts_its_job_does_not_change_counts() {
     let failing = failing_cases(&JOB_ENDS[1..3], |end| {
@@ -201,12 +207,17 @@
         assert_eq!(
             harness.running_tasks(ENDED_JOB),
             TASKS as usize,
-            "{}",
+            "{}: tasks of the ended job on the disconnected worker",
             end.0
         );
         harness.reconnect_worker();
         harness.run_for(2.0);
-        assert_eq!(harness.running_tasks(ENDED_JOB), 0, "{}", end.0);
+        assert_eq!(
+            harness.running_tasks(ENDED_JOB),
+            0,
+            "{}: running tasks of the ended job",
+            end.0
+        );
         let counts = harness
             .broadcast_counts
             .iter()
@@ -214,7 +225,7 @@
         assert_eq!(
             counts.map(|counts| counts.running),
             Some(TASKS),
-            "{}",
+            "{}: running tasks of the other job in the heartbeats to the peers",
             end.0
         );
         signs_of_reopening(&mut harness)
@@ -248,7 +259,7 @@
             harness.run_for(0.1);
         }),
         (
-            "cancelled through another controller, which announces it",
+            "cancelled through another controller, which announces the cancellation",
             |harness| {
                 harness.hold(HeldResponses::OpenJobWatches);
                 harness.cancel_through_other_controller(ENDED_JOB);
@@ -271,9 +282,12 @@
         harness.hold(HeldResponses::Submissions);
         let submission = harness.submit(ENDED_JOB, TASKS);
         harness.run_for(0.2);
-        assert!(harness.is_holding(HeldResponses::Submissions), "{name}");
+        assert!(
+            harness.is_holding(HeldResponses::Submissions),
+            "{name}: the response to the submission is not delayed"
+        );
         end(&mut harness);
-        assert!(is_ended(&harness), "{name}: the job must have ended");
+        assert!(is_ended(&harness), "{name}: the job has not ended");
         harness.clear_sent();
         harness.release(HeldResponses::Submissions);
         harness.release(HeldResponses::OpenJobWatches);
@@ -281,7 +295,7 @@
         let status = harness.answer(submission).map(|(status, _)| status);
         assert!(
             matches!(status, Some(200 | 201)),
-            "{name}: submission answered with {status:?}, expected 200 or 201"
+            "{name}: response to the submission has status {status:?}, expected 200 or 201"
         );
         signs_of_reopening(&mut harness)
     });
--- a/tests/stale_updates.rs
+++ b/tests/stale_updates.rs
@@ -5,10 +5,12 @@
 //!
 //! - A lookup that found no keys removed a job that the watch had added in the meantime, and left its progress in
 //!   memory for ever.
-//! - A former leader that had not noticed its successor yet sent its job counts, and other controllers showed them.
+//! - A former leader that had not noticed its successor yet sent its job counts, and other controllers showed these to
+//!   users.
 //! - A peer's message replaced a known terminal state.
-//! - The response to a cancellation reported the completed tasks known when the response arrived, instead of the number
-//!   that was written. The watch had already removed the progress by then, so controllers showed different numbers.
+//! - The response to a cancellation contained the number of completed tasks known when the response arrived, instead of
+//!   the number that was written. The watch had already removed the progress by then, so controllers showed different
+//!   numbers of completed tasks.
 
 mod common;
 mod harness;
@@ -92,25 +94,25 @@
     let mut closed = ClosedJobs::default();
     for n in 0..20_001 {
         closed.insert(&format!("j-{n}"), Some(n));
-        // A second insertion of the same id must not take another entry.
+        // The second insertion of an id must not take another entry.
         closed.insert(&format!("j-{n}"), None);
     }
     assert!(!closed.contains("j-0"));
     assert!(closed.accepts_open_record("j-0", 1));
     for id in ["j-1", "j-20000"] {
-        assert!(closed.contains(id), "{id}");
+        assert!(closed.contains(id), "{id} is not in the list");
         assert!(
             !closed.accepts_open_record(id, 1),
-            "{id}: the record is older than the end of the job"
+            "{id}: a record that is older than the end of the job was accepted"
         );
         assert!(
             !closed.accepts_open_record(id, 50_000),
-            "{id}: a job id must not be used again"
+            "{id}: a record with the id of a closed job was accepted"
         );
     }
 }
 
-/// A controller that does not lead and has accepted the submission of a job.
+/// Creates a controller that does not lead and has accepted the submission of a job.
 fn follower_with_job(tasks: u32) -> Harness {
     let mut harness = Harness::default();
     harness.elect_other_controller();
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -3,7 +3,7 @@
 //! The tests guard against two failures of an earlier version. It treated an incomplete listing (of more than 50,000
 //! keys, or with an empty page that announces more) as complete, closed all jobs missing from it and evicted their
 //! tasks. And it did not check revisions, so a state service that was restored from an older state, or a proxy that
-//! served one, could reopen jobs that had ended.
+//! served an older state, could reopen jobs that had ended.
 
 use cedarladder::coordination::effects::KvRequestContext;
 use cedarladder::coordination::watch::{Watch, WatchUpdate};
@@ -70,7 +70,11 @@
 fn job_numbers(updates: &[WatchUpdate]) -> Vec<u64> {
     let keys = keys(updates);
     keys.iter()
-        .map(|(key, _)| key["open/j-".len()..].parse().expect("a number"))
+        .map(|(key, _)| {
+            key["open/j-".len()..]
+                .parse()
+                .expect("the part of the key after open/j- is not a number")
+        })
         .collect()
 }
 
@@ -94,7 +98,7 @@
     assert_eq!(
         job_numbers(&updates),
         [2, 2],
-        "only the events of revisions 10 to 12"
+        "expected the events of revisions 10 to 12 and no others"
     );
     // A response with a lower revision than the known one is ignored as a whole.
     let response = KvResponse::Events {
@@ -112,7 +116,7 @@
     assert_eq!(job_numbers(&updates), [1, 4]);
     assert!(
         !is_complete(&updates),
-        "the ignored items must not count as deleted"
+        "the listing counts as complete although two of its items were ignored"
     );
 }
 
@@ -161,7 +165,7 @@
     assert_eq!(job_numbers(&updates), [1]);
     assert!(
         !is_complete(&updates),
-        "an empty page that announces more must not complete a listing"
+        "the listing counts as complete although it ended with an empty page that announces more"
     );
     watch.on_response(KvResponse::Compacted, 0.8, 0.9);
     let mut updates = Vec::new();
@@ -175,6 +179,6 @@
     assert_eq!(job_numbers(&updates).len(), 50_000);
     assert!(
         !is_complete(&updates),
-        "a listing with too many keys must not count as complete"
+        "the listing counts as complete although it has more than 50,000 keys"
     );
 }
