--- a/src/coordination/controller/worker_heartbeats.rs
+++ b/src/coordination/controller/worker_heartbeats.rs
@@ -93,6 +93,9 @@
 fn is_within_lease_grace(freshness: &ViewFreshness, heartbeat: &WorkerHeartbeat) -> bool {
     let age_s = freshness.lease_age_s.max(freshness.view_age_s);
     let within = age_s <= freshness.limits.lease_grace_s;
-    let details = format_args!("worker {}, after {age_s} s", heartbeat.worker);
+    let details = format_args!(
+        "worker {}: leader's lease or view is {age_s} s old, expected at most {} s",
+        heartbeat.worker, freshness.limits.lease_grace_s
+    );
     invariants::check(Invariant::NoRenewalBeyondLeaseGrace, within, details)
 }
--- a/src/coordination/effects.rs
+++ b/src/coordination/effects.rs
@@ -250,14 +250,14 @@
         });
     }
 
-    /// Removes and returns the pending state service request with this id. Returns `None` if it has already
-    /// been answered.
+    /// Removes and returns the pending state service request with this id. Returns `None` if its
+    /// response has been taken already.
     pub fn take_kv_request(&mut self, correlation_id: CorrelationId) -> Option<PendingKvRequest> {
         self.pending.kv.remove(&correlation_id)
     }
 
-    /// Removes and returns the pending cloud request with this id. Returns `None` if it has already been
-    /// answered.
+    /// Removes and returns the pending cloud request with this id. Returns `None` if its response has been taken
+    /// already.
     pub fn take_cloud_request(
         &mut self,
         correlation_id: CorrelationId,
@@ -265,8 +265,8 @@
         self.pending.cloud.remove(&correlation_id)
     }
 
-    /// Removes and returns the pending direct call with this id. Returns `None` if it has already been
-    /// answered.
+    /// Removes and returns the pending direct call with this id. Returns `None` if its response has been taken
+    /// already.
     pub fn take_worker_request(
         &mut self,
         correlation_id: CorrelationId,
--- a/src/coordination/election/mod.rs
+++ b/src/coordination/election/mod.rs
@@ -122,7 +122,7 @@
 
     // ---- observations
 
-    /// Processes the content of the `leader` key as reported by the watch, or `None` if the key is absent.
+    /// Processes the content of the `leader` key as received from the watch, or `None` if the key is absent.
     ///
     /// The watch may lag behind, so an older leader record than the known one is ignored, and an absent key
     /// does not end this controller's leadership. If the key has disappeared, `jitter` (from 0 to 1) sets the
--- a/src/coordination/job_api/lookups.rs
+++ b/src/coordination/job_api/lookups.rs
@@ -19,7 +19,7 @@
 /// The lookup of one job.
 #[derive(Debug, Default)]
 struct JobLookup {
-    /// Requests that this lookup will answer.
+    /// Requests that get a response from the result of this lookup.
     waiting: Vec<PendingRequest>,
     /// Requests that arrived while the lookup was in flight. Its result may be older than these requests, so they
     /// wait for another lookup.
@@ -54,14 +54,14 @@
 /// State of a lookup after the response to one of its reads.
 #[derive(Debug)]
 pub(super) enum LookupProgress {
-    /// No request can be answered now: either the next key is being read, or no lookup of this job is in progress.
+    /// There is no result yet: either the next key is being read, or no lookup of this job is in progress.
     Pending,
     /// The result is older than an update received meanwhile. The requests wait for another lookup.
     Requeued,
     /// The lookup is complete.
     Completed {
         state: JobRecordState,
-        /// The requests to answer with this result.
+        /// The requests to which to respond with this result.
         requests: Vec<PendingRequest>,
     },
 }
--- a/src/coordination/job_api/mod.rs
+++ b/src/coordination/job_api/mod.rs
@@ -93,7 +93,8 @@
         self.open.insert(&id, OpenJob { mod_revision, spec })
     }
 
-    /// Records that a job is no longer open. Its terminal state is looked up when a user asks for it.
+    /// Records that a job is no longer open. Its terminal state is looked up when a user
+    /// polls or cancels the job or submits it again.
     pub fn on_job_closed(&mut self, id: &str) {
         self.close(id, None);
     }
--- a/src/coordination/job_api/open_jobs.rs
+++ b/src/coordination/job_api/open_jobs.rs
@@ -1,4 +1,4 @@
-//! This controller's view of the open jobs, with the progress reported by the leader.
+//! This controller's view of the open jobs, with the progress received from the leader.
 
 use crate::bookkeeping::jobs::ClosedJobs;
 use crate::protocol::job::{JobSpec, JobStatus, JobView};
@@ -29,7 +29,7 @@
     closed: ClosedJobs,
 }
 
-/// An open job and its last reported progress.
+/// An open job and the progress last received from the leader, if any.
 #[derive(Debug)]
 struct TrackedJob {
     job: OpenJob,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The last reported progress of a job, or zero if none has been reported.
+    /// The progress of a job last received from the leader, or zero tasks if none has been received.
     pub(super) fn progress(&self, id: &str) -> JobProgress {
         let tracked = self.jobs.get(id);
         tracked
--- a/src/coordination/job_api/responses.rs
+++ b/src/coordination/job_api/responses.rs
@@ -71,7 +71,10 @@
     effects: &mut Effects,
 ) {
     let is_recorded = terminal_states.get(job).map(|known| known.outcome) == Some(record.outcome);
-    let details = format_args!("job {job}, {:?}", record.outcome);
+    let details = format_args!(
+        "job {job}: outcome {:?} is not in the cache of terminal states",
+        record.outcome
+    );
     if !invariants::check(Invariant::NoAbortedWithoutCommit, is_recorded, details) {
         respond_error(request_id, RequestError::TimedOut, effects);
         return;
--- a/tests/job_api.rs
+++ b/tests/job_api.rs
@@ -199,7 +199,7 @@
     job_api.on_lookup_completed(ID, KvResponse::NotFound, &mut effects, 0.1);
     effects.queue.clear();
     job_api.on_lookup_completed(ID, KvResponse::NotFound, &mut effects, 0.1);
-    let answered: Vec<u64> = effects
+    let with_response: Vec<u64> = effects
         .queue
         .iter()
         .filter_map(|effect| match effect {
@@ -212,7 +212,7 @@
         })
         .collect();
     assert_eq!(
-        answered,
+        with_response,
         vec![1],
         "requests with a response after one lookup"
     );
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -34,14 +34,14 @@
         };
         let mut job_api = JobApi::new(&limits, 1.0, REQUEST_TIMEOUT_S);
         let mut effects = Effects::default();
-        let mut unanswered: BTreeMap<u64, f64> = BTreeMap::new();
-        let (mut next_id, mut calls, mut writes, mut accepted) = (1, 0, 0, 0);
+        let mut awaiting_response: BTreeMap<u64, f64> = BTreeMap::new();
+        let (mut next_id, mut requests_sent, mut writes, mut accepted) = (1, 0, 0, 0);
         for step in 0..100 {
             let now = f64::from(step) * 0.05;
             if step < 60 {
                 for _ in 0..requests_per_step {
                     let id = format!("j-{next_id}");
-                    unanswered.insert(next_id, now);
+                    awaiting_response.insert(next_id, now);
                     match next_id % 4 {
                         0 => job_api.on_status_request(next_id, &id, &mut effects, now),
                         1 => job_api.on_cancel(next_id, "j-2", &mut effects, now),
@@ -60,7 +60,7 @@
                             retry_after_s,
                             ..
                         } => {
-                            let sent_at = unanswered
+                            let sent_at = awaiting_response
                                 .remove(&request_id)
                                 .expect("response to a request that is unknown or already has one");
                             assert!(
@@ -82,7 +82,7 @@
                             request,
                             ..
                         } => {
-                            calls += 1;
+                            requests_sent += 1;
                             let context = effects
                                 .take_kv_request(correlation_id)
                                 .expect("the request is not pending")
@@ -130,9 +130,9 @@
             }
         }
         assert!(
-            unanswered.is_empty(),
+            awaiting_response.is_empty(),
             "{name}: {} requests without a response",
-            unanswered.len()
+            awaiting_response.len()
         );
         assert!(
             accepted > 20,
@@ -141,8 +141,8 @@
         // The test runs for five seconds. Another second's worth may be sent as the initial burst, and one more because
         // a transaction may put the budget into debt by up to a burst.
         assert!(
-            f64::from(calls) <= 7.0 * limits.rps,
-            "{name}: {calls} requests sent, expected at most {}",
+            f64::from(requests_sent) <= 7.0 * limits.rps,
+            "{name}: {requests_sent} requests sent, expected at most {}",
             7.0 * limits.rps
         );
         assert!(
@@ -171,7 +171,7 @@
         }
         let is_finished =
             |id: &str| id[2..].parse::<u32>().expect("job id without a number") >= 600;
-        let mut unanswered: BTreeMap<u64, (f64, bool)> = BTreeMap::new();
+        let mut awaiting_response: BTreeMap<u64, (f64, bool)> = BTreeMap::new();
         let mut in_flight: std::collections::VecDeque<(f64, u64, KvRequest)> = Default::default();
         let (mut next_id, mut lookups, mut next_finished) = (0u64, 0, 600);
         for step in 0..1_200u32 {
@@ -195,7 +195,7 @@
                 }
                 for id in ids {
                     next_id += 1;
-                    unanswered.insert(next_id, (now, is_finished(&id)));
+                    awaiting_response.insert(next_id, (now, is_finished(&id)));
                     job_api.on_status_request(next_id, &id, &mut effects, now);
                 }
             }
@@ -248,7 +248,7 @@
                     Effect::Respond {
                         request_id, status, ..
                     } => {
-                        let (sent_at, is_finished) = unanswered
+                        let (sent_at, is_finished) = awaiting_response
                             .remove(&request_id)
                             .expect("response to a request that is unknown or already has one");
                         assert_eq!(
@@ -271,14 +271,14 @@
             }
         }
         assert!(
-            unanswered.is_empty(),
+            awaiting_response.is_empty(),
             "{} requests without a response",
-            unanswered.len()
+            awaiting_response.len()
         );
         assert_eq!(
             lookups == 0,
             announced_by_peer,
-            "{lookups} lookups, expected some exactly if no peer has announced the terminations (announced: {announced_by_peer})"
+            "{lookups} lookups, expected some only if not announced_by_peer ({announced_by_peer})"
         );
     }
 }
@@ -304,8 +304,8 @@
     for (id, from_memory) in [("j-29999", true), ("j-0", false)] {
         effects.queue.clear();
         job_api.on_status_request(1, id, &mut effects, 0.0);
-        let answered = matches!(&effects.queue[..], [Effect::Respond { status: 200, .. }]);
-        assert_eq!(answered, from_memory, "{id}: served from memory");
+        let has_response = matches!(&effects.queue[..], [Effect::Respond { status: 200, .. }]);
+        assert_eq!(has_response, from_memory, "{id}: served from memory");
     }
 }
 
@@ -417,14 +417,14 @@
         let mut job_api = JobApi::new(&limits, 0.1, 1.25);
         job_api.set_write_rate(fair_share_rate(25.0, &others), 0.0);
         let mut effects = Effects::default();
-        let mut unanswered: BTreeMap<u64, f64> = BTreeMap::new();
+        let mut awaiting_response: BTreeMap<u64, f64> = BTreeMap::new();
         let (mut next_id, mut writes, mut slowest_s) = (0u64, 0, 0.0_f64);
         // 12 submissions per second for ten seconds. The state service responds at once.
         for step in 0..500u32 {
             let now = f64::from(step) * 0.02;
             if step % 4 == 0 {
                 next_id += 1;
-                unanswered.insert(next_id, now);
+                awaiting_response.insert(next_id, now);
                 let job = spec(&format!("j-{next_id}"), 1);
                 job_api.on_submit(next_id, job, Ok(()), &mut effects, now);
             }
@@ -436,7 +436,7 @@
                         status: 201,
                         ..
                     } => {
-                        let sent_at = unanswered
+                        let sent_at = awaiting_response
                             .remove(&request_id)
                             .expect("response to a request that is unknown or already has one");
                         slowest_s = slowest_s.max(now - sent_at);
@@ -473,9 +473,9 @@
         );
         if others[0].is_some() {
             assert!(
-                unanswered.len() <= 1,
+                awaiting_response.len() <= 1,
                 "{name}: {} submissions without a response, expected at most one",
-                unanswered.len()
+                awaiting_response.len()
             );
             assert!(
                 slowest_s < 0.1,
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -108,7 +108,7 @@
 }
 
 /// A watch is current as of the sending of its latest successful request. Neither the arrival of the response counts,
-/// nor requests that were rejected or not answered.
+/// nor requests that were rejected or had no response.
 #[test]
 fn a_watch_is_current_as_of_its_latest_successful_request() {
     let page = || KvResponse::Page {
@@ -139,7 +139,7 @@
             1.1,
         ),
         (
-            "later requests were rejected or not answered",
+            "later requests were rejected or had no response",
             vec![
                 (page(), 1.0, 1.1),
                 (events(), 1.1, 2.1),
--- a/tests/stale_records.rs
+++ b/tests/stale_records.rs
@@ -1,10 +1,10 @@
 //! A record that is older than the end of its job must not reopen the job.
 //!
 //! A controller learns that a job has ended from its own transaction, from a peer or from a failed comparison, often
-//! long before the watch reports it. A paged listing that began before the end, or a late response to the controller's
-//! own submission, still contains the record of the open job. In an earlier version such a record reopened the job in
-//! the leader's tables, with none of its tasks bound or completed. All its tasks counted as pending, urgent ones
-//! preempted other tasks, and instances were provisioned for them. When a remaining binding of the job ended, the
+//! long before the watch returns the deletion. A paged listing that began before the end, or a late response to the
+//! controller's own submission, still contains the record of the open job. In an earlier version such a record reopened
+//! the job in the leader's tables, with none of its tasks bound or completed. All its tasks counted as pending, urgent
+//! ones preempted other tasks, and instances were provisioned for them. When a remaining binding of the job ended, the
 //! number of running tasks was decremented below zero, which panicked.
 //!
 //! Log of such a failure, from the simulation in `tests/determinism.rs` (seed 2, controller 2 leads):
@@ -195,7 +195,7 @@
 }
 
 /// When the listing completes, the tasks of the ended job are still bound to a disconnected worker. The worker
-/// reconnects and the ends of the bindings are committed before the watch reports the end of the job.
+/// reconnects and the ends of the bindings are committed before the watch returns the end of the job.
 #[test]
 fn a_binding_that_outlasts_its_job_does_not_change_counts() {
     let failing = failing_cases(&JOB_ENDS[1..3], |end| {
@@ -250,7 +250,7 @@
     assert_eq!(failing, []);
 }
 
-/// The response to the submission arrives after the watch has reported the job, and after the end of the job.
+/// The response to the submission arrives after the watch has returned the job, and after the end of the job.
 #[test]
 fn a_late_response_to_a_submission_does_not_reopen_the_job() {
     let ends: [JobEnd; 3] = [
--- a/tests/stale_updates.rs
+++ b/tests/stale_updates.rs
@@ -37,7 +37,7 @@
     JobApi::new(&limits, 1.0, 1.0)
 }
 
-/// The lookup reads both keys before the job is opened, but its response arrives after the watch has reported the job.
+/// The lookup reads both keys before the job is opened, but its response arrives after the watch has returned the job.
 #[test]
 fn a_lookup_without_result_does_not_close_a_job() {
     let (mut job_api, mut effects) = (job_api(), Effects::default());
@@ -145,7 +145,7 @@
     );
 }
 
-/// The watch reports the end of the job before the response to the cancellation arrives.
+/// The watch returns the end of the job before the response to the cancellation arrives.
 #[test]
 fn a_cancelled_job_is_shown_with_the_stored_count() {
     let mut harness = follower_with_job(4);
