--- a/src/coordination/controller/health.rs
+++ b/src/coordination/controller/health.rs
@@ -20,8 +20,8 @@
         }
     }
 
-    /// Records the outcome of a request to the state service. A rejection by the state service for other reasons
-    /// than its unavailability counts as a success.
+    /// Records the outcome of a request to the state service. Only unavailability and an unknown outcome are failures:
+    /// a rejection for another reason, such as a failed comparison, shows that the state service works.
     pub(super) fn observe_response(&mut self, response: &KvResponse, now: f64) {
         match response {
             KvResponse::Unavailable | KvResponse::OutcomeUnknown => self.failed_at = now,
--- a/src/coordination/controller/worker_heartbeats.rs
+++ b/src/coordination/controller/worker_heartbeats.rs
@@ -69,9 +69,9 @@
         Some(outcome)
     }
 
-    /// Label of the controller to which workers are redirected: the leader, as far as known. Returns `None` if the
-    /// latest known leader is this controller itself: it redirects workers only if it does not lead or has seen a
-    /// higher epoch than its own.
+    /// Label of the controller to which workers are redirected: the leader, as far as known. Returns `None` if no
+    /// leader is known, or if the latest known leader is this controller itself: a controller only redirects workers
+    /// if it does not lead or has seen a higher epoch than its own.
     fn leader_hint(&self, now: f64) -> Option<String> {
         let known = match self.peers.latest_leader(self.heartbeat_interval_s(), now) {
             Some(latest) if latest.epoch >= self.election.highest_epoch() => latest.label,
--- a/src/coordination/election/state.rs
+++ b/src/coordination/election/state.rs
@@ -32,8 +32,8 @@
     AcquiringLease,
     /// Has sent the transaction that puts the `leader` key.
     Campaigning(Campaign),
-    /// Leads. This state ends at the latest when the controller is first polled after the lease grace period,
-    /// which starts at the last successful renewal.
+    /// Leads. This state ends at the latest at the first poll after the end of the lease grace period, which is
+    /// counted from the sending of the last successful renewal.
     Leader(Leadership),
 }
 
--- a/src/coordination/instance_catalog.rs
+++ b/src/coordination/instance_catalog.rs
@@ -49,8 +49,8 @@
     }
 
     /// Refreshes the catalog if that is due: requests the instance types from the cloud, and the stored ones if they
-    /// have not been read yet. If they have been read and this controller leads with `epoch`, stores the known types
-    /// if they differ from the stored ones.
+    /// have not been read yet. If the stored ones have been read, and this controller leads with `epoch`, stores the
+    /// known types if these differ from the stored ones in more than spot prices.
     pub fn poll(&mut self, epoch: Option<u64>, effects: &mut Effects, now: f64) {
         if now < self.refresh_at {
             return;
--- a/src/coordination/watch.rs
+++ b/src/coordination/watch.rs
@@ -172,7 +172,8 @@
     }
 
     /// Processes a page of the listing. Returns the listing as a [`WatchUpdate::Reset`] after the last page, after an
-    /// empty page, or once there are [`MAX_ITEMS`] keys, and no updates before that.
+    /// empty page, or once there are [`MAX_ITEMS`] keys; otherwise returns no updates. Starts the listing again if the
+    /// page is older than the first one.
     fn on_page(
         &mut self,
         items: Vec<KeyValue>,
