--- a/src/coordination/controller/leadership.rs
+++ b/src/coordination/controller/leadership.rs
@@ -94,10 +94,10 @@
         }
     }
 
-    /// Resigns if this leader concludes that workers cannot reach it. It draws this conclusion in two cases: all workers
-    /// have been silent for [`UNREACHABLE_HEARTBEATS`] heartbeat intervals and a peer has recently redirected workers;
-    /// or all workers have been silent for that time and for half the duration of a worker's lease, and no peer has
-    /// sent a recent heartbeat. A leader without configured peers does not resign.
+    /// Resigns if this leader concludes that workers cannot reach it. It concludes this in two cases: all workers have
+    /// been silent for [`UNREACHABLE_HEARTBEATS`] heartbeat intervals and a peer has recently redirected workers; or
+    /// all workers have been silent for that time and for half the duration of a worker's lease, and no peer has sent
+    /// a recent heartbeat. A leader without configured peers does not resign.
     pub(super) fn resign_if_partitioned(&mut self, now: f64) {
         let Some(leader) = &self.leader else { return };
         let silent_s = leader.worker_contact_lost_s(now);
