--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -16,8 +16,8 @@
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 
-/// Users submit, poll and cancel jobs at many times the rate that the limits of the state service allow. Every request
-/// gets a timely response, every rejection has a `Retry-After` header, and the limits are respected.
+/// Users submit, poll and cancel jobs, at up to many times the rate that the limits of the state service allow. Every
+/// request gets a timely response, every rejection has a `Retry-After` header, and the limits are respected.
 #[test]
 fn overload_gets_prompt_responses_within_the_limits() {
     const REQUEST_TIMEOUT_S: f64 = 1.0;
@@ -34,14 +34,14 @@
         };
         let mut job_api = JobApi::new(&limits, 1.0, REQUEST_TIMEOUT_S);
         let mut effects = Effects::default();
-        let mut unanswered: BTreeMap<u64, f64> = BTreeMap::new();
-        let (mut next_id, mut calls, mut writes, mut accepted) = (1, 0, 0, 0);
+        let mut awaiting_response: BTreeMap<u64, f64> = BTreeMap::new();
+        let (mut next_id, mut requests_sent, mut writes, mut accepted) = (1, 0, 0, 0);
         for step in 0..100 {
             let now = f64::from(step) * 0.05;
             if step < 60 {
                 for _ in 0..requests_per_step {
                     let id = format!("j-{next_id}");
-                    unanswered.insert(next_id, now);
+                    awaiting_response.insert(next_id, now);
                     match next_id % 4 {
                         0 => job_api.on_status_request(next_id, &id, &mut effects, now),
                         1 => job_api.on_cancel(next_id, "j-2", &mut effects, now),
@@ -60,15 +60,21 @@
                             retry_after_s,
                             ..
                         } => {
-                            let sent_at = unanswered
+                            let sent_at = awaiting_response
                                 .remove(&request_id)
-                                .expect("a request without a response yet");
+                                .expect("response to a request that is unknown or already has one");
                             assert!(
                                 now - sent_at <= 2.0 * REQUEST_TIMEOUT_S,
-                                "{name}: response too late"
+                                "{name}: response after {} s, expected at most {} s",
+                                now - sent_at,
+                                2.0 * REQUEST_TIMEOUT_S
                             );
                             let rejected = status == 503 || status == 429;
-                            assert_eq!(retry_after_s.is_some(), rejected, "{name}");
+                            assert_eq!(
+                                retry_after_s.is_some(),
+                                rejected,
+                                "{name}: Retry-After is {retry_after_s:?} with status {status}"
+                            );
                             accepted += u32::from(status == 201);
                         }
                         Effect::CallKv {
@@ -76,13 +82,18 @@
                             request,
                             ..
                         } => {
-                            calls += 1;
+                            requests_sent += 1;
                             let context = effects
                                 .take_kv_request(correlation_id)
-                                .expect("a pending request")
+                                .expect("the request is not pending")
                                 .context;
                             if let KvRequest::Txn(txn) = &request {
-                                assert!(txn.writes.len() <= limits.txn_ops, "{name}");
+                                assert!(
+                                    txn.writes.len() <= limits.txn_ops,
+                                    "{name}: {} writes in a transaction, expected at most {}",
+                                    txn.writes.len(),
+                                    limits.txn_ops
+                                );
                                 writes += txn.writes.len();
                             }
                             match context {
@@ -110,18 +121,18 @@
                                         now,
                                     );
                                 }
-                                other => panic!("{name}: {other:?}"),
+                                other => panic!("{name}: unexpected request for {other:?}"),
                             }
                         }
-                        other => panic!("{name}: {other:?}"),
+                        other => panic!("{name}: unexpected effect {other:?}"),
                     }
                 }
             }
         }
         assert!(
-            unanswered.is_empty(),
+            awaiting_response.is_empty(),
             "{name}: {} requests without a response",
-            unanswered.len()
+            awaiting_response.len()
         );
         assert!(
             accepted > 20,
@@ -130,12 +141,14 @@
         // The test runs for five seconds. Another second's worth may be sent as the initial burst, and one more because
         // a transaction may put the budget into debt by up to a burst.
         assert!(
-            f64::from(calls) <= 7.0 * limits.rps,
-            "{name}: {calls} requests sent, which exceeds the rate limit"
+            f64::from(requests_sent) <= 7.0 * limits.rps,
+            "{name}: {requests_sent} requests sent, expected at most {}",
+            7.0 * limits.rps
         );
         assert!(
             writes as f64 <= 7.0 * write_rps,
-            "{name}: {writes} writes sent, which exceeds the limit of {write_rps} per second"
+            "{name}: {writes} writes sent, expected at most {}",
+            7.0 * write_rps
         );
     }
 }
@@ -156,8 +169,9 @@
         for i in 0..600 {
             job_api.on_job_opened(1, spec(&format!("j-{i}"), 5));
         }
-        let is_finished = |id: &str| id[2..].parse::<u32>().expect("a number") >= 600;
-        let mut unanswered: BTreeMap<u64, (f64, bool)> = BTreeMap::new();
+        let is_finished =
+            |id: &str| id[2..].parse::<u32>().expect("job id without a number") >= 600;
+        let mut awaiting_response: BTreeMap<u64, (f64, bool)> = BTreeMap::new();
         let mut in_flight: std::collections::VecDeque<(f64, u64, KvRequest)> = Default::default();
         let (mut next_id, mut lookups, mut next_finished) = (0u64, 0, 600);
         for step in 0..1_200u32 {
@@ -181,16 +195,16 @@
                 }
                 for id in ids {
                     next_id += 1;
-                    unanswered.insert(next_id, (now, is_finished(&id)));
+                    awaiting_response.insert(next_id, (now, is_finished(&id)));
                     job_api.on_status_request(next_id, &id, &mut effects, now);
                 }
             }
             while in_flight.front().is_some_and(|(at, ..)| *at <= now) {
                 let (_, correlation_id, request) =
-                    in_flight.pop_front().expect("a pending request");
+                    in_flight.pop_front().expect("the request is not pending");
                 let context = effects
                     .take_kv_request(correlation_id)
-                    .expect("a pending request")
+                    .expect("the request is not pending")
                     .context;
                 match (context, request) {
                     (KvRequestContext::RevisionCheck(check), KvRequest::Txn(txn)) => {
@@ -234,10 +248,13 @@
                     Effect::Respond {
                         request_id, status, ..
                     } => {
-                        let (sent_at, is_finished) = unanswered
+                        let (sent_at, is_finished) = awaiting_response
                             .remove(&request_id)
-                            .expect("a request without a response yet");
-                        assert_eq!(status, 200, "finished: {is_finished}, at {now} s");
+                            .expect("response to a request that is unknown or already has one");
+                        assert_eq!(
+                            status, 200,
+                            "status of a poll at {now} s (finished job: {is_finished})"
+                        );
                         assert!(
                             now - sent_at < 1.0,
                             "poll took {} s, expected less than 1 s (finished job: {is_finished})",
@@ -254,19 +271,19 @@
             }
         }
         assert!(
-            unanswered.is_empty(),
+            awaiting_response.is_empty(),
             "{} requests without a response",
-            unanswered.len()
+            awaiting_response.len()
         );
         assert_eq!(
             lookups == 0,
             announced_by_peer,
-            "{lookups} lookups, terminations announced by a peer: {announced_by_peer}"
+            "{lookups} lookups, expected some only if not announced_by_peer ({announced_by_peer})"
         );
     }
 }
 
-/// The number of terminal states in memory is bounded. Evicted ones are looked up again.
+/// The number of terminal states in memory is bounded. An evicted state is read again from the state service.
 #[test]
 fn the_terminal_state_cache_is_bounded() {
     let limits = StateServiceLimits {
@@ -287,42 +304,44 @@
     for (id, from_memory) in [("j-29999", true), ("j-0", false)] {
         effects.queue.clear();
         job_api.on_status_request(1, id, &mut effects, 0.0);
-        let answered = matches!(&effects.queue[..], [Effect::Respond { status: 200, .. }]);
-        assert_eq!(answered, from_memory, "{id}");
+        let has_response = matches!(&effects.queue[..], [Effect::Respond { status: 200, .. }]);
+        assert_eq!(has_response, from_memory, "{id}: served from memory");
     }
 }
 
 /// At the connection limit an idle connection is evicted, but never one that waits for a response.
 #[test]
 fn connections_are_bounded() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("its address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("no port could be bound");
+    let address = listener.local_addr().expect("the listener has no address");
     let mut server = Server::new(3, 60.0, 10.0);
     let mut users = Vec::new();
     let mut first = 0;
     for i in 0..8 {
-        let mut user = TcpStream::connect(address).expect("a connection");
-        let (stream, _) = listener.accept().expect("a connection");
-        stream.set_nonblocking(true).expect("non-blocking");
+        let mut user = TcpStream::connect(address).expect("the connection failed");
+        let (stream, _) = listener.accept().expect("the connection failed");
+        stream
+            .set_nonblocking(true)
+            .expect("the stream could not be made non-blocking");
         let now = f64::from(i);
         let (id, evicted) = server.accept(stream, now);
         if let Some(old) = evicted {
             assert_ne!(
                 old, first,
-                "a connection that waits for a response must not be evicted"
+                "the connection that waits for a response was evicted"
             );
             server.close(old);
         }
         if i == 0 {
             first = id;
             user.write_all(b"GET /healthz HTTP/1.1\r\n\r\n")
-                .expect("sent");
+                .expect("the request could not be sent");
             let mut action = ConnectionAction::Keep;
             while action == ConnectionAction::Keep {
                 action = server.on_ready(id, now);
             }
             let ConnectionAction::Serve(request, received) = action else {
-                panic!("expected a complete request");
+                panic!("the server did not receive a complete request");
             };
             assert_eq!(received.path, "/healthz");
             users.push((user, Some(request)));
@@ -332,24 +351,25 @@
         assert!(server.len() <= 3);
     }
     let (user, request) = &mut users[0];
-    let request = request.expect("a request that waits");
+    let request = request.expect("the first connection has no request");
     let (id, action, _) = server
         .answer(request, 200, b"", None, 8.0)
-        .expect("an open connection");
+        .expect("the connection is not open");
     assert_eq!((id, action), (first, ConnectionAction::Keep));
     let mut bytes = [0; 15];
-    user.read_exact(&mut bytes).expect("a response");
+    user.read_exact(&mut bytes)
+        .expect("no response could be read");
     assert_eq!(&bytes, b"HTTP/1.1 200 OK");
     let mut timed_out = server.timed_out(100.0);
     timed_out.sort_unstable();
     assert_eq!(
         timed_out.len(),
         3,
-        "all connections have been idle for too long"
+        "number of connections that have timed out"
     );
 }
 
-/// A controller may use the part of a shared budget that the others leave unused, and at least an equal part.
+/// A controller may use the part of a shared budget that the others leave unused, but always at least an equal part.
 #[test]
 fn fair_shares_of_a_budget() {
     let idle = Some(0.0);
@@ -397,14 +417,14 @@
         let mut job_api = JobApi::new(&limits, 0.1, 1.25);
         job_api.set_write_rate(fair_share_rate(25.0, &others), 0.0);
         let mut effects = Effects::default();
-        let mut unanswered: BTreeMap<u64, f64> = BTreeMap::new();
+        let mut awaiting_response: BTreeMap<u64, f64> = BTreeMap::new();
         let (mut next_id, mut writes, mut slowest_s) = (0u64, 0, 0.0_f64);
         // 12 submissions per second for ten seconds. The state service responds at once.
         for step in 0..500u32 {
             let now = f64::from(step) * 0.02;
             if step % 4 == 0 {
                 next_id += 1;
-                unanswered.insert(next_id, now);
+                awaiting_response.insert(next_id, now);
                 let job = spec(&format!("j-{next_id}"), 1);
                 job_api.on_submit(next_id, job, Ok(()), &mut effects, now);
             }
@@ -416,9 +436,9 @@
                         status: 201,
                         ..
                     } => {
-                        let sent_at = unanswered
+                        let sent_at = awaiting_response
                             .remove(&request_id)
-                            .expect("a request without a response yet");
+                            .expect("response to a request that is unknown or already has one");
                         slowest_s = slowest_s.max(now - sent_at);
                     }
                     Effect::CallKv {
@@ -433,7 +453,7 @@
                             continue;
                         };
                         let KvRequest::Txn(txn) = &request else {
-                            panic!("{request:?}");
+                            panic!("job writes are not a transaction: {request:?}");
                         };
                         writes += txn.writes.len();
                         job_api.on_writes_completed(
@@ -453,9 +473,9 @@
         );
         if others[0].is_some() {
             assert!(
-                unanswered.len() <= 1,
+                awaiting_response.len() <= 1,
                 "{name}: {} submissions without a response, expected at most one",
-                unanswered.len()
+                awaiting_response.len()
             );
             assert!(
                 slowest_s < 0.1,
