--- a/src/cli.rs
+++ b/src/cli.rs
@@ -79,12 +79,13 @@
     address: String,
 }
 
-/// Exit code for invalid arguments, files or settings.
+/// Exit code for invalid arguments, files or settings; `clap` uses the same code for invalid arguments.
 const EXIT_USAGE: u8 = 2;
-/// Time limit for the connection attempt and for each read of the response. The protocol gives users the same limit.
+/// Time limit for the connection attempt and for each read of the response. Users of the protocol wait for a response
+/// for the same time.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Runs the command line and returns the exit code of the process.
+/// Parses the command line, executes the command and returns the exit code of the process.
 pub fn main() -> ExitCode {
     let cli = Cli::parse();
     match cli.command {
@@ -117,7 +118,7 @@
 }
 
 impl LoadError {
-    /// Prints each problem on a line of its own.
+    /// Prints the error to standard error; for a policy file, each problem on a line of its own.
     fn report(&self) {
         match self {
             LoadError::Policy(problems) => problems.iter().for_each(print_error),
@@ -126,7 +127,7 @@
     }
 }
 
-/// Reads and checks the settings file and the policy file.
+/// Reads and checks the settings file and the policy file. Without a policy file, the built-in policy applies.
 fn load(args: &RunArgs) -> Result<(Settings, Policy), LoadError> {
     let config = args.config.as_ref().ok_or(LoadError::NoConfig)?;
     let settings = Settings::load(config)?;
@@ -186,7 +187,8 @@
     request(server, "POST", "/work", &cbor::encode(&table))
 }
 
-/// Sends a request, prints the fields of the response and returns the exit code.
+/// Sends a request and prints the fields of the response: to standard output if the status is below 300, else to
+/// standard error. Returns the exit code.
 fn request(server: &Server, method: &str, path: &str, body: &[u8]) -> ExitCode {
     let response = match send_request(&server.address, method, path, body) {
         Ok(response) => response,
--- a/src/latency.rs
+++ b/src/latency.rs
@@ -1,26 +1,28 @@
-//! Records the latencies of requests and calls in histograms, and logs their quantiles at intervals.
+//! Records the latencies of incoming requests and outgoing calls in histograms, and logs quantiles at intervals.
 
 use hdrhistogram::Histogram;
 
-/// Longest latency that is recorded exactly, in microseconds; longer ones count as this one.
+/// Longest latency that a histogram can hold, in microseconds; longer latencies are recorded as this value.
 const MAX_LATENCY_US: u64 = 60_000_000;
-/// Number of significant decimal digits with which a latency is recorded.
+/// Number of significant decimal digits of a recorded latency.
 const SIGNIFICANT_DIGITS: u8 = 2;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 const MICROSECONDS_PER_MILLISECOND: f64 = 1000.0;
 
-/// Records the latencies of one kind of request or call.
+/// Records the latencies of one kind of request or call until they are logged.
 #[derive(Debug)]
 pub struct LatencyRecorder {
+    /// Name of the kind of request or call in the log line.
     name: &'static str,
-    /// None if the histogram could not be created; then nothing is recorded.
+    /// `None` if the histogram could not be created; then nothing is recorded or logged.
     histogram: Option<Histogram<u64>>,
+    /// Time of the next log line, in seconds of the steady clock.
     next_log_at: f64,
     log_interval_s: f64,
 }
 
 impl LatencyRecorder {
-    /// Creates a recorder that logs its quantiles under `name`, and is cleared, every `log_interval_s`.
+    /// Creates a recorder that logs the quantiles under `name` and then clears them, every `log_interval_s` seconds.
     pub fn new(name: &'static str, log_interval_s: f64) -> LatencyRecorder {
         LatencyRecorder {
             name,
@@ -37,7 +39,8 @@
         }
     }
 
-    /// Logs and clears the recorded latencies if the log interval has ended at `now` (seconds of the steady clock).
+    /// If the log interval has ended by `now` (seconds of the steady clock), begins the next interval, and logs and
+    /// clears the recorded latencies. Logs nothing if no latency was recorded.
     pub fn log_if_due(&mut self, now: f64) {
         if now < self.next_log_at {
             return;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -16,10 +16,10 @@
 //! | [`protocol`] | types of messages and records, and their encodings | |
 //! | [`transport`] | sockets, HTTP, and frames between controllers | |
 //!
-//! The first two do no I/O: their functions are called with an input, the time and a random generator, and return
-//! [`effects`](coordination::effects). [`daemon`] is the event loop: it owns the sockets and the clock, passes inputs
-//! to the controller and executes the effects. [`cli`] is the command line. [`settings`] and [`policy`] are the two
-//! files that a controller reads when it starts. [`latency`] measures the duration of calls.
+//! [`coordination`] and [`bookkeeping`] do no I/O: they are given inputs and the time, and return
+//! [`effects`](coordination::effects), which are actions for the caller to execute. [`daemon`] is the event loop: it owns the sockets and the clock, passes inputs
+//! to the controller and executes the effects. [`cli`] is the command line. [`settings`] and [`policy`] read the
+//! two files that a controller reads when it starts. [`latency`] records and logs the latencies of requests and calls.
 //!
 //! # Suggested reading order
 //!
@@ -32,7 +32,7 @@
 //! 4. [`bookkeeping`]: records and tables, then the write-ahead log.
 //! 5. [`coordination::leader`], [`coordination::scheduler`], [`coordination::autoscaler`] and
 //!    [`coordination::job_api`].
-//! 6. [`daemon`] and [`transport`], which do the I/O.
+//! 6. [`daemon`] and [`transport`], which read and write sockets.
 
 #![warn(missing_docs)]
 
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,7 +1,10 @@
-//! The policy file, in which operators set the parameters of the autoscaler: reads, checks and evaluates it.
+//! Reads, checks and evaluates the policy file, in which operators set the parameters of the autoscaler.
 //!
-//! Each line assigns an expression in the language CEL to a parameter. The built-in policy is such a file too,
-//! `default.policy`; it gives the parameters that the operators' file does not define.
+//! Each line of a policy file assigns an expression in the language CEL to a parameter. `default.policy` is the
+//! built-in policy file; its expressions apply to the parameters that the operators' file does not define.
+//!
+//! A pool consists of the instances of one instance type in one zone, either on-demand or spot. The names of parameters
+//! and variables call an instance a machine.
 
 use crate::settings::Settings;
 use cel::{Context, Program, Value};
@@ -15,36 +18,36 @@
 /// The autoscaler's parameters for one pool.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ScalingParameters {
-    /// Time within which a machine should start a waiting task, in seconds.
+    /// Time within which an instance should start a waiting task, in seconds.
     pub pickup_s: f64,
-    /// Fewest machines that the pool may have, idle or not.
+    /// Least number of instances that the pool keeps, idle ones included.
     pub min: u32,
-    /// Most machines that the pool may have.
+    /// Largest number of instances that the pool may have; at least `min`.
     pub max: u32,
-    /// Time for which a machine must be idle before it may be returned to the cloud, in seconds.
+    /// Time for which an instance must be idle before the autoscaler may delete it, in seconds.
     pub cooldown_s: f64,
-    /// Window over which rates of starts and finishes are measured, in seconds.
+    /// Window over which the rates of task starts and finishes are measured, in seconds.
     pub window_s: f64,
-    /// Machines kept in addition to the forecast demand, as a share of it.
+    /// Share of the forecast demand that is kept as additional instances.
     pub headroom: f64,
 }
 
 /// The state of a pool, which expressions can use as variables.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PoolState {
-    /// Whether the pool consists of spot machines.
+    /// Whether the pool consists of spot instances.
     pub spot: bool,
-    /// Usual boot time of a machine, in seconds.
+    /// Usual boot time of an instance, in seconds.
     pub boot_time_s: f64,
-    /// Price of a machine per hour.
+    /// Price of an instance per hour, in the unit of the cloud's list of instance types.
     pub hourly: f64,
-    /// Number of CPUs of a machine.
+    /// Number of CPUs of an instance.
     pub cpus: f64,
-    /// Number of machines with tasks.
+    /// Number of instances that have tasks.
     pub busy: u32,
-    /// Number of machines, idle ones included.
+    /// Number of instances, idle ones included.
     pub machines: u32,
-    /// Number of tasks that wait for a machine of the pool.
+    /// Number of tasks that wait for an instance of the pool.
     pub waiting: u32,
 }
 
@@ -55,9 +58,10 @@
     pub file: String,
     /// Line number, from 1; 0 if the problem concerns the file as a whole.
     pub line: usize,
-    /// Name to the left of the '=', if there is one.
+    /// Name of the parameter: the text to the left of the '=', or the whole line if it has none. Empty if the file cannot
+    /// be read.
     pub name: String,
-    /// Description of the problem.
+    /// Description of the problem, for the operator.
     pub message: String,
 }
 
@@ -71,7 +75,8 @@
     }
 }
 
-/// The parameters, each with its least and its largest allowed value. [`Policy::parameters`] relies on their order.
+/// The parameters, each with its least and its largest allowed value. [`Policy::parameters`] relies on the order of the
+/// array.
 const PARAMETERS: [(&str, f64, f64); 6] = [
     ("pickup_s", 0.1, 86_400.0),
     ("min_machines", 0.0, 100_000.0),
@@ -109,19 +114,22 @@
 /// The compiled expressions of a policy.
 #[derive(Debug)]
 pub struct Policy {
+    /// Expressions that apply, in the order of [`PARAMETERS`].
     programs: Vec<Program>,
+    /// Expressions of the built-in policy, in the order of [`PARAMETERS`].
     defaults: Vec<Program>,
     settings_variables: SettingsVariables,
+    /// Whether a failed expression was logged; only the first one is.
     failure_logged: Cell<bool>,
 }
 
 impl Policy {
-    /// The built-in policy.
+    /// Creates the built-in policy.
     pub fn built_in(settings: &Settings) -> Policy {
         match Policy::parse(BUILT_IN_POLICY, "built-in", settings) {
             Ok(policy) => policy,
-            // A test checks that the built-in policy is valid. An empty policy gives each parameter its least value.
-            // The largest number of machines is then 0, so that none are rented.
+            // Cannot happen: a test checks that the built-in policy is valid. An empty policy would give each
+            // parameter its least value; the largest number of instances would be 0, and none would be provisioned.
             Err(_) => Policy::empty(settings),
         }
     }
@@ -140,7 +148,8 @@
         }
     }
 
-    /// Reads and checks a policy file. Parameters that it does not define get the expression of the built-in policy.
+    /// Reads and checks a policy file. For parameters that the file does not define, the expressions of the built-in
+    /// policy apply.
     pub fn load(path: &Path, settings: &Settings) -> Result<Policy, Vec<PolicyProblem>> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|error| {
@@ -154,7 +163,8 @@
         Policy::parse(&text, &file, settings)
     }
 
-    /// Parses and checks the text of a policy file, and returns all its problems.
+    /// Parses and checks the text of a policy file. Returns all problems if there are any; `file` is the path that they
+    /// state.
     pub fn parse(
         text: &str,
         file: &str,
@@ -197,8 +207,8 @@
         Err(problems)
     }
 
-    /// Evaluates the parameters for a pool. If an expression fails for the values of this pool, the expression of the
-    /// built-in policy is used, and the first such failure is logged.
+    /// Evaluates the parameters for a pool. If an expression fails for this pool, the expression of the built-in policy
+    /// is used, and if that fails too, the least allowed value. The first failure of the process is logged.
     pub fn parameters(&self, pool: &PoolState) -> ScalingParameters {
         let value = |i: usize| -> f64 {
             let (name, min_value, max_value) = PARAMETERS[i];
@@ -243,14 +253,19 @@
     }
 }
 
+/// An assignment in a policy file.
 struct Expression {
     file: String,
+    /// Line number, from 1.
     line: usize,
+    /// Name of the parameter.
     name: String,
+    /// CEL source of the expression.
     text: String,
 }
 
-/// Splits a file into its expressions. Lines that are not a valid assignment are added to `problems`.
+/// Returns the assignments in a policy file. Empty lines and comments are skipped; for every other line that is not a
+/// valid assignment, a problem is added to `problems`.
 fn parse_expressions(text: &str, file: &str, problems: &mut Vec<PolicyProblem>) -> Vec<Expression> {
     let mut expressions: Vec<Expression> = Vec::new();
     for (i, line) in text.lines().enumerate() {
@@ -292,8 +307,8 @@
 }
 
 impl Expression {
-    /// Compiles the expression and evaluates it for some sample pools, so that a value of a wrong type or out of range
-    /// is found when the file is checked.
+    /// Compiles the expression and evaluates it for six sample pools, so that most values of a wrong type or out of
+    /// range are found when the file is checked. Returns a description of the first problem as the error.
     fn compile(
         &self,
         settings_variables: &SettingsVariables,
@@ -339,6 +354,8 @@
     }
 }
 
+/// Evaluates an expression for a pool. Returns a description of the problem if the value is not a decimal number or is out
+/// of range.
 fn evaluate(
     program: &Program,
     settings_variables: &SettingsVariables,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
 //! Reads and checks the settings file.
 //!
-//! A controller reads the file once, when it starts. A field whose key in the file has another name has a
-//! `serde(rename)`. `docs/architecture.md` says where each value is used.
+//! A controller reads the file once, when it starts. Where the key in the file differs from the name of the field, the
+//! field has a `serde(rename)`. `docs/architecture.md` says where each value is used.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -15,10 +15,10 @@
     Unreadable {
         /// Path of the file.
         path: String,
-        /// Error of the read.
+        /// Error that the operating system reported.
         source: std::io::Error,
     },
-    /// The file is not TOML, or a field is missing or of the wrong type.
+    /// The file is not valid TOML, or a field is missing or of the wrong type. Contains the message of the parser.
     #[error("{0}")]
     Malformed(String),
     /// A field has a value that is not allowed.
@@ -34,14 +34,14 @@
 /// The settings file.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
-    /// This controller's name.
+    /// Name of this controller, which differs from the names of the others.
     pub label: String,
-    /// This controller's zone.
+    /// Zone in which this controller runs.
     #[serde(rename = "site")]
     pub zone: String,
-    /// Address on which requests of users and workers and health checks are accepted.
+    /// Address on which the controller accepts requests from users and workers, and health checks.
     pub bind: SocketAddr,
-    /// Address on which connections from the other controllers are accepted.
+    /// Address on which the controller accepts connections from the other controllers.
     pub peer_bind: SocketAddr,
     /// Names and addresses of the other controllers.
     #[serde(rename = "seeds", default)]
@@ -55,45 +55,45 @@
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct PeerAddress {
-    /// Its name, which is its `label` in its own settings.
+    /// Name of the other controller: the `label` in its own settings.
     pub label: String,
-    /// Its zone.
+    /// Zone in which the other controller runs; empty if not given.
     #[serde(rename = "site", default)]
     pub zone: String,
-    /// Address on which it accepts connections from controllers.
+    /// Address to connect to: the `peer_bind` in the settings of the other controller.
     pub address: SocketAddr,
 }
 
 /// Addresses of the services that a controller calls.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Services {
-    /// Cloud API.
+    /// Address of the cloud API.
     pub cloud: SocketAddr,
-    /// State service.
+    /// Address of the state service.
     pub state: SocketAddr,
 }
 
 /// Settings that all controllers of the deployment have in common.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Deployment {
-    /// Number of controllers.
+    /// Number of controllers in the deployment, this one included.
     pub initial_size: u32,
-    /// Zones in which machines can be rented.
+    /// Zones in which instances can be provisioned.
     pub zones: Vec<String>,
-    /// Largest error of a controller's wall clock, in milliseconds.
+    /// Largest difference between a controller's wall clock and the true time, in milliseconds.
     #[serde(default)]
     pub skew_ms: f64,
-    /// Teams that may submit jobs.
+    /// Teams that may submit jobs; a job of any other team is rejected.
     #[serde(default)]
     pub teams: Vec<Team>,
     /// Service objectives for classes of jobs.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Times of the worker protocol.
+    /// Durations that the worker protocol prescribes.
     pub workers: WorkerSettings,
-    /// Limits of the state service.
+    /// Limits that the state service imposes.
     pub state: StateServiceLimits,
-    /// Limits of the cloud API.
+    /// Limits of the cloud API, and the lag of its list.
     pub cloud: CloudLimits,
     /// Resources that a controller may use.
     pub quota: ControllerLimits,
@@ -102,18 +102,18 @@
 /// The resources that are guaranteed to a team and the limits on its use; 0 means no guarantee or no limit.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
-    /// Name.
+    /// Name of the team, as jobs state it; unique.
     pub name: String,
-    /// Guaranteed CPUs.
+    /// Number of CPUs that are guaranteed to the team.
     #[serde(default)]
     pub cpus: f64,
-    /// CPU limit.
+    /// Most CPUs that the team's tasks may use together.
     #[serde(default)]
     pub cpus_max: f64,
-    /// Guaranteed GPUs.
+    /// Number of GPUs that are guaranteed to the team.
     #[serde(default)]
     pub gpus: f64,
-    /// GPU limit.
+    /// Most GPUs that the team's tasks may use together.
     #[serde(default)]
     pub gpus_max: f64,
 }
@@ -134,7 +134,7 @@
     pub share: Option<f64>,
 }
 
-/// Times of the worker protocol, in seconds.
+/// Durations that the worker protocol prescribes, in seconds.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerSettings {
     /// Interval between a worker's heartbeats.
@@ -142,58 +142,58 @@
     pub heartbeat_interval_s: f64,
     /// Duration of a worker's lease: a worker that has had no response to a heartbeat for this long ends its tasks.
     pub lease_s: f64,
-    /// Time within which the tasks of a cancelled job must have ended.
+    /// Time after the confirmation of a cancellation within which all tasks of the job must have ended.
     pub cancel_s: f64,
 }
 
-/// Limits of the state service.
+/// Limits that the state service imposes.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateServiceLimits {
-    /// Requests per second of all controllers together.
+    /// Most requests per second from all controllers together.
     pub rps: f64,
-    /// Writes per second of all controllers together.
+    /// Most writes per second from all controllers together.
     pub write_rps: f64,
-    /// Largest size of a value, in KiB.
+    /// Largest size of a stored value, in KiB.
     pub value_kb: f64,
     /// Most writes in a transaction.
     pub txn_ops: usize,
 }
 
-/// Limits of the cloud API.
+/// Limits of the cloud API, and the lag of its list.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
-    /// Requests per second of all controllers together.
+    /// Most requests per second from all controllers together.
     pub rps: f64,
-    /// Usual time until a change shows in the list of instances, in seconds.
+    /// Usual time after which the list of instances shows that an instance was created or deleted, in seconds.
     pub list_lag_s: f64,
 }
 
 /// Resources that a controller may use.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ControllerLimits {
-    /// Share of a CPU core.
+    /// Share of one CPU core that the process may use; 1.0 is a whole core.
     pub core_share: f64,
-    /// Memory in MB.
+    /// Memory that the process may use, in MB.
     pub mem_mb: f64,
-    /// Number of open sockets.
+    /// Most sockets that the process may have open.
     pub max_sockets: usize,
 }
 
 /// Least value allowed for `txn_ops`.
 const MIN_TXN_OPS: usize = 4;
-/// Least value allowed for `max_sockets`: a controller cannot work with fewer.
+/// Least value allowed for `max_sockets`: with fewer sockets a controller cannot work.
 const MIN_SOCKETS: usize = 32;
-/// Share of the sockets for direct calls to workers (see [`protocol::worker`](crate::protocol::worker)).
+/// Share of `max_sockets` that is set aside for direct calls, which are requests to workers (see [`protocol::worker`](crate::protocol::worker)).
 const DIRECT_CALL_SHARE: f64 = 0.12;
 
 impl ControllerLimits {
-    /// Number of sockets for direct calls to workers.
+    /// Number of sockets that are set aside for direct calls to workers.
     pub fn direct_sockets(&self) -> usize {
         (self.max_sockets as f64 * DIRECT_CALL_SHARE) as usize
     }
 }
 
-/// Largest difference between the rates of the steady clocks of two machines, as a share.
+/// Largest relative difference between the rates of the steady clocks of two hosts: 0.0005 s per second.
 pub const MAX_CLOCK_DRIFT: f64 = 0.0005;
 
 impl Settings {
@@ -214,7 +214,7 @@
         Ok(settings)
     }
 
-    /// Checks the values, section by section, and reports the first problem.
+    /// Checks the values, and returns the first problem found.
     fn check(&self) -> Result<(), SettingsError> {
         self.deployment.check_numbers()?;
         self.check_controller()?;
--- a/tests/soak/cloud.rs
+++ b/tests/soak/cloud.rs
@@ -4,7 +4,7 @@
 use super::machines::{CPUS, INSTANCE_TYPE, Machine, Worker};
 use super::oracle::{Shared, lock};
 use super::plan::Fault;
-use super::state::ErrorBody;
+use super::state::{ErrorBody, OUTAGE_ERROR};
 use cedarladder::protocol::cbor;
 use rand::Rng;
 use serde::{Deserialize, Serialize};
@@ -127,7 +127,7 @@
                 return Some(Reply::new(
                     503,
                     &ErrorBody {
-                        error: "unavailable: injected fault",
+                        error: OUTAGE_ERROR,
                     },
                 ));
             }
--- a/tests/soak/state.rs
+++ b/tests/soak/state.rs
@@ -60,6 +60,9 @@
     ttl_ms: u64,
 }
 
+/// Error text that the protocols of the state service and the cloud define for an outage.
+pub const OUTAGE_ERROR: &str = "trouble";
+
 /// The body of an error response of the state service or the cloud.
 #[derive(Serialize)]
 pub struct ErrorBody {
@@ -96,7 +99,7 @@
         KvResponse::Compacted => error_reply(410, "too old"),
         KvResponse::InvalidRequest => error_reply(400, "no such lease"),
         KvResponse::RateLimited => error_reply(429, "too many requests"),
-        KvResponse::Unavailable => error_reply(503, "unavailable: injected fault"),
+        KvResponse::Unavailable => error_reply(503, OUTAGE_ERROR),
         KvResponse::OutcomeUnknown => unreachable!("the store itself always knows the outcome"),
     }
 }
@@ -146,7 +149,7 @@
         let response_lost = match self.active_fault(node) {
             Some(Fault::PartitionFromStateService) => return None,
             Some(Fault::LoseStateServiceResponses) => true,
-            Some(_) => return Some(error_reply(503, "unavailable: injected fault")),
+            Some(_) => return Some(error_reply(503, OUTAGE_ERROR)),
             None => false,
         };
         if request.path == "/follow" {
