--- a/src/daemon/clients.rs
+++ b/src/daemon/clients.rs
@@ -1,4 +1,5 @@
-//! Outgoing calls: a connection pool for each kind of destination, and the calls that have no response yet.
+//! Makes outgoing calls: a call is a request to the state service, the cloud or a worker. There is a connection pool
+//! for each of these three kinds of destinations.
 
 use super::sockets::SocketBudget;
 use crate::coordination::effects::CorrelationId;
@@ -11,17 +12,17 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// Longest response body of the state service, in bytes. If the response to a watch is longer, the watch is replaced by
-/// a new listing of its keys.
+/// Longest response body of the state service, in bytes. If the response to a watch is longer,
+/// the keys of the watch are listed again.
 const MAX_STATE_SERVICE_BODY: usize = 2 * 1024 * 1024;
 /// Longest response body of the cloud API, in bytes.
 const MAX_CLOUD_BODY: usize = 1024 * 1024;
 /// Longest response body of a worker, in bytes.
 const MAX_WORKER_BODY: usize = 2 * http::MAX_REQUEST_BODY;
-/// Most connections to one worker.
+/// Largest number of connections to one worker.
 const CONNECTIONS_PER_WORKER: usize = 1;
 
-/// The connection pools, by the kind of their destinations. Each pool is a [`Client`].
+/// Identifies a connection pool by the kind of its destinations. Each pool is a [`Client`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Pool {
     StateService,
@@ -33,14 +34,15 @@
     pub(super) const ALL: [Pool; 3] = [Pool::StateService, Pool::Cloud, Pool::Workers];
 }
 
-/// A connection of one of the connection pools.
+/// Identifies a connection of one of the connection pools.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct ClientConnection {
     pub(super) pool: Pool,
+    /// Id of the connection in its pool.
     pub(super) id: u64,
 }
 
-/// A call that has not completed, with what is needed to interpret its response.
+/// A call that has not completed: identifies it for the controller, and holds what is needed to decode its response.
 pub(super) enum PendingCall {
     StateService {
         correlation_id: CorrelationId,
@@ -57,13 +59,13 @@
     },
 }
 
-/// The response to a call, or how the call failed, as a message of its protocol.
+/// The result of a completed call, for the controller: the decoded response, or how the call failed.
 pub(super) enum CallResponse {
     StateService {
         correlation_id: CorrelationId,
         response: KvResponse,
-        /// When the call was made; none for a watch, whose duration is no latency because the service delays its
-        /// response.
+        /// When the call was made, in seconds of the steady clock. `None` for a watch: the state service delays the
+        /// response to a watch until a key changes, so the duration of a watch is not recorded as a latency.
         sent_at: Option<f64>,
     },
     Cloud {
@@ -85,9 +87,9 @@
         }
     }
 
-    /// Converts the transport's outcome to a response of the protocol. Whether a call without a response was sent
-    /// matters for workers only. For the state service and the cloud, each failure counts as an unknown outcome, which
-    /// is always safe.
+    /// Converts the outcome that the transport reports to a response of the protocol. For workers, failures are
+    /// distinguished by whether the call was sent. For the state service and the cloud, every failure counts as an
+    /// unknown outcome: the caller must then assume that the request may have been executed, which is always safe.
     fn complete(self, outcome: Outcome) -> CallResponse {
         match self {
             PendingCall::StateService {
@@ -129,7 +131,7 @@
     }
 }
 
-/// The connection pools, and the calls that have not completed.
+/// The three connection pools, and the calls that have not completed.
 pub(super) struct Clients {
     state_service: Client,
     cloud: Client,
@@ -139,8 +141,8 @@
 }
 
 impl Clients {
-    /// Creates the connection pools with the sizes that the socket budget gives. Connections that have been idle for
-    /// `idle_timeout_s` are closed.
+    /// Creates the connection pools with the sizes in the socket budget. The pools close connections that have been
+    /// idle for longer than `idle_timeout_s`.
     pub(super) fn new(sockets: &SocketBudget, idle_timeout_s: f64) -> Clients {
         let single_destination =
             |connections, max_body| Client::new(connections, connections, max_body, idle_timeout_s);
@@ -174,12 +176,12 @@
         }
     }
 
-    /// The stream of a connection; none once the connection is closed.
+    /// The stream of a connection, or `None` if the connection is closed.
     pub(super) fn stream(&self, connection: ClientConnection) -> Option<Rc<TcpStream>> {
         self.client(connection.pool).stream(connection.id)
     }
 
-    /// Makes a call. Returns the connection that was opened for it and must be registered with the event loop, if any.
+    /// Makes a call. If a connection was opened, returns it; the caller must register it with the event loop.
     pub(super) fn call(
         &mut self,
         pending: PendingCall,
@@ -202,7 +204,8 @@
         opened.map(|id| ClientConnection { pool, id })
     }
 
-    /// Handles a readiness event of a connection. Returns the connection to register, if another one was opened.
+    /// Handles a readiness event of a connection. If another connection was opened for a queued call, returns it; the
+    /// caller must register it with the event loop.
     pub(super) fn on_ready(
         &mut self,
         connection: ClientConnection,
@@ -213,8 +216,8 @@
         opened.map(|id| ClientConnection { pool, id })
     }
 
-    /// Completes the calls that have timed out and closes idle connections. Returns the connections that were opened
-    /// for queued calls, to register them.
+    /// Completes the calls that have timed out, and closes connections that have been idle for too long. Returns the
+    /// connections that were opened for queued calls; the caller must register them with the event loop.
     pub(super) fn expire(&mut self, now: f64) -> Vec<ClientConnection> {
         let mut opened = Vec::new();
         for pool in Pool::ALL {
@@ -224,7 +227,7 @@
         opened
     }
 
-    /// Returns the responses of the calls that have completed since the last call of this function.
+    /// Returns the results of the calls that have completed since this function was last called.
     pub(super) fn take_responses(&mut self) -> Vec<CallResponse> {
         let mut responses = Vec::new();
         for pool in Pool::ALL {
--- a/src/daemon/connections.rs
+++ b/src/daemon/connections.rs
@@ -1,4 +1,4 @@
-//! The listeners and connections of the event loop: accepts, reads, writes and closes them.
+//! Accepts connections, registers them with the event loop, and handles their readiness events.
 
 use super::clients::ClientConnection;
 use super::{Daemon, DaemonError};
@@ -11,23 +11,24 @@
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// Path of workers' heartbeats. When sockets run short, connections of workers are closed first.
+/// Path to which workers send heartbeats. The connection of a heartbeat is closed after the response if the connection
+/// table is crowded.
 const HEARTBEAT_PATH: &str = "/v1/report";
 
-/// A connection that is registered with the event loop.
+/// Identifies a connection that is registered with the event loop. A peer is another controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Connection {
-    /// From a user, a worker or the load balancer.
+    /// Connection from a user, a worker or the load balancer, by its id in `Daemon::server`.
     Request(u64),
-    /// To the state service, the cloud or a worker.
+    /// Connection to the state service, the cloud or a worker.
     Client(ClientConnection),
-    /// To the peer with this index.
+    /// Connection to a peer, by the index of the peer in `Daemon::outgoing_peers`.
     OutgoingPeer(usize),
-    /// From a peer.
+    /// Connection from a peer, by its key in `Daemon::incoming_peers`.
     IncomingPeer(u64),
 }
 
-/// Adds a listener to the event loop, which calls `accept` for each new connection.
+/// Adds a listener to the event loop. The event loop then calls `accept` with each new connection.
 pub(super) fn add_listener(
     handle: &LoopHandle<'static, Daemon>,
     listener: TcpListener,
@@ -36,7 +37,7 @@
     let source = Generic::new(listener, Interest::READ, Mode::Level);
     handle
         .insert_source(source, move |_, listener, daemon: &mut Daemon| {
-            // After a failed accept (out of sockets, for example) the next iteration of the event loop tries again.
+            // If accepting fails, for example because no socket is free, the next iteration of the event loop retries.
             while let Ok((stream, _)) = listener.accept() {
                 let _ = stream.set_nodelay(true);
                 if stream.set_nonblocking(true).is_ok() {
@@ -50,6 +51,8 @@
 }
 
 impl Daemon {
+    /// Adds a new connection from a user, a worker or the load balancer, and closes another one if the connection table
+    /// is full.
     pub(super) fn accept_request_connection(&mut self, stream: TcpStream) {
         let now = self.now();
         let (id, evicted) = self.server.accept(stream, now.monotonic);
@@ -61,6 +64,7 @@
         }
     }
 
+    /// Adds a new connection from a peer. If there are already as many as the socket budget allows, closes the oldest.
     pub(super) fn accept_peer_connection(&mut self, stream: TcpStream) {
         if self.incoming_peers.len() >= self.sockets.incoming_peers
             && let Some(oldest) = self.incoming_peers.keys().min().copied()
@@ -75,7 +79,7 @@
         self.register(Connection::IncomingPeer(id), stream);
     }
 
-    /// Registers a connection with the event loop.
+    /// Registers a connection with the event loop. If that fails, closes the connection.
     pub(super) fn register(&mut self, connection: Connection, stream: Rc<TcpStream>) {
         let source = Generic::new(stream, Interest::BOTH, Mode::Edge);
         let inserted = self
@@ -95,7 +99,7 @@
         }
     }
 
-    /// Registers a client connection that was opened for a call, if there is one.
+    /// Registers the connection that was opened for a call, if one was.
     pub(super) fn register_client(&mut self, opened: Option<ClientConnection>) {
         if let Some(connection) = opened
             && let Some(stream) = self.clients.stream(connection)
@@ -110,7 +114,8 @@
         }
     }
 
-    /// Unregisters the connections that a connection pool has closed, on a timeout or to open another.
+    /// Unregisters the connections that a connection pool has closed, because of a timeout or to make room for another
+    /// connection.
     pub(super) fn unregister_closed_clients(&mut self) {
         let closed: Vec<Connection> = self
             .registrations
@@ -126,8 +131,8 @@
         }
     }
 
-    /// Unregisters a connection and, if it is an incoming one, removes it from its table. An outgoing connection stays
-    /// in its connection pool or peer, which closes or replaces it after its timeout.
+    /// Unregisters a connection. An incoming connection is also removed from its table. An outgoing connection is not
+    /// removed: its `Client` or `Outgoing` closes or replaces it after a timeout.
     pub(super) fn close(&mut self, connection: Connection) {
         self.unregister(connection);
         match connection {
@@ -139,7 +144,7 @@
         }
     }
 
-    /// Handles a readiness event: the connection can be read or written.
+    /// Handles a readiness event of a connection, and then executes the effects that the controller has returned.
     fn on_ready(&mut self, connection: Connection) {
         let now = self.now();
         match connection {
@@ -166,13 +171,14 @@
         self.process_effects();
     }
 
+    /// Reads the frames of a connection from a peer, and passes the heartbeats in them to the controller.
     fn on_peer_ready(&mut self, id: u64, now: Now) {
         let Some(incoming) = self.incoming_peers.get_mut(&id) else {
             return;
         };
         let (frames, open) = incoming.on_ready(peer::MAX_FRAME_BYTES);
         for frame in frames {
-            // A frame that is not a valid heartbeat, from a peer of another version for example, is dropped.
+            // An invalid heartbeat, for example from a peer that runs another version, is dropped.
             if let Ok(heartbeat) = peer::decode(&frame) {
                 self.controller.on_peer_heartbeat(heartbeat, now);
             }
@@ -182,17 +188,17 @@
         }
     }
 
-    /// Does what the connection table demands after a connection was read or written.
+    /// Executes the action that `Daemon::server` has returned for connection `id`.
     pub(super) fn serve(&mut self, id: u64, action: ConnectionAction, now: Now) {
         match action {
             ConnectionAction::Keep => {}
             ConnectionAction::Close => self.close(Connection::Request(id)),
             ConnectionAction::Serve(request_id, request) => {
-                // When the connection table is crowded, workers lose their connections, so that users can connect.
+                // If the connection table is crowded, connections of workers are closed to make room for users.
                 if request.path == HEARTBEAT_PATH {
                     self.server.close_after_response_if_crowded(request_id);
                 }
-                // If the controller responds immediately, the response is sent when its effects are executed.
+                // An immediate response of the controller is an effect, which `process_effects` executes.
                 self.controller.on_request(
                     request_id,
                     &request.method,
--- a/src/daemon/dispatch.rs
+++ b/src/daemon/dispatch.rs
@@ -1,4 +1,6 @@
-//! Executes the controller's effects, and passes the responses to its calls back to it.
+//! Executes the effects that the controller returns, and passes the responses to its calls to the controller.
+//!
+//! A call is a request to the state service, the cloud or a worker.
 
 use super::Daemon;
 use super::clients::{CallResponse, PendingCall};
@@ -10,7 +12,8 @@
 use std::net::SocketAddr;
 
 impl Daemon {
-    /// Executes effects and delivers responses until there are none left: a response may cause further effects.
+    /// Executes effects and delivers responses until none are left. It loops because a response can cause further
+    /// effects.
     pub(super) fn process_effects(&mut self) {
         loop {
             let now = self.now();
@@ -73,6 +76,7 @@
         }
     }
 
+    /// Sends the response to a request of a user or worker, and records the latency.
     fn respond(
         &mut self,
         request_id: u64,
@@ -90,6 +94,7 @@
         }
     }
 
+    /// Calls a worker. If its endpoint is not a valid address, reports to the controller that the call was not sent.
     fn call_worker(
         &mut self,
         correlation_id: CorrelationId,
@@ -111,6 +116,7 @@
         }
     }
 
+    /// Makes a call, and registers the connection if one was opened.
     fn call(
         &mut self,
         pending: PendingCall,
@@ -125,6 +131,7 @@
         self.register_client(opened);
     }
 
+    /// Sends a heartbeat to all peers (the other controllers), and registers connections that were opened for it.
     fn broadcast(&mut self, heartbeat: &PeerHeartbeat, now: Now) {
         let frame = match peer::encode(heartbeat) {
             Ok(frame) => frame,
@@ -142,7 +149,8 @@
         }
     }
 
-    /// Passes the response of a call to the controller.
+    /// Passes the result of a call to the controller, and records the latency of calls to the state service except
+    /// watches.
     fn deliver_response(&mut self, response: CallResponse, now: Now) {
         match response {
             CallResponse::StateService {
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,12 +1,14 @@
-//! The controller process: a single-threaded event loop with the listeners, all connections, a timer and the
-//! controller.
+//! The controller process: a single thread that runs an event loop, which owns the listeners, all connections, a timer
+//! and the controller.
 //!
 //! The controller itself does no I/O: it is called with an input and the time, and returns
 //! [effects](crate::coordination::effects). This module does the I/O for it:
 //!
-//! - `connections` reads and writes sockets, and passes requests and peers' heartbeats to the controller;
+//! - `connections` reads and writes sockets, and passes requests, and heartbeats from peers, to the controller; a peer
+//!   is another controller;
 //! - `dispatch` executes the controller's effects;
-//! - `clients` makes outgoing calls and matches each response to its call;
+//! - `clients` makes calls, which are requests to the state service, the cloud and workers, and matches each response
+//!   to its call;
 //! - [`sockets`] divides the process's sockets among the kinds of connections.
 
 mod clients;
@@ -47,37 +49,44 @@
     Source(String),
 }
 
-/// Connections that may wait to be accepted: after a failover all workers and users connect at the same time.
+/// Largest number of connections that wait to be accepted. It is high because all workers and users connect at the same
+/// time after a failover.
 const LISTEN_BACKLOG: i32 = 4096;
 /// Number of controller ticks in a heartbeat interval.
 const TICKS_PER_HEARTBEAT: f64 = 100.0;
-/// Number of checks for timed-out connections in a heartbeat interval.
+/// Number of sweeps in a heartbeat interval; a sweep closes timed-out connections and logs latencies.
 const SWEEPS_PER_HEARTBEAT: f64 = 5.0;
-/// Interval between two log lines with the latency of the same kind of call, in heartbeat intervals.
+/// Interval between two log lines with latencies of the same kind, in heartbeat intervals.
 const HEARTBEATS_PER_LATENCY_LOG: f64 = 24.0;
 /// Time after which an idle outgoing connection is closed, in heartbeat intervals.
 const CLIENT_IDLE_HEARTBEATS: f64 = 20.0;
 /// Time after which an idle connection from a user or worker is closed, in heartbeat intervals.
 const SERVER_IDLE_HEARTBEATS: f64 = 40.0;
-/// Time within which a client must send a request completely, and read a response, in heartbeat intervals.
+/// Time within which a user or worker must send a complete request, or read a complete response, in heartbeat
+/// intervals.
 const SLOW_REQUEST_HEARTBEATS: f64 = 4.0;
 
+/// The state that the callbacks of the event loop share.
 struct Daemon {
     controller: Controller,
     handle: LoopHandle<'static, Daemon>,
     /// Event loop registrations of the open connections.
     registrations: HashMap<Connection, RegistrationToken>,
     sockets: SocketBudget,
+    /// Connections from users, workers and the load balancer.
     server: Server,
     clients: Clients,
+    /// Connections to the peers, in the order of the settings.
     outgoing_peers: Vec<Outgoing>,
+    /// Connections from peers, by number; connections accepted later have higher numbers.
     incoming_peers: HashMap<u64, Incoming>,
     next_incoming_peer: u64,
     state_service: SocketAddr,
     cloud: SocketAddr,
-    /// Start of the process, at which the steady clock is 0.
+    /// When the daemon was created; the steady clock was 0 then.
     started: Instant,
     heartbeat_interval_s: f64,
+    /// Time of the next sweep, in seconds of the steady clock.
     next_sweep_at: f64,
     request_latency: LatencyRecorder,
     state_service_latency: LatencyRecorder,
@@ -106,7 +115,7 @@
     socket::listen(address, LISTEN_BACKLOG).map_err(|error| DaemonError::Listen(address, error))
 }
 
-/// Makes the event loop tick immediately, and then every `interval_s`.
+/// Adds a timer that calls [`Daemon::tick`] immediately, and then `interval_s` seconds after each call.
 fn add_timer(handle: &LoopHandle<'static, Daemon>, interval_s: f64) -> Result<(), DaemonError> {
     let interval = Duration::from_secs_f64(interval_s);
     handle
@@ -166,7 +175,7 @@
         }
     }
 
-    /// Runs what is due at this time: in the controller, for calls and for connections.
+    /// Runs the timers of the controller, completes calls that have timed out, and sweeps if that is due.
     fn tick(&mut self) {
         let now = self.now();
         self.controller.tick(now);
@@ -180,7 +189,7 @@
         self.process_effects();
     }
 
-    /// Logs latencies, and closes connections that have timed out.
+    /// Logs latencies if that is due, and closes connections that have timed out.
     fn sweep(&mut self, now: f64) {
         self.request_latency.log_if_due(now);
         self.state_service_latency.log_if_due(now);
--- a/src/daemon/sockets.rs
+++ b/src/daemon/sockets.rs
@@ -1,20 +1,23 @@
-//! The socket budget: how many of the process's sockets each kind of connection may use.
+//! Divides the sockets that the process may use among the kinds of connections. A peer is another controller.
 
 use crate::settings::Settings;
 
-/// Share of the sockets that is reserved for the listeners and for connections that are being closed.
+/// Share of the sockets that no kind of connection may use: it is for listeners and for connections that are being
+/// closed.
 const RESERVED_SHARE: f64 = 0.03;
-/// Sockets for connections from each peer: after a peer has reconnected, its old connections may still be open.
+/// Number of sockets for connections from one peer. After a peer has reconnected, its earlier connections may still be
+/// open.
 const INCOMING_PER_PEER: usize = 3;
-/// Sockets for connections to each peer.
+/// Number of sockets for connections to one peer.
 const OUTGOING_PER_PEER: usize = 1;
-/// Connections to the state service: two are held by watches, the others serve calls. There are more of them than calls
-/// in flight at a time, so that the renewal of a lease never waits for a free connection.
+/// Largest number of connections to the state service. Two are occupied by watches. The other 26 are more than the
+/// controller has requests in flight at a time, so that the renewal of a lease never waits for a free connection.
 const STATE_SERVICE_CONNECTIONS: usize = 28;
-/// Connections to the cloud.
+/// Largest number of connections to the cloud.
 const CLOUD_CONNECTIONS: usize = 4;
 
-/// Number of sockets for each kind of connection; their sum stays within the settings' limit.
+/// Largest number of sockets for each kind of connection. The sum stays within `max_sockets` of the settings, unless
+/// `max_sockets` is too low for the fixed numbers in this file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SocketBudget {
     /// Connections from workers, users and the load balancer.
@@ -30,8 +33,8 @@
 }
 
 impl SocketBudget {
-    /// The budget of a controller with these settings. Connections for requests get the sockets that are not reserved
-    /// for other kinds, and at least one.
+    /// Returns the budget of a controller with these settings. Connections for requests get the sockets that remain
+    /// after those for other purposes, but at least one.
     pub fn new(settings: &Settings) -> SocketBudget {
         let limits = &settings.deployment.quota;
         let peers = settings.peers.len();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -17,9 +17,10 @@
 //! | [`transport`] | sockets, HTTP, and frames between controllers | |
 //!
 //! [`coordination`] and [`bookkeeping`] do no I/O: they are given inputs and the time, and return
-//! [`effects`](coordination::effects), which are actions for the caller to execute. [`daemon`] is the event loop: it owns the sockets and the clock, passes inputs
-//! to the controller and executes the effects. [`cli`] is the command line. [`settings`] and [`policy`] read the
-//! two files that a controller reads when it starts. [`latency`] records and logs the latencies of requests and calls.
+//! [`effects`](coordination::effects), which are actions for the caller to execute. [`daemon`] is the event loop: it
+//! owns the sockets and the clock, passes inputs to the controller and executes the effects. [`cli`] is the command
+//! line. [`settings`] and [`policy`] read the two files that a controller reads when it starts. [`latency`] records and
+//! logs the latencies of requests and calls.
 //!
 //! # Suggested reading order
 //!
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -58,8 +58,8 @@
     pub file: String,
     /// Line number, from 1; 0 if the problem concerns the file as a whole.
     pub line: usize,
-    /// Name of the parameter: the text to the left of the '=', or the whole line if it has none. Empty if the file cannot
-    /// be read.
+    /// Name of the parameter: the text to the left of the '=', or the whole line if it has none. Empty if the file
+    /// cannot be read.
     pub name: String,
     /// Description of the problem, for the operator.
     pub message: String,
@@ -354,8 +354,8 @@
     }
 }
 
-/// Evaluates an expression for a pool. Returns a description of the problem if the value is not a decimal number or is out
-/// of range.
+/// Evaluates an expression for a pool. Returns a description of the problem if the value is not a decimal number or is
+/// out of range.
 fn evaluate(
     program: &Program,
     settings_variables: &SettingsVariables,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -183,7 +183,8 @@
 const MIN_TXN_OPS: usize = 4;
 /// Least value allowed for `max_sockets`: with fewer sockets a controller cannot work.
 const MIN_SOCKETS: usize = 32;
-/// Share of `max_sockets` that is set aside for direct calls, which are requests to workers (see [`protocol::worker`](crate::protocol::worker)).
+/// Share of `max_sockets` that is set aside for direct calls, which are requests to workers (see
+/// [`protocol::worker`](crate::protocol::worker)).
 const DIRECT_CALL_SHARE: f64 = 0.12;
 
 impl ControllerLimits {
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -1,5 +1,5 @@
-//! A pool of outgoing HTTP connections, with a few connections to each destination address, and a deadline for each
-//! call.
+//! A pool of outgoing HTTP connections. It limits the connections to each destination address and in total. A call is
+//! an HTTP request with a deadline; calls for which no connection is free wait in a queue for each destination.
 
 use super::http::{self, Parsed, Response};
 use super::socket::{self, BufferedStream, ReadStatus};
@@ -7,7 +7,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// Identifies a call that has not completed.
+/// Identifies a call; the caller chooses the id.
 pub type CallId = u64;
 
 /// How a call completed.
@@ -15,38 +15,41 @@
 pub enum Outcome {
     /// The destination responded.
     Response(Response),
-    /// The call was certainly not sent: no connection became free before its deadline, or none could be opened.
+    /// The call was not sent: no connection became free before its deadline, or opening a socket failed at once.
     NotSent,
-    /// The call was certainly not sent: its connection was not established.
+    /// The call was not sent: a connection was being opened for it and was not established.
     ConnectFailed,
-    /// The call was sent, or may have been, and no response was received.
+    /// The call may have been sent, and no valid response was received before its deadline.
     NoResponse,
 }
 
 /// A request to send.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Identifies the call in its outcome.
+    /// Identifies the call when it completes.
     pub id: CallId,
     /// The destination.
     pub address: SocketAddr,
     /// The encoded request.
     pub bytes: Vec<u8>,
-    /// Time at which the call is given up, in seconds of the steady clock.
+    /// Time at which the call completes without a response, in seconds of the steady clock.
     pub deadline: f64,
 }
 
 struct Connection {
     address: SocketAddr,
     buffered: BufferedStream,
+    /// Whether the connection is established.
     connected: bool,
+    /// The call that waits for its response on this connection.
     call: Option<Call>,
+    /// When the connection last became idle, or was opened, in seconds of the steady clock.
     idle_since: f64,
-    /// Its key in `Client::idle_connections` while it has no call.
+    /// Key of this connection in `Client::idle_connections`; `None` while the connection has a call.
     idle_position: Option<u64>,
 }
 
-/// A destination address: the calls that wait for a connection to it, and the ids of its connections.
+/// The calls that wait for a connection to a destination address, and the ids of the connections to it.
 #[derive(Default)]
 struct Destination {
     queue: VecDeque<Call>,
@@ -57,11 +60,13 @@
 pub struct Client {
     connections: HashMap<u64, Connection>,
     destinations: HashMap<SocketAddr, Destination>,
-    /// Destinations with calls that wait for a connection.
+    /// Addresses of the destinations with calls that wait for a connection.
     destinations_with_queue: BTreeSet<SocketAddr>,
-    /// Ids of the connections without a call, the one that has been idle longest first.
+    /// Ids of the connections without a call. A connection that became idle later has a higher key.
     idle_connections: BTreeMap<u64, u64>,
+    /// Completed calls that [`Client::take_completed`] has not returned yet.
     completed: Vec<(CallId, Outcome)>,
+    /// Next id of a connection, and next key in `idle_connections`.
     next_id: u64,
     max_per_destination: usize,
     max_connections: usize,
@@ -70,9 +75,9 @@
 }
 
 impl Client {
-    /// A client with at most `max_per_destination` connections for each destination and `max_connections` in total,
-    /// which accepts response bodies of up to `max_body` bytes and closes connections that have been idle for
-    /// `idle_timeout_s`.
+    /// Creates a pool of at most `max_per_destination` connections to each destination and `max_connections` in total.
+    /// It accepts response bodies of up to `max_body` bytes and closes connections that have been idle for longer than
+    /// `idle_timeout_s` seconds.
     pub fn new(
         max_per_destination: usize,
         max_connections: usize,
@@ -93,15 +98,15 @@
         }
     }
 
-    /// The stream of a connection, to register it with the event loop; none once the connection is closed.
+    /// The stream of a connection, to register it with the event loop, or `None` if the connection is closed.
     pub fn stream(&self, id: u64) -> Option<Rc<TcpStream>> {
         self.connections
             .get(&id)
             .map(|connection| connection.buffered.stream())
     }
 
-    /// Makes a call, or queues it until a connection is free. Returns the connection that was opened for it and must be
-    /// registered with the event loop, if any.
+    /// Makes a call, or queues it until a connection is free. If a connection was opened, returns its id; the caller
+    /// must register the connection with the event loop.
     pub fn call(&mut self, call: Call, now: f64) -> Option<u64> {
         let address = call.address;
         let destination = self.destinations.entry(address).or_default();
@@ -109,8 +114,9 @@
         self.dispatch(address, now)
     }
 
-    /// Sends the queued calls of a destination over its idle connections, and opens another connection if needed. The
-    /// work depends on the connections and calls of this destination alone: there may be a thousand other destinations.
+    /// Sends the queued calls of a destination over its idle connections, and opens at most one more connection if
+    /// calls remain. Returns the id of the connection that was opened. Does not iterate over other destinations,
+    /// because there may be a thousand.
     fn dispatch(&mut self, address: SocketAddr, now: f64) -> Option<u64> {
         let opened = self.send_queued(address, now);
         let remaining = self.destinations.get(&address);
@@ -125,6 +131,8 @@
         opened
     }
 
+    /// The part of [`Client::dispatch`] that sends calls and opens a connection. If the limit on all connections is
+    /// reached, closes the connection to any destination that has been idle longest.
     fn send_queued(&mut self, address: SocketAddr, now: f64) -> Option<u64> {
         loop {
             let destination = self.destinations.get_mut(&address)?;
@@ -187,7 +195,7 @@
         }
     }
 
-    /// Records that a connection has no call any more.
+    /// Records that a connection no longer has a call.
     fn mark_idle(&mut self, id: u64, now: f64) {
         self.next_id += 1;
         let position = self.next_id;
@@ -209,7 +217,7 @@
         }
     }
 
-    /// Closes a connection and completes the call on it without a response.
+    /// Closes a connection. If it has a call, completes the call without a response.
     fn close(&mut self, id: u64) {
         self.mark_in_use(id);
         let Some(connection) = self.connections.remove(&id) else {
@@ -231,8 +239,8 @@
         }
     }
 
-    /// Handles a readiness event of a connection: reads and writes what is possible. Returns the connection to
-    /// register, if another one was opened for a queued call.
+    /// Handles a readiness event of a connection: reads and writes what is possible. If another
+    /// connection was opened for a queued call, returns its id; the caller must register it with the event loop.
     pub fn on_ready(&mut self, id: u64, now: f64) -> Option<u64> {
         let connection = self.connections.get_mut(&id)?;
         let address = connection.address;
@@ -292,8 +300,9 @@
         self.dispatch(address, now)
     }
 
-    /// Completes the calls whose deadline has passed without a response, and closes the connections that have been idle
-    /// for too long. Returns the connections that were opened for queued calls, to register them.
+    /// Completes the calls on connections whose deadline has passed, closes the connections that have been idle for too
+    /// long, and removes expired calls from the front of each queue. Returns the ids of the connections that were
+    /// opened for queued calls; the caller must register them with the event loop.
     pub fn expire(&mut self, now: f64) -> Vec<u64> {
         let expired: Vec<u64> = self
             .connections
--- a/src/transport/frames.rs
+++ b/src/transport/frames.rs
@@ -1,11 +1,12 @@
-//! Length-prefixed frames, which carry messages between controllers: 4 bytes of length (little-endian), then the body.
+//! Length-prefixed frames, which carry messages between controllers. A frame consists of the length of its body (4
+//! bytes, little-endian) and the body. A peer is another controller.
 
 use super::socket::{self, BufferedStream, ReadStatus};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// Removes all complete frames from the buffer and returns their bodies. Returns `None` if a frame is longer than
-/// `limit`.
+/// Removes all complete frames from the buffer and returns their bodies. Returns `None` and leaves the buffer unchanged
+/// if a body is longer than `limit` bytes.
 pub fn split_frames(read_buffer: &mut Vec<u8>, limit: usize) -> Option<Vec<Vec<u8>>> {
     let mut frames = Vec::new();
     let mut position = 0;
@@ -40,7 +41,8 @@
     pub fn stream(&self) -> Rc<TcpStream> {
         self.buffered.stream()
     }
-    /// Reads the frames that have arrived. The flag is false if the connection must be closed.
+    /// Reads the frames that have arrived, with bodies of up to `limit` bytes. Returns the bodies, and whether the
+    /// connection stays open; if false, the caller must close the connection.
     pub fn on_ready(&mut self, limit: usize) -> (Vec<Vec<u8>>, bool) {
         let status = self.buffered.read_available(2 * limit);
         match split_frames(&mut self.buffered.read_buffer, limit) {
@@ -50,19 +52,22 @@
     }
 }
 
-/// The connection to one peer. To bound the memory, a frame is dropped instead of queued while the connection is being
+/// The connection to one peer. To bound memory, frames are not queued: a frame is dropped if the connection is not
 /// established or an earlier frame is not completely written.
 pub struct Outgoing {
     address: SocketAddr,
     buffered: Option<BufferedStream>,
+    /// Whether the connection is established.
     connected: bool,
+    /// When the connection was last opened or established, or a frame was last passed to it, in seconds of the steady
+    /// clock.
     last_progress_at: f64,
     stall_timeout_s: f64,
 }
 
 impl Outgoing {
-    /// A connection that [`send`](Outgoing::send) opens, and replaces once it has made no progress for
-    /// `stall_timeout_s`.
+    /// Creates the state of a connection without opening it. [`send`](Outgoing::send) opens it, and replaces it if it
+    /// is not established, or a frame is not completely written, within `stall_timeout_s` seconds.
     pub fn new(address: SocketAddr, stall_timeout_s: f64) -> Outgoing {
         Outgoing {
             address,
@@ -73,8 +78,8 @@
         }
     }
 
-    /// Sends a frame, or drops it if the connection is not ready. Returns the new stream to register if a connection
-    /// was opened.
+    /// Sends a frame, or drops it if the connection is not ready. If there is no connection, opens one, drops the frame
+    /// and returns the stream; the caller must register the stream with the event loop.
     pub fn send(&mut self, body: &[u8], now: f64) -> Option<Rc<TcpStream>> {
         let stalled = |buffered: &BufferedStream, connected: bool, last_progress_at: f64| {
             (!connected || buffered.unsent_len() > 0)
@@ -109,7 +114,8 @@
         }
     }
 
-    /// Handles a readiness event. Returns false if the connection is closed.
+    /// Handles a readiness event: completes the connection attempt, and writes what is possible. Returns false if the
+    /// connection is closed.
     pub fn on_ready(&mut self, now: f64) -> bool {
         let Some(buffered) = &mut self.buffered else {
             return false;
@@ -127,7 +133,7 @@
                 }
             }
         }
-        // Peers send nothing on this connection: a read only detects that it was closed.
+        // Peers send nothing on this connection; the read detects whether the peer has closed it.
         if buffered.read_available(0) != ReadStatus::Open || !buffered.flush() {
             self.buffered = None;
             return false;
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -1,10 +1,10 @@
-//! Parses and writes HTTP/1.1 messages, with bounds on their size; built on `httparse`.
+//! Parses and encodes HTTP/1.1 messages. Heads are parsed with `httparse`. The size of parsed messages is limited.
 
 use std::fmt::Write as _;
 
-/// Longest head of a message (start line and headers), in bytes.
+/// Longest incomplete head of a message (start line and headers) that is accepted, in bytes.
 pub const MAX_HEAD: usize = 8 * 1024;
-/// Most headers of a message.
+/// Largest number of headers of a message.
 const MAX_HEADERS: usize = 48;
 /// Longest body of a request, in bytes.
 pub const MAX_REQUEST_BODY: usize = 64 * 1024;
@@ -12,18 +12,18 @@
 /// A complete request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// Method, in the case in which it was sent.
+    /// Method, such as GET; upper and lower case are as received.
     pub method: String,
-    /// Path without query and fragment.
+    /// Path, without the query and the fragment.
     pub path: String,
-    /// Body.
+    /// Decoded body; empty if the request has none.
     pub body: Vec<u8>,
-    /// Whether the connection stays open after the response.
+    /// Whether the client wants the connection to stay open after the response.
     pub keep_alive: bool,
 }
 
-/// The bytes are not an acceptable message. Holds the status to respond with: for a request, the one that names the
-/// reason; for a response, always 502.
+/// The bytes are not a valid message within the size limits. The field is an HTTP status: for a request, the status to
+/// respond with; for a response, always 502.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("invalid or oversized HTTP message (status {0})")]
 pub struct ParseError(pub u16);
@@ -31,23 +31,23 @@
 /// A complete response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
-    /// Status.
+    /// HTTP status.
     pub status: u16,
-    /// Body.
+    /// Decoded body; empty if the response has none.
     pub body: Vec<u8>,
-    /// Whether the connection stays open.
+    /// Whether the connection can be used for another request.
     pub keep_alive: bool,
 }
 
 /// What the bytes received so far contain.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Parsed<T> {
-    /// More bytes are needed.
+    /// The message is incomplete.
     Partial {
         /// The sender waits for `100 Continue` before it sends the body.
         expects_continue: bool,
     },
-    /// A complete message, and the number of its bytes.
+    /// A complete message, and the number of bytes that its encoding takes up. Further bytes may follow.
     Complete(T, usize),
 }
 
@@ -130,7 +130,8 @@
     }
 }
 
-/// Parses a request. The error for a body above the limit is 400, not 413, as the protocol demands.
+/// Parses a request. A body above [`MAX_REQUEST_BODY`] is rejected with status 400, because the protocol requires 400
+/// and not 413.
 pub fn parse_request(bytes: &[u8]) -> Result<Parsed<Request>, ParseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -183,8 +184,9 @@
     ))
 }
 
-/// Parses a response with a body of at most `limit` bytes. Informational responses (1xx) before it are skipped.
-/// `is_closed` says that the sender has closed its direction, which ends a body without a stated length.
+/// Parses a response with a body of at most `limit` bytes. Skips informational responses (status 1xx) before it.
+/// `is_closed` says that the sender will send no more bytes; this ends the body of a response that has neither
+/// `Content-Length` nor chunked encoding.
 pub fn parse_response(
     bytes: &[u8],
     limit: usize,
@@ -253,7 +255,7 @@
     }
 }
 
-/// Encodes a response.
+/// Encodes a response with a CBOR body. `keep_alive` false adds the header `Connection: close`.
 pub fn write_response(
     status: u16,
     body: &[u8],
@@ -277,7 +279,7 @@
     bytes
 }
 
-/// Encodes a request.
+/// Encodes a request with a CBOR body. A GET request without a body gets no headers about a body.
 pub fn write_request(method: &str, host: &str, path: &str, body: &[u8]) -> Vec<u8> {
     let mut bytes = format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\n").into_bytes();
     if method != "GET" || !body.is_empty() {
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,4 +1,5 @@
-//! Sockets, HTTP and frames. This module carries bytes and does not interpret the content of messages.
+//! Non-blocking sockets, HTTP connections, and length-prefixed frames between controllers. The module does not
+//! interpret the bodies of messages.
 
 pub mod client;
 pub mod frames;
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -1,4 +1,5 @@
-//! Incoming HTTP connections: a bounded table, with timeouts for idle connections and for slow clients.
+//! A table of incoming HTTP connections. It limits the number of connections, and has timeouts for idle connections and
+//! for slow clients.
 
 use super::http::{self, Parsed, Request};
 use super::socket::{BufferedStream, ReadStatus};
@@ -8,7 +9,7 @@
 /// Identifies a request that has no response yet.
 pub type RequestId = u64;
 
-/// Limit on the bytes of a connection that were received and are not parsed yet.
+/// Largest number of bytes of a connection that were received and are not parsed yet.
 const MAX_UNREAD: usize = 2 * http::MAX_REQUEST_BODY + 2 * http::MAX_HEAD;
 
 /// Share of the connection limit above which the table counts as crowded.
@@ -17,26 +18,27 @@
 /// What the caller must do with a connection after a function of [`Server`] has read or written it.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ConnectionAction {
-    /// Nothing.
+    /// Keep the connection open. No request is to be served now.
     Keep,
     /// Close the connection.
     Close,
-    /// Pass this request to the service.
+    /// Pass this request to the controller. The id identifies the request in [`Server::answer`].
     Serve(RequestId, Request),
 }
 
 struct Connection {
     buffered: BufferedStream,
-    /// The request that has no response yet, and whether the connection stays open after the response.
+    /// The request that has no response yet, and whether the connection stays open after the response; `None` if there
+    /// is no such request.
     in_flight: Option<(RequestId, bool)>,
-    /// Time of the last of these events: the connection was accepted, the first bytes of a request were received, a
-    /// request was complete, or a response was sent.
+    /// Time of the latest of these events, in seconds of the steady clock: the connection was accepted, bytes arrived
+    /// in the empty read buffer, a request was complete, or a response was sent.
     last_activity_at: f64,
-    /// The client will send no more bytes.
+    /// Whether the client will send no more bytes.
     half_closed: bool,
-    /// `100 Continue` was sent for the request that is being received.
+    /// Whether `100 Continue` was sent for the request that is being received.
     continue_sent: bool,
-    /// The connection is closed once the write buffer is empty.
+    /// Whether the connection is to be closed once the write buffer is empty.
     closing: bool,
 }
 
@@ -44,6 +46,7 @@
 pub struct Server {
     connections: HashMap<u64, Connection>,
     connection_of_request: HashMap<RequestId, u64>,
+    /// Next id of a connection or a request.
     next_id: u64,
     max_connections: usize,
     idle_timeout_s: f64,
@@ -51,8 +54,9 @@
 }
 
 impl Server {
-    /// A table of at most `max_connections`. Idle connections time out after `idle_timeout_s`, those of clients that
-    /// send a request or read a response slowly after `slow_timeout_s`.
+    /// Creates a table of at most `max_connections` connections. A connection without a request in flight times out
+    /// after `idle_timeout_s` seconds without activity, or after `slow_timeout_s` if a request is partly received or a
+    /// response is partly sent.
     pub fn new(max_connections: usize, idle_timeout_s: f64, slow_timeout_s: f64) -> Server {
         Server {
             connections: HashMap::new(),
@@ -64,9 +68,9 @@
         }
     }
 
-    /// Adds a connection and returns its id. If the table is full, also returns the connection that the caller must
-    /// close to make room: among those without a request in flight, or else among all, the one that has been inactive
-    /// for longest.
+    /// Adds a connection and returns its id. If the table was full, also returns the id of the connection that the
+    /// caller must close to make room: the one that has been inactive longest of those without a request in flight, or
+    /// of all if each has one.
     pub fn accept(&mut self, stream: TcpStream, now: f64) -> (u64, Option<u64>) {
         let evicted = if self.connections.len() >= self.max_connections {
             self.connections
@@ -96,15 +100,16 @@
         (id, evicted)
     }
 
-    /// The stream of a connection, to register it with the event loop; none once the connection is closed.
+    /// The stream of a connection, to register it with the event loop, or `None` if the connection is closed.
     pub fn stream(&self, id: u64) -> Option<std::rc::Rc<TcpStream>> {
         self.connections
             .get(&id)
             .map(|connection| connection.buffered.stream())
     }
 
-    /// Closes the connection of a request after its response if the table is crowded. Its client then opens a new
-    /// connection for its next request, and no connection has to be evicted for another client.
+    /// If the table is crowded, marks the connection of a request to be closed after the response. The client then
+    /// opens a new connection for its next request, and the table stays below its limit, at which connections are
+    /// evicted.
     pub fn close_after_response_if_crowded(&mut self, request: RequestId) {
         let crowded = self.connections.len() as f64 > CROWDED_SHARE * self.max_connections as f64;
         if let Some(id) = self.connection_of_request.get(&request)
@@ -126,7 +131,7 @@
         self.connections.is_empty()
     }
 
-    /// Handles a readiness event of a connection: reads and writes what is possible.
+    /// Handles a readiness event of a connection: reads and writes what is possible. Returns what the caller must do.
     pub fn on_ready(&mut self, id: u64, now: f64) -> ConnectionAction {
         let Some(connection) = self.connections.get_mut(&id) else {
             return ConnectionAction::Close;
@@ -153,7 +158,8 @@
         self.next_request(id, now)
     }
 
-    /// Parses the next request of a connection, unless an earlier one has no response yet.
+    /// Parses the next request of a connection, unless an earlier request has no response yet. Responds to invalid
+    /// requests with an error status, and then closes the connection.
     fn next_request(&mut self, id: u64, now: f64) -> ConnectionAction {
         let Some(connection) = self.connections.get_mut(&id) else {
             return ConnectionAction::Close;
@@ -201,8 +207,9 @@
         }
     }
 
-    /// Sends the response to a request. Returns the id of its connection, what to do with the connection, and for how
-    /// long the request was in flight, in seconds; none if its connection is closed.
+    /// Sends the response to a request. Returns the id of the connection, what the caller must do with the connection,
+    /// and the time since the latest activity of the connection, in seconds: usually the time since the request was
+    /// complete. Returns `None` if the connection is closed.
     pub fn answer(
         &mut self,
         request: RequestId,
@@ -232,7 +239,7 @@
         Some((id, self.next_request(id, now), waited_s))
     }
 
-    /// Removes a connection from the table, with the request in flight on it.
+    /// Removes a connection, and the request in flight on it, from the table.
     pub fn close(&mut self, id: u64) {
         if let Some(connection) = self.connections.remove(&id)
             && let Some((request, _)) = connection.in_flight
@@ -241,7 +248,8 @@
         }
     }
 
-    /// Connections that have exceeded the timeout for idle connections or for slow clients.
+    /// Ids of the connections that have exceeded the timeout for idle connections or for slow clients. Connections with
+    /// a request in flight do not time out.
     pub fn timed_out(&self, now: f64) -> Vec<u64> {
         self.connections
             .iter()
--- a/src/transport/socket.rs
+++ b/src/transport/socket.rs
@@ -1,4 +1,5 @@
-//! Non-blocking sockets, with a bounded buffer for received bytes and an unbounded one for bytes to send.
+//! Non-blocking sockets. A connection has a bounded buffer for received bytes and an unbounded buffer for bytes to
+//! send.
 
 use socket2::{Domain, Protocol, SockAddr, Socket, Type};
 use std::io::{self, Read, Write};
@@ -20,9 +21,10 @@
 #[derive(Debug)]
 pub struct BufferedStream {
     stream: Rc<TcpStream>,
-    /// Bytes that were received and not yet consumed.
+    /// Bytes that were received and are not consumed yet; [`BufferedStream::consume`] removes them.
     pub read_buffer: Vec<u8>,
     write_buffer: Vec<u8>,
+    /// Number of bytes at the start of the write buffer that the socket has accepted.
     sent_len: usize,
 }
 
@@ -42,7 +44,8 @@
         self.stream.clone()
     }
 
-    /// Reads all bytes that have arrived. Fails if more than `limit` unconsumed bytes are then in the buffer.
+    /// Reads all bytes that have arrived into the read buffer. Returns `Failed` once the read buffer holds more than
+    /// `limit` bytes.
     pub fn read_available(&mut self, limit: usize) -> ReadStatus {
         let mut chunk = [0u8; 16 * 1024];
         loop {
@@ -59,7 +62,8 @@
         }
     }
 
-    /// Removes consumed bytes from the read buffer, and frees an empty buffer that a large message has grown.
+    /// Removes `count` bytes from the start of the read buffer. If the buffer is then empty and its capacity is above
+    /// 64 KiB, frees its memory.
     pub fn consume(&mut self, count: usize) {
         self.read_buffer.drain(..count);
         if self.read_buffer.is_empty() && self.read_buffer.capacity() > 64 * 1024 {
@@ -67,14 +71,14 @@
         }
     }
 
-    /// Adds bytes to the write buffer and writes as much as the socket accepts. Returns false if the connection
-    /// failed.
+    /// Adds bytes to the write buffer and writes as much as the socket accepts. Returns false if the connection failed.
     pub fn send(&mut self, bytes: &[u8]) -> bool {
         self.write_buffer.extend_from_slice(bytes);
         self.flush()
     }
 
-    /// Writes as much of the write buffer as the socket accepts. Returns false if the connection failed.
+    /// Writes as much of the write buffer as the socket accepts. Returns true if bytes remain because the socket
+    /// accepts no more or is not connected yet, and false if the connection failed.
     pub fn flush(&mut self) -> bool {
         while self.sent_len < self.write_buffer.len() {
             match (&*self.stream).write(&self.write_buffer[self.sent_len..]) {
@@ -99,7 +103,7 @@
         self.write_buffer.len() - self.sent_len
     }
 
-    /// Whether a connection attempt succeeded; `None` while it is in progress.
+    /// Whether the connection attempt succeeded; `None` while the attempt is in progress.
     pub fn connect_result(&self) -> Option<bool> {
         match self.stream.take_error() {
             Ok(None) => self.stream.peer_addr().ok().map(|_| true),
@@ -108,7 +112,7 @@
     }
 }
 
-/// Starts to connect without blocking; [`BufferedStream::connect_result`] tells when the attempt is over.
+/// Starts a connection attempt without blocking. [`BufferedStream::connect_result`] returns whether it has succeeded.
 pub fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(
         Domain::for_address(address),
@@ -129,7 +133,8 @@
 /// Linux error number of "operation now in progress"; `std::io::ErrorKind` has no stable variant for it.
 const EINPROGRESS: i32 = 115;
 
-/// Listens on an address, even if connections of an earlier process on it are still in TIME_WAIT.
+/// Listens on an address, even if connections of an earlier process on that address are still in TIME_WAIT. At most
+/// about `backlog` connections wait to be accepted; the operating system refuses or ignores more.
 pub fn listen(address: SocketAddr, backlog: i32) -> io::Result<TcpListener> {
     let socket = Socket::new(
         Domain::for_address(address),
