--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,5 +1,5 @@
-//! A short run of the soak with a fixed seed, and tests of the soak itself: its options, its schedules of faults, its
-//! verdicts, and its checks of the rules.
+//! A short run of the soak (the randomized fault test) with a fixed seed, and tests of the soak itself: its options,
+//! its schedules of faults, its verdicts, and its checks of the rules.
 
 #[path = "soak/mod.rs"]
 mod soak;
@@ -14,7 +14,7 @@
 use soak::run::Verdict;
 use std::path::PathBuf;
 
-/// Arguments of the short run: seed, duration and size.
+/// Arguments of the short run, without the scale.
 const CI_RUN: [&str; 9] = [
     "soak",
     "--seed",
@@ -27,21 +27,21 @@
     "24",
 ];
 
-/// Real controllers and overlapping faults: no rule is broken. If this machine is too slow for the times of the run,
-/// the run is repeated once with all times doubled; if it is too slow for that too, the test fails.
+/// Real controllers break no rule during overlapping faults. If this host is too slow for the scaled durations, the run
+/// is repeated once with all durations doubled. If the host is too slow again, the test fails.
 #[test]
 fn short_run_breaks_no_rule() {
     for scale in ["0.1", "0.2"] {
         let arguments = CI_RUN.into_iter().chain(["--scale", scale]);
         let mut options = Options::parse_from(arguments);
         options.binary = Some(PathBuf::from(env!("CARGO_BIN_EXE_cedarladder")));
-        match soak::soak(&options).expect("the soak cannot run") {
+        match soak::soak(&options).expect("the soak could not run") {
             Verdict::Passed => return,
-            Verdict::Failed => panic!("a rule was broken, see the output above"),
-            Verdict::TooSlow => println!("this machine is too slow for scale {scale}"),
+            Verdict::Failed => panic!("a controller broke a rule; see the violations above"),
+            Verdict::TooSlow => println!("this host is too slow for scale {scale}"),
         }
     }
-    panic!("this machine is too slow for the soak");
+    panic!("this host is too slow for the soak, at both scales");
 }
 
 /// Invalid options are rejected with a message that names the option.
@@ -57,7 +57,7 @@
         (vec!["--seeds", "f", "--seed", "1"], "--seeds"),
     ] {
         let words = ["soak"].into_iter().chain(arguments.clone());
-        let error = Options::try_parse_from(words).expect_err("no such options");
+        let error = Options::try_parse_from(words).expect_err("invalid options were accepted");
         assert_eq!(error.exit_code(), 2, "{arguments:?}");
         let text = error.to_string();
         assert!(text.contains(option), "{arguments:?}: {text}");
@@ -113,10 +113,13 @@
         // The delay of a command is at least half of `delay_s`.
         assert!(
             delayed.delay_s / 2.0 >= 5.15,
-            "the delay must be longer than cancel_s: {delayed:?}"
+            "commands are delayed by no more than cancel_s (5.15 s): {delayed:?}"
         );
         let cancellations = plan.iter().filter(|p| p.fault == Fault::CancelManyJobs);
-        assert!(cancellations.count() >= 3, "seed {seed}");
+        assert!(
+            cancellations.count() >= 3,
+            "seed {seed}: fewer than 3 cancellations of many jobs"
+        );
     }
     assert_ne!(schedule(1, 3, 40.0, 0.1), schedule(2, 3, 40.0, 0.1));
 }
@@ -151,8 +154,8 @@
     }
 }
 
-/// Each case changes the state in which task 0 of job j-1 starts on machine h1, and names the rule that the start
-/// breaks.
+/// A start that breaks a rule is recorded as a violation. Each case changes the state in which task 0 of job j-1 starts
+/// on machine h1, and names the rule that the start then breaks.
 #[test]
 fn broken_rules_are_detected() {
     type Case = (&'static str, fn(&mut Oracle), Option<Rule>);
@@ -185,12 +188,12 @@
             None,
         ),
         (
-            "its team is at its limit",
+            "the team of the job is at its limit",
             |t| run_task(t, "h2", "j-2/0"),
             Some(Rule::QuotaExceeded),
         ),
         (
-            "its team has no limit",
+            "the team of the job has no limit",
             |t| {
                 job(t).spec.team = FREE_TEAM;
                 run_task(t, "h2", "j-2/0");
@@ -248,7 +251,7 @@
     }
 }
 
-/// A task that still runs too long after its job's cancellation is reported once.
+/// A task that still runs too long after the cancellation of its job is recorded as one violation.
 #[test]
 fn running_tasks_of_cancelled_jobs_are_detected() {
     let mut oracle = Oracle::new(1, Clock::new(0.1), 8.0);
@@ -263,7 +266,10 @@
         .jobs
         .insert("j-1".to_owned(), Job::new(spec("j-1", TEAM), 0.0));
     oracle.check_cancelled();
-    assert!(oracle.violations.is_empty(), "not cancelled");
+    assert!(
+        oracle.violations.is_empty(),
+        "a violation was recorded although the job is not cancelled"
+    );
     oracle
         .jobs
         .get_mut("j-1")
--- a/tests/soak/clock.rs
+++ b/tests/soak/clock.rs
@@ -1,8 +1,7 @@
-//! The clock of a run, and the protocol's times at the run's scale.
+//! The clock of a run, and the durations of the protocol multiplied by the scale of the run.
 //!
-//! A duration in "seconds of the protocol" is what a real deployment would use. The run multiplies it by its scale,
-//! such as
-//! 0.1, to get "seconds of the run".
+//! A duration in "seconds of the protocol" is what a real deployment would use. It is multiplied by the scale of the
+//! run, for example 0.1, to get "seconds of the run", which are real seconds.
 
 use std::time::{Duration, Instant};
 
@@ -43,11 +42,13 @@
     }
 }
 
-/// The protocol's times, in seconds of the run. Their ratios are those of a large deployment.
+/// Durations of the protocol, in seconds of the run. Their ratios are those of a large deployment.
 #[derive(Debug, Clone, Copy)]
 pub struct ProtocolTimes {
     pub heartbeat_interval_s: f64,
+    /// Duration of a worker's lease: a worker that gets no response for this long ends its tasks.
     pub lease_s: f64,
+    /// Time after the confirmation of a cancellation within which the tasks of the job must have ended.
     pub cancel_s: f64,
     /// Time for which a worker waits for the response to a heartbeat.
     pub response_timeout_s: f64,
@@ -59,10 +60,11 @@
     pub user_timeout_s: f64,
     /// Time for which users wait for the response to a poll.
     pub poll_timeout_s: f64,
+    /// Interval between two polls of a user for the same job.
     pub poll_interval_s: f64,
     /// Usual boot time of a machine.
     pub boot_time_s: f64,
-    /// Usual time until a change shows in the list of machines.
+    /// Usual time after which the cloud's list shows that a machine was created or deleted.
     pub list_lag_s: f64,
 }
 
--- a/tests/soak/cloud.rs
+++ b/tests/soak/cloud.rs
@@ -1,4 +1,5 @@
-//! The cloud stand-in: creates, boots and deletes machines, and lists them with a lag.
+//! The cloud stand-in: creates, boots and deletes machines, and lists them with a lag. A machine is an instance with
+//! its worker.
 
 use super::http::{Reply, Request};
 use super::machines::{CPUS, INSTANCE_TYPE, Machine, Worker};
@@ -15,7 +16,7 @@
 
 /// Names of the zones.
 pub const ZONES: [&str; 2] = ["a", "b"];
-/// Range of the delay of requests during [`Fault::CloudErrors`], in seconds of the protocol.
+/// Range of the delay of a request that is executed late during [`Fault::CloudErrors`], in seconds of the protocol.
 const DELAY_S: (f64, f64) = (1.0, 20.0);
 
 #[derive(Serialize)]
@@ -96,10 +97,12 @@
 #[derive(Clone)]
 pub struct Cloud {
     pub oracle: Shared,
+    /// Addresses on which the controllers accept requests of workers.
     pub nodes: Vec<SocketAddr>,
-    /// Number of machines that can exist at a time in each pool: a zone, on-demand or spot.
+    /// Largest number of machines that exist at a time in a pool; there are two pools for each zone: on-demand and
+    /// spot.
     pub pool_size: usize,
-    /// Names of the machines that each idempotency key has created.
+    /// Names of the machines that were created, by the idempotency key of the request that created them.
     created_instances: Arc<Mutex<BTreeMap<String, Vec<String>>>>,
 }
 
@@ -171,6 +174,8 @@
         )
     }
 
+    /// Creates as many of the requested machines as the pool has room for. A repeated request with the same idempotency
+    /// key returns the machines of the first one.
     fn create_instances(&self, body: &[u8]) -> Reply {
         let Ok(request) = cbor::decode::<CreateInstances>(body) else {
             return Reply::new(400, &());
@@ -216,7 +221,7 @@
         Reply::new(200, &InstanceNames { hosts })
     }
 
-    /// Boots a machine, and runs its worker until the machine is gone.
+    /// Boots a machine, and runs its worker until the machine is deleted or reclaimed.
     async fn boot(self, name: String, boot_s: f64) {
         let clock = lock(&self.oracle).clock;
         clock.sleep(boot_s).await;
@@ -257,7 +262,7 @@
         Reply::new(200, &())
     }
 
-    /// Lists the machines as they were some time ago, to simulate the lag of the list.
+    /// Lists the machines as they were between 0.5 and 2 times `list_lag_s` ago, to simulate the lag of the list.
     fn list_instances(&self, from: Option<&String>) -> Reply {
         let oracle = &mut *lock(&self.oracle);
         let lag_s = oracle.times.list_lag_s * oracle.rng.random_range(0.5..2.0);
--- a/tests/soak/controllers.rs
+++ b/tests/soak/controllers.rs
@@ -1,4 +1,4 @@
-//! The controller processes: starts, pauses, continues, kills and restarts the built program, and reads its logs.
+//! Starts, pauses, continues, kills and restarts controller processes, and reads their logs.
 
 use super::clock::ProtocolTimes;
 use super::oracle::{FREE_TEAM, TEAM};
@@ -10,24 +10,29 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// Addresses of one controller.
+/// Addresses that one controller listens on or connects to.
 #[derive(Debug, Clone)]
 pub struct Addresses {
+    /// Address on which the controller accepts requests of users and workers.
     pub users: SocketAddr,
+    /// Address on which the controller accepts connections of other controllers.
     pub peers: SocketAddr,
     /// The `[[seeds]]` section of the settings, which lists the other controllers: the index of each, and the address
     /// of the proxy through which this controller connects to it.
     pub seeds: Vec<(usize, SocketAddr)>,
+    /// Address of this controller's port of the state service stand-in.
     pub state: SocketAddr,
+    /// Address of the cloud stand-in.
     pub cloud: SocketAddr,
 }
 
-/// One controller process.
+/// One controller, whose process may be running or not.
 pub struct Controller {
     label: String,
     program: PathBuf,
     settings: PathBuf,
     log: PathBuf,
+    /// The process; `None` while the controller is not running.
     child: Option<Child>,
 }
 
@@ -37,7 +42,7 @@
 }
 
 impl Controller {
-    /// Writes the settings file of a controller, without starting it.
+    /// Writes the settings file of a controller, and does not start the controller.
     pub fn new(
         number: usize,
         program: &Path,
@@ -107,14 +112,14 @@
         }
     }
 
-    /// If the process has ended by itself, returns a description with its exit status.
+    /// If the process has ended without [`Controller::kill`], returns a description with its exit status.
     pub fn ended(&mut self) -> Option<String> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
         Some(format!("{} ended by itself: {status}", self.label))
     }
 
-    /// Lines of the log with an error or a panic, which no run may cause.
+    /// Lines of the log with an error or a panic. A run with such a line fails.
     pub fn log_errors(&self) -> Vec<LogError> {
         let text = std::fs::read(&self.log).unwrap_or_default();
         String::from_utf8_lossy(&text)
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! The active faults, and the controller or the machines that each affects.
+//! The active faults, and the controller or the machines that each fault affects.
 
 use super::plan::{Fault, PlannedFault};
 use rand::Rng;
@@ -9,10 +9,11 @@
 #[derive(Debug, Clone)]
 struct Active {
     planned: PlannedFault,
+    /// When the fault ends, in seconds of the run.
     until: f64,
-    /// The controller that the fault affects, if it is a fault of a controller.
+    /// The controller that the fault affects; ignored for other kinds of faults.
     node: usize,
-    /// The machines that the fault affects, if it is a fault of machines.
+    /// The machines that the fault affects; empty for other kinds of faults.
     machines: BTreeSet<String>,
 }
 
@@ -20,14 +21,13 @@
 #[derive(Debug, Default)]
 pub struct Faults {
     active: Vec<Active>,
-    /// How often each fault was applied: to delay a message, reject a request or stop a process, for example. It also
-    /// counts when it was drawn for a message on which it then had no effect, such as one that was lost by another
-    /// fault.
+    /// How often each fault was applied, for example to delay a message, to reject a request or to stop a process. A
+    /// fault that was drawn for a message counts even if another fault lost that message.
     pub fault_counts: BTreeMap<Fault, u64>,
 }
 
 impl Faults {
-    /// Begins a fault. It affects the given controller or machines, as its kind demands.
+    /// Begins a fault that affects the given controller or machines, depending on its kind.
     pub fn begin(
         &mut self,
         planned: PlannedFault,
@@ -53,30 +53,31 @@
         self.active.clear();
     }
 
-    /// Whether a fault is active, whatever it affects.
+    /// Whether a fault of this kind is active for any controller, machine or message.
     pub fn is_active(&self, fault: Fault) -> bool {
         self.active.iter().any(|a| a.planned.fault == fault)
     }
 
-    /// Whether a fault is active that affects a controller.
+    /// Whether a fault of this kind is active that affects a controller.
     pub fn affects_node(&self, fault: Fault, node: usize) -> bool {
         let concerns = |a: &Active| a.planned.fault == fault && a.node == node;
         self.active.iter().any(concerns)
     }
 
-    /// Whether a fault is active that affects a machine.
+    /// Whether a fault of this kind is active that affects a machine.
     pub fn affects_machine(&self, fault: Fault, machine: &str) -> bool {
         self.machine_affected_until(fault, machine).is_some()
     }
 
-    /// The time at which a fault that affects a machine ends; none if there is no such fault.
+    /// The time at which the last active fault of this kind that affects a machine ends; `None` if there is none.
     pub fn machine_affected_until(&self, fault: Fault, machine: &str) -> Option<f64> {
         let concerns = |a: &&Active| a.planned.fault == fault && a.machines.contains(machine);
         let ends = self.active.iter().filter(concerns).map(|a| a.until);
         ends.max_by(f64::total_cmp)
     }
 
-    /// Draws whether a fault affects a message, by the fault's share, and returns the delay of the message if it does.
+    /// Draws whether an active fault of this kind affects a message; the probability is the share of the fault. Returns
+    /// the delay of the message if it is affected.
     pub fn draw_delay(&mut self, fault: Fault, rng: &mut SmallRng) -> Option<f64> {
         let active = self.active.iter().find(|a| a.planned.fault == fault)?;
         let planned = active.planned;
--- a/tests/soak/http.rs
+++ b/tests/soak/http.rs
@@ -1,4 +1,5 @@
-//! HTTP of the stand-ins: a server that can leave requests without a response, and a client with a timeout.
+//! The HTTP server and client of the stand-ins. The server can leave a request without a response; the client has a
+//! timeout.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -21,7 +22,7 @@
     pub body: Vec<u8>,
 }
 
-/// A response.
+/// A response of a stand-in or a controller.
 #[derive(Debug, Clone)]
 pub struct Reply {
     pub status: u16,
@@ -37,12 +38,12 @@
     }
 }
 
-/// Why a call has no response.
+/// Why a request got no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoReply {
     /// The connection could not be established.
     ConnectFailed,
-    /// The call timed out, or the connection was closed.
+    /// The request timed out, or the connection was closed.
     NoResponse,
 }
 
@@ -102,14 +103,14 @@
     Ok(response.unwrap_or_default())
 }
 
-/// A client with one connection, which is opened again after it was closed.
+/// A client that keeps one connection. It opens a new one if the connection was closed, or is to another address.
 #[derive(Default)]
 pub struct Client {
     connection: Option<(SocketAddr, SendRequest<Full<Bytes>>)>,
 }
 
 impl Client {
-    /// Makes a call and waits for its response for at most `timeout_s`.
+    /// Sends a request and waits for the response for at most `timeout_s` seconds.
     pub async fn call(
         &mut self,
         to: SocketAddr,
--- a/tests/soak/machines.rs
+++ b/tests/soak/machines.rs
@@ -1,4 +1,7 @@
-//! Simulated machines and their workers: they send heartbeats, and execute commands to start, stop and clear tasks.
+//! Simulated machines and their workers, which send heartbeats, and execute commands to start, stop and clear tasks.
+//!
+//! A machine is an instance that the cloud has created. Its worker is the process that runs tasks on it; a worker
+//! begins a new incarnation when its lease expires. A node is a controller.
 
 use super::clock::Clock;
 use super::http::{Client, Reply, Request, serve};
@@ -17,7 +20,8 @@
 pub const INSTANCE_TYPE: &str = "standard";
 /// Time that a machine takes to fetch an image, in seconds of the protocol.
 const FETCH_S: f64 = 2.0;
-/// Interval between two checks of a machine's tasks, its lease and its next heartbeat, in seconds.
+/// Interval at which the tasks of a machine, the lease of its worker and the time of the next heartbeat are checked, in
+/// seconds.
 const POLL_INTERVAL_S: f64 = 0.005;
 
 /// A task on a machine.
@@ -31,9 +35,9 @@
 /// State of a task. Times are seconds of the run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum State {
-    /// The machine fetches the image, and has it at this time.
+    /// The machine is fetching the image of the task, which takes until this time.
     Fetching(f64),
-    /// The task runs, and is done at this time.
+    /// The task runs, and completes at this time.
     Running(f64),
     /// The task has exited, or was not started, for this cause.
     Exited(&'static str),
@@ -50,28 +54,36 @@
     }
 }
 
-/// A rented machine and the state of its worker. Times are seconds of the run.
+/// A machine and the state of its worker. Times are seconds of the run.
 #[derive(Debug)]
 pub struct Machine {
     pub name: String,
     pub zone: &'static str,
     pub spot: bool,
+    /// When the cloud created the machine.
     pub rented_at: f64,
+    /// When the machine had booted; `None` until then.
     pub up_at: Option<f64>,
+    /// When the machine was deleted or reclaimed; `None` until then.
     pub gone_at: Option<f64>,
+    /// Address for direct calls to the worker; `None` until the machine has booted.
     pub address: Option<SocketAddr>,
     pub tasks: Vec<Task>,
+    /// Images that the machine has fetched.
     images: BTreeSet<String>,
     incarnation: u64,
+    /// Sequence number of the latest heartbeat.
     sequence: u64,
-    /// Highest token in the commands of a controller so far.
+    /// Highest token that the worker has received with commands; commands with a lower token are rejected.
     token: u64,
+    /// Start of the current lease: when the machine had booted, when the worker began its current incarnation, or when
+    /// it sent the latest heartbeat whose response it has accepted.
     lease_started_at: f64,
-    /// Something has changed that must be reported in a heartbeat soon.
+    /// Whether a heartbeat is due before the end of the heartbeat interval, because there is something new to report.
     changed: bool,
-    /// When `changed` was last set because of a higher token.
+    /// When `changed` was last set because of a new token.
     token_reported_at: f64,
-    /// Announced time at which the cloud takes the spot machine away.
+    /// Announced time at which the cloud reclaims the spot machine; `None` without an announcement.
     reclaim_at: Option<f64>,
 }
 
@@ -166,7 +178,7 @@
         self.lease_started_at = now;
     }
 
-    /// Number of CPUs in use by tasks that have not exited, those that wait for their image included.
+    /// Number of CPUs that tasks use: all tasks that have not exited, also those whose image is being fetched.
     pub fn used(&self, cpus_of_task: impl Fn(&str) -> f64) -> f64 {
         let unfinished = self.tasks.iter().filter(|task| !task.has_exited());
         unfinished.map(|task| cpus_of_task(&task.name)).sum()
@@ -203,8 +215,8 @@
         })
     }
 
-    /// Stores a token if it is higher than all before. A heartbeat with a new token is then sent soon, but not more
-    /// often than once in half a lease.
+    /// Stores a token if it is higher than all earlier ones. A heartbeat is then due early, unless a new token has
+    /// already caused an early heartbeat within the last half of a lease duration.
     fn observe_token(&mut self, token: u64, half_lease_s: f64, now: f64) {
         if token > self.token {
             self.token = token;
@@ -217,7 +229,7 @@
 }
 
 impl Oracle {
-    /// Announces to a worker that its spot machine is taken away at a time.
+    /// Announces to a worker that the cloud reclaims its spot machine at a time.
     pub fn announce_reclaim(&mut self, name: &str, at: f64) {
         if let Some(machine) = self.machines.get_mut(name) {
             machine.reclaim_at = Some(at);
@@ -242,9 +254,10 @@
         self.faults.affects_machine(Fault::HangMachines, host)
     }
 
-    /// Executes commands from the response to a heartbeat or, if `direct` is set, from a request that a controller sent
-    /// to the worker. Returns false, without executing them, if there is no such machine, if their token is lower than
-    /// one seen before, or if they are direct and for another incarnation.
+    /// Executes a batch of commands. `direct` says that the batch came in a direct call (a request of a controller to
+    /// the worker) and not in the response to a heartbeat. Returns false and executes nothing if there is no such
+    /// machine, the token of the batch is lower than an earlier one, or a direct call is not for the current
+    /// incarnation.
     fn execute(&mut self, host: &str, commands: &CommandBatchBody, direct: bool) -> bool {
         let now = self.clock.now();
         let half_lease_s = self.times.lease_s / 2.0;
@@ -268,6 +281,8 @@
         true
     }
 
+    /// Starts an attempt of a task unless the worker already has it. If the attempt cannot start, it is added as
+    /// exited.
     fn start(&mut self, host: &str, name: &str, attempt: u64) {
         let now = self.clock.now();
         let fetch_s = self.clock.scaled(FETCH_S);
@@ -323,8 +338,8 @@
         }
     }
 
-    /// Advances a machine's tasks to the current time. If its lease has expired, ends all tasks and begins a new
-    /// incarnation. The tasks of a hung machine make no progress.
+    /// Advances the tasks on a machine to the current time. If the lease of the worker has expired, ends all tasks and
+    /// begins a new incarnation, also while the machine hangs. Otherwise the tasks of a hung machine make no progress.
     pub fn advance(&mut self, host: &str) {
         let now = self.clock.now();
         let lease_s = self.times.lease_s;
@@ -369,6 +384,7 @@
         }
     }
 
+    /// Begins to run a task whose image is fetched, and checks the rules for starts.
     fn run_task(&mut self, host: &str, position: usize) {
         let now = self.clock.now();
         let Some(machine) = self.machines.get_mut(host) else {
@@ -402,6 +418,7 @@
         }
     }
 
+    /// Completes a running task.
     fn finish_task(&mut self, host: &str, position: usize) {
         let Some(machine) = self.machines.get_mut(host) else {
             return;
@@ -418,7 +435,7 @@
     }
 }
 
-/// Simulates the worker process of a machine; its state is in [`Machine`].
+/// Simulates the worker process of a machine. The state of the worker is in [`Machine`].
 #[derive(Clone)]
 pub struct Worker {
     pub name: String,
@@ -429,7 +446,7 @@
 }
 
 impl Worker {
-    /// Sends heartbeats and executes commands until the machine is gone.
+    /// Sends heartbeats and executes commands until the machine is deleted or reclaimed.
     pub async fn run(self, listener: TcpListener) {
         let worker = self.clone();
         let server = serve(listener, move |request| {
@@ -442,7 +459,7 @@
         }
     }
 
-    /// Advances the tasks and ends expired incarnations in time, also while a heartbeat waits for its response.
+    /// Advances the tasks and checks the lease at intervals, also while a heartbeat waits for its response.
     async fn advance_tasks(&self) {
         while self.machine_exists() {
             self.clock.sleep(POLL_INTERVAL_S).await;
@@ -458,7 +475,7 @@
             .is_some_and(|machine| machine.gone_at.is_none())
     }
 
-    /// Whether one of these faults is active for this machine; if so, counts that it was applied.
+    /// Whether one of these faults is active for this machine. If so, counts that the fault was applied.
     fn is_affected_by(&self, kinds: &[Fault]) -> bool {
         let faults = &mut lock(&self.oracle).faults;
         let found = kinds
@@ -471,6 +488,7 @@
         found.is_some()
     }
 
+    /// Waits until no fault makes this machine hang.
     async fn wait_while_hung(&self) {
         loop {
             let until = {
@@ -486,8 +504,8 @@
         }
     }
 
-    /// Handles a direct call: a request that a controller sends to the worker. Returns no response if a fault prevents
-    /// it.
+    /// Handles a direct call (a request that a controller sends to the worker). Returns no response if the machine is
+    /// gone, or if a fault loses the request or delays the commands.
     async fn handle_direct_call(self, request: Request) -> Option<Reply> {
         if !self.machine_exists()
             || self.is_affected_by(&[Fault::PartitionMachines, Fault::PartitionMachinesInbound])
@@ -500,24 +518,24 @@
         let Ok(commands) = cbor::decode::<CommandBatchBody>(&request.body) else {
             return Some(Reply::new(400, &()));
         };
-        let (command_delay_s, copy_delay_s, leader_partitioned) = {
+        let (command_delay_s, duplicate_delay_s, leader_partitioned) = {
             let oracle = &mut *lock(&self.oracle);
             let command_delay_s = oracle
                 .faults
                 .draw_delay(Fault::DelayCommands, &mut oracle.rng);
-            let copy_delay_s = oracle
+            let duplicate_delay_s = oracle
                 .faults
                 .draw_delay(Fault::DuplicateCommands, &mut oracle.rng);
             let leader = oracle.leader;
             let is_partitioned = oracle
                 .faults
                 .affects_node(Fault::PartitionFromWorkers, leader);
-            (command_delay_s, copy_delay_s, is_partitioned)
+            (command_delay_s, duplicate_delay_s, is_partitioned)
         };
         if leader_partitioned {
             return None;
         }
-        if let Some(delay_s) = copy_delay_s {
+        if let Some(delay_s) = duplicate_delay_s {
             tokio::spawn(
                 self.clone()
                     .execute_late_commands(commands.clone(), delay_s),
@@ -532,7 +550,7 @@
         Some(self.heartbeat_reply(if executed { 200 } else { 409 }))
     }
 
-    /// Executes commands after a delay, if their token and incarnation are still valid then.
+    /// Executes commands after a delay. They are rejected if their token or incarnation is no longer valid then.
     async fn execute_late_commands(self, commands: CommandBatchBody, delay_s: f64) {
         self.clock.sleep(delay_s).await;
         self.wait_while_hung().await;
@@ -567,7 +585,8 @@
         }
     }
 
-    /// Sends heartbeats, one at a time: to the same controller while it responds as the leader, else to another one.
+    /// Sends heartbeats, one at a time. They go to the same controller as long as it responds with status 200, and
+    /// otherwise to another one.
     async fn send_heartbeats(&self) {
         let mut client = Client::default();
         let mut target = lock(&self.oracle).rng.random_range(0..self.nodes.len());
@@ -593,16 +612,25 @@
         }
     }
 
-    /// Sends one heartbeat to a controller. Returns the time until the next one, and the controller to send it to.
+    /// Sends one heartbeat to a controller. Returns the time until the next heartbeat, and the controller to send that
+    /// to.
     async fn send_heartbeat(&self, client: &mut Client, node: usize) -> (f64, usize) {
         let next_node = (node + 1) % self.nodes.len();
-        let (body, incarnation, times, heartbeat_delay_s, copy_delay_s, node_partitioned, wait_s) = {
+        let (
+            body,
+            incarnation,
+            times,
+            heartbeat_delay_s,
+            duplicate_delay_s,
+            node_partitioned,
+            wait_s,
+        ) = {
             let oracle = &mut *lock(&self.oracle);
             let now = oracle.clock.now();
             let heartbeat_delay_s = oracle
                 .faults
                 .draw_delay(Fault::DelayHeartbeats, &mut oracle.rng);
-            let copy_delay_s = oracle
+            let duplicate_delay_s = oracle
                 .faults
                 .draw_delay(Fault::DuplicateHeartbeats, &mut oracle.rng);
             let wait_s = oracle.times.heartbeat_interval_s * oracle.rng.random_range(0.75..1.25);
@@ -619,7 +647,7 @@
                 incarnation,
                 times,
                 heartbeat_delay_s,
-                copy_delay_s,
+                duplicate_delay_s,
                 is_partitioned,
                 wait_s,
             )
@@ -627,7 +655,7 @@
         let sent_at = self.clock.now();
         let request_lost = node_partitioned
             || self.is_affected_by(&[Fault::PartitionMachinesOutbound, Fault::PartitionMachines]);
-        for delay_s in [heartbeat_delay_s, copy_delay_s]
+        for delay_s in [heartbeat_delay_s, duplicate_delay_s]
             .into_iter()
             .flatten()
             .filter(|_| !request_lost)
@@ -663,6 +691,8 @@
         }
     }
 
+    /// Executes the commands in a heartbeat response with status 200, and renews the lease from the time at which the
+    /// heartbeat was sent. `incarnation` is the one that sent the heartbeat.
     fn handle_heartbeat_response(&self, body: &[u8], node: usize, incarnation: u64, sent_at: f64) {
         let Ok(commands) = cbor::decode::<CommandBatchBody>(body) else {
             return;
@@ -672,7 +702,7 @@
             oracle.leader = node;
             oracle.counters.leader_changes += 1;
         }
-        // Responses to heartbeats of an earlier incarnation are dropped.
+        // A response to a heartbeat of an earlier incarnation is ignored.
         let same_incarnation = oracle
             .machines
             .get(&self.name)
@@ -685,7 +715,8 @@
         }
     }
 
-    /// After a redirect: the time until the next heartbeat, and the controller to send it to.
+    /// Returns, after a redirect (status 421), the time until the next heartbeat and the controller to send it to: the
+    /// one that the redirect names, or else the next one.
     fn next_after_redirect(&self, body: &[u8], node: usize, retry_delay_s: f64) -> (f64, usize) {
         let redirect = cbor::decode::<NotLeaderBody>(body).ok();
         let leader_hint = redirect.and_then(|redirect| redirect.leader_hint);
@@ -696,8 +727,8 @@
         }
     }
 
-    /// Delivers a heartbeat late to a random controller: either a delayed one, or a copy of one that was also sent in
-    /// time. The response is ignored.
+    /// Delivers a delayed heartbeat, or the late duplicate of a heartbeat, to a random controller. The response is
+    /// ignored.
     async fn deliver_late_heartbeat(self, body: Vec<u8>, delay_s: f64) {
         self.clock.sleep(delay_s).await;
         let (node, times) = {
--- a/tests/soak/mod.rs
+++ b/tests/soak/mod.rs
@@ -3,9 +3,11 @@
 //! Several processes of the built program run as controllers, called nodes here and numbered from 0. This process
 //! simulates everything else: workers, users, the cloud and the state service are stand-ins that were written from the
 //! protocol, and the connections between controllers pass through proxies. Faults are injected by a schedule that a
-//! seed determines. The [`oracle`] checks the protocol's rules from outside, by what workers and users observe.
+//! seed determines. The [`oracle`] checks the rules of the protocol against what workers and users observe. A machine
+//! is an instance that the cloud stand-in has created, with its worker.
 //!
-//! All times of the protocol are scaled down by the same factor, so that their ratios are those of a real deployment.
+//! All durations of the protocol are multiplied by the same factor, so that their ratios are those of a real
+//! deployment.
 
 pub mod clock;
 pub mod cloud;
@@ -34,9 +36,9 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::Semaphore;
 
-/// Time for the tasks of the runtime to end at the end of the soak.
+/// Longest time for which the end of the soak waits for the asynchronous tasks of this process to end.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
-/// Number of threads that run the stand-ins.
+/// Number of threads that run the stand-ins of all concurrent runs.
 const THREADS: usize = 3;
 
 /// An error that ends the soak without a verdict.
@@ -50,7 +52,8 @@
     Stopped,
 }
 
-/// Runs the soak as the options say and prints the results. Returns the worst verdict of its runs.
+/// Runs the soak with these options and prints the results. Returns the worst verdict of the runs. With the option
+/// --plan, only prints the schedules and returns [`Verdict::Passed`].
 pub fn soak(options: &Options) -> Result<Verdict, SoakError> {
     let seeds = options.run_seeds()?;
     if options.plan {
@@ -78,7 +81,7 @@
             result = stop_signal() => Err(result.err().map_or(SoakError::Stopped, SoakError::from)),
         }
     });
-    // A run that is dropped kills its controllers.
+    // After a signal, the shutdown drops the unfinished runs, which kills their controllers.
     runtime.shutdown_timeout(SHUTDOWN_TIMEOUT);
     let outcomes = outcomes?;
     report::print_summary(&outcomes);
@@ -97,7 +100,7 @@
     Ok(())
 }
 
-/// Runs all seeds, as many at a time as the options allow.
+/// Runs the soak with each seed, with as many concurrent runs as the options allow.
 async fn run_seeds(options: &Options, program: &Path, seeds: &[u64]) -> io::Result<Vec<Outcome>> {
     let concurrency = Arc::new(Semaphore::new(options.jobs as usize));
     let mut runs = Vec::new();
@@ -116,7 +119,8 @@
     Ok(outcomes)
 }
 
-/// Runs one seed and prints its result. Keeps its logs if it did not pass or the option --logs is given.
+/// Runs the soak with one seed and prints the result. Keeps the logs of the run if it did not pass or the option --logs
+/// is given.
 async fn run_seed(options: &Options, program: &Path, seed: u64) -> io::Result<Outcome> {
     let directory = log_directory(options, seed);
     if directory.exists() {
--- a/tests/soak/options.rs
+++ b/tests/soak/options.rs
@@ -1,4 +1,4 @@
-//! The command line options of the soak and their checks.
+//! The command line options of the soak, and their checks.
 
 use clap::Parser;
 use std::path::{Path, PathBuf};
@@ -73,7 +73,7 @@
     /// The program of the controllers does not exist.
     #[error("--binary {path}: no such program; build it with `cargo build --release`")]
     BinaryNotFound {
-        /// Path that was tried.
+        /// Path at which there is no file.
         path: PathBuf,
     },
 }
@@ -98,7 +98,7 @@
     }
 }
 
-/// `target/release/cedarladder`, relative to this program, `target/release/examples/soak`.
+/// The path `release/cedarladder` in the target directory of this program, which is `release/examples/soak` there.
 fn default_binary() -> PathBuf {
     let this_program = std::env::current_exe().unwrap_or_default();
     let target = this_program
--- a/tests/soak/oracle.rs
+++ b/tests/soak/oracle.rs
@@ -1,4 +1,7 @@
-//! The actual state, as users and workers observe it, and the checks of the protocol's rules against it.
+//! The oracle: holds what the simulated users and workers have observed, and checks it against the rules of the
+//! protocol.
+//!
+//! A machine is an instance that the cloud has created, with its worker.
 
 use super::clock::{Clock, ProtocolTimes};
 use super::faults::Faults;
@@ -19,8 +22,8 @@
     WrongPlacement,
     /// A task ran later than `cancel_s` after its job's cancellation was reported.
     RanAfterCancellation,
-    /// A controller did not know an accepted job or rejected a request about it, or no controller responded to such
-    /// requests for too long.
+    /// A controller did not know an accepted job or rejected a request about a job, or the user of an accepted job got
+    /// no response for too long.
     JobForgotten,
     /// A controller reported a job that was never submitted.
     NonexistentJobFound,
@@ -36,15 +39,16 @@
     ControllerFailure,
 }
 
-/// A violation of a rule, with the details of the case.
+/// A violation of a rule, with a description of what was observed.
 #[derive(Debug, Clone)]
 pub struct Violation {
+    /// When the violation was recorded, in seconds of the run.
     pub at: f64,
     pub rule: Rule,
     pub details: String,
 }
 
-/// The job that a task belongs to.
+/// The id of the job that a task belongs to. The name of a task is the id, a slash and the index of the task.
 pub fn job_of(task: &str) -> &str {
     task.split('/').next().unwrap_or("")
 }
@@ -54,14 +58,16 @@
 /// Name of the team without a limit.
 pub const FREE_TEAM: &str = "free";
 
-/// The job as it is submitted.
+/// What a user submits.
 #[derive(Debug, Clone)]
 pub struct Spec {
     pub id: String,
     pub tasks: u32,
     pub is_service: bool,
+    /// Number of CPUs that each task uses.
     pub cpus: f64,
     pub team: &'static str,
+    /// The only zone in which tasks may run; `None` allows all zones.
     pub zone: Option<&'static str>,
     /// All tasks must run in the same zone.
     pub one_zone: bool,
@@ -74,7 +80,8 @@
     pub image: String,
 }
 
-/// A job with what its user was told about it, and which of its tasks are done.
+/// A submitted job: what its user has requested and was told, and which of its tasks have completed. Times are seconds
+/// of the run.
 #[derive(Debug, Clone)]
 pub struct Job {
     pub spec: Spec,
@@ -82,11 +89,13 @@
     pub cancel_requested_at: Option<f64>,
     pub reported_cancelled_at: Option<f64>,
     pub reported_done_at: Option<f64>,
-    /// When its user last got a response about it; at first, when the job was created.
+    /// When the user last got a response with status 200 or 201 about the job; before the first one, when the user
+    /// submitted the job.
     pub last_response_at: f64,
     /// Indexes of the tasks that have completed.
     pub done: BTreeSet<u32>,
-    /// A violation was recorded for this job, so that the same one is not recorded again.
+    /// Whether a violation of [`Rule::JobForgotten`] for want of a response, or by
+    /// [`Oracle::check_cancelled`], was recorded for this job; no further one of these two is recorded.
     pub violation_reported: bool,
 }
 
@@ -104,13 +113,13 @@
         }
     }
 
-    /// Whether its user was told that it is done or cancelled.
+    /// Whether the user was told that the job is done or cancelled.
     pub fn has_ended(&self) -> bool {
         self.reported_cancelled_at.is_some() || self.reported_done_at.is_some()
     }
 }
 
-/// Numbers of events in a run, other than faults.
+/// Numbers of events in a run. Applied faults are counted in [`Faults`].
 #[derive(Debug, Default, Clone)]
 pub struct Counters {
     pub submitted: u64,
@@ -119,12 +128,17 @@
     pub done: u64,
     pub polls: u64,
     pub starts: u64,
+    /// Starts of tasks after their job was reported as cancelled. Until `cancel_s` later this breaks no rule.
     pub starts_after_confirmed_cancellation: u64,
+    /// Delayed and duplicate direct calls that the worker accepted.
     pub late_commands_executed: u64,
+    /// Delayed and duplicate direct calls that the worker rejected.
     pub late_commands_rejected: u64,
+    /// Start commands in delayed and duplicate direct calls that arrived when [`Oracle::must_have_ended`] was true.
     pub late_starts_after_cancellation: u64,
     pub leases_expired: u64,
     pub leader_changes: u64,
+    /// Lines "starts revoked" in the logs of the controllers.
     pub start_revocations: u64,
     pub machines_rented: u64,
     pub machines_deleted: u64,
@@ -142,12 +156,12 @@
     pub violations: Vec<Violation>,
     /// Number of CPUs that the limited team may use.
     pub team_cpus: f64,
-    /// The controller that last responded to a heartbeat with status 200.
+    /// Number of the controller that last responded to a worker's heartbeat with status 200; at first 0.
     pub leader: usize,
-    /// Longest recent scheduling delay of this process. Stand-ins may have observed events later than they happened by
-    /// up to this time, so the checks allow for it.
+    /// Longest recent scheduling delay of this process, in seconds; earlier delays decay. Stand-ins may have observed
+    /// an event later than it happened by up to this time, so the checks add it to their limits.
     pub scheduling_delay_s: f64,
-    /// When the last fault ended; none while faults are injected.
+    /// When the recovery phase began, at which all faults ended; `None` before.
     pub faults_ended_at: Option<f64>,
 }
 
@@ -192,7 +206,7 @@
         TOLERANCE * self.times.cancel_s + self.scheduling_delay_s
     }
 
-    /// Whether the time to end the tasks of a cancelled job is over.
+    /// Whether a job was reported as cancelled so long ago that none of its tasks may still run.
     pub fn must_have_ended(&self, job: &str) -> bool {
         let cancelled_at = self.jobs.get(job).and_then(|job| job.reported_cancelled_at);
         let limit_s = self.times.cancel_s + self.tolerance_s();
@@ -207,7 +221,8 @@
         })
     }
 
-    /// Checks the start of a task on a machine against all rules about where and when a task may run.
+    /// Checks the start of a task on a machine against the rules about cancellation, duplicate attempts, team limits
+    /// and placement.
     pub fn check_start(&mut self, host: &str, name: &str, attempt: u64) {
         self.counters.starts += 1;
         let job = job_of(name);
@@ -230,7 +245,7 @@
             .running_tasks()
             .find(|(machine, task)| *task == name && machine.name != host);
         if let Some((machine, _)) = duplicate {
-            let details = format!("{start} starts while it runs on {}", machine.name);
+            let details = format!("{start} starts while the task runs on {}", machine.name);
             violations.push((Rule::RanTwice, details));
         }
         if spec.team == TEAM {
@@ -260,7 +275,7 @@
             .sum()
     }
 
-    /// The reason why a task must not run on a machine, given where its job's other tasks run; none if it may.
+    /// The reason why a task may not run on a machine, given where the other tasks of its job run; `None` if it may.
     fn placement_violation(&self, host: &str, name: &str, spec: &Spec) -> Option<String> {
         let machine = self.machines.get(host)?;
         let zone = machine.zone;
@@ -289,7 +304,7 @@
         None
     }
 
-    /// Records a violation for each job of which a task still runs although the time to end it is over.
+    /// Records a violation for each job with a task that still runs although [`Oracle::must_have_ended`] is true.
     pub fn check_cancelled(&mut self) {
         let late: Vec<(String, String)> = self
             .running_tasks()
--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -1,11 +1,12 @@
-//! The schedule of faults of a run, which is drawn from its seed before the run begins.
+//! The schedule of faults of a run, which is drawn with the seed of the run before the run begins.
 
 use super::clock::ProtocolTimes;
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 
-/// Kind of a fault. A fault lasts for a while, unless its description says otherwise.
+/// Kind of a fault. Each fault has a duration, unless its comment says otherwise. A machine is an instance with its
+/// worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Fault {
     /// A controller is killed, and restarted when the fault ends.
@@ -28,13 +29,13 @@
     DelayCommands,
     /// The commands of a share of the direct calls to workers arrive a second time, later.
     DuplicateCommands,
-    /// Copies of a share of the heartbeats arrive later, at a random controller.
+    /// Duplicates of a share of the heartbeats arrive later, at a random controller.
     DuplicateHeartbeats,
     /// A share of the heartbeats arrive later at a random controller, and their senders get no response.
     DelayHeartbeats,
-    /// Heartbeats of some machines arrive, but responses and commands do not reach these machines.
+    /// Heartbeats of some machines reach the controllers, but no response or command reaches these machines.
     PartitionMachinesInbound,
-    /// Heartbeats of some machines are lost, but commands reach these machines.
+    /// Heartbeats of some machines are lost, but direct calls reach these machines.
     PartitionMachinesOutbound,
     /// Some machines hang: their tasks make no progress, and their workers send nothing and execute no commands.
     HangMachines,
@@ -42,14 +43,14 @@
     PartitionMachines,
     /// One controller is partitioned from all workers.
     PartitionFromWorkers,
-    /// The cloud takes spot machines away, half of them after a notice. Has no duration.
+    /// The cloud reclaims spot machines, every second one after a notice to the worker. Has no duration.
     ReclaimSpotMachines,
     /// Users cancel many jobs at the same time. Has no duration.
     CancelManyJobs,
     /// Many small jobs are submitted, and each is cancelled within a heartbeat interval: before most workers have sent
     /// a heartbeat since the submission.
     CancelNewJobs,
-    /// The cloud rejects requests, or executes them late without a response.
+    /// The cloud rejects each request, or executes it late without a response.
     CloudErrors,
 }
 
@@ -94,23 +95,26 @@
     pub at: f64,
     pub duration_s: f64,
     pub target: Target,
-    /// Share of the messages or machines that it affects. `ReclaimSpotMachines` and `CancelManyJobs` affect half of
-    /// this share of the spot machines or open jobs.
+    /// Share of the messages or machines that the fault affects. For `ReclaimSpotMachines` half of this share of the
+    /// spot machines is reclaimed, and for `CancelManyJobs` each open job is cancelled with a probability of half of
+    /// it.
     pub share: f64,
     /// Longest delay of an affected message, in seconds of the run.
     pub delay_s: f64,
 }
 
-/// Time before the first fault, in seconds of the protocol: machines boot and jobs start.
+/// Time before the first fault, in which machines boot and jobs start, in seconds of the protocol.
 const WARM_UP_S: f64 = 60.0;
 /// Range of the interval between two moments at which faults begin, in seconds of the protocol.
 const MOMENT_INTERVAL_S: (f64, f64) = (15.0, 55.0);
-/// Share of the moments with a fixed combination of faults in addition to the faults that are drawn.
+/// Probability that the combination [`rejected_leader_then_outage`] begins at a moment after the first, in addition to
+/// the faults that are drawn.
 const COMBINATION_SHARE: f64 = 0.08;
 /// Range of the number of faults that are drawn for a moment.
 const FAULTS_PER_MOMENT: (usize, usize) = (1, 3);
 
-/// Draws the faults of a run. Moments at which faults begin lie before `duration`, in seconds of the run.
+/// Draws the faults of a run, in the order in which they begin. The moments lie before `duration` (seconds of the run);
+/// a drawn fault begins up to 3 s of the protocol after its moment.
 pub fn schedule(seed: u64, nodes: usize, duration: f64, scale: f64) -> Vec<PlannedFault> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let times = ProtocolTimes::new(scale);
@@ -169,8 +173,8 @@
     ]
 }
 
-/// The state service rejects the requests of the leader alone, users cancel jobs at that moment, and then the state
-/// service is out for longer than the time within which cancelled tasks must end. The leader is also partitioned from
+/// The combination in which the state service first rejects only the requests of the leader while users cancel jobs,
+/// and is then out for longer than the time within which cancelled tasks must end. The leader is also partitioned from
 /// its peers, so that no controller can tell it of the cancellations.
 fn rejected_leader_then_outage(at: f64, times: &ProtocolTimes) -> Vec<PlannedFault> {
     let rejection = PlannedFault {
@@ -207,8 +211,8 @@
     times: &ProtocolTimes,
     rng: &mut SmallRng,
 ) -> PlannedFault {
-    // The longest durations are a moment, about a lease, longer than a lease, and longer than the time within which
-    // cancelled tasks must end.
+    // From short to long: much shorter than a lease, as long as a lease, longer than a lease, and longer than the time
+    // within which cancelled tasks must end.
     let longest_durations_s = [
         times.retry_delay_s,
         times.lease_s,
--- a/tests/soak/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -1,4 +1,5 @@
-//! A proxy for the connections from one controller to another. While the two are partitioned, it holds back all bytes.
+//! A proxy for the connections from one controller to another. While the two are partitioned, the proxy
+//! forwards no bytes.
 
 use super::clock::Clock;
 use super::oracle::{Shared, lock};
@@ -9,7 +10,7 @@
 
 /// Largest number of bytes that are forwarded at a time.
 const CHUNK: usize = 16 * 1024;
-/// Interval between two checks whether the partition has ended, in seconds.
+/// Interval at which the proxy checks whether the partition has ended, in seconds.
 const POLL_INTERVAL_S: f64 = 0.01;
 
 /// The proxy for connections that one controller opens to another.
@@ -21,7 +22,7 @@
     pub from: usize,
     /// Number of the controller to which the proxy connects.
     pub to: usize,
-    /// Address of that controller for peers.
+    /// Address on which the controller `to` accepts connections of other controllers.
     pub address: SocketAddr,
 }
 
@@ -66,6 +67,7 @@
         let _ = to.shutdown().await;
     }
 
+    /// Waits until neither of the two controllers is partitioned from its peers. Counts the fault once per wait.
     async fn wait_while_partitioned(&self) {
         let mut is_counted = false;
         loop {
--- a/tests/soak/report.rs
+++ b/tests/soak/report.rs
@@ -99,7 +99,8 @@
     println!("failed seeds: {failed:?}");
 }
 
-/// The worst of the verdicts; [`Verdict::TooSlow`] if there are none, as nothing was tested.
+/// The worst of the verdicts: `Failed`, then `TooSlow`, then `Passed`. [`Verdict::TooSlow`] if there are none, because
+/// nothing was tested.
 pub fn worst(verdicts: impl Iterator<Item = Verdict>) -> Verdict {
     let mut worst = None;
     for verdict in verdicts {
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -1,4 +1,5 @@
-//! One run: starts everything, injects the scheduled faults, and checks the rules until the end.
+//! One run of the soak: starts the stand-ins and the controllers, injects the scheduled faults, and checks the rules
+//! until the end of the run.
 
 use super::clock::{Clock, ProtocolTimes};
 use super::cloud::Cloud;
@@ -23,7 +24,7 @@
 
 /// Longest duration of the recovery phase after the last fault, in seconds of the protocol.
 const RECOVERY_S: f64 = 240.0;
-/// Time after the last fault within which a request about a job must be answered, in seconds of the protocol.
+/// Longest time in the recovery phase for which the user of a job may get no response, in seconds of the protocol.
 const MAX_UNANSWERED_S: f64 = 75.0;
 /// Longest time in the recovery phase for which a task may wait while a suitable machine has capacity, in seconds of
 /// the protocol.
@@ -33,15 +34,15 @@
 const MAX_LOAD: f64 = 0.7;
 /// Share of the machines' CPUs that the limited team may use.
 const TEAM_SHARE: f64 = 0.4;
-/// Interval between new jobs, in seconds of the protocol times the number of machines: the more machines there are, the
-/// more often a job is submitted.
+/// Interval between new jobs if there were one machine, in seconds of the protocol. The interval is divided by the
+/// number of machines.
 const JOB_INTERVAL_S: f64 = 24.0;
 /// During [`Fault::CancelNewJobs`], jobs are submitted more often than usual by this factor.
 const CANCELLED_JOBS_FACTOR: f64 = 4.0;
-/// A step counts as slow if it is delayed by more than this share of a heartbeat interval.
+/// A step of the run counts as slow if it is delayed by more than this share of a heartbeat interval.
 const SLOW_SHARE: f64 = 0.3;
-/// Interval between two steps of the run, in seconds. A longer interval means that this process, and so each stand-in,
-/// is delayed.
+/// Intended interval between two steps of the run, in seconds. If the interval is longer, this process was delayed, and
+/// with it every stand-in.
 const STEP_S: f64 = 0.02;
 /// A run with more slow steps than this is inconclusive: the host of the test is too slow for the scaled times.
 const MAX_SLOW_STEPS: u64 = 10;
@@ -61,14 +62,15 @@
 #[derive(Debug, Clone)]
 pub struct Outcome {
     pub seed: u64,
-    /// Duration of the run.
+    /// Duration of the run, in seconds of the run.
     pub seconds: f64,
     pub verdict: Verdict,
     pub violations: Vec<Violation>,
     pub counters: Counters,
     pub fault_counts: BTreeMap<Fault, u64>,
-    /// Number of slow steps.
+    /// Number of steps of the run that were slow (see `SLOW_SHARE`).
     pub slow_steps: u64,
+    /// Recent scheduling delay of this process at the end of the run.
     pub scheduling_delay_s: f64,
 }
 
@@ -84,8 +86,11 @@
     background_tasks: JoinSet<()>,
     users: Users,
     slow_steps: u64,
+    /// Earliest time of the next submission.
     next_job: f64,
+    /// Number of the job that was submitted last.
     job_number: u64,
+    /// Number of machines that the cloud has.
     machines: usize,
 }
 
@@ -95,8 +100,9 @@
     Ok((listener, address))
 }
 
-/// Addresses of a controller for users and for peers. Each controller has a loopback IP address of its own, derived
-/// from the process id, the seed and its number, so that concurrent runs do not collide.
+/// The addresses on which a controller accepts requests of users, and connections of other controllers. Each controller
+/// has a loopback IP address of its own, derived from the process id, the seed and its number, so that concurrent runs
+/// do not collide.
 fn node_addresses(seed: u64, node: usize) -> (SocketAddr, SocketAddr) {
     let process = (std::process::id() % 200) as u8 + 10;
     let [run, ..] = seed.to_le_bytes();
@@ -104,7 +110,7 @@
     (SocketAddr::from((ip, 8080)), SocketAddr::from((ip, 8081)))
 }
 
-/// Runs the soak with one seed.
+/// Runs the soak with one seed. The controllers' settings and logs are written to `directory`.
 pub async fn run(
     options: &Options,
     program: &Path,
@@ -124,6 +130,7 @@
 }
 
 impl Run {
+    /// Starts the stand-ins, the proxies and the controllers.
     async fn begin(
         options: &Options,
         program: &Path,
@@ -214,7 +221,8 @@
         Ok(())
     }
 
-    /// Runs one step: checks the rules, restarts controllers and submits jobs.
+    /// Runs one step: waits, ends faults whose time is over, checks for tasks of cancelled jobs, restarts controllers
+    /// and submits jobs.
     async fn run_step(&mut self) -> io::Result<()> {
         let before = self.clock.now();
         self.clock.sleep(STEP_S).await;
@@ -232,8 +240,8 @@
         Ok(())
     }
 
-    /// Continues and restarts controllers whose fault is over. A controller that has ended by itself breaks a rule, and
-    /// is restarted.
+    /// Continues paused controllers and restarts killed ones whose fault is over. If a controller has ended by itself,
+    /// records a violation and restarts the controller.
     fn watch_processes(&mut self, now: f64) -> io::Result<()> {
         let due = |until: &BTreeMap<usize, f64>| -> Vec<usize> {
             let ended = until.iter().filter(|(_, at)| now >= **at);
@@ -256,8 +264,8 @@
         Ok(())
     }
 
-    /// Submits a job if it is time for the next one, no more than [`MAX_LOAD`] of the CPUs is requested by open jobs,
-    /// and the last fault has not ended. During [`Fault::CancelNewJobs`], the load is not checked.
+    /// Submits a job if the next one is due, the open jobs request at most [`MAX_LOAD`] of the CPUs, and the recovery
+    /// phase has not begun. During [`Fault::CancelNewJobs`], the load is not checked.
     fn submit(&mut self, now: f64) {
         if now < self.next_job {
             return;
@@ -292,6 +300,7 @@
             .spawn(self.users.clone().simulate_user(spec, cancel));
     }
 
+    /// Begins a planned fault. A controller that is not running or is paused is not killed or paused again.
     fn begin_fault(&mut self, planned: PlannedFault) -> io::Result<()> {
         let now = self.clock.now();
         let oracle = &mut *lock(&self.oracle);
@@ -328,7 +337,7 @@
         Ok(())
     }
 
-    /// Removes spot machines. For every other one, the removal is announced to the worker 20 s of the protocol before.
+    /// Removes spot machines. Every second removal is announced to the worker 20 s of the protocol before.
     fn reclaim_spot_machines(&self, oracle: &mut Oracle, machines: &BTreeSet<String>, now: f64) {
         let notice_s = self.clock.scaled(20.0);
         for (position, name) in machines.iter().enumerate() {
@@ -346,7 +355,8 @@
         }
     }
 
-    /// Ends all faults, and runs until all accepted jobs have ended or the time for the recovery is over.
+    /// Runs the recovery phase: ends all faults, and runs until all accepted jobs have ended, for at least
+    /// [`MAX_UNANSWERED_S`] and at most [`RECOVERY_S`].
     async fn recover(&mut self) -> io::Result<()> {
         for node in 0..self.nodes.len() {
             self.nodes[node].resume();
@@ -380,7 +390,7 @@
         Ok(())
     }
 
-    /// Ends the controllers, checks their logs, and returns the result.
+    /// Kills the controllers, checks their logs, and returns the result of the run.
     fn finish(mut self, seed: u64) -> Outcome {
         let mut start_revocations = 0;
         for node in &mut self.nodes {
@@ -416,6 +426,8 @@
     }
 }
 
+/// Draws a share of the machines that are up and have not been removed. `fits` is called with whether a machine is a
+/// spot machine, and returns whether it may be drawn.
 fn draw_machines(oracle: &mut Oracle, share: f64, fits: impl Fn(bool) -> bool) -> BTreeSet<String> {
     let candidates: Vec<String> = oracle
         .machines
@@ -430,7 +442,7 @@
     drawn.cloned().collect()
 }
 
-/// Marks open jobs as to be cancelled, each with a probability of half the fault's share. Their users cancel them with
+/// Draws open jobs, each with a probability of half of `share`, and marks them so that their users cancel them with
 /// their next request.
 fn cancel_many_jobs(oracle: &mut Oracle, share: f64) {
     let now = oracle.clock.now();
@@ -448,7 +460,7 @@
     }
 }
 
-/// Records a violation for each accepted job without an answered request for too long after the last fault.
+/// Records a violation for each accepted job whose user has had no response for too long since the last fault ended.
 fn check_unanswered(oracle: &mut Oracle, faults_ended_at: f64, now: f64) {
     let limit_s = oracle.clock.scaled(MAX_UNANSWERED_S) + oracle.scheduling_delay_s;
     let mut unanswered = Vec::new();
@@ -467,8 +479,8 @@
     }
 }
 
-/// Records a violation for each job that has had an unstarted task for too long although a suitable machine has
-/// capacity and its team is within its limit.
+/// Records a violation for each job that has had a task waiting to start for too long although a suitable machine had
+/// capacity and the limit of the team allowed one more task. `waiting_since` holds when each job began to wait.
 fn check_waiting(oracle: &mut Oracle, waiting_since: &mut BTreeMap<String, f64>, now: f64) {
     let limit_s = oracle.clock.scaled(MAX_WAIT_S) + oracle.scheduling_delay_s;
     let team_cpus_used = oracle.team_cpus_used();
@@ -485,7 +497,7 @@
             job.spec.team != TEAM || team_cpus_used + job.spec.cpus <= oracle.team_cpus;
         let is_open =
             job.accepted_at.is_some() && !job.has_ended() && job.cancel_requested_at.is_none();
-        // Jobs with a zone rule are not checked: the zones they may use depend on where their other tasks run.
+        // Jobs with a zone rule are not checked, because the zones in which a task may run depend on the other tasks.
         let has_no_zone_rule = !job.spec.one_zone && !job.spec.spread;
         let has_capacity = oracle.machines.values().any(|machine| {
             let cpus = |task: &str| oracle.jobs[job_of(task)].spec.cpus;
@@ -504,7 +516,9 @@
         let waits_since = *waiting_since.entry(id.clone()).or_insert(now);
         if now - waits_since > limit_s {
             waiting_since.insert(id.clone(), f64::INFINITY);
-            let details = format!("{id} has waited since {waits_since:.3} despite free capacity");
+            let details = format!(
+                "{id}: a task has waited to start since {waits_since:.3} despite free capacity"
+            );
             oracle.record_violation(Rule::WaitsDespiteCapacity, details);
         }
     }
--- a/tests/soak/state.rs
+++ b/tests/soak/state.rs
@@ -12,7 +12,7 @@
 
 /// Number of changes that the service keeps for watches.
 const MAX_KEPT_CHANGES: usize = 10_000;
-/// Largest number of items in a page of keys.
+/// Largest number of items in a page of a listing.
 const MAX_PAGE: usize = 1000;
 /// Interval between two checks for changes while a watch waits, in seconds.
 const POLL_INTERVAL_S: f64 = 0.002;
@@ -73,7 +73,7 @@
     Reply::new(status, &ErrorBody { error })
 }
 
-/// Encodes a response of a store that is at `revision`.
+/// Encodes a response of the store. `revision` is the revision of the store after the request.
 fn reply(response: KvResponse, revision: u64) -> Reply {
     match response {
         KvResponse::Value(key_value) => Reply::new(200, &key_value),
@@ -144,7 +144,8 @@
         }
     }
 
-    /// Handles a request of a controller. Returns no response if a fault loses the request or the response.
+    /// Handles a request of a controller. Returns no response if a fault loses the request or the response, or delays
+    /// the request.
     pub async fn handle(self, node: usize, request: Request) -> Option<Reply> {
         let response_lost = match self.active_fault(node) {
             Some(Fault::PartitionFromStateService) => return None,
@@ -166,7 +167,7 @@
         (!response_lost).then_some(reply)
     }
 
-    /// The active fault that affects a controller's requests, if any; counts that it was applied.
+    /// The active fault that affects the requests of a controller, if any. Counts that the fault was applied.
     fn active_fault(&self, node: usize) -> Option<Fault> {
         let faults = &mut lock(&self.oracle).faults;
         let found = if faults.is_active(Fault::StateServiceOutage) {
@@ -187,7 +188,8 @@
         found
     }
 
-    /// The delay of a request, if it is a transaction with writes that [`Fault::DelayTransactions`] affects.
+    /// The delay of a transaction that [`Fault::DelayTransactions`] affects; `None` if it is not affected or writes
+    /// nothing.
     fn transaction_delay(&self, request: &Request) -> Option<f64> {
         let writes = cbor::decode::<Txn>(&request.body).is_ok_and(|txn| !txn.writes.is_empty());
         let oracle = &mut *lock(&self.oracle);
@@ -242,6 +244,8 @@
         Ok((response, store.revision()))
     }
 
+    /// Responds when a key below the prefix changes, or at the latest when the time in the request is over and no fault
+    /// affects the controller.
     async fn watch(&self, node: usize, request: &Request) -> Option<Reply> {
         let number = |name: &str| -> u64 {
             let text = request.query.get(name);
@@ -251,7 +255,7 @@
         let after = number("From");
         let until = self.clock.now() + number("WaitMs") as f64 / 1000.0;
         loop {
-            // While a fault affects this controller, its open watches stay open and report nothing.
+            // During an outage, a rejection or a partition, open watches of the affected controllers get no response.
             let is_suspended = {
                 let oracle = lock(&self.oracle);
                 oracle.faults.is_active(Fault::StateServiceOutage)
--- a/tests/soak/users.rs
+++ b/tests/soak/users.rs
@@ -1,4 +1,6 @@
-//! Simulated users: they submit, poll, resubmit and cancel jobs at random controllers, and check the responses.
+//! Simulated users, who submit, poll, resubmit and cancel jobs at random controllers, and check the responses.
+//!
+//! A node is a controller. A poll is a request for the state of a job.
 
 use super::clock::Clock;
 use super::cloud::ZONES;
@@ -10,13 +12,13 @@
 use rand::rngs::SmallRng;
 use std::net::SocketAddr;
 
-/// Share of the array jobs that their users cancel. Services are always cancelled, as they do not end otherwise.
+/// Share of the array jobs that their users cancel. Users cancel all services, which do not end otherwise.
 const CANCEL_SHARE: f64 = 0.45;
-/// Share of the cancellations that follow within 3 s of the protocol after the job was accepted.
+/// Share of the cancellations that are drawn to follow within 3 s of the protocol after the job was accepted.
 const EARLY_CANCEL_SHARE: f64 = 0.4;
-/// Share of the jobs that are services.
+/// Share of the jobs that are services: their tasks run until they are stopped.
 const SERVICE_SHARE: f64 = 0.3;
-/// Interval of polls for a job whose end has been reported to its user, in seconds of the protocol.
+/// Interval between polls for a job whose end has been reported to its user, in seconds of the protocol.
 const ENDED_POLL_INTERVAL_S: f64 = 25.0;
 
 /// The simulated users.
@@ -28,7 +30,7 @@
     pub nodes: Vec<SocketAddr>,
 }
 
-/// Kind of a request.
+/// Kind of a request of a user.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RequestKind {
     Submit,
@@ -36,7 +38,7 @@
     Cancel,
 }
 
-/// Draws a small job, and the time after its acceptance at which it is cancelled: less than a heartbeat interval.
+/// Draws a small job, and the time from its acceptance to its cancellation, which is less than a heartbeat interval.
 pub fn draw_job_to_cancel(
     number: u64,
     heartbeat_interval_s: f64,
@@ -61,7 +63,7 @@
     )
 }
 
-/// Draws a job, and the time after its acceptance at which it is cancelled, if it is.
+/// Draws a job, and the time from its acceptance to its cancellation; `None` if its user does not cancel it.
 pub fn draw_job(number: u64, clock: &Clock, rng: &mut SmallRng) -> (Spec, Option<f64>) {
     let is_service = rng.random_bool(SERVICE_SHARE);
     let tasks = if is_service {
@@ -136,7 +138,7 @@
     cbor::encode(&Value::Map(map.collect()))
 }
 
-/// The job's state in a response.
+/// The state of the job in a response; `None` if the response has none.
 fn status_of(reply: &Reply) -> Option<String> {
     let Ok(Value::Map(fields)) = cbor::decode::<Value>(&reply.body) else {
         return None;
@@ -148,7 +150,8 @@
 }
 
 impl Users {
-    /// Simulates the user of one job until the run ends, or until the job has not been accepted for too long.
+    /// Simulates the user of one job until the run ends. The user gives up if the job is not accepted within twelve
+    /// times the user timeout.
     pub async fn simulate_user(self, spec: Spec, cancel_after_s: Option<f64>) {
         let (submitted, times) = {
             let oracle = &mut *lock(&self.oracle);
@@ -204,8 +207,8 @@
         }
     }
 
-    /// Sends a request about a job to all controllers at the same time: no controller may report an older state than
-    /// another has reported before.
+    /// Sends a poll or a cancellation for a job to every controller at the same time, to check that no controller
+    /// reports an older state than another controller has reported before.
     async fn request_everywhere(self, spec: Spec) {
         for node in 0..self.nodes.len() {
             let (users, spec) = (self.clone(), spec.clone());
@@ -227,6 +230,7 @@
         self.request_at(client, first, spec, request).await
     }
 
+    /// Sends a request to a controller and checks the response. Returns whether there was a conclusive response.
     async fn request_at(
         &self,
         client: &mut Client,
@@ -269,9 +273,9 @@
         }
     }
 
-    /// Checks the response to a request that was sent at `sent_at`, and records what it reports. A response breaks a
-    /// rule if it reports an older state than a response that had arrived before the request was sent. Returns whether
-    /// the response is conclusive.
+    /// Checks the response to a request that was sent at `sent_at`, and records the state of the job in it. A response
+    /// breaks a rule if its state is older than that in a response that arrived before the request was sent. Returns
+    /// whether the response is conclusive: it reports the job, or breaks a rule by rejecting the request.
     fn handle_reply(
         &self,
         spec: &Spec,
@@ -333,12 +337,13 @@
                 true
             }
             404 if known_before_sending(job.accepted_at) => {
-                report_violation(Rule::JobForgotten, "status 404");
+                report_violation(Rule::JobForgotten, "status 404 for an accepted job");
                 true
             }
             404 => false,
             400 | 422 => {
-                report_violation(Rule::JobForgotten, &format!("status {}", reply.status));
+                let what = format!("status {} for a valid request", reply.status);
+                report_violation(Rule::JobForgotten, &what);
                 true
             }
             _ => false,
@@ -349,7 +354,7 @@
         is_conclusive
     }
 
-    /// Polls jobs that were never submitted, at each controller in turn: no controller may report one as existing.
+    /// Polls for jobs that were never submitted, at each controller in turn. A response with status 200 breaks a rule.
     pub async fn poll_nonexistent_jobs(self) {
         let interval_s = lock(&self.oracle).times.poll_interval_s;
         let mut client = Client::default();
