--- a/examples/digest.rs
+++ b/examples/digest.rs
@@ -1,6 +1,6 @@
-//! Prints a digest of the controllers' behaviour in simulated runs: a line for each seed, and the hash of all these
-//! lines. A change that must not change behaviour must leave each line unchanged. See CONTRIBUTING.md. The exit code is
-//! 1 if a rule was broken in any run, else 0.
+//! Prints a digest of the controllers' behaviour in simulated runs: one line for each seed, and the SHA-256 hash of
+//! these lines. A change to the code that is not meant to change behaviour must leave the output unchanged; see
+//! CONTRIBUTING.md. The exit code is 1 if a rule of the protocol was broken in any run, else 0.
 
 #[path = "../tests/world/mod.rs"]
 mod world;
@@ -43,7 +43,8 @@
     exit
 }
 
-/// Runs all seeds in several threads, each of which takes the next seed when it has finished one.
+/// Runs all seeds in several threads, and returns the digest of each seed. A thread that has finished a seed takes the
+/// next one.
 fn run_seeds(options: &Options) -> BTreeMap<u64, Digest> {
     let end = options.first + options.seeds;
     let next_seed = AtomicU64::new(options.first);
--- a/examples/soak.rs
+++ b/examples/soak.rs
@@ -1,5 +1,6 @@
-//! Runs the soak from the command line; see README.md. Exit codes: 0 no rule was broken, 1 a rule was broken, 2 invalid
-//! options, 3 this machine was too slow to judge.
+//! Runs the soak, the randomized fault test, from the command line; see README.md. Exit codes: 0 no rule was broken, 1
+//! a rule was broken, 2 the options are invalid or the soak could not run to its end, 3 this host was too slow to
+//! judge.
 
 #[path = "../tests/soak/mod.rs"]
 mod soak;
--- a/tests/ci.rs
+++ b/tests/ci.rs
@@ -1,7 +1,8 @@
-//! Which test runs `.ci/judge` passes, and what it prints.
+//! Tests of `.ci/judge`, which decides from the output of `cargo test` and a list of known failures whether CI passes.
 
 use std::process::Command;
 
+/// Output of a run of three test binaries with two failed tests.
 const RUN_WITH_FAILURES: &str = "\
      Running unittests src/lib.rs (target/debug/deps/cedarladder-1)
 running 0 tests
@@ -27,8 +28,8 @@
     let not_run = format!("{one_known}\nledger::gone | command | why | issue 7");
     let crashed_binary =
         format!("{RUN_WITH_FAILURES}     Running tests/world.rs (target/debug/deps/world-4)\n");
-    // Name of the case, output of the tests, their exit status, KNOWN-RED.txt if there is one, whether CI passes, and a
-    // part of what `.ci/judge` must print.
+    // Name of the case, output of the test run, its exit status, text of KNOWN-RED.txt (`None` if the file is
+    // missing), whether CI passes, and a text that `.ci/judge` must print.
     type Case<'a> = (&'a str, &'a str, i32, Option<&'a str>, bool, &'a str);
     let cases: Vec<Case> = vec![
         ("all pass, without a list", &all_pass, 0, None, true, ""),
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -1,9 +1,11 @@
-//! Simulated deployments with three controllers: crashes, outages, partitions, and lost and late messages.
+//! Simulated deployments with three controllers, in which controllers crash, the state service is out, workers are
+//! disconnected, and messages are lost or late. Jobs must still end and no rule of the protocol may be broken.
 
 mod world;
 
 use world::{NetworkFaults, World};
 
+/// In each scenario, all jobs end, no rule is broken, and idle instances are deleted.
 #[test]
 fn jobs_end_despite_faults() {
     type Scenario = fn(&mut World);
@@ -16,7 +18,7 @@
             }
         }),
         (
-            "all controllers crash at once, one restarts immediately",
+            "all controllers crash at the same time, and one restarts immediately",
             |w| {
                 w.crash(0, 30.0, 30.2);
                 w.crash(1, 30.0, 35.0);
@@ -35,14 +37,14 @@
                 w.crash(0, 38.0, 43.0);
             },
         ),
-        ("the cloud takes machines away", |w| {
+        ("the cloud reclaims instances", |w| {
             for at in [25.0, 35.0, 50.0] {
                 w.run_until(at);
                 w.reclaim_instance();
             }
         }),
         (
-            "machines are partitioned for shorter and longer than their lease",
+            "workers are disconnected for less and for more than their lease",
             |w| {
                 w.run_until(20.0);
                 w.disconnect_worker(0, 6.0);
@@ -76,13 +78,14 @@
         );
         assert!(
             world.instance_count() < 12,
-            "{name}: idle machines were not returned"
+            "{name}: idle instances were not deleted: there are {}, fewer than 12 are expected",
+            world.instance_count()
         );
     }
 }
 
-/// Users submit many times more tasks than the machines can run: heartbeats are still answered before any lease
-/// expires, no rule is broken, and cancellations are still confirmed within the test.
+/// Users submit many times more tasks than the instances can run. Still every worker gets a response to a heartbeat
+/// before its lease expires, no rule is broken, and all cancelled jobs are confirmed as cancelled or done.
 #[test]
 fn overload_expires_no_lease() {
     let mut world = World::new(3);
@@ -93,7 +96,11 @@
     }
     world.run_until(60.0);
     assert_eq!(world.violations, Vec::<String>::new());
-    assert_eq!(world.workers_with_new_incarnation(), 0);
+    assert_eq!(
+        world.workers_with_new_incarnation(),
+        0,
+        "number of workers whose lease has expired"
+    );
     assert!(
         world.starts > 100,
         "{} starts, more than 100 are expected",
@@ -103,11 +110,11 @@
         u.cancel_at.is_some()
             && (u.cancellation_confirmed_at.is_some() || u.completion_confirmed_at.is_some())
     });
-    assert_eq!(ended.count(), 10);
+    assert_eq!(ended.count(), 10, "number of cancelled jobs that ended");
 }
 
-/// A leader that is partitioned from everything except the state service must conclude that it is the partitioned one,
-/// not its workers: it resigns, and deletes no machine because of the missing heartbeats.
+/// A leader that is partitioned from everything except the state service receives no heartbeats. It must not conclude
+/// that the workers have failed: it must resign, and delete no busy instance.
 #[test]
 fn partitioned_leader_resigns_and_deletes_no_machine() {
     for seed in [0, 1, 2, 6, 18] {
@@ -115,7 +122,10 @@
         world.add_mixed_jobs();
         world.run_until(30.0 + seed as f64);
         let before = world.deleted_while_busy.clone();
-        assert!(world.isolate_leader_except_state_service(30.0));
+        assert!(
+            world.isolate_leader_except_state_service(30.0),
+            "seed {seed}: there is no leader to partition"
+        );
         world.run_until(200.0);
         assert_eq!(world.deleted_while_busy, before, "seed {seed}");
         assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
@@ -123,14 +133,17 @@
     }
 }
 
-/// Seeds that have found faults:
-/// - 22: bindings of a deleted machine came back with a record that was read again, and were never released;
-/// - 253: a new incarnation, which became known by the response to a direct call, was assumed to have the old lease;
-/// - 342: a job that was cancelled between the leader's listing of the jobs and that of its watch was never stopped;
-/// - 1408: a task was assigned again and again to the only machine on which it was not allowed to run.
+/// Seeds with which this test has found faults (a binding assigns a task to a worker; a worker begins a new incarnation
+/// when its lease expires):
+/// - 22: when a record was read again, bindings to a deleted instance were restored from it and never released;
+/// - 253: when the response to a direct call showed a new incarnation of a worker, the leader assumed that the
+///   incarnation had the lease of the previous one;
+/// - 342: a job that was cancelled after the leader had listed the jobs, and before the leader's watch had listed them,
+///   was never stopped;
+/// - 1408: a task was assigned again and again to the only worker on which it was not allowed to run.
 const REGRESSION_SEEDS: [u64; 4] = [22, 253, 342, 1408];
 
-/// Many short runs with a mixture of crashes, outages, partitions, and lost and late messages; the seeds are fixed.
+/// Runs with combinations of crashes, outages, disconnected workers, and lost and late messages, for fixed seeds.
 #[test]
 fn mixed_faults() {
     for seed in (0..16).chain(REGRESSION_SEEDS) {
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,5 +1,6 @@
-//! Scenarios from operation, alone and combined: controllers that pause or hang, users that poll many times as often as
-//! usual, machines that boot immediately or never, jobs of a guest team, and jobs whose tasks always fail.
+//! Simulated deployments with faults that occur in operation, alone and combined: controllers that pause or hang, users
+//! that poll several times as often as usual, instances that boot immediately or never, jobs of a guest team, and jobs
+//! whose tasks always fail. A guest team has no guaranteed resources.
 
 mod world;
 
@@ -7,10 +8,11 @@
 use rand::{Rng, SeedableRng};
 use world::{CANCEL_S, LEASE_S, NetworkFaults, World};
 
-/// When the faults of a scenario begin, in seconds: the machines are up by then, and the first jobs run.
+/// When the faults of a scenario begin, in seconds of the simulation. By then instances are up and the first jobs run.
 const FAULTS_BEGIN_AT: f64 = 30.0;
 
-/// Adds services, long arrays and short arrays, within the team's limit of twenty tasks.
+/// Adds three services, two long array jobs and 14 short ones, within the limit of the team, which allows
+/// twenty tasks at a time.
 fn add_jobs(world: &mut World) {
     for n in 0..3 {
         world.add_user(n, 0.5, (2, 0.0, true, false), None);
@@ -24,7 +26,7 @@
     }
 }
 
-/// Adds jobs of a guest team: a large array, and 40 small jobs, one every 0.4 s.
+/// Adds jobs of a guest team: an array job of 60 tasks, and 40 jobs of one task, one every 0.4 s.
 fn add_guest_jobs(world: &mut World, from: f64) {
     world.add_guest_job(200, from, (60, 8.0));
     for n in 0..40 {
@@ -32,14 +34,16 @@
     }
 }
 
-/// Runs until `at` seconds after the faults begin.
+/// Runs until `at` seconds after [`FAULTS_BEGIN_AT`].
 fn run_until_after_begin(world: &mut World, at: f64) {
     world.run_until(FAULTS_BEGIN_AT + at);
 }
 
+/// Name of a scenario, and the function that injects its faults.
 type Case = (&'static str, fn(&mut World));
 
-/// Runs each case with three and with five controllers, with two seeds for each.
+/// Runs each scenario with three and with five controllers, and with two seeds for each number. After the faults have
+/// ended, checks the rules of the protocol, that all jobs have ended, and that the largest jobs have begun in time.
 fn run_cases(cases: &[Case]) {
     for (name, scenario) in cases {
         for (controllers, seed) in [(3, 1), (3, 2), (5, 3), (5, 4)] {
@@ -56,13 +60,13 @@
     }
 }
 
-/// A decision that was made before a pause of the leader must do no harm if it is sent after the pause. The leader is
-/// paused between decision and sending. The pauses range from less than its lease to more than the time for a
-/// cancellation.
+/// The leader is paused after it has made decisions and before it sends them. Decisions that are sent after the pause
+/// must break no rule. The pauses range from less than the lease of the leader to more than `cancel_s`, the time within
+/// which the tasks of a cancelled job must have ended.
 #[test]
 fn pauses_between_decision_and_sending() {
     run_cases(&[
-        ("short pauses, again and again", |w| {
+        ("for 0.3 s to 1.7 s, 15 times", |w| {
             for i in 0..15 {
                 run_until_after_begin(w, 3.0 * f64::from(i));
                 assert!(w.pause_leader_before_sending(0.3 + 0.1 * f64::from(i)));
@@ -81,7 +85,7 @@
                 assert!(w.counts.pauses_before_sending >= 3);
                 assert!(
                     w.cancellations_confirmed(FAULTS_BEGIN_AT, FAULTS_BEGIN_AT + 50.0) >= 1,
-                    "a cancellation was confirmed in the meantime"
+                    "no cancellation was confirmed in the meantime"
                 );
             },
         ),
@@ -91,9 +95,12 @@
             w.cancel_jobs(3, 2, 6.0);
             run_until_after_begin(w, 30.0);
             assert_eq!(w.counts.pauses_before_sending, 1);
-            assert!(w.leader_changes() >= 2, "there is another leader");
+            assert!(
+                w.leader_changes() >= 2,
+                "no other controller became leader during the pause"
+            );
         }),
-        ("for longer than the time for a cancellation", |w| {
+        ("for longer than cancel_s", |w| {
             assert!(w.pause_leader_before_sending(CANCEL_S + 5.0));
             run_until_after_begin(w, 0.2);
             w.cancel_jobs(4, 2, 9.0);
@@ -117,20 +124,23 @@
     ]);
 }
 
-/// Connections to a controller hang for a minute and longer. The others work without it, and when it is back it learns
-/// the current state before it responds to any request.
+/// A controller is down for a minute or longer, and connections to it hang instead of failing. The other controllers
+/// work without it. After its restart it learns the current state before it responds to requests.
 #[test]
 fn hung_controllers() {
     run_cases(&[
         ("the leader hangs", |w| {
             assert!(w.hang_leader(60.0));
             run_until_after_begin(w, 6.0);
-            assert!(w.leader_changes() >= 2, "there is another leader soon");
+            assert!(
+                w.leader_changes() >= 2,
+                "no other controller became leader within 6 s"
+            );
             run_until_after_begin(w, 62.0);
             assert!(w.counts.requests_to_hung_controllers >= 5);
         }),
         (
-            "the leader hangs and its successor restarts, during cancellations",
+            "the leader hangs and the next leader restarts, during cancellations",
             |w| {
                 assert!(w.hang_leader(70.0));
                 run_until_after_begin(w, 4.0);
@@ -142,7 +152,7 @@
             },
         ),
         (
-            "the leader hangs, then machines hang and its successor pauses",
+            "the leader hangs, then workers hang and the next leader pauses",
             |w| {
                 assert!(w.hang_leader(65.0));
                 w.cancel_jobs(3, 3, 9.0);
@@ -155,7 +165,7 @@
     ]);
 }
 
-/// Users poll ten times as often as usual, alone and combined with other faults.
+/// Users poll much more often than usual, without other faults and combined with some.
 #[test]
 fn frequent_polls() {
     run_cases(&[
@@ -187,8 +197,8 @@
     ]);
 }
 
-/// Machines are up before the response to the provisioning request has arrived, or never come up, while the leader
-/// changes.
+/// Instances have booted before the response to the provisioning request arrives, or never boot. In some cases the
+/// leader restarts or pauses, or transactions are late.
 #[test]
 fn machines_boot_immediately_or_never() {
     run_cases(&[
@@ -220,8 +230,8 @@
     ]);
 }
 
-/// Tasks of a guest team use all idle machines. Jobs of other teams, urgent or not, start without waiting for them, and
-/// the guest jobs still end.
+/// Tasks of a guest team occupy the idle instances. Jobs of another team, services and array jobs, still start within 5
+/// s, and the guest jobs still end.
 #[test]
 fn guest_tasks_delay_no_other_jobs() {
     for (controllers, seed) in [(3, 1), (5, 2)] {
@@ -232,8 +242,11 @@
         world.run_until(34.0);
         let jobs: Vec<u32> = (200..241).collect();
         let running = world.running_tasks_of(&jobs);
-        assert!(running >= 10, "{name}: {running} tasks of guest jobs run");
-        // Services and arrays of the other team, submitted while guest tasks run.
+        assert!(
+            running >= 10,
+            "{name}: {running} tasks of guest jobs run, at least 10 are expected"
+        );
+        // Services and array jobs of the other team, submitted while guest tasks run.
         for n in 60..64 {
             world.add_user(n, 35.0, (4, 6.0, n % 2 == 0, false), None);
         }
@@ -246,7 +259,7 @@
             let waited_s = user.first_started_at.map(|at| at - user.submitted_at);
             assert!(
                 waited_s.is_some_and(|s| s < 5.0),
-                "{name}: {} waited {waited_s:?}",
+                "{name}: {} started after {waited_s:?} s, less than 5 s is expected",
                 user.id
             );
         }
@@ -257,7 +270,8 @@
     }
 }
 
-/// All of these faults, combined at random; the seeds are fixed.
+/// All faults of this file and some others, combined at random with fixed seeds. At the end, the counts of faults must
+/// show that the seeds have injected each kind often enough.
 #[test]
 fn mixed_operational_faults() {
     let (mut pauses, mut unanswered, mut failures, mut boots) = (0, 0, 0, 0);
@@ -318,5 +332,9 @@
         failures += world.counts.failures_per_job.values().sum::<u32>();
         boots += world.counts.instant_boots.min(world.counts.failed_boots);
     }
-    assert!(pauses >= 10 && unanswered >= 10 && failures >= 100 && boots >= 3);
+    assert!(
+        pauses >= 10 && unanswered >= 10 && failures >= 100 && boots >= 3,
+        "too few faults: {pauses} pauses (at least 10), {unanswered} requests to hung controllers (at least 10), \
+         {failures} failed attempts (at least 100), {boots} pairs of an instant and a failed boot in one run (at least 3)"
+    );
 }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,4 +1,5 @@
-//! Policy files: valid ones, and the messages for invalid ones.
+//! Tests of policy files, in which operators set the parameters of the autoscaler: the values of the built-in policy,
+//! the messages for invalid files, and expressions that fail at run time.
 
 use cedarladder::policy::{BUILT_IN_POLICY, Policy, PoolState};
 use cedarladder::settings::Settings;
@@ -7,6 +8,7 @@
     Settings::parse(include_str!("world/settings.toml")).expect("the settings are invalid")
 }
 
+/// A pool of busy instances that take 20 s to boot.
 fn pool(spot: bool, busy: u32) -> PoolState {
     PoolState {
         spot,
@@ -19,6 +21,8 @@
     }
 }
 
+/// The built-in policy is valid and gives the documented values for a heartbeat interval of 2 s and a boot time of 20
+/// s.
 #[test]
 fn built_in_policy_is_valid() {
     let policy = Policy::parse(BUILT_IN_POLICY, "built-in", &settings())
@@ -30,9 +34,10 @@
     assert_eq!((on_demand.min, on_demand.max), (0, 10_000));
 }
 
+/// Each invalid file gives one problem, with its line, the name of the parameter and a message.
 #[test]
 fn problems_are_reported_with_line_and_name() {
-    // (text of the file, line, name, part of the message)
+    // Text of the file, line of the problem, name in the problem, and a part of the message.
     let cases = [
         ("nonsense", 1, "nonsense", "unknown parameter"),
         ("# a remark\n\nspeed = 2.0", 3, "speed", "unknown parameter"),
@@ -82,7 +87,8 @@
     );
 }
 
-/// An expression may be valid for the sample pools and still fail for another pool; then the built-in one is used.
+/// An expression can be valid for the sample pools for which a file is checked, and still fail for another pool. For
+/// that pool, the expression of the built-in policy is used.
 #[test]
 fn expression_that_fails_at_run_time_is_replaced_by_the_built_in_one() {
     let text = "min_machines = 1.0\ncooldown_s = busy == 7.0 ? -1.0 : 5.0";
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -1,9 +1,10 @@
-//! The socket budget: how many sockets each kind of connection gets, and that their sum stays within the settings'
-//! limit.
+//! Tests of the socket budget: how many sockets each kind of connection gets, and that the sum stays within
+//! `max_sockets` of the settings.
 
 use cedarladder::daemon::sockets::SocketBudget;
 use cedarladder::settings::Settings;
 
+/// Settings with a socket limit and a number of peers (other controllers).
 fn settings(max_sockets: usize, peers: usize) -> Settings {
     let seeds: String = (0..peers)
         .map(|n| {
@@ -51,8 +52,8 @@
 fn requests_get_the_sockets_that_are_not_reserved() {
     let budget = SocketBudget::new(&settings(2080, 2));
     let expected = SocketBudget {
-        // Reserved: 249 for direct calls, 8 for peers, 28 for the state service, 4 for the cloud, and 62 that are not
-        // assigned to any kind of connection.
+        // Subtracted: 249 for direct calls, 8 for connections to and from peers, 28 for the state service, 4 for the
+        // cloud, and 62 that no kind of connection may use.
         requests: 2080 - 249 - 8 - 28 - 4 - 62,
         incoming_peers: 6,
         state_service: 28,
@@ -75,7 +76,7 @@
                 + budget.direct_calls;
             assert!(
                 sum <= max_sockets,
-                "{sum} sockets, limit {max_sockets}, {peers} peers: {budget:?}"
+                "the budget has {sum} sockets, the limit is {max_sockets}, with {peers} peers: {budget:?}"
             );
         }
     }
