--- a/src/daemon/clients.rs
+++ b/src/daemon/clients.rs
@@ -12,8 +12,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// Longest response body of the state service, in bytes. If the response to a watch is longer,
-/// the keys of the watch are listed again.
+/// Longest response body of the state service, in bytes. If the response to a watch is longer, the
+/// controller lists the keys of the watch again.
 const MAX_STATE_SERVICE_BODY: usize = 2 * 1024 * 1024;
 /// Longest response body of the cloud API, in bytes.
 const MAX_CLOUD_BODY: usize = 1024 * 1024;
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -19,7 +19,8 @@
     NotSent,
     /// The call was not sent: a connection was being opened for it and was not established.
     ConnectFailed,
-    /// The call may have been sent, and no valid response was received before its deadline.
+    /// The call may have been sent, and its connection was closed or its deadline passed before a valid response
+    /// arrived.
     NoResponse,
 }
 
@@ -131,8 +132,8 @@
         opened
     }
 
-    /// The part of [`Client::dispatch`] that sends calls and opens a connection. If the limit on all connections is
-    /// reached, closes the connection to any destination that has been idle longest.
+    /// The part of [`Client::dispatch`] that sends calls and opens a connection. If the limit on the total number of
+    /// connections is reached, closes the connection that has been idle longest, whatever its destination.
     fn send_queued(&mut self, address: SocketAddr, now: f64) -> Option<u64> {
         loop {
             let destination = self.destinations.get_mut(&address)?;
@@ -239,8 +240,8 @@
         }
     }
 
-    /// Handles a readiness event of a connection: reads and writes what is possible. If another
-    /// connection was opened for a queued call, returns its id; the caller must register it with the event loop.
+    /// Handles a readiness event of a connection: reads and writes what is possible. If another connection was opened
+    /// for a queued call, returns its id; the caller must register it with the event loop.
     pub fn on_ready(&mut self, id: u64, now: f64) -> Option<u64> {
         let connection = self.connections.get_mut(&id)?;
         let address = connection.address;
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -11,8 +11,8 @@
 /// When the faults of a scenario begin, in seconds of the simulation. By then instances are up and the first jobs run.
 const FAULTS_BEGIN_AT: f64 = 30.0;
 
-/// Adds three services, two long array jobs and 14 short ones, within the limit of the team, which allows
-/// twenty tasks at a time.
+/// Adds three services, two long array jobs and 14 short ones, within the limit of the team, which allows twenty tasks
+/// at a time.
 fn add_jobs(world: &mut World) {
     for n in 0..3 {
         world.add_user(n, 0.5, (2, 0.0, true, false), None);
@@ -230,8 +230,8 @@
     ]);
 }
 
-/// Tasks of a guest team occupy the idle instances. Jobs of another team, services and array jobs, still start within 5
-/// s, and the guest jobs still end.
+/// Tasks of a guest team occupy the idle instances. Jobs of another team, services and array jobs, still start in less
+/// than 5 s, and the guest jobs still end.
 #[test]
 fn guest_tasks_delay_no_other_jobs() {
     for (controllers, seed) in [(3, 1), (5, 2)] {
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -37,7 +37,7 @@
         options.binary = Some(PathBuf::from(env!("CARGO_BIN_EXE_cedarladder")));
         match soak::soak(&options).expect("the soak could not run") {
             Verdict::Passed => return,
-            Verdict::Failed => panic!("a controller broke a rule; see the violations above"),
+            Verdict::Failed => panic!("a rule was broken; see the violations above"),
             Verdict::TooSlow => println!("this host is too slow for scale {scale}"),
         }
     }
--- a/tests/soak/machines.rs
+++ b/tests/soak/machines.rs
@@ -612,8 +612,7 @@
         }
     }
 
-    /// Sends one heartbeat to a controller. Returns the time until the next heartbeat, and the controller to send that
-    /// to.
+    /// Sends one heartbeat to a controller. Returns the time until the next heartbeat, and the controller for it.
     async fn send_heartbeat(&self, client: &mut Client, node: usize) -> (f64, usize) {
         let next_node = (node + 1) % self.nodes.len();
         let (
--- a/tests/soak/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -1,5 +1,5 @@
-//! A proxy for the connections from one controller to another. While the two are partitioned, the proxy
-//! forwards no bytes.
+//! A proxy for the connections from one controller to another. While one of the two is partitioned from its peers (the
+//! other controllers), the proxy forwards no bytes.
 
 use super::clock::Clock;
 use super::oracle::{Shared, lock};
