--- a/tests/golden/program.rs
+++ b/tests/golden/program.rs
@@ -4,6 +4,7 @@
 use cedarladder::protocol::cbor;
 use cedarladder::protocol::job::{ErrorBody, JobAccepted, JobStatus, JobView};
 use cedarladder::transport::http::{self, Parsed};
+use socket2::{Domain, Protocol, Socket, Type};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::process::{Command, Output};
@@ -218,13 +219,22 @@
 #[test]
 fn a_service_that_cannot_be_reached_gives_exit_code_1() {
     let mut file = PinnedFile::open("program_unreached");
-    let listener = TcpListener::bind("127.0.0.1:0").expect("no free port can be bound");
-    let address = listener
+    // The socket is bound and never listens, so connecting to it is refused. It holds the port until the program has
+    // ended. A listener that is dropped first doesn't do: the port is free for others, and a child that another test
+    // is starting has a copy of the listener until it executes its program.
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))
+        .expect("no socket can be opened");
+    socket
+        .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .expect("no free port can be bound");
+    let address = socket
         .local_addr()
-        .expect("the listener has no address")
+        .expect("the socket has no address")
+        .as_socket()
+        .expect("the socket's address is not one of IP")
         .to_string();
-    drop(listener);
     let output = run(&["status", "--to", &address, "j-1"]);
+    drop(socket);
     pin_run(&mut file, "status", &output, &address);
     file.finish();
 }
