--- a/src/bookkeeping/jobs/job.rs
+++ b/src/bookkeeping/jobs/job.rs
@@ -41,7 +41,7 @@
     /// The workers to which each bound task is bound; after failures a task may be bound to several.
     bound_workers: BTreeMap<u32, Vec<BoundWorker>>,
     /// Workers on which a task of the job had completed while a duplicate of its start command could still arrive. The
-    /// end of the job revokes these duplicates.
+    /// end of the job revokes these duplicates by raising the fences of these workers.
     pub workers_with_duplicate_starts: BTreeSet<String>,
     /// Number of bindings in each zone.
     bound_per_zone: HashMap<String, u32>,
--- a/src/bookkeeping/reconciliation/revocation.rs
+++ b/src/bookkeeping/reconciliation/revocation.rs
@@ -49,7 +49,8 @@
     reason
 }
 
-/// Whether the worker has an exited attempt that can't be cleared before the fence is raised.
+/// Whether the worker has an exited attempt that can't be cleared, that is, removed from the worker's list of tasks,
+/// before the fence is raised.
 fn has_uncleared_exit(worker: &Worker) -> bool {
     worker.observed_tasks.iter().any(|(task, statuses)| {
         statuses.iter().any(|status| {
--- a/src/bookkeeping/workers/worker.rs
+++ b/src/bookkeeping/workers/worker.rs
@@ -38,7 +38,7 @@
     pub token: FencingToken,
     /// The worker has reported a token with this leader's epoch.
     pub token_acknowledged: bool,
-    /// Tasks in the latest heartbeat.
+    /// Tasks in the latest heartbeat, with one status for each attempt that the worker lists.
     pub observed_tasks: BTreeMap<TaskId, Vec<TaskStatus>>,
     /// The latest time at which the worker's lease may have been renewed. The lease ends at most `lease_s`, which is a
     /// setting, after this time.
--- a/src/coordination/autoscaler.rs
+++ b/src/coordination/autoscaler.rs
@@ -110,7 +110,8 @@
 
 /// Returns the number of instances needed to start all pending tasks before the oldest one misses the pickup target.
 /// Returns the pool's maximum if the oldest task has missed the pickup target already, and the pool's minimum if there
-/// are no pending tasks or the rate is not positive.
+/// are no pending tasks or the rate is not positive. Once the oldest task has waited for longer than
+/// `DRAIN_MARGIN_THRESHOLD` of the pickup target, a margin is added that grows with its waiting time.
 pub fn drain_target(load: &PoolLoad, parameters: &ScalingParameters) -> u32 {
     if load.pending == 0 {
         return parameters.min;
--- a/src/coordination/leader/consolidation.rs
+++ b/src/coordination/leader/consolidation.rs
@@ -49,6 +49,7 @@
             return;
         }
         let name = worker.name.clone();
+        // `moved` is the number of tasks that are evicted now, and that will later be bound to other workers.
         tracing::info!(worker = name, moved, "consolidation started");
         if let Some(worker) = self.workers.get_mut(&name) {
             worker.draining = true;
--- a/src/coordination/leader/decision_log.rs
+++ b/src/coordination/leader/decision_log.rs
@@ -14,7 +14,7 @@
     permits: DecisionCounters,
     revocations: RevocationCounters,
     interval_s: f64,
-    /// Monotonic time, in seconds.
+    /// Monotonic time in seconds at which the counts are next logged.
     next_log_at: f64,
 }
 
--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -206,7 +206,7 @@
         worker.unreachable_since.is_some() || worker.last_heartbeat_at.is_some_and(late)
     }
 
-    /// Marks as due the workers whose heartbeat is late or that count as unreachable.
+    /// Marks as due for a direct call the workers whose heartbeat is late or that count as unreachable.
     fn probe_late_workers(&mut self, now: f64) {
         let late: Vec<&Worker> = self
             .workers
--- a/src/coordination/leader/failure_detection.rs
+++ b/src/coordination/leader/failure_detection.rs
@@ -118,8 +118,9 @@
                 || now - self.elected_at > self.settings.deployment.workers.lease_s)
     }
 
-    /// Whether a worker has missed a heartbeat and a direct call since its last heartbeat has failed, or the worker
-    /// has been silent for so long that no call is needed.
+    /// Whether a worker is unresponsive. It is in either of two cases: its heartbeat is late, and a direct call made
+    /// after the last heartbeat has failed; or it has been silent for so long that it counts as unresponsive even
+    /// without a failed call.
     fn is_unresponsive(&self, worker: &Worker, now: f64) -> bool {
         let worker_settings = &self.settings.deployment.workers;
         self.leases.silent_since(worker).is_some_and(|since| {
--- a/src/coordination/leader/fleet/pool.rs
+++ b/src/coordination/leader/fleet/pool.rs
@@ -53,6 +53,7 @@
 
 impl std::fmt::Display for PoolKey {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+        // The log's word for on-demand instances is "ordinary".
         let purchase = if self.spot { "spot" } else { "ordinary" };
         write!(f, "{}/{}/{purchase}", self.instance_type, self.zone)
     }
@@ -65,7 +66,8 @@
     blocked_until: f64,
     /// Duration of the last block in seconds; 0 once the cloud has created all instances of a request.
     block_s: f64,
-    /// Bindings of tasks that count in the forecast.
+    /// Bindings of tasks that count in the forecast. These are all tasks but replicas, tasks that spilled over from spot
+    /// to on-demand instances, and probes of crash-looping jobs.
     pub(in crate::coordination::leader) starts: RateMeter,
     /// Completions of tasks.
     pub(in crate::coordination::leader) finishes: RateMeter,
@@ -83,7 +85,8 @@
         now < self.blocked_until
     }
 
-    /// Resets the back-off, after all instances of a request were created.
+    /// Resets the back-off, after all instances of a request were created: the next block is again a short one. A block
+    /// that has not ended yet still lasts until `blocked_until`.
     pub(super) fn unblock(&mut self) {
         self.block_s = 0.0;
     }
@@ -129,7 +132,7 @@
     }
 
     /// Records that a task was bound to a worker. `share` is the share of the instance that the task requests; `None`
-    /// if the task does not count in forecasts.
+    /// if the task does not count in the forecast (see [`Pool::starts`]).
     pub(in crate::coordination::leader) fn record_start(
         &mut self,
         worker: &Worker,
--- a/src/coordination/leader/scaling/headroom.rs
+++ b/src/coordination/leader/scaling/headroom.rs
@@ -90,7 +90,8 @@
                     missing -= fitting;
                 }
             }
-            // The rest is requested from the cheapest pool that is not blocked.
+            // The instances for the remaining replicas are counted for the cheapest pool that is not blocked; the
+            // offers are in the order of their price per CPU.
             for i in &pools {
                 let fitting = offers[*i].resources().count_fitting(request);
                 if fitting > 0 && !offers[*i].blocked {
--- a/src/coordination/leader/scaling/pool.rs
+++ b/src/coordination/leader/scaling/pool.rs
@@ -52,9 +52,9 @@
     pub(super) allocated: Resources,
     /// Resources that bound replicas request.
     pub(super) service_usage: Resources,
-    /// Instances beyond the busy ones that pending tasks were fitted onto.
+    /// Instances onto which pending tasks were fitted, not counting the busy ones.
     pub(super) machines_to_fill: u32,
-    /// Instances beyond the busy ones that are kept as headroom.
+    /// Instances that are kept as headroom, not counting the busy ones.
     pub(super) headroom_machines: u32,
 }
 
--- a/src/coordination/scheduler/capacity.rs
+++ b/src/coordination/scheduler/capacity.rs
@@ -65,7 +65,7 @@
         self.free + self.releasing
     }
 
-    /// Returns whether the worker has an image in its cache.
+    /// Returns whether the worker probably has an image in its cache.
     pub(super) fn has_image(&self, image: &str) -> bool {
         self.worker
             .cached_images
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -83,7 +83,8 @@
     pub crash_looping_jobs: Vec<String>,
     /// Recent rate at which the sender has written to the state service for its users.
     pub user_writes_per_s: f64,
-    /// Jobs that the sender has recently finished or cancelled, and the sender's acknowledgements to its peers.
+    /// Terminations of jobs that some peer has not acknowledged to the sender yet, and the sender's acknowledgements to
+    /// its peers.
     pub terminations: TerminationLog,
 }
 
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -96,7 +96,7 @@
     /// Id of the task, in wire form.
     #[serde(rename = "Step")]
     pub task: String,
-    /// Number of the task's attempt.
+    /// Attempt number: tells the attempts of the task apart.
     #[serde(rename = "Try")]
     pub attempt: u64,
     /// State of the attempt on the worker.
@@ -168,7 +168,7 @@
     /// Id of the task, in wire form.
     #[serde(rename = "Step")]
     pub task: String,
-    /// Number of the task's attempt.
+    /// Attempt number: tells the attempts of the task apart.
     #[serde(rename = "Try")]
     pub attempt: u64,
     /// For a stop command: seconds that the task is given to save a checkpoint; 0 stops it at once. `None` in other
--- a/tests/bindings.rs
+++ b/tests/bindings.rs
@@ -266,7 +266,7 @@
         assert_eq!(
             !commands(&worker, true, 10).is_empty(),
             cleared,
-            "{name}: commands before the worker shows the raised fence"
+            "{name}: whether there are commands before the worker shows the raised fence"
         );
         worker.observe_fence(worker.pending_starts.fence());
         assert_eq!(
--- a/tests/forgotten_incarnations.rs
+++ b/tests/forgotten_incarnations.rs
@@ -146,12 +146,12 @@
     assert_eq!(
         bindings_ended(&harness),
         0,
-        "bindings ended before the lease that counts from the discovery of the restart expired"
+        "bindings ended before the expiry of the lease, which counts from the discovery of the restart"
     );
     harness.run_for(0.5 * LEASE_S);
     assert!(
         bindings_ended(&harness) > 0,
-        "no binding ended after the lease that counts from the discovery of the restart expired"
+        "no binding ended after the expiry of the lease, which counts from the discovery of the restart"
     );
 }
 
--- a/tests/golden/controllers.rs
+++ b/tests/golden/controllers.rs
@@ -85,7 +85,8 @@
     file.finish();
 }
 
-/// The statuses of controllers' responses, and 599, which they never have.
+/// Statuses of controllers' responses, and three that they never have: 413, 500 and 599. The status 501, for an unknown
+/// transfer encoding, is not among them.
 const STATUSES: [u16; 14] = [
     200, 201, 400, 404, 405, 408, 413, 421, 422, 429, 431, 500, 503, 599,
 ];
--- a/tests/golden/leaders.rs
+++ b/tests/golden/leaders.rs
@@ -24,7 +24,7 @@
 /// Id of the request with the worker's heartbeat.
 const HEARTBEAT: u64 = 1;
 
-/// The responses of an empty state service that accepts all requests.
+/// Returns the response of an empty state service that accepts all requests.
 fn state_service(request: &KvRequest) -> KvResponse {
     match request {
         KvRequest::Get(_) => KvResponse::NotFound,
--- a/tests/golden/operator_files.rs
+++ b/tests/golden/operator_files.rs
@@ -6,7 +6,7 @@
 
 /// A settings file that sets all keys.
 const SETTINGS: &str = include_str!("settings.toml");
-/// A policy file that sets all keys, which the policy calls figures, and uses all variables.
+/// A policy file that sets all keys and uses all variables. In its text, keys are called figures.
 const POLICY: &str = include_str!("every.policy");
 
 fn parse(text: &str) -> Settings {
@@ -190,6 +190,7 @@
         ("lease_s = 10.5", "lease_s = 2.5"),
         ("name = \"vision\"", "name = \"\""),
         ("name = \"guest\"", "name = \"vision\""),
+        // Each of these exceeds its maximum: `cpus_max` is 40.0, and `gpus_max` is 9.0.
         ("cpus = 16.0", "cpus = 40.5"),
         ("gpus = 2.0", "gpus = 9.5"),
         ("[services]", "[services"),
--- a/tests/golden/program.rs
+++ b/tests/golden/program.rs
@@ -87,6 +87,7 @@
         vec!["submit", "bad_job.toml"],
         vec!["status", "j-1", "--to", "nowhere"],
     ] {
+        // The "words" in the case name are the command-line arguments.
         let case = format!("words: {}", args.join(" "));
         pin_run(&mut file, &case, &run(&args), "");
     }
--- a/tests/golden/services.rs
+++ b/tests/golden/services.rs
@@ -103,6 +103,7 @@
         KvResponse::CompareFailed(keys) => format!("conflict {}", show(keys)),
         KvResponse::LeaseGranted(lease_id) => format!("granted {lease_id}"),
         KvResponse::LeaseOk => "ok".to_owned(),
+        // "gone" stands for either of these responses; the data files don't tell them apart.
         KvResponse::LeaseExpired | KvResponse::Compacted => "gone".to_owned(),
         KvResponse::Events { events, revision } => {
             format!("events {}, revision {revision}", show(events))
--- a/tests/golden/users.rs
+++ b/tests/golden/users.rs
@@ -105,6 +105,7 @@
         ("the highest", Value::Float(1e9)),
         ("above the highest", Value::Float(1.1e9)),
         ("below zero", Value::Float(-0.5)),
+        // The floating-point value NaN.
         ("not a number", Value::Float(f64::NAN)),
         ("infinite", Value::Float(f64::INFINITY)),
         ("a text", text("2")),
@@ -140,6 +141,7 @@
         cases.push((name, "a number", Value::from(1)));
     }
     cases.extend([
+        // Job ids have the form `j-` and digits.
         ("NameId", "of another form", text("x-1")),
         ("NameId", "without a number", text("j-")),
         ("NameId", "of a task", text("j-1/2")),
@@ -249,7 +251,7 @@
 const JOB: &str = "j-1";
 /// Revision of the state service, and mod revision of its keys.
 const REVISION: u64 = 5;
-/// Id under which the controller gets the request whose response is pinned.
+/// Id under which the controller gets the request whose response is compared with the data file.
 const REQUEST: u64 = 1;
 /// Address of the state service.
 pub const STATE_SERVICE: &str = "10.2.0.1:2379";
--- a/tests/world/digest.rs
+++ b/tests/world/digest.rs
@@ -61,7 +61,7 @@
 /// Maximum number of instances or jobs affected by one fault.
 const MAX_TARGETS: usize = 3;
 
-/// Probability of each kind of network fault in a seed.
+/// Probability that the simulation of a seed has network faults of a given kind.
 const NETWORK_FAULT_PROBABILITY: f64 = 0.4;
 
 /// The result of a seed's simulation.
@@ -186,7 +186,7 @@
     }
 }
 
-/// Injects a fault, chosen at random.
+/// Injects a fault. Its kind, its targets and its duration are chosen at random.
 fn inject_random_fault(world: &mut World, rng: &mut SmallRng) {
     let now = world.now;
     let nth = rng.random_range(0..world.instance_count().max(1));
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -415,7 +415,8 @@
             InvalidRequest::UnknownJob,
             InvalidRequest::ExceedsTeamLimit,
         ];
-        // In large worlds, teams have no limit that a request could exceed.
+        // In large worlds, with more than 3 instances per pool, teams have no limit that a request could exceed, so the
+        // last request of the list, `ExceedsTeamLimit`, is left out.
         let requests = &all[..all.len() - usize::from(self.instances_per_pool > 3)];
         for controller in 0..self.controllers.len() {
             for request in requests {
