--- a/src/bookkeeping/workers/revocation.rs
+++ b/src/bookkeeping/workers/revocation.rs
@@ -56,8 +56,8 @@
     /// Records the fence that the worker reports in a heartbeat with this leader's epoch.
     pub fn observe_fence(&mut self, fence: u32) {
         if fence > self.pending_starts.fence() {
-            // "Epoch" is the name of the token in messages; the fence is a part of the token. `given` is the highest fence
-            // that this leader knows for the worker.
+            // "Epoch" is the name of the token in messages; the fence is a part of the token. `given` is the highest
+            // fence that this leader knows for the worker.
             tracing::error!(
                 worker = self.name,
                 fence,
--- a/src/coordination/controller/leadership.rs
+++ b/src/coordination/controller/leadership.rs
@@ -111,6 +111,7 @@
         let redirected = self.peers.any_redirected(window_s, now);
         let lease_s = self.settings.deployment.workers.lease_s;
         if redirected || (isolated && silent_s > lease_s / 2.0) {
+            // That workers cannot reach this controller is concluded from their silence.
             tracing::info!("leadership resigned: workers cannot reach this controller");
             let change = self.election.resign(&mut self.effects, now);
             self.apply_leadership_change(change, now);
--- a/src/coordination/controller/redirected_workers.rs
+++ b/src/coordination/controller/redirected_workers.rs
@@ -1,4 +1,5 @@
-//! Workers whose heartbeats this controller has redirected because it does not lead.
+//! Workers whose heartbeats this controller has redirected because it does not lead, or
+//! because a newer leader exists.
 
 use std::collections::BTreeMap;
 
--- a/src/coordination/controller/worker_heartbeats.rs
+++ b/src/coordination/controller/worker_heartbeats.rs
@@ -11,6 +11,7 @@
 /// Why the body of a worker's heartbeat is rejected.
 #[derive(Debug, thiserror::Error)]
 enum HeartbeatError {
+    /// The body is not a valid heartbeat, which the message calls a report.
     #[error("not a report: {0}")]
     Malformed(#[from] CborError),
     #[error(transparent)]
@@ -36,7 +37,8 @@
             Some(HeartbeatOutcome::Commands(commands)) => {
                 self.effects.respond(request_id, 200, &commands);
             }
-            // An error response does not renew the worker's lease. The worker will send another heartbeat.
+            // An error response does not renew the worker's lease. The worker will send another heartbeat. The message
+            // is the same whether the view of the open jobs is too old or the leader's own lease is.
             Some(HeartbeatOutcome::LeaseNotRenewed) => {
                 self.effects
                     .respond_error(request_id, 503, "the open jobs aren't known", None);
@@ -93,6 +95,7 @@
 fn is_within_lease_grace(freshness: &ViewFreshness, heartbeat: &WorkerHeartbeat) -> bool {
     let age_s = freshness.lease_age_s.max(freshness.view_age_s);
     let within = age_s <= freshness.limits.lease_grace_s;
+    // The age is that of the older of the two: the leader's lease, and its view of the open jobs.
     let details = format_args!(
         "worker {}: leader's lease or view is {age_s} s old, expected at most {} s",
         heartbeat.worker, freshness.limits.lease_grace_s
--- a/src/coordination/election/state.rs
+++ b/src/coordination/election/state.rs
@@ -33,7 +33,7 @@
     /// Has sent the transaction that puts the `leader` key.
     Campaigning(Campaign),
     /// Leads. This state ends at the latest at the first poll after the end of the lease grace period, which is
-    /// counted from the sending of the last successful renewal.
+    /// counted from the sending of the last successful renewal, or from the request of the lease before the first one.
     Leader(Leadership),
 }
 
--- a/src/coordination/job_api/mod.rs
+++ b/src/coordination/job_api/mod.rs
@@ -110,7 +110,7 @@
         self.lookups.on_open_jobs_listed(is_listed);
     }
 
-    /// Records the terminal state of a job.
+    /// Records the terminal state of a job, and removes the job from the open jobs.
     pub fn on_job_finished(&mut self, id: &str, record: FinishedRecord) {
         self.close(id, None);
         self.terminal_states.insert(id, record);
@@ -505,8 +505,8 @@
     }
 }
 
-/// Burst of a rate limit. The state service accepts bursts of up to one second's worth of its rate, so this is also
-/// the burst here, but at least [`MIN_BURST`].
+/// Burst of a rate limit with the given rate. The state service accepts bursts of up to one second's worth of its rate,
+/// so the burst here is one second's worth of the given rate, but at least [`MIN_BURST`].
 fn burst_size(per_s: f64) -> f64 {
     per_s.max(MIN_BURST)
 }
--- a/src/coordination/leader/jobs.rs
+++ b/src/coordination/leader/jobs.rs
@@ -50,7 +50,8 @@
             recovery.on_job_closed(id);
         }
         if let Some(job) = self.jobs.remove(id) {
-            // `copies_on` is the number of workers at which duplicate start commands of completed tasks may still arrive.
+            // `copies_on` is the number of workers at which duplicate start commands of completed tasks may still
+            // arrive.
             tracing::debug!(
                 job = id,
                 mod_revision = job.mod_revision,
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -15,7 +15,7 @@
 pub struct LatestLeader<'a> {
     /// The highest epoch; never 0, which stands for no leader.
     pub epoch: u64,
-    /// Label of the leader that the peer with this epoch knows, if any.
+    /// Label of the leader that the peer whose heartbeat has this epoch knows, if any.
     pub label: Option<&'a str>,
 }
 
--- a/src/coordination/terminations.rs
+++ b/src/coordination/terminations.rs
@@ -16,12 +16,13 @@
     termination: Termination,
 }
 
-/// Which terminations have been received from a peer.
+/// How far the terminations of a peer have been received, for the acknowledgement to it.
 #[derive(Debug)]
 struct ReceivedTerminations {
     /// The process of the peer that has sent them.
     process_incarnation: u64,
-    /// All terminations with a sequence number below this one have been received.
+    /// All terminations with a sequence number below this one have been received, or were dropped by the peer without
+    /// having been received.
     up_to: u64,
 }
 
--- a/src/coordination/watch.rs
+++ b/src/coordination/watch.rs
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Whether the keys have been listed once, to the end or up to the maximum number of keys. The known content may
-    /// be out of date.
+    /// Whether the keys have been listed once: to the end, to an empty page, or up to the maximum number of keys. The
+    /// known content may be out of date.
     pub fn is_complete(&self) -> bool {
         self.complete
     }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -208,7 +208,8 @@
     }
 
     /// Evaluates the parameters for a pool. If an expression fails for this pool, the expression of the built-in policy
-    /// is used, and if that fails too, the least allowed value. The first failure of the process is logged.
+    /// is used, and if that fails too, the least allowed value. Only the first failure of an expression of this policy
+    /// is logged.
     pub fn parameters(&self, pool: &PoolState) -> ScalingParameters {
         let value = |i: usize| -> f64 {
             let (name, min_value, max_value) = PARAMETERS[i];
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -121,9 +121,9 @@
 /// A service objective for a class of jobs.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// Kind of objective.
+    /// Kind of objective: `finished` for the completion of a job, `wait` for the start of its tasks.
     pub kind: String,
-    /// Class of jobs.
+    /// Class of the jobs that the objective is for; empty for the jobs whose class is empty.
     #[serde(default)]
     pub class: String,
     /// Time within which the objective is to be met, in seconds.
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -67,7 +67,7 @@
     idle_connections: BTreeMap<u64, u64>,
     /// Completed calls that [`Client::take_completed`] has not returned yet.
     completed: Vec<(CallId, Outcome)>,
-    /// Next id of a connection, and next key in `idle_connections`.
+    /// Counter for the ids of connections and the keys in `idle_connections`.
     next_id: u64,
     max_per_destination: usize,
     max_connections: usize,
--- a/tests/fault_recovery.rs
+++ b/tests/fault_recovery.rs
@@ -467,8 +467,8 @@
     }
 }
 
-/// Sequences of ten kinds of faults that depend on the seed, with fixed seeds; the restart of the leader occurs with two
-/// durations. In addition there are network faults, and in some seeds an outage of the state service.
+/// Sequences of ten kinds of faults that depend on the seed, with fixed seeds; the restart of the leader occurs with
+/// two durations. In addition there are network faults, and in some seeds an outage of the state service.
 #[test]
 fn random_faults() {
     for seed in 0..20u64 {
--- a/tests/golden/pinned.rs
+++ b/tests/golden/pinned.rs
@@ -1,5 +1,5 @@
-//! Data files with pinned cases, and the text form of decoded values. A pinned case is a named output that is stored in a
-//! data file; the program must still produce the same bytes.
+//! Data files with pinned cases, and the text form of decoded values. A pinned case is a named output that is stored in
+//! a data file; the program must still produce the same bytes.
 
 use cedarladder::protocol::cbor;
 use ciborium::Value;
--- a/tests/instance_catalog.rs
+++ b/tests/instance_catalog.rs
@@ -12,8 +12,8 @@
 use common::instance_type;
 use harness::{Harness, HeldResponses};
 
-/// Time within which a new leader reads the stored instance types and puts those that the cloud offers, and within which
-/// a leader repeats a put whose outcome is unknown.
+/// Time within which a new leader reads the stored instance types and puts those that the cloud offers, and within
+/// which a leader repeats a put whose outcome is unknown.
 const STORED_AFTER_S: f64 = 45.0;
 
 fn stored(harness: &Harness) -> Option<ciborium::Value> {
--- a/tests/late_leader_records.rs
+++ b/tests/late_leader_records.rs
@@ -114,9 +114,9 @@
             "{response:?}: change of leadership"
         );
         assert_eq!(election.epoch(), Some(44), "{response:?}: epoch");
-        // Lease 10 was requested at 3.1 s. The leader's lease is a fifth of a worker's lease of 10 s, so it is certainly
-        // held for just under two seconds from then (the clocks may drift). If the late renewal counted for lease 10, it
-        // would be held only until just before 5.0 s, since that renewal was sent at 3.0 s.
+        // Lease 10 was requested at 3.1 s. The leader's lease is a fifth of a worker's lease of 10 s, so it is
+        // certainly held for just under two seconds from then (the clocks may drift). If the late renewal counted for
+        // lease 10, it would be held only until just before 5.0 s, since that renewal was sent at 3.0 s.
         assert!(
             election.holds_lease(5.05),
             "{response:?}: lease 10 is not held at 5.05 s"
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -85,7 +85,7 @@
                 assert!(w.counts.pauses_before_sending >= 3);
                 assert!(
                     w.cancellations_confirmed(FAULTS_BEGIN_AT, FAULTS_BEGIN_AT + 50.0) >= 1,
-                    "no cancellation was confirmed in the meantime"
+                    "no cancellation was confirmed within 50 s of the beginning of the faults"
                 );
             },
         ),
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -73,7 +73,8 @@
                             assert_eq!(
                                 retry_after_s.is_some(),
                                 rejected,
-                                "{name}: Retry-After is {retry_after_s:?} with status {status}"
+                                "{name}: Retry-After is {retry_after_s:?} with status {status}; expected only with \
+                                 429 and 503"
                             );
                             accepted += u32::from(status == 201);
                         }
@@ -201,7 +202,7 @@
             }
             while in_flight.front().is_some_and(|(at, ..)| *at <= now) {
                 let (_, correlation_id, request) =
-                    in_flight.pop_front().expect("the request is not pending");
+                    in_flight.pop_front().expect("no request is in flight");
                 let context = effects
                     .take_kv_request(correlation_id)
                     .expect("the request is not pending")
@@ -278,7 +279,8 @@
         assert_eq!(
             lookups == 0,
             announced_by_peer,
-            "{lookups} lookups, expected some only if not announced_by_peer ({announced_by_peer})"
+            "{lookups} lookups with announced_by_peer {announced_by_peer}; expected none if it is true, and at \
+             least one otherwise"
         );
     }
 }
@@ -305,7 +307,10 @@
         effects.queue.clear();
         job_api.on_status_request(1, id, &mut effects, 0.0);
         let has_response = matches!(&effects.queue[..], [Effect::Respond { status: 200, .. }]);
-        assert_eq!(has_response, from_memory, "{id}: served from memory");
+        assert_eq!(
+            has_response, from_memory,
+            "{id}: whether the state was served from memory"
+        );
     }
 }
 
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -11,9 +11,9 @@
     planned: PlannedFault,
     /// When the fault ends, in seconds of the run.
     until: f64,
-    /// The controller that the fault affects; ignored for other kinds of faults.
+    /// The controller that the fault affects; ignored for kinds of faults that affect no controller.
     node: usize,
-    /// The machines that the fault affects; empty for other kinds of faults.
+    /// The machines that the fault affects; empty for kinds of faults that affect no machines.
     machines: BTreeSet<String>,
 }
 
--- a/tests/soak/options.rs
+++ b/tests/soak/options.rs
@@ -22,7 +22,7 @@
     /// Number of controllers.
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=9))]
     pub nodes: u64,
-    /// Number of machines that the cloud has.
+    /// Number of machines that the cloud can provide.
     #[arg(long, default_value_t = 24, value_parser = clap::value_parser!(u64).range(4..=1000))]
     pub machines: u64,
     /// Time of the run after which no more faults begin, in seconds.
--- a/tests/soak/oracle.rs
+++ b/tests/soak/oracle.rs
@@ -161,7 +161,7 @@
     /// Longest recent scheduling delay of this process, in seconds; earlier delays decay. Stand-ins may have observed
     /// an event later than it happened by up to this time, so the checks add it to their limits.
     pub scheduling_delay_s: f64,
-    /// When the recovery phase began, at which all faults ended; `None` before.
+    /// When the recovery phase began and all faults ended; `None` before.
     pub faults_ended_at: Option<f64>,
 }
 
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -90,7 +90,8 @@
     next_job: f64,
     /// Number of the job that was submitted last.
     job_number: u64,
-    /// Number of machines that the cloud has.
+    /// Number of machines that the cloud can provide; if it is not a multiple of the number of pools, the
+    /// cloud can provide a few more.
     machines: usize,
 }
 
--- a/tests/soak/users.rs
+++ b/tests/soak/users.rs
@@ -224,13 +224,15 @@
         }
     }
 
-    /// Sends a request to a random controller. Returns whether there was a conclusive response.
+    /// Sends a request to a random controller. Returns whether there was a conclusive response (see
+    /// [`Users::handle_reply`]).
     async fn request(&self, client: &mut Client, spec: &Spec, request: RequestKind) -> bool {
         let first = lock(&self.oracle).rng.random_range(0..self.nodes.len());
         self.request_at(client, first, spec, request).await
     }
 
-    /// Sends a request to a controller and checks the response. Returns whether there was a conclusive response.
+    /// Sends a request to a controller and checks the response. Returns whether there was a conclusive response, which
+    /// reports the job or breaks a rule by rejecting the request.
     async fn request_at(
         &self,
         client: &mut Client,
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -98,7 +98,7 @@
     assert_eq!(
         job_numbers(&updates),
         [2, 2],
-        "expected the events of revisions 10 to 12 and no others"
+        "job numbers of the events; expected those of revisions 10 to 12 and no others"
     );
     // A response with a lower revision than the known one is ignored as a whole.
     let response = KvResponse::Events {
--- a/tests/write_ahead_log.rs
+++ b/tests/write_ahead_log.rs
@@ -328,8 +328,8 @@
     );
 
     // A simplified copy of a new leader's replay: in the order of the sequence numbers, it applies bindings, ended
-    // bindings and completed tasks. It ignores removed workers, and for `terminating` it takes the last value, whereas a
-    // leader keeps it set once it was set.
+    // bindings and completed tasks. It ignores removed workers, and for `terminating` it takes the last value, whereas
+    // a leader keeps it set once it was set.
     let mut segments: Vec<&Segment> = written.values().collect();
     segments.sort_by_key(|segment| segment.seq);
     let mut bound = std::collections::BTreeSet::new();
