--- a/src/bookkeeping/wal/log_entry.rs
+++ b/src/bookkeeping/wal/log_entry.rs
@@ -38,7 +38,7 @@
     },
     /// A worker no longer exists; all its bindings end.
     RemoveWorker {
-        /// Name of the worker.
+        /// Name of the worker that no longer exists.
         worker: String,
     },
     /// A key outside of the log is written or deleted.
--- a/src/coordination/leader/fleet/pool.rs
+++ b/src/coordination/leader/fleet/pool.rs
@@ -67,7 +67,7 @@
     /// Duration of the last block in seconds; 0 once the cloud has created all instances of a request.
     block_s: f64,
     /// Bindings of tasks that count in the forecast. These are all tasks but replicas, tasks that spilled over from
-    /// spot to on-demand instances, and probes of crash-looping jobs.
+    /// spot to on-demand instances, probes of crash-looping jobs, and tasks on instances of an unknown type.
     pub(in crate::coordination::leader) starts: RateMeter,
     /// Completions of tasks.
     pub(in crate::coordination::leader) finishes: RateMeter,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -121,7 +121,8 @@
 /// A service objective for a class of jobs.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// Kind of objective: `finished` for the completion of a job, `wait` for the start of its tasks.
+    /// Kind of objective: `finished` for the completion of a job, `wait` for the start of its tasks. Other kinds are
+    /// accepted and have no effect.
     pub kind: String,
     /// Class of the jobs that the objective is for; empty for the jobs whose class is empty.
     #[serde(default)]
