--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,5 @@
-//! The command line: running a controller, checking its files, and requests to a running service.
+//! The command line: runs a controller, checks its settings and policy files, and sends requests to running
+//! controllers.
 
 use crate::daemon;
 use crate::policy::{Policy, Problem};
@@ -18,7 +19,7 @@
 #[derive(Debug, Parser)]
 #[command(version, args_conflicts_with_subcommands = true)]
 #[command(
-    after_help = "Exit codes: 0 done, 1 refused or failed, 2 wrong words, files or settings."
+    after_help = "Exit codes: 0 success, 1 request rejected or failed, 2 invalid arguments, files or settings."
 )]
 struct Cli {
     #[command(subcommand)]
@@ -29,97 +30,103 @@
 
 #[derive(Debug, Args)]
 struct RunArgs {
-    /// The platform's settings file.
+    /// Settings file (TOML).
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
-    /// The operators' figures; without it the built-in ones.
+    /// Policy file with the parameters of the autoscaler; without it the built-in policy applies.
     #[arg(long, value_name = "FILE")]
     policy: Option<PathBuf>,
 }
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Run a node until it is killed (also without this word).
+    /// Run a controller until it is killed (the default without a command).
     Run(RunArgs),
-    /// Check a settings file and a policy, and report every problem.
+    /// Check a settings file and a policy file, and report the problems.
     Check(RunArgs),
-    /// Submit a job that a TOML file describes, in the protocol's field names.
+    /// Submit a job that a TOML file describes with the protocol's field names.
     Submit {
         #[command(flatten)]
-        at: At,
-        /// The job.
+        server: Server,
+        /// TOML file that describes the job.
         #[arg(value_name = "FILE")]
         job: PathBuf,
     },
-    /// Show a job's state.
+    /// Show the state of a job.
     Status {
         #[command(flatten)]
-        at: At,
-        /// The job's id, such as j-000412.
+        server: Server,
+        /// Id of the job, such as j-000412.
         id: String,
     },
     /// Cancel a job.
     Cancel {
         #[command(flatten)]
-        at: At,
-        /// The job's id, such as j-000412.
+        server: Server,
+        /// Id of the job, such as j-000412.
         id: String,
     },
 }
 
 #[derive(Debug, Args)]
-struct At {
-    /// Address of a node or of the load balancer.
-    #[arg(long, value_name = "HOST:PORT", default_value = "127.0.0.1:8080")]
-    to: String,
+struct Server {
+    /// Address of a controller or of the load balancer.
+    #[arg(
+        long = "to",
+        value_name = "HOST:PORT",
+        default_value = "127.0.0.1:8080"
+    )]
+    address: String,
 }
 
-/// Exit code for wrong arguments, files or settings.
-const USAGE: u8 = 2;
-/// Longest wait for a connection or response, as users wait.
+/// Exit code for invalid arguments, files or settings.
+const EXIT_USAGE: u8 = 2;
+/// Time limit for the connection attempt and for each read of the response; users of the protocol wait as long.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Runs the program.
+/// Runs the command line and returns the exit code of the process.
 pub fn main() -> ExitCode {
     let cli = Cli::parse();
     match cli.command {
         None => run(&cli.run),
         Some(Command::Run(args)) => run(&args),
         Some(Command::Check(args)) => check(&args),
-        Some(Command::Submit { at, job }) => submit(&at, &job),
-        Some(Command::Status { at, id }) => request(&at, "GET", &format!("/work/{id}"), &[]),
-        Some(Command::Cancel { at, id }) => {
-            request(&at, "POST", &format!("/work/{id}/cancel"), &[])
+        Some(Command::Submit { server, job }) => submit(&server, &job),
+        Some(Command::Status { server, id }) => {
+            request(&server, "GET", &format!("/work/{id}"), &[])
+        }
+        Some(Command::Cancel { server, id }) => {
+            request(&server, "POST", &format!("/work/{id}/cancel"), &[])
         }
     }
 }
 
-fn complain(what: impl std::fmt::Display) {
-    eprintln!("cedarladder: {what}");
+fn print_error(message: impl std::fmt::Display) {
+    eprintln!("cedarladder: {message}");
 }
 
-/// Why the two files cannot be used.
+/// Why the settings or the policy file cannot be used.
 #[derive(Debug, thiserror::Error)]
 enum LoadError {
-    #[error("--config FILE is missing; see --help")]
+    #[error("the option --config FILE is required; see --help")]
     NoConfig,
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    #[error("{} problems in the policy", .0.len())]
+    #[error("the policy has {} problems", .0.len())]
     Policy(Vec<Problem>),
 }
 
 impl LoadError {
-    /// Reports every problem on a line of its own.
+    /// Prints each problem on a line of its own.
     fn report(&self) {
         match self {
-            LoadError::Policy(problems) => problems.iter().for_each(complain),
-            other => complain(other),
+            LoadError::Policy(problems) => problems.iter().for_each(print_error),
+            other => print_error(other),
         }
     }
 }
 
-/// Reads and checks both files.
+/// Reads and checks the settings file and the policy file.
 fn load(args: &RunArgs) -> Result<(Settings, Policy), LoadError> {
     let config = args.config.as_ref().ok_or(LoadError::NoConfig)?;
     let settings = Settings::load(config)?;
@@ -131,18 +138,18 @@
 }
 
 fn run(args: &RunArgs) -> ExitCode {
-    start_log();
+    init_logging();
     let (settings, policy) = match load(args) {
         Ok(loaded) => loaded,
         Err(error) => {
             error.report();
-            return ExitCode::from(USAGE);
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     match daemon::run(settings, policy) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            complain(error);
+            print_error(error);
             ExitCode::FAILURE
         }
     }
@@ -156,35 +163,35 @@
         }
         Err(error) => {
             error.report();
-            ExitCode::from(USAGE)
+            ExitCode::from(EXIT_USAGE)
         }
     }
 }
 
-fn submit(at: &At, job: &PathBuf) -> ExitCode {
+fn submit(server: &Server, job: &PathBuf) -> ExitCode {
     let text = match std::fs::read_to_string(job) {
         Ok(text) => text,
         Err(error) => {
-            complain(format_args!("{}: {error}", job.display()));
-            return ExitCode::from(USAGE);
+            print_error(format_args!("{}: {error}", job.display()));
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     let table: toml::Table = match toml::from_str(&text) {
         Ok(table) => table,
         Err(error) => {
-            complain(format_args!("{}: {error}", job.display()));
-            return ExitCode::from(USAGE);
+            print_error(format_args!("{}: {error}", job.display()));
+            return ExitCode::from(EXIT_USAGE);
         }
     };
-    request(at, "POST", "/work", &cbor::encode(&table))
+    request(server, "POST", "/work", &cbor::encode(&table))
 }
 
-/// Makes one request and prints the response.
-fn request(at: &At, method: &str, path: &str, body: &[u8]) -> ExitCode {
-    let response = match call(&at.to, method, path, body) {
+/// Sends a request, prints the fields of the response and returns the exit code.
+fn request(server: &Server, method: &str, path: &str, body: &[u8]) -> ExitCode {
+    let response = match send_request(&server.address, method, path, body) {
         Ok(response) => response,
         Err(error) => {
-            complain(format_args!("{}: {error}", at.to));
+            print_error(format_args!("{}: {error}", server.address));
             return ExitCode::FAILURE;
         }
     };
@@ -192,25 +199,25 @@
         Ok(Value::Map(fields)) => fields,
         _ => Vec::new(),
     };
-    let shown: Vec<String> = fields
+    let pairs: Vec<String> = fields
         .iter()
-        .map(|(name, value)| format!("{} {}", show(name), show(value)))
+        .map(|(name, value)| format!("{} {}", format_value(name), format_value(value)))
         .collect();
     if response.status < 300 {
-        println!("{}", shown.join(", "));
+        println!("{}", pairs.join(", "));
         ExitCode::SUCCESS
     } else {
-        complain(format_args!(
-            "{} answers {}: {}",
-            at.to,
+        print_error(format_args!(
+            "{} responded with status {}: {}",
+            server.address,
             response.status,
-            shown.join(", ")
+            pairs.join(", ")
         ));
         ExitCode::FAILURE
     }
 }
 
-fn show(value: &Value) -> String {
+fn format_value(value: &Value) -> String {
     match value {
         Value::Text(text) => text.clone(),
         Value::Integer(number) => i128::from(*number).to_string(),
@@ -218,14 +225,14 @@
     }
 }
 
-fn call(to: &str, method: &str, path: &str, body: &[u8]) -> std::io::Result<Response> {
-    let address: SocketAddr = to
+fn send_request(server: &str, method: &str, path: &str, body: &[u8]) -> std::io::Result<Response> {
+    let address: SocketAddr = server
         .to_socket_addrs()?
         .next()
-        .ok_or_else(|| std::io::Error::other("no such address"))?;
+        .ok_or_else(|| std::io::Error::other("the host has no address"))?;
     let mut stream = TcpStream::connect_timeout(&address, REQUEST_TIMEOUT)?;
     stream.set_read_timeout(Some(REQUEST_TIMEOUT))?;
-    stream.write_all(&http::write_request(method, to, path, body))?;
+    stream.write_all(&http::write_request(method, server, path, body))?;
     let mut bytes = Vec::new();
     let mut chunk = [0; 4096];
     loop {
@@ -234,12 +241,12 @@
         match http::parse_response(&bytes, http::MAX_REQUEST_BODY, count == 0) {
             Ok(Parsed::Complete(response, _)) => return Ok(response),
             Ok(Parsed::Partial { .. }) if count > 0 => {}
-            _ => return Err(std::io::Error::other("not an HTTP answer")),
+            _ => return Err(std::io::Error::other("the response is not valid HTTP")),
         }
     }
 }
 
-fn start_log() {
+fn init_logging() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("debug") => LevelFilter::DEBUG,
         Ok("error") => LevelFilter::ERROR,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,37 +1,37 @@
-//! The platform's settings file: reading and checking.
+//! Reads and checks the settings file.
 //!
-//! It is read once, at the start of a controller. Names that differ from the file's are mapped by `serde(rename)`;
-//! `docs/architecture.md` says where each value ends up.
+//! A controller reads the file once, when it starts. A field whose key in the file has another name has a
+//! `serde(rename)`. `docs/architecture.md` says where each value is used.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// A settings file that the service refuses, with the field and the reason.
+/// Why a settings file is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file cannot be read.
     #[error("{path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// Error of the read.
         source: std::io::Error,
     },
-    /// Not TOML, or a field is missing or of the wrong kind.
+    /// The file is not TOML, or a field is missing or of the wrong type.
     #[error("{0}")]
     Malformed(String),
-    /// A field has a value that cannot be.
+    /// A field has a value that is not allowed.
     #[error("{field}: {reason}")]
     Invalid {
-        /// The field.
+        /// Path of the field in the file.
         field: String,
-        /// Why.
+        /// Which rule the value breaks.
         reason: String,
     },
 }
 
-/// The whole file.
+/// The settings file.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
     /// This controller's name.
@@ -39,32 +39,32 @@
     /// This controller's zone.
     #[serde(rename = "site")]
     pub zone: String,
-    /// Address for users, workers and health checks.
+    /// Address on which requests of users and workers and health checks are accepted.
     pub bind: SocketAddr,
-    /// Address for the other controllers.
+    /// Address on which connections from the other controllers are accepted.
     pub peer_bind: SocketAddr,
-    /// The other controllers.
+    /// Names and addresses of the other controllers.
     #[serde(rename = "seeds", default)]
     pub peers: Vec<PeerAddress>,
-    /// The outside services.
+    /// Addresses of the cloud API and the state service.
     pub services: Services,
-    /// The deployment.
+    /// Settings that all controllers of the deployment have in common.
     pub deployment: Deployment,
 }
 
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct PeerAddress {
-    /// Its name.
+    /// Its name, which is its `label` in its own settings.
     pub label: String,
     /// Its zone.
     #[serde(rename = "site", default)]
     pub zone: String,
-    /// Its address for controllers.
+    /// Address on which it accepts connections from controllers.
     pub address: SocketAddr,
 }
 
-/// Addresses of the outside services.
+/// Addresses of the services that a controller calls.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Services {
     /// Cloud API.
@@ -73,33 +73,33 @@
     pub state: SocketAddr,
 }
 
-/// What is deployed.
+/// Settings that all controllers of the deployment have in common.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Deployment {
     /// Number of controllers.
     pub initial_size: u32,
-    /// Zones with machines.
+    /// Zones in which machines can be rented.
     pub zones: Vec<String>,
-    /// Bound of the error of the time of day, in milliseconds.
+    /// Largest error of a controller's wall clock, in milliseconds.
     #[serde(default)]
     pub skew_ms: f64,
-    /// Teams.
+    /// Teams that may submit jobs.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// Service objectives, by class of jobs.
+    /// Service objectives for classes of jobs.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Worker protocol.
+    /// Times of the worker protocol.
     pub workers: WorkerSettings,
-    /// State service.
+    /// Limits of the state service.
     pub state: StateServiceLimits,
-    /// Cloud.
+    /// Limits of the cloud API.
     pub cloud: CloudLimits,
-    /// What a controller may use.
-    pub quota: Limits,
+    /// Resources that a controller may use.
+    pub quota: ControllerLimits,
 }
 
-/// A team's guarantee and limit; 0 means none.
+/// The resources that are guaranteed to a team and the limits on its use; 0 means no guarantee or no limit.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
     /// Name.
@@ -126,10 +126,10 @@
     /// Class of jobs.
     #[serde(default)]
     pub class: String,
-    /// Seconds within which it is to happen.
+    /// Time within which the objective is to be met, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// Share that is to meet it.
+    /// Share of the cases in which it is to be met within that time.
     #[serde(default)]
     pub share: Option<f64>,
 }
@@ -137,67 +137,67 @@
 /// Times of the worker protocol, in seconds.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerSettings {
-    /// Interval of workers' heartbeats.
+    /// Interval between a worker's heartbeats.
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
-    /// Lease of a worker: without a response to a heartbeat for so long, it ends its tasks.
+    /// Duration of a worker's lease: a worker that has had no response to a heartbeat for this long ends its tasks.
     pub lease_s: f64,
-    /// Time for the tasks of a cancelled job to be gone.
+    /// Time within which the tasks of a cancelled job must have ended.
     pub cancel_s: f64,
 }
 
 /// Limits of the state service.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateServiceLimits {
-    /// Requests per second, of all controllers together.
+    /// Requests per second of all controllers together.
     pub rps: f64,
-    /// Writes per second, of all controllers together.
+    /// Writes per second of all controllers together.
     pub write_rps: f64,
-    /// Largest value in KiB.
+    /// Largest size of a value, in KiB.
     pub value_kb: f64,
-    /// Writes in a transaction.
+    /// Most writes in a transaction.
     pub txn_ops: usize,
 }
 
-/// Limits of the cloud.
+/// Limits of the cloud API.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
-    /// Requests per second, of all controllers together.
+    /// Requests per second of all controllers together.
     pub rps: f64,
-    /// Usual lag of the instance list, in seconds.
+    /// Usual time until a change shows in the list of instances, in seconds.
     pub list_lag_s: f64,
 }
 
-/// What a controller may use.
+/// Resources that a controller may use.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Limits {
-    /// Share of a core.
+pub struct ControllerLimits {
+    /// Share of a CPU core.
     pub core_share: f64,
     /// Memory in MB.
     pub mem_mb: f64,
-    /// Sockets.
+    /// Number of open sockets.
     pub max_sockets: usize,
 }
 
-/// The fewest writes that a transaction must be allowed.
+/// Least value allowed for `txn_ops`.
 const MIN_TXN_OPS: usize = 4;
-/// The fewest sockets that a controller can work with.
+/// Least value allowed for `max_sockets`: a controller cannot work with fewer.
 const MIN_SOCKETS: usize = 32;
-/// Share of the sockets for direct calls to workers.
-const DIRECT_SHARE: f64 = 0.12;
+/// Share of the sockets that is used for direct calls to workers.
+const DIRECT_CALL_SHARE: f64 = 0.12;
 
-impl Limits {
-    /// Sockets for direct calls to workers.
+impl ControllerLimits {
+    /// Number of sockets for direct calls to workers.
     pub fn direct_sockets(&self) -> usize {
-        (self.max_sockets as f64 * DIRECT_SHARE) as usize
+        (self.max_sockets as f64 * DIRECT_CALL_SHARE) as usize
     }
 }
 
-/// Steady clocks of different machines run apart by at most this share.
+/// Largest difference between the rates of the steady clocks of two machines, as a share.
 pub const MAX_CLOCK_DRIFT: f64 = 0.0005;
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and checks a settings file.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Unreadable {
             path: path.display().to_string(),
@@ -206,7 +206,7 @@
         Settings::parse(&text)
     }
 
-    /// Reads and checks a text.
+    /// Parses and checks the text of a settings file.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         let settings: Settings =
             toml::from_str(text).map_err(|error| SettingsError::Malformed(error.to_string()))?;
@@ -216,9 +216,9 @@
 
     /// Checks the values, section by section, and reports the first problem.
     fn check(&self) -> Result<(), SettingsError> {
-        self.deployment.check_amounts()?;
+        self.deployment.check_numbers()?;
         self.check_controller()?;
-        self.deployment.check_sizes()?;
+        self.deployment.check_minimums()?;
         self.deployment.workers.check()?;
         self.check_peers()?;
         self.deployment.check_teams()
@@ -239,19 +239,19 @@
             require(
                 !peer.label.is_empty() && peer.label != self.label,
                 &field,
-                "must be another node's name",
+                "must be the name of another controller",
             )?;
             let named_before = self.peers[..i]
                 .iter()
                 .any(|other| other.label == peer.label);
-            require(!named_before, &field, "is named twice")?;
+            require(!named_before, &field, "must be unique")?;
         }
         Ok(())
     }
 }
 
 impl Deployment {
-    fn check_amounts(&self) -> Result<(), SettingsError> {
+    fn check_numbers(&self) -> Result<(), SettingsError> {
         for (field, value) in [
             (
                 "deployment.workers.report_s",
@@ -272,12 +272,12 @@
             ("deployment.cloud.list_lag_s", self.cloud.list_lag_s),
             ("deployment.skew_ms", self.skew_ms),
         ] {
-            require_not_negative(value, field)?;
+            require_non_negative(value, field)?;
         }
         Ok(())
     }
 
-    fn check_sizes(&self) -> Result<(), SettingsError> {
+    fn check_minimums(&self) -> Result<(), SettingsError> {
         require(
             self.initial_size > 0,
             "deployment.initial_size",
@@ -286,7 +286,7 @@
         require(
             !self.zones.is_empty(),
             "deployment.zones",
-            "must name a zone",
+            "must contain at least one zone",
         )?;
         require(
             self.state.txn_ops >= MIN_TXN_OPS,
@@ -306,7 +306,7 @@
             require(
                 !team.name.is_empty() && !named_before,
                 &format!("deployment.teams[{i}].name"),
-                "must be a name of its own",
+                "must be unique and not empty",
             )?;
             team.check(i)?;
         }
@@ -333,7 +333,7 @@
             ("gpus", self.gpus),
             ("gpus_max", self.gpus_max),
         ] {
-            require_not_negative(value, &field(name))?;
+            require_non_negative(value, &field(name))?;
         }
         require(
             self.cpus_max <= 0.0 || self.cpus <= self.cpus_max,
@@ -348,8 +348,8 @@
     }
 }
 
-fn require(holds: bool, field: &str, reason: &str) -> Result<(), SettingsError> {
-    if holds {
+fn require(is_met: bool, field: &str, reason: &str) -> Result<(), SettingsError> {
+    if is_met {
         return Ok(());
     }
     Err(SettingsError::Invalid {
@@ -366,7 +366,7 @@
     )
 }
 
-fn require_not_negative(value: f64, field: &str) -> Result<(), SettingsError> {
+fn require_non_negative(value: f64, field: &str) -> Result<(), SettingsError> {
     require(
         value.is_finite() && value >= 0.0,
         field,
