--- a/examples/soak.rs
+++ b/examples/soak.rs
@@ -12,8 +12,8 @@
 fn main() -> ExitCode {
     let options = Options::parse();
     match soak::soak(&options) {
-        Ok(Verdict::Green) => ExitCode::SUCCESS,
-        Ok(Verdict::Broken) => ExitCode::from(1),
+        Ok(Verdict::Passed) => ExitCode::SUCCESS,
+        Ok(Verdict::Failed) => ExitCode::from(1),
         Ok(Verdict::TooSlow) => ExitCode::from(3),
         Err(error) => {
             eprintln!("soak: {error}");
