--- a/tests/standins/kv_store.rs
+++ b/tests/standins/kv_store.rs
@@ -1,6 +1,6 @@
-//! The state service's rules, written from the protocol: keys with revisions, transactions on conditions, leases
-//! and changes for watches. The simulated world calls it directly, the soak's stand-in over HTTP. It knows no
-//! clock: times are passed in, in seconds.
+//! An in-memory implementation of the state service's protocol: keys with revisions, transactions with compares,
+//! leases, and the changes that watches read. The simulated world and the test harness call it directly; the soak's
+//! state service serves it over HTTP. It reads no clock: times are passed in, in seconds.
 
 use cedarladder::protocol::kv::{KeyValue, KvResponse, Txn, WatchEvent, WriteOp};
 use ciborium::Value;
@@ -19,22 +19,22 @@
     expires_at: f64,
 }
 
-/// The content of the state service.
+/// The keys and leases of the state service.
 #[derive(Debug)]
 pub struct KvStore {
     revision: u64,
     keys: BTreeMap<String, Entry>,
     leases: BTreeMap<u64, Lease>,
     last_lease_id: u64,
-    /// Changes in order, each with its revision.
+    /// The latest changes in order, each with its revision.
     changes: VecDeque<(u64, WatchEvent)>,
     max_changes: usize,
-    /// Changes up to this revision are no longer kept.
+    /// Changes up to and including this revision have been dropped.
     compacted_revision: u64,
 }
 
 impl KvStore {
-    /// An empty store that keeps at most so many changes for watches.
+    /// An empty store that keeps at most `max_changes` changes for watches.
     pub fn new(max_changes: usize) -> KvStore {
         KvStore {
             revision: 0,
@@ -47,12 +47,12 @@
         }
     }
 
-    /// The revision of the latest change.
+    /// Returns the revision of the latest change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// A key with its value.
+    /// Reads a key.
     pub fn get(&self, key: &str) -> KvResponse {
         match self.keys.get(key) {
             Some(entry) => KvResponse::Value(key_value(key, entry)),
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Up to `page_size` keys of a prefix, after a key.
+    /// Lists up to `page_size` keys with a prefix, beginning after the key `after`.
     pub fn list(&self, prefix: &str, after: Option<&str>, page_size: usize) -> KvResponse {
         let is_listed =
             |key: &str| key.starts_with(prefix) && after.is_none_or(|after| key > after);
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Carries out a transaction if all its conditions hold.
+    /// Applies the writes of a transaction if all its compares hold. A write with an unknown lease is an invalid
+    /// request.
     pub fn transact(&mut self, txn: &Txn) -> KvResponse {
         let has_unknown_lease = txn.writes.iter().any(|write| {
             matches!(write, WriteOp::Put { lease_id: Some(id), .. } if !self.leases.contains_key(id))
@@ -104,7 +105,7 @@
         KvResponse::Committed(self.revision)
     }
 
-    /// Grants a lease for so long from now on.
+    /// Grants a lease that expires `ttl_ms` from now.
     pub fn grant_lease(&mut self, ttl_ms: u64, now: f64) -> KvResponse {
         self.last_lease_id += 1;
         let ttl_s = ttl_ms as f64 / 1000.0;
@@ -114,7 +115,7 @@
         KvResponse::LeaseGranted(self.last_lease_id)
     }
 
-    /// Gives a lease its whole time once more.
+    /// Extends a lease to its full time to live from now.
     pub fn keep_alive(&mut self, lease_id: u64, now: f64) -> KvResponse {
         match self.leases.get_mut(&lease_id) {
             Some(lease) => {
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Ends a lease, and deletes the keys that are attached to it.
+    /// Removes a lease, and deletes the keys that are attached to it.
     pub fn revoke_lease(&mut self, lease_id: u64) -> KvResponse {
         if self.leases.remove(&lease_id).is_none() {
             return KvResponse::LeaseExpired;
@@ -142,14 +143,14 @@
         KvResponse::LeaseOk
     }
 
-    /// Gives all leases their whole time once more, as an outage does.
+    /// Extends all leases to their full time to live from now, as the state service does after an outage.
     pub fn extend_leases(&mut self, now: f64) {
         for lease in self.leases.values_mut() {
             lease.expires_at = now + lease.ttl_s;
         }
     }
 
-    /// Ends the leases that were not kept alive.
+    /// Revokes the leases whose time to live has passed.
     pub fn expire_leases(&mut self, now: f64) {
         let expired: Vec<u64> = self
             .leases
@@ -162,8 +163,8 @@
         }
     }
 
-    /// The changes of a prefix after a revision; none if there were none, `Compacted` if they are no longer
-    /// kept.
+    /// Returns the changes to keys with a prefix after a revision, possibly none, or `Compacted` if changes after
+    /// that revision have been dropped.
     pub fn changes_after(&self, prefix: &str, revision: u64) -> KvResponse {
         if revision < self.compacted_revision {
             return KvResponse::Compacted;
@@ -196,7 +197,7 @@
         }
     }
 
-    /// Puts or deletes a key. None: there was nothing to delete.
+    /// Puts or deletes a key. Returns `None` if a key to be deleted does not exist.
     fn write(&mut self, write: &WriteOp) -> Option<WatchEvent> {
         let mod_revision = self.revision;
         match write {
