--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -236,7 +236,8 @@
 
     // ---- users
 
-    /// Sends a user's HTTP request to the controller. Returns the number with which [`Harness::answer`] finds the response.
+    /// Sends a user's HTTP request to the controller. Returns a number by which
+    /// [`Harness::answer`] finds the response.
     pub fn request(&mut self, method: &str, path: &str, body: &[u8]) -> u64 {
         self.last_request += 1;
         let now = self.clock();
