--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,6 +9,7 @@
 use cedarladder::protocol::worker::{ExitReason, TaskId, TaskState, TaskStatus};
 use cedarladder::settings::Team;
 
+/// An array job of team `t`, with normal priority, two CPUs for each task, and spot instances allowed.
 pub fn spec(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
         id: id.to_owned(),
@@ -35,10 +36,12 @@
     }
 }
 
+/// A job that was submitted at time 0, with 5 as the mod revision of its record.
 pub fn job(spec: JobSpec) -> Job {
     Job::new(spec, 5, 0.0)
 }
 
+/// An instance type with eight CPUs in the zones `a` and `b`.
 pub fn instance_type(name: &str) -> InstanceType {
     InstanceType {
         name: name.into(),
@@ -54,7 +57,7 @@
     }
 }
 
-/// The freshness of a leader whose lease and view have just been confirmed.
+/// How recently the lease and the view of the open jobs were confirmed, for a leader that has just confirmed both.
 pub fn freshness() -> ViewFreshness {
     ViewFreshness {
         is_leader: true,
@@ -69,7 +72,8 @@
     }
 }
 
-/// The freshness of a leader that has confirmed neither its lease nor its view of the open jobs for `age_s` seconds.
+/// Like [`freshness`], for a leader that has confirmed neither its lease nor its view of the open jobs for `age_s` seconds
+/// and whose lease has expired.
 pub fn freshness_of_age(age_s: f64) -> ViewFreshness {
     ViewFreshness {
         lease_held: false,
@@ -79,7 +83,7 @@
     }
 }
 
-/// A worker that is running and may be assigned tasks.
+/// A worker in its first incarnation that has sent a heartbeat, and may be assigned tasks.
 pub fn worker(name: &str, zone: &str, spot: bool) -> Worker {
     let mut worker = Worker::new(name, "f", zone, spot, 0.0);
     worker.token_acknowledged = true;
@@ -88,6 +92,7 @@
     worker
 }
 
+/// A durable binding of a task that has been running since time 0 in the worker's first incarnation.
 pub fn binding(spec: &JobSpec, attempt: u64) -> Binding {
     Binding {
         attempt,
@@ -127,6 +132,7 @@
     }
 }
 
+/// A team with a quota of `cpus` and a limit of `cpus_max` CPUs. A limit of 0 stands for no limit.
 pub fn team(name: &str, cpus: f64, cpus_max: f64) -> Team {
     Team {
         name: name.into(),
--- a/tests/determinism.rs
+++ b/tests/determinism.rs
@@ -6,7 +6,7 @@
 use world::digest;
 use world::recorder::RecordKind;
 
-/// Seeds with three and with five controllers, and with few machines, so that they run quickly.
+/// Seeds with three and with five controllers, and with few instances, so that they run quickly.
 const SEEDS: [u64; 4] = [0, 1, 4, 9];
 
 #[test]
--- a/tests/permit_guards.rs
+++ b/tests/permit_guards.rs
@@ -15,7 +15,7 @@
 
 use world::{CANCEL_S, LEASE_S, World};
 
-/// When the faults begin: the machines are running, and so are the first jobs.
+/// When the faults begin: the instances are running, and so are the first jobs.
 const FAULTS_BEGIN_S: f64 = 30.0;
 const SEEDS: [u64; 3] = [1, 2, 3];
 /// Jobs that are cancelled before their starts are delivered.
--- a/tests/standins/kv_store.rs
+++ b/tests/standins/kv_store.rs
@@ -19,14 +19,14 @@
     expires_at: f64,
 }
 
-/// The keys and leases of the state service.
+/// The keys and leases of the state service. Each change gets the next revision, which all writes of a transaction share.
 #[derive(Debug)]
 pub struct KvStore {
     revision: u64,
     keys: BTreeMap<String, Entry>,
     leases: BTreeMap<u64, Lease>,
     last_lease_id: u64,
-    /// The latest changes in order, each with its revision.
+    /// The latest changes, oldest first, each with its revision.
     changes: VecDeque<(u64, WatchEvent)>,
     max_changes: usize,
     /// Changes up to and including this revision have been dropped.
@@ -47,12 +47,12 @@
         }
     }
 
-    /// Returns the revision of the latest change.
+    /// Returns the revision of the latest change, 0 if there was none.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Reads a key.
+    /// Returns a key with its value and revision, or the response that the key does not exist.
     pub fn get(&self, key: &str) -> KvResponse {
         match self.keys.get(key) {
             Some(entry) => KvResponse::Value(key_value(key, entry)),
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Lists up to `page_size` keys with a prefix, beginning after the key `after`.
+    /// Lists up to `page_size` keys with a prefix, in their order. Begins after the key `after`, or with the first key if
+    /// `after` is `None`.
     pub fn list(&self, prefix: &str, after: Option<&str>, page_size: usize) -> KvResponse {
         let is_listed =
             |key: &str| key.starts_with(prefix) && after.is_none_or(|after| key > after);
@@ -80,8 +81,8 @@
         }
     }
 
-    /// Applies the writes of a transaction if all its compares hold. A write with an unknown lease is an invalid
-    /// request.
+    /// Applies the writes of a transaction if all its compares hold, else returns the keys of those that failed. A
+    /// transaction that puts a key with an unknown lease is rejected as an invalid request.
     pub fn transact(&mut self, txn: &Txn) -> KvResponse {
         let has_unknown_lease = txn.writes.iter().any(|write| {
             matches!(write, WriteOp::Put { lease_id: Some(id), .. } if !self.leases.contains_key(id))
@@ -115,7 +116,7 @@
         KvResponse::LeaseGranted(self.last_lease_id)
     }
 
-    /// Extends a lease to its full time to live from now.
+    /// Extends a lease to its full time to live from now, if the lease exists.
     pub fn keep_alive(&mut self, lease_id: u64, now: f64) -> KvResponse {
         match self.leases.get_mut(&lease_id) {
             Some(lease) => {
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Removes a lease, and deletes the keys that are attached to it.
+    /// Removes a lease, if it exists, and deletes the keys that are attached to it.
     pub fn revoke_lease(&mut self, lease_id: u64) -> KvResponse {
         if self.leases.remove(&lease_id).is_none() {
             return KvResponse::LeaseExpired;
@@ -197,7 +198,7 @@
         }
     }
 
-    /// Puts or deletes a key. Returns `None` if a key to be deleted does not exist.
+    /// Puts or deletes a key, and returns the change for watches. Returns `None` if a key to be deleted does not exist.
     fn write(&mut self, write: &WriteOp) -> Option<WatchEvent> {
         let mod_revision = self.revision;
         match write {
--- a/tests/world/cloud.rs
+++ b/tests/world/cloud.rs
@@ -1,9 +1,9 @@
-//! The simulated cloud, with one instance type in four pools: two zones, on-demand and spot.
+//! The simulated cloud, with one instance type in four pools: an on-demand pool and a spot pool in each of two zones.
 
 use super::*;
 
 impl World {
-    /// Removes a machine and all tasks on it.
+    /// Removes an instance and its worker, with all tasks on it.
     pub(super) fn remove_instance(&mut self, name: &str) {
         self.instances.remove(name);
         self.workers.remove(name);
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Returns the names of the spot machines, or of the on-demand machines, in a zone.
+    /// Returns the names of a zone's spot instances or, if `spot` is false, of its on-demand instances.
     pub fn instances_in(&self, zone: &str, spot: bool) -> BTreeSet<String> {
         let existing = self
             .instances
@@ -108,13 +108,13 @@
         existing.map(|m| m.name.clone()).collect()
     }
 
-    /// Returns the number of machines, other than the expected ones, that were deleted while tasks ran on them.
+    /// Returns the number of instances that were deleted while tasks ran on them, without those listed in `expected`.
     pub fn deleted_while_busy_except(&self, expected: &[String]) -> usize {
         let deleted = self.deleted_while_busy.iter();
         deleted.filter(|name| !expected.contains(name)).count()
     }
 
-    /// Returns the number of tasks that failed on a machine.
+    /// Returns the number of tasks that failed on an instance.
     pub fn failures_on(&self, name: &str) -> u32 {
         self.counts
             .failures_per_worker
@@ -123,12 +123,12 @@
             .unwrap_or(0)
     }
 
-    /// Returns whether a machine is still rented.
+    /// Returns whether an instance exists in the cloud.
     pub fn has_instance(&self, name: &str) -> bool {
         self.instances.contains_key(name)
     }
 
-    /// Returns the number of rented machines.
+    /// Returns the number of instances that exist in the cloud, running or starting.
     pub fn instance_count(&self) -> usize {
         self.instances.len()
     }
--- a/tests/world/digest.rs
+++ b/tests/world/digest.rs
@@ -1,27 +1,29 @@
-//! A digest of the controllers' behaviour. Each seed runs a simulation with random jobs and random faults of
-//! all kinds; all messages of the controllers in it are combined into one hash.
+//! A digest of the controllers' behaviour. Each seed determines a simulation with random jobs and random faults of
+//! all kinds. The digest of a seed is one hash over all messages that the controllers send in its simulation.
 
 use super::recorder::RecordKind;
 use super::*;
 use std::fmt;
 
-/// When the faults begin: the machines are running, and so are the first jobs.
+/// When the faults begin. By then, the instances and the first jobs are running.
 const FAULTS_BEGIN_S: f64 = 20.0;
 /// No fault begins later than this, though faults may last longer.
 const LAST_FAULT_S: f64 = 110.0;
-/// When the simulation ends, which leaves time to recover.
+/// When the simulation ends. The controllers have the time since the last fault to recover.
 const END_S: f64 = 150.0;
 /// The longest time between two faults.
 const MAX_FAULT_INTERVAL_S: f64 = 6.0;
 
-/// Number of machines in each of the cloud's four pools. In tiny and small worlds, the team has a limit.
+/// Number of instances in each of the cloud's four pools, for each size of world. In tiny and small worlds, the team
+/// has a CPU limit.
 const TINY_POOL: u32 = 1;
 const SMALL_POOL: u32 = 3;
 const MEDIUM_POOL: u32 = 12;
 const LARGE_POOL: u32 = 30;
 const LARGEST_POOL: u32 = 80;
-/// One seed in this many has a world of this size. The numbers are odd, so that each size is combined with both three
-/// and five controllers.
+/// One seed in this many has a world of the size; if several sizes apply to a seed, the largest is used, except that tiny
+/// comes before medium. All other seeds have small worlds. The numbers are odd, so that each size is combined with both
+/// three and five controllers.
 const LARGEST_EVERY: u64 = 35;
 const LARGE_EVERY: u64 = 15;
 const TINY_EVERY: u64 = 9;
@@ -29,32 +31,34 @@
 
 /// Number of the first random job; lower numbers belong to `World::add_mixed_jobs`.
 const FIRST_JOB: u32 = 100;
-/// Number of random jobs; the number of machines in a pool is added to it.
+/// Number of random jobs, to which the number of instances in a pool is added.
 const MIN_JOBS: u32 = 24;
-/// Maximum number of tasks of a job; the number of machines in a pool is added to it.
+/// Maximum number of tasks of a job, to which the number of instances in a pool is added.
 const MAX_TASKS: u32 = 4;
-/// Maximum number of replicas of a service, few enough for the team's limit.
+/// Maximum number of tasks of a service or of a failing job; so few that the team's limit allows them.
 const MAX_REPLICAS: u32 = 8;
 
 /// Tasks run for at least `MIN_RUN_S`, and up to `RUN_RANGE_S` longer.
 const MIN_RUN_S: f64 = 2.0;
 const RUN_RANGE_S: f64 = 18.0;
-/// Each task of a job runs longer than the one before it, by up to this time.
+/// In some jobs each task runs longer than the one before it, by up to this time.
 const MAX_RUNTIME_STEP_S: f64 = 9.0;
 /// Longest time from the submission of a job to its cancellation.
 const CANCELLED_WITHIN_S: f64 = 40.0;
 /// Probability that a job of a kind that may be cancelled is cancelled.
 const CANCELLED_SHARE: f64 = 0.25;
-/// Number of kinds of jobs in `add_random_jobs`, and of faults in `inject_random_fault`.
+/// Number of equally likely values from which `add_random_jobs` chooses the kind of a job, and `inject_random_fault` that
+/// of a fault.
 const JOB_KINDS: u32 = 12;
 const FAULT_KINDS: u32 = 25;
 
-/// The longest time for which a restarted leader is down, and that for which all controllers are down. The controllers
-/// then start one after the other, at this interval.
+/// Longest time for which a restarted leader is down.
 const MAX_LEADER_DOWN_S: f64 = 15.0;
+/// Longest time for which all controllers are down together.
 const MAX_ALL_DOWN_S: f64 = 20.0;
+/// Time between the starts of two controllers after all were down.
 const START_INTERVAL_S: f64 = 0.1;
-/// Maximum number of machines or jobs affected by one fault.
+/// Maximum number of instances or jobs affected by one fault.
 const MAX_TARGETS: usize = 3;
 
 /// Probability of each kind of network fault in a seed.
@@ -64,12 +68,12 @@
 pub struct Digest {
     pub seed: u64,
     pub controllers: usize,
-    /// Maximum number of machines that were rented at a time.
+    /// Maximum number of instances that existed at a time.
     pub workers: usize,
     pub hash: String,
     /// Number of messages of each kind in the hash.
     pub records: BTreeMap<RecordKind, u64>,
-    /// Descriptions of the violated invariants. They aren't part of the hash.
+    /// Descriptions of the violated invariants, which are not part of the hash.
     pub violations: Vec<String>,
 }
 
@@ -83,7 +87,7 @@
     }
 }
 
-/// Runs the simulation of a seed.
+/// Runs the simulation of a seed, and returns its digest.
 pub fn run_seed(seed: u64) -> Digest {
     let controllers = if seed.is_multiple_of(2) { 3 } else { 5 };
     let pool = instances_per_pool(seed);
@@ -162,7 +166,7 @@
     }
 }
 
-/// Returns a random selection of network faults, each of a random strength.
+/// Returns network faults of which each is present with a certain probability, and then with a random strength.
 fn random_network_faults(rng: &mut SmallRng) -> NetworkFaults {
     let mut random_strength =
         |max: f64| NetworkFaults::random_strength(rng, NETWORK_FAULT_PROBABILITY, max);
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -3,38 +3,40 @@
 use super::workers::job_of;
 use super::*;
 
-/// Network faults. The values are probabilities for each message unless they say otherwise.
+/// Network faults. Each value is the probability that the fault affects a message, unless its comment says otherwise.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NetworkFaults {
     /// A request is executed, but its response is lost.
     pub lost_responses: f64,
     /// A request is executed 2 to 22 s later, usually after its sender has timed out.
     pub late_requests: f64,
-    /// A duplicate of a heartbeat arrives late, by 1 s to 1 s more than three leases.
+    /// A duplicate of a heartbeat arrives at a random controller, between 1 s and `3 * LEASE_S + 1` s after the heartbeat
+    /// was sent.
     pub duplicate_heartbeats: f64,
-    /// A request is executed a second time, later by 1 s to 1 s more than three leases.
+    /// A request is executed a second time, between 1 s and `3 * LEASE_S + 1` s later.
     pub repeated_requests: f64,
     /// Additional response time of the state service, in seconds.
     pub state_service_delay_s: f64,
     /// A transaction gets no response, and is applied 2 to 12 s later.
     pub late_transactions: f64,
-    /// A heartbeat arrives at a random controller seconds later, when its sender has timed out.
+    /// A heartbeat arrives only when the worker no longer waits for its response, between 4 s and `2 * LEASE_S + 4` s
+    /// after it was sent, and at a random controller.
     pub delayed_heartbeats: f64,
-    /// A user cancels a job within 0.2 s of the end of its last task. Probability for each job.
+    /// A user cancels a job within 0.2 s after the end of its last task. Probability for each array job.
     pub cancels_at_end: f64,
-    /// A user submits a job again and polls it, at all controllers, within 0.2 s of the end of its last task.
-    /// Probability for each job.
+    /// A user submits a job again and polls it, at all controllers, within 0.2 s after the end of its last task.
+    /// Probability for each array job.
     pub requests_at_end: f64,
-    /// Number of additional polls of users for each usual one.
+    /// Number of additional polls that users send for each regular poll.
     pub extra_polls: f64,
-    /// A machine starts at once. Probability for each machine.
+    /// An instance starts at once. Probability for each instance.
     pub instant_boots: f64,
-    /// A machine never starts. Probability for each machine.
+    /// An instance never starts. Probability for each instance.
     pub failed_boots: f64,
 }
 
 impl NetworkFaults {
-    /// Returns a random value up to `max` with a probability, else 0.
+    /// Returns a random value between 0 and `max` in a share `probability` of the calls, and 0 in the others.
     pub fn random_strength(rng: &mut SmallRng, probability: f64, max: f64) -> f64 {
         let is_present = rng.random::<f64>() < probability;
         if is_present {
@@ -44,23 +46,24 @@
         }
     }
 
-    /// Returns a random duration of a fault. The scales are a moment, a lease, one and a half leases, and more than
-    /// `CANCEL_S`.
+    /// Returns a random duration of a fault, in seconds: 0.1 to 1.1 times a scale, which is chosen from one second, a
+    /// lease, one and a half leases, and a time longer than `CANCEL_S`.
     pub fn random_duration(rng: &mut SmallRng) -> f64 {
         let scale = [1.0, LEASE_S, 1.5 * LEASE_S, 1.4 * CANCEL_S][rng.random_range(0..4)];
         (0.1 + rng.random::<f64>()) * scale
     }
 }
 
-/// Delays direct calls with starts until long after their sender has timed out; they are executed if token and
-/// incarnation still match then. Heartbeats, their responses and all other direct calls are not delayed.
+/// Delays direct calls with starts until long after their sender has timed out. When such a call arrives, the worker
+/// executes it if its token is not too low and its incarnation still matches. Heartbeats, their responses and all other
+/// direct calls are not delayed.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct DelayedCommands {
     /// Calls that are sent before this time are delayed.
     pub until: f64,
-    /// For how long each call is delayed.
+    /// Delay of each call, in seconds.
     pub delay_s: f64,
-    /// Each call is delivered without delay too, so that the delayed one is a duplicate.
+    /// Each call is also delivered without delay, so that the delayed call is a duplicate.
     pub copies_only: bool,
 }
 
@@ -73,7 +76,7 @@
 }
 
 impl World {
-    /// Schedules the crash and the restart of a controller.
+    /// Schedules the crash of a controller and its restart, at two simulated times in seconds.
     pub fn crash(&mut self, controller: usize, at: f64, restart_at: f64) {
         self.schedule_at(at, SimEvent::ControllerCrashes(controller));
         self.schedule_at(restart_at, SimEvent::ControllerStarts(controller));
@@ -90,7 +93,7 @@
         self.state_service_outage(self.now, self.now + for_s);
     }
 
-    /// Returns whether the partition separates a controller from a zone.
+    /// Returns whether a partition currently separates a controller from the workers of a zone.
     pub(super) fn is_partitioned_from(&self, controller: usize, zone: &str) -> bool {
         let partition = self
             .partition
@@ -101,7 +104,7 @@
         })
     }
 
-    /// Returns whether a controller is inside the partitioned zone.
+    /// Returns whether a partition currently separates a controller from everything outside the partitioned zone.
     pub(super) fn is_in_partition(&self, controller: usize) -> bool {
         let partition = self
             .partition
@@ -110,12 +113,13 @@
         partition.is_some_and(|partition| partition.controllers.contains(&controller))
     }
 
-    /// Sends a request, which may arrive late or twice, depending on the network faults.
+    /// Sends a request. Depending on the network faults, it may arrive late, arrive twice or, if it is a transaction, arrive
+    /// when its sender has timed out.
     pub(super) fn send_request(&mut self, event: SimEvent) {
         if self.faults.repeated_requests > 0.0
             && self.rng.random::<f64>() < self.faults.repeated_requests
         {
-            // The sender ignores a second response.
+            // The sender ignores the response to the second execution.
             let delay = 1.0 + self.rng.random::<f64>() * 3.0 * LEASE_S;
             self.schedule_after(delay, event.clone());
         }
@@ -124,7 +128,7 @@
             && self.faults.late_transactions > 0.0
             && self.rng.random::<f64>() < self.faults.late_transactions
         {
-            // The sender has timed out by then.
+            // When the transaction is applied, its sender has timed out.
             let delay = 2.0 + self.rng.random::<f64>() * 10.0;
             self.counts.late_txns += 1;
             self.schedule_after(delay, event);
@@ -139,7 +143,7 @@
         self.schedule_after(delay, event);
     }
 
-    /// Returns for how long a direct call is delayed, if it is.
+    /// Returns the delay of a direct call in seconds, or `None` if the call is not delayed. Only calls with starts are.
     pub(super) fn command_delay(&mut self, request: &WorkerRequest) -> Option<f64> {
         let WorkerRequest::Commands(commands) = request;
         let has_starts = commands
@@ -153,7 +157,8 @@
         Some(self.delayed_commands.delay_s)
     }
 
-    /// Counts the starts of a delayed call that arrives, whether or not it is executed.
+    /// Counts the starts in a delayed call that arrives now, if the cancellation of their job was confirmed more than
+    /// `CANCEL_S` ago. The worker may still reject the call.
     pub(super) fn count_delayed_command(&mut self, worker: &str, request: &WorkerRequest) {
         let WorkerRequest::Commands(commands) = request;
         let Some(worker) = self.workers.get(worker) else {
@@ -175,7 +180,8 @@
             if same_incarnation { late } else { 0 };
     }
 
-    /// Sends a response, which may be lost. A user whose response is lost times out.
+    /// Sends a response, which may be lost. If the response to a user is lost, the user times out after five seconds, which
+    /// the simulation represents as a response with status 599.
     pub(super) fn send_response(&mut self, delay: f64, event: SimEvent) {
         if self.rng.random::<f64>() >= self.faults.lost_responses {
             self.schedule_after(delay, event);
@@ -187,7 +193,8 @@
         }
     }
 
-    /// Removes a machine, as the cloud does when it reclaims spot machines. Returns false if there is none.
+    /// Removes the running instance whose name comes first, without a warning, as the cloud does when it reclaims spot
+    /// instances. Returns false if no instance is running.
     pub fn reclaim_instance(&mut self) -> bool {
         let Some(name) = self.workers.keys().next().cloned() else {
             return false;
@@ -196,7 +203,7 @@
         true
     }
 
-    /// Removes up to `count` machines of a zone. Returns how many were removed.
+    /// Removes up to `count` running instances of a zone. Returns how many were removed.
     pub fn lose_instances(&mut self, zone: &str, count: usize) -> usize {
         let in_zone = self.workers.values().filter(|w| w.zone == zone);
         let names: Vec<String> = in_zone.map(|w| w.name.clone()).take(count).collect();
@@ -206,8 +213,8 @@
         names.len()
     }
 
-    /// Sets a field of the world that has a time for each controller to `for_s` from now, for the leader. Returns the
-    /// leader, if there is one.
+    /// Sets the leader's entry in a field of the world that has one time for each controller. The entry is set to the time
+    /// `for_s` seconds from now. Returns the index of the leader, or `None` if there is no leader.
     fn set_on_leader(
         &mut self,
         for_s: f64,
@@ -219,7 +226,8 @@
         Some(leader)
     }
 
-    /// Isolates the leader from everything except the state service. Returns false if there is no leader.
+    /// Isolates the leader from workers and from the other controllers, but not from the state service. Returns false if
+    /// there is no leader.
     pub fn isolate_leader_except_state_service(&mut self, for_s: f64) -> bool {
         self.set_on_leader(for_s, |world| &mut world.isolated_except_state_service)
             .is_some()
@@ -229,21 +237,21 @@
     /// false if there is no leader.
     pub fn isolate_leader_except_workers(&mut self, for_s: f64) -> bool {
         let leader = self.set_on_leader(for_s, |world| &mut world.isolated_except_workers);
-        // Open watches stay open, but get no response.
+        // The requests of open watches have already arrived; the controller gets no responses to them.
         self.kv
             .watches
             .retain(|watch| Some(watch.controller) != leader);
         leader.is_some()
     }
 
-    /// Pauses the leader's process; its clocks go on. Returns false if there is no leader.
+    /// Pauses the leader's process, while its clocks go on. Returns false if there is no leader.
     pub fn pause_leader(&mut self, for_s: f64) -> bool {
         self.set_on_leader(for_s, |world| &mut world.paused_until)
             .is_some()
     }
 
-    /// Pauses the leader's process the next time it has effects to send; they are sent after the pause. Returns
-    /// false if there is no leader.
+    /// Pauses the leader's process the next time that it has effects to send, before it sends them. They are sent after the
+    /// pause. Returns false if there is no leader.
     pub fn pause_leader_before_sending(&mut self, for_s: f64) -> bool {
         let leader = self.leader();
         if let Some(leader) = leader {
@@ -262,8 +270,9 @@
         true
     }
 
-    /// Partitions the workers of a zone from everything else, together with the leader if `leader_inside` is set, and
-    /// with `other_controllers` of the others. Returns false if there is no leader.
+    /// Partitions the network for `for_s` seconds. On one side are the workers of a zone, `other_controllers` of the
+    /// controllers that do not lead and, if `leader_inside` is set, the leader; everything else is on the other side.
+    /// Returns false if there is no leader.
     pub fn partition_zone(
         &mut self,
         zone: &'static str,
@@ -284,7 +293,7 @@
             controllers,
             until,
         });
-        // Open watches stay open, but get no response.
+        // The requests of open watches have already arrived; the controller gets no responses to them.
         let inside: Vec<usize> = (0..self.controllers.len())
             .filter(|i| self.is_in_partition(*i))
             .collect();
@@ -294,29 +303,29 @@
         true
     }
 
-    /// Makes the state service answer the requests of the leader alone with 503; its open watches get no response.
-    /// Returns false if there is no leader.
+    /// Makes the state service respond with 503 to all requests of the leader, while it serves the other controllers. The
+    /// leader's open watches get no response. Returns false if there is no leader.
     pub fn fail_state_requests_of_leader(&mut self, for_s: f64) -> bool {
         self.set_on_leader(for_s, |world| &mut world.state_requests_fail_until)
             .is_some()
     }
 
-    /// Withholds the responses to the leader's watch on the open jobs. Its other requests are answered. Returns
+    /// Withholds the responses to the leader's watch on the open jobs. The leader's other requests get responses. Returns
     /// false if there is no leader.
     pub fn hang_leader_watch(&mut self, for_s: f64) -> bool {
         self.set_on_leader(for_s, |world| &mut world.watch_hangs_until)
             .is_some()
     }
 
-    /// Makes the state service reject the leader's watch on the open jobs because of its rate limit. The leader's
-    /// other requests are answered. Returns false if there is no leader.
+    /// Makes the state service reject the leader's watch on the open jobs, as if a rate limit was exceeded. The leader's
+    /// other requests are executed. Returns false if there is no leader.
     pub fn rate_limit_leader_watch(&mut self, for_s: f64) -> bool {
         self.set_on_leader(for_s, |world| &mut world.watch_limited_until)
             .is_some()
     }
 
-    /// Pauses the controllers in the partitioned zone. After the pause they handle the requests that have arrived
-    /// before their overdue timers. Returns how many controllers there are.
+    /// Pauses the controllers in the partitioned zone. After the pause they first handle the requests that arrived during
+    /// it, and then their overdue timers. Returns the number of paused controllers.
     pub fn pause_partitioned_controllers(&mut self, for_s: f64) -> usize {
         let inside: Vec<usize> = (0..self.controllers.len())
             .filter(|i| self.is_in_partition(*i))
@@ -328,7 +337,8 @@
         inside.len()
     }
 
-    /// Hangs the workers of a zone for `for_s` seconds. They go on afterwards unless their leases have expired.
+    /// Hangs the workers of a zone and their tasks for `for_s` seconds. Afterwards they go on; workers whose leases have
+    /// expired meanwhile begin a new incarnation without tasks.
     pub fn hang_workers(&mut self, zone: &str, for_s: f64) {
         let until = self.now + for_s;
         for worker in self.workers.values_mut().filter(|w| w.zone == zone) {
@@ -336,7 +346,7 @@
         }
     }
 
-    /// Blocks commands and responses to all workers. Their heartbeats arrive.
+    /// Blocks all commands and responses to the existing workers. Their heartbeats still arrive at the controllers.
     pub fn block_traffic_to_workers(&mut self, for_s: f64) {
         let until = self.now + for_s;
         for worker in self.workers.values_mut() {
@@ -351,13 +361,13 @@
             .is_some()
     }
 
-    /// Withholds the responses to listings. All other requests are answered.
+    /// Withholds the responses to listings of keys. All other requests to the state service get responses.
     pub fn hang_listings(&mut self, for_s: f64) {
         self.listings_hang_until = self.now + for_s;
     }
 
-    /// Cancels up to `count` running jobs within 0.2 s, and hangs up to `hung_workers` of the workers that run them
-    /// for `hang_s` seconds. Returns the number of cancelled jobs.
+    /// Makes the users of up to `count` running jobs cancel them within 0.2 s, and hangs up to `hung_workers` of the
+    /// workers that run these jobs for `hang_s` seconds. Returns the number of jobs that will be cancelled.
     pub fn cancel_jobs(&mut self, count: usize, hung_workers: usize, hang_s: f64) -> usize {
         let is_running = |u: &User| {
             let runs_on = |w: &Worker| w.runs_job(&u.id);
@@ -387,7 +397,8 @@
         users.len()
     }
 
-    /// Blocks the heartbeats of a worker. Direct calls reach it.
+    /// Blocks the heartbeats of the worker at position `nth`, in the order of names. Direct calls still reach the worker.
+    /// Returns its name, or `None` if there are not enough workers.
     pub fn block_traffic_from_worker(&mut self, nth: usize, for_s: f64) -> Option<String> {
         let until = self.now + for_s;
         let worker = self.workers.values_mut().nth(nth)?;
@@ -395,7 +406,7 @@
         Some(worker.name.clone())
     }
 
-    /// Sends each kind of invalid request to every controller.
+    /// Sends each kind of invalid request that is possible in this world to every controller.
     pub fn send_invalid_requests(&mut self) {
         let all = [
             InvalidRequest::FitsNoInstance,
@@ -413,7 +424,8 @@
         }
     }
 
-    /// Makes users submit unfinished jobs again, and cancel jobs that are done.
+    /// Makes the users of accepted jobs send one more request: a submission if the job is unfinished, a cancellation if
+    /// it is done. Users of cancelled jobs send none.
     pub fn repeat_requests(&mut self) {
         for n in 0..self.users.len() {
             let kind = match &self.users[n] {
@@ -439,7 +451,7 @@
         self.peer_connections_refused_until = self.now + for_s;
     }
 
-    /// Restarts the leader, which is down for `down_s` seconds. Returns false if there is no leader.
+    /// Crashes the leader, and restarts it after `down_s` seconds. Returns false if there is no leader.
     pub fn restart_leader(&mut self, down_s: f64) -> bool {
         let leader = self.leader();
         if let Some(leader) = leader {
@@ -449,7 +461,8 @@
         leader.is_some()
     }
 
-    /// Blocks commands and responses to a worker. Its heartbeats arrive.
+    /// Blocks commands and responses to the worker at position `nth`, in the order of names. Its heartbeats still arrive at
+    /// the controllers. Returns its name, or `None` if there are not enough workers.
     pub fn block_traffic_to_worker(&mut self, nth: usize, for_s: f64) -> Option<String> {
         let until = self.now + for_s;
         let worker = self.workers.values_mut().nth(nth)?;
@@ -457,8 +470,8 @@
         Some(worker.name.clone())
     }
 
-    /// Restarts a worker, which comes back at once without tasks: in its next incarnation or, if it loses its
-    /// state, at incarnation 1 without a token.
+    /// Restarts the worker at position `nth`, in the order of names. The worker is back at once, without its tasks. If
+    /// `loses_state` is set, it begins at incarnation 1 with the lowest token, else in its next incarnation.
     pub fn restart_worker(&mut self, nth: usize, loses_state: bool) {
         let now = self.now;
         let Some(worker) = self.workers.values_mut().nth(nth) else {
@@ -475,14 +488,16 @@
         }
     }
 
-    /// Makes a worker faulty: each task that it starts from now on fails.
+    /// Makes the worker at position `nth`, in the order of names, faulty: each task that it starts from now on fails. Returns
+    /// its name, or `None` if there are not enough workers.
     pub fn make_worker_faulty(&mut self, nth: usize) -> Option<String> {
         let worker = self.workers.values_mut().nth(nth)?;
         worker.faulty = true;
         Some(worker.name.clone())
     }
 
-    /// Disconnects a worker in both directions.
+    /// Blocks all messages from and to the worker at position `nth`, in the order of names. Returns its name, or `None` if
+    /// there are not enough workers.
     pub fn disconnect_worker(&mut self, nth: usize, for_s: f64) -> Option<String> {
         let until = self.now + for_s;
         let worker = self.workers.values_mut().nth(nth)?;
